--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationReplica.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationReplica.java
@@ -15,7 +15,7 @@
 public final class ConfigurationReplica {
 
     /** What became of news. */
-    public enum Taken {
+    public enum ApplyResult {
         /** A higher version is in force now. */
         NEWER,
         /** The version in force is as high or higher. */
@@ -52,11 +52,11 @@
      * @param news the news
      * @return what became of them
      */
-    public Taken take(ConfigurationNews news) {
+    public ApplyResult apply(ConfigurationUpdate news) {
         if (news.whole().isPresent()) {
-            return takeWhole(news.whole().get());
+            return applyFull(news.whole().get());
         }
-        return takeEntries(news.entries());
+        return applyEntries(news.entries());
     }
 
     /**
@@ -65,41 +65,41 @@
      * @param known the version of the other instance
      * @return the news, or empty if the other instance lacks nothing
      */
-    public Optional<ConfigurationNews> newsSince(ConfigurationVersion known) {
+    public Optional<ConfigurationUpdate> updateSince(ConfigurationVersion known) {
         if (!mCurrent.version().isAfter(known)) {
             return Optional.empty();
         }
         long missing = mCurrent.version().number() - known.number();
         if (missing > mLog.size()) {
-            return Optional.of(ConfigurationNews.of(mCurrent));
+            return Optional.of(ConfigurationUpdate.of(mCurrent));
         }
         return Optional.of(
-                ConfigurationNews.of(mLog.subList((int) (mLog.size() - missing), mLog.size())));
+                ConfigurationUpdate.of(mLog.subList((int) (mLog.size() - missing), mLog.size())));
     }
 
-    private Taken takeWhole(Configuration configuration) {
+    private ApplyResult applyFull(Configuration configuration) {
         if (!configuration.version().isAfter(mCurrent.version())) {
-            return Taken.KNOWN;
+            return ApplyResult.KNOWN;
         }
         mCurrent = configuration;
         mLog = List.of();
-        return Taken.NEWER;
+        return ApplyResult.NEWER;
     }
 
-    private Taken takeEntries(List<ConfigurationLogEntry> entries) {
-        Taken taken = Taken.KNOWN;
+    private ApplyResult applyEntries(List<ConfigurationLogEntry> entries) {
+        ApplyResult taken = ApplyResult.KNOWN;
         for (ConfigurationLogEntry entry : entries) {
             if (!entry.version().isAfter(mCurrent.version())) {
                 continue;
             }
             if (!entry.version().equals(mCurrent.version().next())) {
-                return Taken.GAP;
+                return ApplyResult.GAP;
             }
             mCurrent = entry.applyTo(mCurrent);
             List<ConfigurationLogEntry> grown = new ArrayList<>(mLog);
             grown.add(entry);
             mLog = List.copyOf(mLimits.trim(grown));
-            taken = Taken.NEWER;
+            taken = ApplyResult.NEWER;
         }
         return taken;
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationNews.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationUpdate.java
@@ -11,11 +11,11 @@
  * @param entries the changes in order without a gap, if there is no whole configuration
  * @since 0.1
  */
-public record ConfigurationNews(
+public record ConfigurationUpdate(
         Optional<Configuration> whole, List<ConfigurationLogEntry> entries) {
 
     /** Checks that there is one of both, and that the changes have no gap. */
-    public ConfigurationNews {
+    public ConfigurationUpdate {
         whole = whole == null ? Optional.empty() : whole;
         entries = ConfigurationContent.copyOf(entries);
         Assert.isTrue(
@@ -35,8 +35,8 @@
      * @param configuration the configuration
      * @return the news
      */
-    public static ConfigurationNews of(Configuration configuration) {
-        return new ConfigurationNews(Optional.of(configuration), List.of());
+    public static ConfigurationUpdate of(Configuration configuration) {
+        return new ConfigurationUpdate(Optional.of(configuration), List.of());
     }
 
     /**
@@ -45,7 +45,7 @@
      * @param entries the changes, at least one
      * @return the news
      */
-    public static ConfigurationNews of(List<ConfigurationLogEntry> entries) {
-        return new ConfigurationNews(Optional.empty(), entries);
+    public static ConfigurationUpdate of(List<ConfigurationLogEntry> entries) {
+        return new ConfigurationUpdate(Optional.empty(), entries);
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MemberDigest.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MemberDigest.java
@@ -8,7 +8,7 @@
 
     private MemberDigest() {}
 
-    static long of(MemberNews news) {
+    static long of(MemberUpdate news) {
         long mixed = news.id().value().hashCode() * FACTOR;
         mixed = (mixed ^ news.run().number()) * FACTOR;
         mixed = (mixed ^ (news.leaving() ? 1 : 0)) * FACTOR;
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MemberRecord.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MemberRecord.java
@@ -11,7 +11,7 @@
     private static final long UNKNOWN_RUN = 1;
 
     private final InstanceId mId;
-    private MemberNews mNews;
+    private MemberUpdate mUpdate;
     private boolean mHeard;
     private boolean mListed;
     private boolean mListedLeaving;
@@ -24,7 +24,7 @@
     /** Makes the record of an instance that the platform lists. */
     MemberRecord(ListedMember listed, long now) {
         this(
-                new MemberNews(
+                new MemberUpdate(
                         new Incarnation(listed.id(), UNKNOWN_RUN),
                         0,
                         listed.zone(),
@@ -38,9 +38,9 @@
     }
 
     /** Makes the record of an instance that another one told of. */
-    MemberRecord(MemberNews news, long now) {
+    MemberRecord(MemberUpdate news, long now) {
         mId = news.id();
-        mNews = news;
+        mUpdate = news;
         mFreshNanos = now;
         mClaimNanos = now;
         mAskedNanos = now;
@@ -50,16 +50,16 @@
         return mId;
     }
 
-    MemberNews news() {
-        return mNews;
+    MemberUpdate update() {
+        return mUpdate;
     }
 
     MemberState state() {
         if (!mHeard) {
             return MemberState.EXPECTED;
         }
-        return switch (mNews.claim()) {
-            case LIVE -> mNews.leaving() || mListedLeaving ? MemberState.LEAVING : MemberState.LIVE;
+        return switch (mUpdate.claim()) {
+            case LIVE -> mUpdate.leaving() || mListedLeaving ? MemberState.LEAVING : MemberState.LIVE;
             case SUSPECT -> MemberState.SUSPECT;
             case DEAD, GONE -> MemberState.DEAD;
         };
@@ -67,23 +67,23 @@
 
     /** Tells whether the process of the run has ended. */
     boolean isGone() {
-        return mHeard && mNews.claim() == MemberClaim.GONE;
+        return mHeard && mUpdate.claim() == MemberClaim.GONE;
     }
 
     /** Gives the share of this member in the digest of all. */
     long digest() {
-        return mHeard && !mNews.claim().isEnd() ? MemberDigest.of(mNews) : 0;
+        return mHeard && !mUpdate.claim().isEnd() ? MemberDigest.of(mUpdate) : 0;
     }
 
     Member member() {
         return new Member(
-                mNews.run(),
-                mNews.zone(),
-                mNews.linkAddress(),
-                mNews.callerAddress(),
-                mNews.operatorAddress(),
+                mUpdate.run(),
+                mUpdate.zone(),
+                mUpdate.linkAddress(),
+                mUpdate.callerAddress(),
+                mUpdate.operatorAddress(),
                 state(),
-                mNews.configuration());
+                mUpdate.configuration());
     }
 
     boolean isHeard() {
@@ -103,37 +103,37 @@
             case LIVE, LEAVING -> true;
             case EXPECTED -> mRefused;
             case SUSPECT -> false;
-            case DEAD -> mNews.claim() == MemberClaim.GONE;
+            case DEAD -> mUpdate.claim() == MemberClaim.GONE;
         };
     }
 
     /** A run that ended is followed by one with a lower number if the wall clock went back. */
-    boolean isRestartWithEarlierClock(MemberNews news, InstanceId teller) {
-        return mNews.claim().isEnd()
+    boolean isRestartWithEarlierClock(MemberUpdate news, InstanceId teller) {
+        return mUpdate.claim().isEnd()
                 && news.id().equals(teller)
-                && news.run().number() < mNews.run().number();
+                && news.run().number() < mUpdate.run().number();
     }
 
     /**
      * Takes newer news; returns whether the run, the state or an address is another than before, or
      * the run got its first configuration.
      */
-    boolean take(MemberNews news, long now) {
+    boolean apply(MemberUpdate news, long now) {
         Member before = member();
         boolean advances =
                 !mHeard
-                        || news.run().number() > mNews.run().number()
-                        || news.sequence() > mNews.sequence();
+                        || news.run().number() > mUpdate.run().number()
+                        || news.sequence() > mUpdate.sequence();
         if (advances && news.claim() == MemberClaim.LIVE) {
             mFreshNanos = now;
             mBroken = false;
             mRefused = false;
         }
-        if (news.claim() != mNews.claim()) {
+        if (news.claim() != mUpdate.claim()) {
             mClaimNanos = now;
         }
         mHeard = true;
-        mNews = news;
+        mUpdate = news;
         Member after = member();
         return before.state() != after.state()
                 || before.isConfigured() != after.isConfigured()
@@ -143,12 +143,12 @@
     }
 
     /** Takes what the platform's list says; returns whether the state is another than before. */
-    boolean take(ListedMember listed) {
+    boolean apply(ListedMember listed) {
         MemberState before = state();
         mListed = true;
         mListedLeaving = listed.leaving();
-        if (!mHeard && !mNews.linkAddress().equals(listed.linkAddress())) {
-            mNews = new MemberRecord(listed, mFreshNanos).mNews;
+        if (!mHeard && !mUpdate.linkAddress().equals(listed.linkAddress())) {
+            mUpdate = new MemberRecord(listed, mFreshNanos).mUpdate;
             mRefused = false;
         }
         return before != state();
@@ -158,11 +158,11 @@
     MemberRecord expectedAgain(long now) {
         MemberRecord expected =
                 new MemberRecord(
-                        new ListedMember(mId, mNews.zone(), mNews.linkAddress(), mListedLeaving),
+                        new ListedMember(mId, mUpdate.zone(), mUpdate.linkAddress(), mListedLeaving),
                         now);
         expected.mListed = true;
         expected.mListedLeaving = mListedLeaving;
-        expected.mRefused = mNews.claim() == MemberClaim.GONE;
+        expected.mRefused = mUpdate.claim() == MemberClaim.GONE;
         return expected;
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MemberNews.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MemberUpdate.java
@@ -22,7 +22,7 @@
  * @param claim what the teller says about it
  * @since 0.1
  */
-public record MemberNews(
+public record MemberUpdate(
         Incarnation run,
         long sequence,
         ZoneId zone,
@@ -34,7 +34,7 @@
         MemberClaim claim) {
 
     /** Checks that all parts are given. */
-    public MemberNews {
+    public MemberUpdate {
         Assert.notNull(run, "An incarnation");
         Assert.notNegative(sequence, "A heartbeat sequence");
         Assert.notNull(zone, "An availability zone id");
@@ -61,7 +61,7 @@
      * @param other the other news
      * @return whether this takes its place
      */
-    public boolean supersedes(MemberNews other) {
+    public boolean supersedes(MemberUpdate other) {
         if (run.number() != other.run.number()) {
             return run.number() > other.run.number();
         }
@@ -89,8 +89,8 @@
      * @param newClaim the claim
      * @return the news
      */
-    public MemberNews claiming(MemberClaim newClaim) {
-        return new MemberNews(
+    public MemberUpdate claiming(MemberClaim newClaim) {
+        return new MemberUpdate(
                 run,
                 sequence,
                 zone,
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipSink.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipSink.java
@@ -20,7 +20,7 @@
      * @param own this instance's heartbeat
      * @param others news of others, often none
      */
-    void send(InstanceId to, MemberNews own, List<MemberNews> others);
+    void send(InstanceId to, MemberUpdate own, List<MemberUpdate> others);
 
     /**
      * Sends this instance's own heartbeat, and news of all others that it knows.
@@ -29,7 +29,7 @@
      * @param own this instance's heartbeat
      * @param others news of all others
      */
-    void sendAll(InstanceId to, MemberNews own, List<MemberNews> others);
+    void sendAll(InstanceId to, MemberUpdate own, List<MemberUpdate> others);
 
     /**
      * Asks an instance for newer news of a run.
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTable.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTable.java
@@ -35,7 +35,7 @@
     private final MembershipSink mSink;
     private final Map<InstanceId, MemberRecord> mRecords = new TreeMap<>();
     private final AskRelay mAskRelay;
-    private final NewsSpreader mSpreader;
+    private final UpdateDisseminator mDisseminator;
     private final Neighborhood mNeighborhood;
     private final DigestComparison mDigestComparison = new DigestComparison();
     private final PauseDetector mPauseDetector;
@@ -59,7 +59,7 @@
         mTimeSource = Assert.notNull(timeSource, "A time source");
         mSink = Assert.notNull(sink, "A sink");
         mAskRelay = new AskRelay(timings.dead().toNanos());
-        mSpreader = new NewsSpreader(mSelf, sink, mAskRelay);
+        mDisseminator = new UpdateDisseminator(mSelf, sink, mAskRelay);
         mNeighborhood = new Neighborhood(mSelf.id(), mSelf.zone());
         mPauseDetector = new PauseDetector(timings, timeSource.monotonicNanos());
     }
@@ -109,7 +109,7 @@
             if (changed) {
                 record = add(new MemberRecord(entry, now));
             }
-            if (record.take(entry) || changed) {
+            if (record.apply(entry) || changed) {
                 mSink.changed(record.member());
             }
         }
@@ -126,7 +126,7 @@
      * @param all whether the news are all that the sender knows, and so need not be passed on
      * @param digest the digest of the sender
      */
-    public void heard(MemberNews own, List<MemberNews> others, boolean all, long digest) {
+    public void heard(MemberUpdate own, List<MemberUpdate> others, boolean all, long digest) {
         if (own.id().equals(mSelf.id())) {
             return;
         }
@@ -134,7 +134,7 @@
         boolean newRun = !isKnownRun(own);
         merge(own, own.id(), true);
         others.forEach(news -> merge(news, own.id(), !all));
-        mSpreader.flush(neighbors());
+        mDisseminator.flush(neighbors());
         if (!isKnownRun(own)) {
             return;
         }
@@ -155,8 +155,8 @@
         MemberRecord record = mRecords.get(run.instance());
         if (run.instance().equals(mSelf.id())) {
             greet(from);
-        } else if (record != null && record.news().isNewerThan(run, sequence)) {
-            mSink.send(from, mSelf.next(), List.of(record.news()));
+        } else if (record != null && record.update().isNewerThan(run, sequence)) {
+            mSink.send(from, mSelf.next(), List.of(record.update()));
         } else if (record != null
                 && mAskRelay.add(run.instance(), from, mTimeSource.monotonicNanos())) {
             mSink.ask(run.instance(), run, sequence);
@@ -170,7 +170,7 @@
      */
     public void disconnected(Incarnation run) {
         MemberRecord record = mRecords.get(run.instance());
-        if (record == null || !record.news().run().equals(run) || !isWatched(record)) {
+        if (record == null || !record.update().run().equals(run) || !isWatched(record)) {
             return;
         }
         record.broken();
@@ -187,7 +187,7 @@
         if (record != null) {
             record.refused();
             judge(record, mTimeSource.monotonicNanos());
-            mSpreader.flush(neighbors());
+            mDisseminator.flush(neighbors());
         }
     }
 
@@ -201,12 +201,12 @@
         for (MemberRecord record : List.copyOf(mRecords.values())) {
             judge(record, now);
         }
-        mSpreader.flush(neighbors());
+        mDisseminator.flush(neighbors());
     }
 
     /** Sends a heartbeat to every neighbor. */
     public void beat() {
-        MemberNews own = mSelf.next();
+        MemberUpdate own = mSelf.next();
         neighbors().forEach(id -> mSink.send(id, own, List.of()));
     }
 
@@ -221,7 +221,7 @@
 
     /** Tells every neighbor that this run ends now. */
     public void farewell() {
-        MemberNews own = mSelf.next().claiming(MemberClaim.GONE);
+        MemberUpdate own = mSelf.next().claiming(MemberClaim.GONE);
         neighbors().forEach(id -> mSink.send(id, own, List.of()));
     }
 
@@ -281,7 +281,7 @@
         Optional<RegionId> own = mRegions.apply(mSelf.zone());
         Set<InstanceId> others = new HashSet<>();
         for (MemberRecord record : mRecords.values()) {
-            boolean near = mRegions.apply(record.news().zone()).equals(own);
+            boolean near = mRegions.apply(record.update().zone()).equals(own);
             if (near && record.isHeard() && record.state() != MemberState.DEAD) {
                 others.add(record.id());
             }
@@ -299,22 +299,22 @@
         return neighbors().contains(record.id());
     }
 
-    private boolean isKnownRun(MemberNews news) {
+    private boolean isKnownRun(MemberUpdate news) {
         MemberRecord record = mRecords.get(news.id());
-        return record != null && record.isHeard() && record.news().run().equals(news.run());
+        return record != null && record.isHeard() && record.update().run().equals(news.run());
     }
 
     private void sendAllTo(InstanceId to) {
-        List<MemberNews> all =
+        List<MemberUpdate> all =
                 mRecords.values().stream()
                         .filter(MemberRecord::isHeard)
                         .filter(record -> !record.id().equals(to))
-                        .map(MemberRecord::news)
+                        .map(MemberRecord::update)
                         .toList();
         mSink.sendAll(to, mSelf.next(), all);
     }
 
-    private void merge(MemberNews news, InstanceId teller, boolean spread) {
+    private void merge(MemberUpdate news, InstanceId teller, boolean spread) {
         if (news.id().equals(mSelf.id())) {
             mergeAboutSelf(news);
             return;
@@ -326,30 +326,30 @@
                 accept(add(new MemberRecord(news, now)), news, teller, spread);
             }
         } else if (!record.isHeard()
-                || news.supersedes(record.news())
+                || news.supersedes(record.update())
                 || record.isRestartWithEarlierClock(news, teller)) {
             accept(record, news, teller, spread);
         }
     }
 
-    private void accept(MemberRecord record, MemberNews news, InstanceId teller, boolean spread) {
+    private void accept(MemberRecord record, MemberUpdate news, InstanceId teller, boolean spread) {
         boolean wasGone = record.isGone();
         mOthersDigest -= record.digest();
-        boolean changed = record.take(news, mTimeSource.monotonicNanos());
+        boolean changed = record.apply(news, mTimeSource.monotonicNanos());
         mOthersDigest += record.digest();
         if (wasGone != record.isGone()) {
             mNeighborhood.membersChanged();
         }
-        mSpreader.answerAskers(news);
+        mDisseminator.answerAskers(news);
         if (changed) {
             mSink.changed(record.member());
         }
         if (changed && spread) {
-            mSpreader.spread(news, teller);
+            mDisseminator.disseminate(news, teller);
         }
     }
 
-    private void mergeAboutSelf(MemberNews news) {
+    private void mergeAboutSelf(MemberUpdate news) {
         Incarnation own = mSelf.state().run();
         if (news.run().number() > own.number()) {
             mSuperseded |= !news.claim().isEnd();
@@ -380,17 +380,17 @@
     }
 
     private void claim(MemberRecord record, MemberClaim claim) {
-        accept(record, record.news().claiming(claim), mSelf.id(), true);
+        accept(record, record.update().claiming(claim), mSelf.id(), true);
     }
 
     private void askAround(MemberRecord record) {
-        Incarnation run = record.news().run();
+        Incarnation run = record.update().run();
         int asked = 0;
         for (InstanceId id : Rendezvous.order(run.toString(), neighbors())) {
             if (id.equals(record.id()) || !mRecords.get(id).state().isReachable()) {
                 continue;
             }
-            mSink.ask(id, run, record.news().sequence());
+            mSink.ask(id, run, record.update().sequence());
             asked++;
             if (asked == ASKED_AT_ONCE) {
                 return;
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/Neighborhood.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/Neighborhood.java
@@ -39,7 +39,7 @@
         alive.put(mSelf, mZone);
         for (MemberRecord record : records) {
             if (!record.isGone()) {
-                alive.put(record.id(), record.news().zone());
+                alive.put(record.id(), record.update().zone());
             }
         }
         Set<InstanceId> before = mNeighbors;
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/OwnHeartbeat.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/OwnHeartbeat.java
@@ -38,13 +38,13 @@
     }
 
     /** Makes the next heartbeat. */
-    MemberNews next() {
+    MemberUpdate next() {
         mSequence++;
         return current();
     }
 
     /** Gives what the last heartbeat would say now. */
-    MemberNews current() {
+    MemberUpdate current() {
         return mState.heartbeat(mSequence, mLeaving, mConfiguration);
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/OwnState.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/OwnState.java
@@ -32,8 +32,8 @@
     }
 
     /** Makes the news of one heartbeat. */
-    MemberNews heartbeat(long sequence, boolean leaving, ConfigurationVersion configuration) {
-        return new MemberNews(
+    MemberUpdate heartbeat(long sequence, boolean leaving, ConfigurationVersion configuration) {
+        return new MemberUpdate(
                 run,
                 sequence,
                 zone,
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/NewsSpreader.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/UpdateDisseminator.java
@@ -8,30 +8,30 @@
 import java.util.Set;
 
 /** Passes news on to the neighbors, in one message each for all news of one call. */
-final class NewsSpreader {
+final class UpdateDisseminator {
 
     /** News and who told it; that instance need not hear it again. */
-    private record Told(MemberNews news, InstanceId teller) {}
+    private record PendingUpdate(MemberUpdate update, InstanceId teller) {}
 
     private final OwnHeartbeat mSelf;
     private final MembershipSink mSink;
     private final AskRelay mAskRelay;
-    private final List<Told> mWaiting = new ArrayList<>();
-    private final Map<InstanceId, List<MemberNews>> mAnswers = new HashMap<>();
+    private final List<PendingUpdate> mWaiting = new ArrayList<>();
+    private final Map<InstanceId, List<MemberUpdate>> mAnswers = new HashMap<>();
 
-    NewsSpreader(OwnHeartbeat self, MembershipSink sink, AskRelay askRelay) {
+    UpdateDisseminator(OwnHeartbeat self, MembershipSink sink, AskRelay askRelay) {
         mSelf = self;
         mSink = sink;
         mAskRelay = askRelay;
     }
 
     /** Takes news for all neighbors. */
-    void spread(MemberNews news, InstanceId teller) {
-        mWaiting.add(new Told(news, teller));
+    void disseminate(MemberUpdate news, InstanceId teller) {
+        mWaiting.add(new PendingUpdate(news, teller));
     }
 
     /** Takes news for those who asked for it, if anybody did. */
-    void answerAskers(MemberNews news) {
+    void answerAskers(MemberUpdate news) {
         for (InstanceId asker : mAskRelay.take(news.id())) {
             mAnswers.computeIfAbsent(asker, key -> new ArrayList<>()).add(news);
         }
@@ -50,9 +50,9 @@
     }
 
     private void collect(InstanceId to) {
-        for (Told told : mWaiting) {
-            if (!to.equals(told.teller()) && !to.equals(told.news().id())) {
-                mAnswers.computeIfAbsent(to, key -> new ArrayList<>()).add(told.news());
+        for (PendingUpdate told : mWaiting) {
+            if (!to.equals(told.teller()) && !to.equals(told.update().id())) {
+                mAnswers.computeIfAbsent(to, key -> new ArrayList<>()).add(told.update());
             }
         }
     }
--- a/masticpond-core/src/test/java/io/masticpond/core/configuration/ConfigurationReplicaProperties.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/configuration/ConfigurationReplicaProperties.java
@@ -1,6 +1,6 @@
 package io.masticpond.core.configuration;
 
-import io.masticpond.core.configuration.ConfigurationReplica.Taken;
+import io.masticpond.core.configuration.ConfigurationReplica.ApplyResult;
 import io.masticpond.core.id.ConfigurationVersion;
 import io.masticpond.core.support.Assert;
 import java.util.ArrayList;
@@ -38,12 +38,12 @@
         ConfigurationReplica replica = new ConfigurationReplica(Contents.LIMITS);
         for (int choice : run) {
             ConfigurationVersion before = replica.current().version();
-            ConfigurationNews news = news(choice);
-            Taken taken = replica.take(news);
+            ConfigurationUpdate news = news(choice);
+            ApplyResult taken = replica.apply(news);
             ConfigurationVersion after = replica.current().version();
             Assert.isTrue(!before.isAfter(after), "Version %s followed %s.", after, before);
             Assert.isTrue(
-                    (taken == Taken.NEWER) == after.isAfter(before),
+                    (taken == ApplyResult.NEWER) == after.isAfter(before),
                     "%s was told of versions %s and %s.",
                     taken,
                     before,
@@ -62,13 +62,13 @@
         ConfigurationReplica first = new ConfigurationReplica(Contents.LIMITS);
         ConfigurationReplica second = new ConfigurationReplica(Contents.LIMITS);
         mEntries.subList(0, ahead)
-                .forEach(entry -> first.take(ConfigurationNews.of(List.of(entry))));
+                .forEach(entry -> first.apply(ConfigurationUpdate.of(List.of(entry))));
         if (lag > 0) {
-            second.take(ConfigurationNews.of(mChain.get(lag)));
+            second.apply(ConfigurationUpdate.of(mChain.get(lag)));
         }
-        Optional<ConfigurationNews> news = first.newsSince(second.current().version());
+        Optional<ConfigurationUpdate> news = first.updateSince(second.current().version());
         Assert.isTrue(news.isPresent() == (ahead > lag), "News were %s.", news);
-        news.ifPresent(second::take);
+        news.ifPresent(second::apply);
         Assert.isTrue(
                 second.current().equals(mChain.get(Math.max(ahead, lag))),
                 "The other has version %s.",
@@ -78,17 +78,17 @@
     @Example
     void missingChangesAreNotSkipped() {
         ConfigurationReplica replica = new ConfigurationReplica(Contents.LIMITS);
-        Taken taken = replica.take(ConfigurationNews.of(mEntries.subList(1, 3)));
-        Assert.isTrue(taken == Taken.GAP, "It was %s.", taken);
+        ApplyResult taken = replica.apply(ConfigurationUpdate.of(mEntries.subList(1, 3)));
+        Assert.isTrue(taken == ApplyResult.GAP, "It was %s.", taken);
         Assert.isTrue(
                 replica.current().equals(Configuration.EMPTY), "The changes were skipped over.");
     }
 
-    private ConfigurationNews news(int choice) {
+    private ConfigurationUpdate news(int choice) {
         int from = choice % VERSIONS;
         int to = Math.min(VERSIONS, from + 1 + choice / VERSIONS % 5);
         return choice % 7 == 0 && from > 0
-                ? ConfigurationNews.of(mChain.get(from))
-                : ConfigurationNews.of(mEntries.subList(from, to));
+                ? ConfigurationUpdate.of(mChain.get(from))
+                : ConfigurationUpdate.of(mEntries.subList(from, to));
     }
 }
--- a/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipFixture.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipFixture.java
@@ -144,13 +144,13 @@
         }
 
         @Override
-        public void send(InstanceId to, MemberNews own, List<MemberNews> others) {
+        public void send(InstanceId to, MemberUpdate own, List<MemberUpdate> others) {
             long digest = mTables.get(mFrom).digest();
             carry(to, table -> table.heard(own, others, false, digest));
         }
 
         @Override
-        public void sendAll(InstanceId to, MemberNews own, List<MemberNews> others) {
+        public void sendAll(InstanceId to, MemberUpdate own, List<MemberUpdate> others) {
             long digest = mTables.get(mFrom).digest();
             carry(to, table -> table.heard(own, others, true, digest));
         }
--- a/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipTableTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipTableTest.java
@@ -132,7 +132,7 @@
     void newsOfAnEarlierRunIsIgnored() {
         settle();
         MembershipTable table = mFixture.mTables.get(A);
-        MemberNews earlier = news(C, 1, 99, MemberClaim.LIVE);
+        MemberUpdate earlier = news(C, 1, 99, MemberClaim.LIVE);
         mFixture.kill(C);
         mFixture.start(C, "casa2", 2);
         mFixture.list();
@@ -263,9 +263,9 @@
         assertThat(mFixture.view(A).live()).hasSize(5);
     }
 
-    private MemberNews news(InstanceId id, long run, long sequence, MemberClaim claim) {
+    private MemberUpdate news(InstanceId id, long run, long sequence, MemberClaim claim) {
         Member known = mFixture.view(A).member(id).orElseThrow();
-        return new MemberNews(
+        return new MemberUpdate(
                 new Incarnation(id, run),
                 sequence,
                 known.zone(),
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationDuty.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationDuty.java
@@ -3,7 +3,7 @@
 import io.masticpond.core.configuration.Configuration;
 import io.masticpond.core.configuration.ConfigurationAudience;
 import io.masticpond.core.configuration.ConfigurationLogLimits;
-import io.masticpond.core.configuration.ConfigurationNews;
+import io.masticpond.core.configuration.ConfigurationUpdate;
 import io.masticpond.core.configuration.ConfigurationReplica;
 import io.masticpond.core.id.ConfigurationVersion;
 import io.masticpond.core.id.InstanceId;
@@ -56,7 +56,7 @@
     private final ConfigurationAudience mAudience;
     private final ConfigurationLogLimits mLimits;
     private final ChainStore mChain;
-    private final NewsCodec mNewsCodec;
+    private final UpdateCodec mNewsCodec;
     private final PlatformFollower mPlatformFollower;
     private final PeerFollower mPeerFollower;
     private final TimeSource mTimeSource;
@@ -101,7 +101,7 @@
         mLimits = new ConfigurationLogLimits(LOG_BYTES, change -> codec.encode(change).length);
         mReplica = new ConfigurationReplica(mLimits);
         mChain = new ChainStore(store, codec, mExecutor);
-        mNewsCodec = new NewsCodec(codec);
+        mNewsCodec = new UpdateCodec(codec);
         mPlatformFollower =
                 new PlatformFollower(
                         mChain,
@@ -172,7 +172,7 @@
     }
 
     /** Brings a version that this instance has just accepted into force; on the duty's thread. */
-    void caughtUp(Configuration configuration, ConfigurationNews news) {
+    void caughtUp(Configuration configuration, ConfigurationUpdate news) {
         if (configuration.version().isAfter(mReplica.current().version())) {
             take("a confirmation", Optional.empty(), news);
         }
@@ -241,9 +241,9 @@
         }
     }
 
-    private void take(String source, Optional<InstanceId> from, ConfigurationNews news) {
+    private void take(String source, Optional<InstanceId> from, ConfigurationUpdate news) {
         Configuration before = mReplica.current();
-        ConfigurationReplica.Taken taken = mReplica.take(news);
+        ConfigurationReplica.ApplyResult taken = mReplica.apply(news);
         Configuration after = mReplica.current();
         if (after.version().isAfter(before.version())) {
             mHolder.offer(after);
@@ -260,7 +260,7 @@
                     "from " + source);
             tell(before.version(), after.version(), from);
         }
-        if (taken == ConfigurationReplica.Taken.GAP) {
+        if (taken == ConfigurationReplica.ApplyResult.GAP) {
             from.ifPresent(mPeerFollower::fetchFrom);
         }
     }
@@ -272,7 +272,7 @@
         if (from.isPresent() && !mAudience.watches(members)) {
             return;
         }
-        mReplica.newsSince(before)
+        mReplica.updateSince(before)
                 .map(news -> mNewsCodec.encode(after, news))
                 .ifPresent(
                         push ->
@@ -285,9 +285,9 @@
         ConfigurationVersion current = mReplica.current().version();
         long known = Math.max(0, fetch.getKnownVersion());
         answer.accept(
-                mReplica.newsSince(new ConfigurationVersion(known))
+                mReplica.updateSince(new ConfigurationVersion(known))
                         .map(news -> mNewsCodec.encode(current, news))
-                        .orElseGet(() -> NewsCodec.nothingNewer(current)));
+                        .orElseGet(() -> UpdateCodec.nothingNewer(current)));
     }
 
     /** Hands messages of peers to the duty. */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/DefaultConfigurationCommands.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/DefaultConfigurationCommands.java
@@ -7,7 +7,7 @@
 import io.masticpond.core.configuration.ConfigurationHead;
 import io.masticpond.core.configuration.ConfigurationIntent;
 import io.masticpond.core.configuration.ConfigurationLogEntry;
-import io.masticpond.core.configuration.ConfigurationNews;
+import io.masticpond.core.configuration.ConfigurationUpdate;
 import io.masticpond.core.configuration.ConfigurationPlanner;
 import io.masticpond.core.configuration.ConfirmationStep;
 import io.masticpond.core.configuration.Plan;
@@ -229,7 +229,7 @@
         if (known.version().next().equals(version)) {
             ConfigurationLogEntry entry =
                     new ConfigurationLogEntry(version, plan.id(), plan.change());
-            mDuty.caughtUp(entry.applyTo(known), ConfigurationNews.of(List.of(entry)));
+            mDuty.caughtUp(entry.applyTo(known), ConfigurationUpdate.of(List.of(entry)));
         } else {
             mDuty.seen(version.number());
         }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PlatformFollower.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PlatformFollower.java
@@ -2,7 +2,7 @@
 
 import io.masticpond.core.configuration.Configuration;
 import io.masticpond.core.configuration.ConfigurationHead;
-import io.masticpond.core.configuration.ConfigurationNews;
+import io.masticpond.core.configuration.ConfigurationUpdate;
 import io.masticpond.core.configuration.ConfigurationReplica;
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.daemon.platform.ObjectStore;
@@ -27,7 +27,7 @@
 
     private final ChainStore mChain;
     private final ConfigurationReplica mReplica;
-    private final Consumer<ConfigurationNews> mTake;
+    private final Consumer<ConfigurationUpdate> mTake;
     private final DutyExecutor mExecutor;
     private final TimeSource mTimeSource;
     private final Backoff mBackoff;
@@ -38,7 +38,7 @@
     PlatformFollower(
             ChainStore chain,
             ConfigurationReplica replica,
-            Consumer<ConfigurationNews> take,
+            Consumer<ConfigurationUpdate> take,
             DutyExecutor executor,
             TimeSource timeSource,
             DoubleSupplier random) {
@@ -96,7 +96,7 @@
         }
         if (head.advance(current).isPresent()) {
             mObjectVersion = object.objectVersion();
-            mTake.accept(ConfigurationNews.of(head.since(current.version()).orElseThrow()));
+            mTake.accept(ConfigurationUpdate.of(head.since(current.version()).orElseThrow()));
             return;
         }
         mCall.started(mTimeSource.monotonicNanos());
@@ -110,7 +110,7 @@
             return;
         }
         mObjectVersion = object.objectVersion();
-        mTake.accept(ConfigurationNews.of(load.get()));
+        mTake.accept(ConfigurationUpdate.of(load.get()));
     }
 
     private void failed(PlatformError error) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/LinkedMembershipSink.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/LinkedMembershipSink.java
@@ -3,7 +3,7 @@
 import io.masticpond.core.id.Incarnation;
 import io.masticpond.core.id.InstanceId;
 import io.masticpond.core.membership.Member;
-import io.masticpond.core.membership.MemberNews;
+import io.masticpond.core.membership.MemberUpdate;
 import io.masticpond.core.membership.MembershipSink;
 import io.masticpond.core.timeline.HybridLogicalClock;
 import io.masticpond.core.timeline.Timeline;
@@ -47,7 +47,7 @@
     }
 
     @Override
-    public void send(InstanceId to, MemberNews own, List<MemberNews> others) {
+    public void send(InstanceId to, MemberUpdate own, List<MemberUpdate> others) {
         Heartbeat.Builder heartbeat = heartbeat(own, others);
         if (others.isEmpty()) {
             heartbeat.addAllHeadroom(mHeadroom.get());
@@ -56,7 +56,7 @@
     }
 
     @Override
-    public void sendAll(InstanceId to, MemberNews own, List<MemberNews> others) {
+    public void sendAll(InstanceId to, MemberUpdate own, List<MemberUpdate> others) {
         send(to, heartbeat(own, others).setAll(true));
     }
 
@@ -79,7 +79,7 @@
         mOnChange.run();
     }
 
-    private Heartbeat.Builder heartbeat(MemberNews own, List<MemberNews> others) {
+    private Heartbeat.Builder heartbeat(MemberUpdate own, List<MemberUpdate> others) {
         Heartbeat.Builder heartbeat =
                 Heartbeat.newBuilder()
                         .setSelf(MembershipMessages.entry(own))
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipDuty.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipDuty.java
@@ -4,7 +4,7 @@
 import io.masticpond.core.id.Incarnation;
 import io.masticpond.core.id.InstanceId;
 import io.masticpond.core.membership.ListedMember;
-import io.masticpond.core.membership.MemberNews;
+import io.masticpond.core.membership.MemberUpdate;
 import io.masticpond.core.membership.MembershipTable;
 import io.masticpond.core.membership.MembershipTimings;
 import io.masticpond.core.membership.MembershipView;
@@ -292,14 +292,14 @@
         if (!heartbeat.hasSelf()) {
             return;
         }
-        Optional<MemberNews> own = MembershipMessages.news(heartbeat.getSelf());
+        Optional<MemberUpdate> own = MembershipMessages.toUpdate(heartbeat.getSelf());
         if (own.isEmpty() || !own.get().run().equals(peer)) {
             mRejected.increment();
             return;
         }
         mTable.heard(
                 own.get(),
-                MembershipMessages.news(heartbeat.getOthersList()),
+                MembershipMessages.toUpdate(heartbeat.getOthersList()),
                 heartbeat.getAll(),
                 heartbeat.getDigest());
         if (heartbeat.getHeadroomCount() > 0) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipMessages.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipMessages.java
@@ -5,7 +5,7 @@
 import io.masticpond.core.id.InstanceId;
 import io.masticpond.core.id.ZoneId;
 import io.masticpond.core.membership.MemberClaim;
-import io.masticpond.core.membership.MemberNews;
+import io.masticpond.core.membership.MemberUpdate;
 import io.masticpond.daemon.instance.SocketAddresses;
 import io.masticpond.protocol.generated.MemberAsk;
 import io.masticpond.protocol.generated.MemberEntry;
@@ -29,7 +29,7 @@
     private MembershipMessages() {}
 
     /** Writes news. */
-    static MemberEntry entry(MemberNews news) {
+    static MemberEntry entry(MemberUpdate news) {
         return MemberEntry.newBuilder()
                 .setInstance(news.id().value())
                 .setIncarnation(news.run().number())
@@ -45,7 +45,7 @@
     }
 
     /** Reads news; empty if a part is not as it must be. */
-    static Optional<MemberNews> news(MemberEntry entry) {
+    static Optional<MemberUpdate> toUpdate(MemberEntry entry) {
         Optional<MemberClaim> claim =
                 CLAIMS.entrySet().stream()
                         .filter(known -> known.getValue() == entry.getClaim())
@@ -56,7 +56,7 @@
         }
         try {
             return Optional.of(
-                    new MemberNews(
+                    new MemberUpdate(
                             run(entry.getInstance(), entry.getIncarnation()),
                             entry.getSequence(),
                             new ZoneId(entry.getZone()),
@@ -72,8 +72,8 @@
     }
 
     /** Reads all news that can be read. */
-    static List<MemberNews> news(List<MemberEntry> entries) {
-        return entries.stream().map(MembershipMessages::news).flatMap(Optional::stream).toList();
+    static List<MemberUpdate> toUpdate(List<MemberEntry> entries) {
+        return entries.stream().map(MembershipMessages::toUpdate).flatMap(Optional::stream).toList();
     }
 
     /** Writes a question for newer news. */
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/membership/MembershipMessagesProperties.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/membership/MembershipMessagesProperties.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.masticpond.core.membership.MemberNews;
+import io.masticpond.core.membership.MemberUpdate;
 import io.masticpond.protocol.generated.MemberEntry;
 import java.util.Optional;
 import net.jqwik.api.ForAll;
@@ -32,7 +32,7 @@
                         .setSequence(sequence)
                         .setClaimValue(claim)
                         .build();
-        MembershipMessages.news(entry)
+        MembershipMessages.toUpdate(entry)
                 .ifPresent(news -> assertThat(MembershipMessages.entry(news)).isEqualTo(entry));
     }
 
@@ -51,7 +51,7 @@
                         .setSequence(sequence)
                         .setClaimValue(claim)
                         .build();
-        Optional<MemberNews> news = MembershipMessages.news(entry);
+        Optional<MemberUpdate> news = MembershipMessages.toUpdate(entry);
         assertThat(news.map(MembershipMessages::entry)).contains(entry);
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/BeliefChange.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/BeliefChange.java
@@ -42,7 +42,7 @@
      * @param revision the revision of the store
      * @param source where the news came from
      */
-    record Routing(long formerVersion, long version, long revision, NewsSource source)
+    record Routing(long formerVersion, long version, long revision, UpdateSource source)
             implements BeliefChange {
 
         @Override
@@ -67,7 +67,7 @@
      * @param revision the revision of the store
      * @param source where the news came from
      */
-    record Registry(int servers, int leaving, int cold, long revision, NewsSource source)
+    record Registry(int servers, int leaving, int cold, long revision, UpdateSource source)
             implements BeliefChange {
 
         @Override
@@ -100,7 +100,7 @@
             ZoneId zone,
             ServerState state,
             long revision,
-            NewsSource source)
+            UpdateSource source)
             implements BeliefChange {
 
         @Override
@@ -272,7 +272,7 @@
      * @param revision the revision of the store
      * @param source where the news came from
      */
-    record Zone(ZoneId zone, boolean evacuated, long revision, NewsSource source)
+    record Zone(ZoneId zone, boolean evacuated, long revision, UpdateSource source)
             implements BeliefChange {
 
         @Override
@@ -361,7 +361,7 @@
         }
     }
 
-    private static void writeOrigin(JsonGenerator line, long revision, NewsSource source)
+    private static void writeOrigin(JsonGenerator line, long revision, UpdateSource source)
             throws IOException {
         RequestLine.writeRevision(line, "revision", revision);
         line.writeStringField("source", Words.of(source));
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/FleetSnapshotLog.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/FleetSnapshotLog.java
@@ -38,7 +38,7 @@
      * @param source where the news came from
      * @param nowNanos the monotonic time
      */
-    public void changed(FleetSnapshot snapshot, NewsSource source, long nowNanos) {
+    public void changed(FleetSnapshot snapshot, UpdateSource source, long nowNanos) {
         FleetSnapshot before = mSnapshot;
         mSnapshot = snapshot;
         logRouting(before, source);
@@ -67,13 +67,13 @@
                         return false;
                     }
                     if (server != null) {
-                        logServer(server, ServerState.WARM, NewsSource.SELF);
+                        logServer(server, ServerState.WARM, UpdateSource.SELF);
                     }
                     return true;
                 });
     }
 
-    private void logRouting(FleetSnapshot before, NewsSource source) {
+    private void logRouting(FleetSnapshot before, UpdateSource source) {
         long former = version(before);
         long version = version(mSnapshot);
         if (version != former) {
@@ -86,7 +86,7 @@
         return snapshot.routing().map(RoutingConfiguration::version).orElse(RequestRecord.UNKNOWN);
     }
 
-    private void logZones(FleetSnapshot before, NewsSource source) {
+    private void logZones(FleetSnapshot before, UpdateSource source) {
         for (ZoneId zone : mSnapshot.evacuatedZones()) {
             if (!before.evacuatedZones().contains(zone)) {
                 logZone(zone, true, source);
@@ -99,11 +99,11 @@
         }
     }
 
-    private void logZone(ZoneId zone, boolean evacuated, NewsSource source) {
+    private void logZone(ZoneId zone, boolean evacuated, UpdateSource source) {
         mLog.beliefChanged(new BeliefChange.Zone(zone, evacuated, mSnapshot.revision(), source));
     }
 
-    private void logFirst(NewsSource source, long nowNanos) {
+    private void logFirst(UpdateSource source, long nowNanos) {
         int leaving = 0;
         for (RegisteredServer server : mSnapshot.servers().values()) {
             if (server.leaving()) {
@@ -122,7 +122,7 @@
                         source));
     }
 
-    private void logServers(FleetSnapshot before, NewsSource source, long nowNanos) {
+    private void logServers(FleetSnapshot before, UpdateSource source, long nowNanos) {
         for (RegisteredServer server : mSnapshot.servers().values()) {
             RegisteredServer former = before.servers().get(server.id());
             if (former == null) {
@@ -144,7 +144,7 @@
         }
     }
 
-    private void logServer(RegisteredServer server, ServerState state, NewsSource source) {
+    private void logServer(RegisteredServer server, ServerState state, UpdateSource source) {
         mLog.beliefChanged(
                 new BeliefChange.Server(
                         server.id(),
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/NewsSource.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/UpdateSource.java
@@ -5,7 +5,7 @@
  *
  * @since 0.2
  */
-public enum NewsSource {
+public enum UpdateSource {
     /** The platform's store. */
     STORE,
     /** Another instance. */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/Words.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/Words.java
@@ -11,7 +11,7 @@
     private static final Map<Exclusion, String> EXCLUSIONS = spell(Exclusion.class);
     private static final Map<RequestOutcome, String> OUTCOMES = spell(RequestOutcome.class);
     private static final Map<AttemptResult, String> RESULTS = spell(AttemptResult.class);
-    private static final Map<NewsSource, String> SOURCES = spell(NewsSource.class);
+    private static final Map<UpdateSource, String> SOURCES = spell(UpdateSource.class);
 
     private Words() {}
 
@@ -27,7 +27,7 @@
         return RESULTS.get(Assert.notNull(value, "A constant to spell"));
     }
 
-    static String of(NewsSource value) {
+    static String of(UpdateSource value) {
         return SOURCES.get(Assert.notNull(value, "A constant to spell"));
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/HeartbeatDuty.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/HeartbeatDuty.java
@@ -138,7 +138,7 @@
         run(
                 () -> {
                     mSelf.tellRevision(revision);
-                    PeerNews.State state = ready ? PeerNews.State.READY : PeerNews.State.STARTING;
+                    PeerUpdate.State state = ready ? PeerUpdate.State.READY : PeerUpdate.State.STARTING;
                     if (mSelf.tellState(state)) {
                         mExchange.announce(now());
                     }
@@ -149,7 +149,7 @@
     public void leave() {
         run(
                 () -> {
-                    if (mSelf.tellState(PeerNews.State.LEAVING)) {
+                    if (mSelf.tellState(PeerUpdate.State.LEAVING)) {
                         tellLeaving(LEAVING_TOLD);
                     }
                 });
@@ -297,7 +297,7 @@
     /** Publishes the snapshot and sets the timers that are due before the next heartbeat. */
     private void afterwards() {
         long now = now();
-        if (mExchange.hasSpread() && !mFlushDue) {
+        if (mExchange.hasPendingUpdates() && !mFlushDue) {
             mFlushDue = true;
             mEventLoop.schedule(this::flush, SPREAD_GAP_MILLIS, TimeUnit.MILLISECONDS);
         }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/OwnStatus.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/OwnStatus.java
@@ -12,7 +12,7 @@
     private long mSequence = 1;
     private long mRevision;
     private long mRefuted;
-    private PeerNews.State mState = PeerNews.State.STARTING;
+    private PeerUpdate.State mState = PeerUpdate.State.STARTING;
 
     OwnStatus(InstanceId id, PeerPlace place, long incarnation) {
         mId = id;
@@ -29,7 +29,7 @@
     }
 
     boolean isLeaving() {
-        return mState == PeerNews.State.LEAVING;
+        return mState == PeerUpdate.State.LEAVING;
     }
 
     void next() {
@@ -41,7 +41,7 @@
     }
 
     /** Takes a state; tells whether it is another one. One that leaves never comes back. */
-    boolean tellState(PeerNews.State state) {
+    boolean tellState(PeerUpdate.State state) {
         if (isLeaving() || mState == state) {
             return false;
         }
@@ -62,12 +62,12 @@
      *
      * @return whether others must hear this instance anew
      */
-    boolean outrank(PeerNews news) {
+    boolean outrank(PeerUpdate news) {
         if (news.isLaterThan(mIncarnation, mSequence)) {
             mIncarnation = news.incarnation() + 1;
             return true;
         }
-        boolean silent = news.state() == PeerNews.State.SILENT;
+        boolean silent = news.state() == PeerUpdate.State.SILENT;
         if (!silent || news.incarnation() < mIncarnation || news.sequence() < mRefuted) {
             return false;
         }
@@ -75,8 +75,8 @@
         return true;
     }
 
-    PeerNews news(boolean withPlace) {
-        return new PeerNews(
+    PeerUpdate update(boolean withPlace) {
+        return new PeerUpdate(
                 mId,
                 mIncarnation,
                 mSequence,
@@ -93,7 +93,7 @@
                 mPlace.region(),
                 mPlace.entry(),
                 mPlace.internal(),
-                mState == PeerNews.State.READY,
+                mState == PeerUpdate.State.READY,
                 mRevision);
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerExchange.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerExchange.java
@@ -106,7 +106,7 @@
     void judge(long now) {
         for (PeerRecord lost : mTable.judge(now)) {
             if (!mTable.isFullMesh() && lost.isWatched() && !lost.isClaimed()) {
-                mSender.spread(lost.claimNews(), true);
+                mSender.disseminate(lost.claimUpdate(), true);
             }
         }
     }
@@ -129,8 +129,8 @@
         return record != null && record.isWatched();
     }
 
-    boolean hasSpread() {
-        return mSender.hasSpread();
+    boolean hasPendingUpdates() {
+        return mSender.hasPendingUpdates();
     }
 
     /** Passes on what was kept for the neighbors. */
@@ -154,7 +154,7 @@
 
     /** Takes a datagram. */
     void receive(PeerMessage message, ServerAddress from, long now) {
-        PeerNews sender = message.sender();
+        PeerUpdate sender = message.sender();
         if (sender.id().equals(mSelf.id())) {
             hearOfSelf(sender, now);
             return;
@@ -162,7 +162,7 @@
         if (!hearSender(sender, from, now)) {
             return;
         }
-        message.news().forEach(news -> hearNews(news, from, now));
+        message.updates().forEach(news -> receiveUpdate(news, from, now));
         switch (message.kind()) {
             case HEARTBEAT -> mTable.get(sender.id()).picked(now);
             case ANSWER -> {}
@@ -173,7 +173,7 @@
         }
     }
 
-    private boolean hearSender(PeerNews news, ServerAddress from, long now) {
+    private boolean hearSender(PeerUpdate news, ServerAddress from, long now) {
         PeerRecord record = mTable.get(news.id());
         if (record == null && news.place().isEmpty()) {
             mSender.ask(from);
@@ -183,30 +183,30 @@
             record = mTable.add(news.id(), news.place().get(), news.incarnation(), now);
         }
         if (news.incarnation() < record.incarnation()) {
-            mSender.answer(from, true, List.of(record.news(false)));
+            mSender.answer(from, true, List.of(record.update(false)));
             return false;
         }
         boolean wasClaimed = record.isClaimed();
-        boolean changed = record.take(news, now);
+        boolean changed = record.applyUpdate(news, now);
         record.heard(news, now);
         mTable.judge(record, now);
         mChanged |= changed;
         if (changed || wasClaimed) {
-            spread(record, wasClaimed);
+            disseminate(record, wasClaimed);
         }
         return true;
     }
 
-    private void hearOfSelf(PeerNews news, long now) {
+    private void hearOfSelf(PeerUpdate news, long now) {
         if (mSelf.outrank(news)) {
             announce(now);
             if (!mTable.isFullMesh()) {
-                mSender.spread(mSelf.news(true), true);
+                mSender.disseminate(mSelf.update(true), true);
             }
         }
     }
 
-    private void hearNews(PeerNews news, ServerAddress from, long now) {
+    private void receiveUpdate(PeerUpdate news, ServerAddress from, long now) {
         if (news.id().equals(mSelf.id())) {
             hearOfSelf(news, now);
             return;
@@ -214,65 +214,65 @@
         PeerRecord record = mTable.get(news.id());
         if (record == null) {
             hearOfStranger(news, now);
-        } else if (news.state() == PeerNews.State.SILENT) {
+        } else if (news.state() == PeerUpdate.State.SILENT) {
             hearClaim(record, news, from, now);
         } else if (record.isClaimed() && !news.isLaterThan(record.incarnation(), record.seen())) {
-            mSender.answer(from, false, List.of(record.claimNews()));
+            mSender.answer(from, false, List.of(record.claimUpdate()));
         } else if (news.isLaterThan(record.incarnation(), record.seen())) {
             boolean wasClaimed = record.isClaimed();
-            if (record.take(news, now)) {
+            if (record.applyUpdate(news, now)) {
                 mTable.judge(record, now);
                 mChanged = true;
-                spread(record, wasClaimed);
+                disseminate(record, wasClaimed);
             }
         }
     }
 
-    private void hearOfStranger(PeerNews news, long now) {
-        boolean unknown = news.place().isEmpty() || news.state() == PeerNews.State.SILENT;
+    private void hearOfStranger(PeerUpdate news, long now) {
+        boolean unknown = news.place().isEmpty() || news.state() == PeerUpdate.State.SILENT;
         if (unknown || mTable.isTaken(news.place().get(), news.incarnation())) {
             return;
         }
         PeerRecord record = mTable.add(news.id(), news.place().get(), news.incarnation(), now);
-        record.take(news, now);
+        record.applyUpdate(news, now);
         mTable.judge(record, now);
         mChanged = true;
         if (mTable.isFullMesh()) {
             sendTo(record, now);
         }
-        spread(record, false);
+        disseminate(record, false);
     }
 
     /** Passes news on, unless all hear them from the instance itself. */
-    private void spread(PeerRecord record, boolean wasClaimed) {
+    private void disseminate(PeerRecord record, boolean wasClaimed) {
         if (!mTable.isFullMesh()) {
-            boolean leaves = record.state() == PeerNews.State.LEAVING;
-            mSender.spread(record.news(true), wasClaimed || leaves);
+            boolean leaves = record.state() == PeerUpdate.State.LEAVING;
+            mSender.disseminate(record.update(true), wasClaimed || leaves);
         }
     }
 
-    private void hearClaim(PeerRecord record, PeerNews claim, ServerAddress from, long now) {
+    private void hearClaim(PeerRecord record, PeerUpdate claim, ServerAddress from, long now) {
         if (record.refutes(claim)) {
-            mSender.answer(from, false, List.of(record.news(true)));
+            mSender.answer(from, false, List.of(record.update(true)));
         } else if (!mTable.isFullMesh() && record.claim(now)) {
             mTable.judge(record, now);
             mChanged = true;
-            mSender.spread(claim, true);
+            mSender.disseminate(claim, true);
         }
     }
 
-    private List<PeerNews> list(String after) {
-        List<PeerNews> page = new ArrayList<>();
+    private List<PeerUpdate> list(String after) {
+        List<PeerUpdate> page = new ArrayList<>();
         for (PeerRecord record : mTable.after(after.isEmpty() ? null : new InstanceId(after))) {
             if (page.size() < PeerSender.PAGE && record.verdict() != Verdict.GONE) {
-                page.add(record.news(true));
+                page.add(record.update(true));
             }
         }
         return page;
     }
 
     private void askOn(PeerMessage message, ServerAddress from) {
-        List<PeerNews> page = message.news();
+        List<PeerUpdate> page = message.updates();
         if (page.size() >= PeerSender.PAGE) {
             mSender.askList(from, page.get(page.size() - 1).id().value());
         }
@@ -333,11 +333,11 @@
         if (mesh && mTicks % TURN_IN_MESH != 0) {
             return;
         }
-        List<PeerNews> told = new ArrayList<>();
+        List<PeerUpdate> told = new ArrayList<>();
         int most = mesh ? 1 : TOLD_IN_TURN;
         for (PeerRecord record : mTable.after(mTurn)) {
             if (told.size() < most && record != to && record.verdict() == Verdict.ALIVE) {
-                told.add(record.news(true));
+                told.add(record.update(true));
             }
         }
         mTurn = told.isEmpty() ? null : told.get(told.size() - 1).id();
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerMessage.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerMessage.java
@@ -8,10 +8,10 @@
  * @param kind what the sender wants
  * @param sender the sender's heartbeat
  * @param listAfter the last id that the sender has of the list that it asks for, else empty
- * @param news what the sender tells of others
+ * @param updates what the sender tells of others
  * @since 0.2
  */
-public record PeerMessage(Kind kind, PeerNews sender, String listAfter, List<PeerNews> news) {
+public record PeerMessage(Kind kind, PeerUpdate sender, String listAfter, List<PeerUpdate> updates) {
 
     /**
      * What a datagram is for. The order is part of the message layout.
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerMessageCodec.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerMessageCodec.java
@@ -41,13 +41,13 @@
         int start = out.writerIndex();
         out.writeByte(VERSION);
         out.writeByte(message.kind().ordinal());
-        writeNews(message.sender(), out);
+        writeUpdate(message.sender(), out);
         if (message.kind() == PeerMessage.Kind.LIST_ASK) {
             writeText(message.listAfter(), out);
         }
-        for (PeerNews news : message.news()) {
+        for (PeerUpdate news : message.updates()) {
             int before = out.writerIndex();
-            writeNews(news, out);
+            writeUpdate(news, out);
             if (out.writerIndex() - start > MAXIMUM_BYTES) {
                 out.writerIndex(before);
                 return;
@@ -66,11 +66,11 @@
 
     private static PeerMessage readMessage(ByteBuf in) {
         PeerMessage.Kind kind = oneOf(PeerMessage.Kind.values(), in.readByte());
-        PeerNews sender = readNews(in);
+        PeerUpdate sender = readUpdate(in);
         String listAfter = kind == PeerMessage.Kind.LIST_ASK ? readText(in) : "";
-        List<PeerNews> news = new ArrayList<>();
+        List<PeerUpdate> news = new ArrayList<>();
         while (in.isReadable()) {
-            news.add(readNews(in));
+            news.add(readUpdate(in));
         }
         return new PeerMessage(kind, sender, listAfter, news);
     }
@@ -80,7 +80,7 @@
         return values[index];
     }
 
-    private static void writeNews(PeerNews news, ByteBuf out) {
+    private static void writeUpdate(PeerUpdate news, ByteBuf out) {
         out.writeByte(news.state().ordinal() | (news.place().isPresent() ? FLAG_PLACE : 0));
         writeText(news.id().value(), out);
         writeNumber(news.incarnation(), out);
@@ -95,16 +95,16 @@
         }
     }
 
-    private static PeerNews readNews(ByteBuf in) {
+    private static PeerUpdate readUpdate(ByteBuf in) {
         int flags = in.readByte();
-        PeerNews.State state = oneOf(PeerNews.State.values(), flags & STATE_MASK);
+        PeerUpdate.State state = oneOf(PeerUpdate.State.values(), flags & STATE_MASK);
         InstanceId id = new InstanceId(readText(in));
         long incarnation = readNumber(in);
         long sequence = readNumber(in);
         long revision = readNumber(in);
         Optional<PeerPlace> place =
                 (flags & FLAG_PLACE) != 0 ? Optional.of(readPlace(in)) : Optional.empty();
-        return new PeerNews(id, incarnation, sequence, revision, state, place);
+        return new PeerUpdate(id, incarnation, sequence, revision, state, place);
     }
 
     private static PeerPlace readPlace(ByteBuf in) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerRecord.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerRecord.java
@@ -18,7 +18,7 @@
     private long mIncarnation;
     private long mSequence;
     private long mRevision;
-    private PeerNews.State mState = PeerNews.State.STARTING;
+    private PeerUpdate.State mState = PeerUpdate.State.STARTING;
     private boolean mHeard;
     private long mHeardSequence;
     private long mHeardAt;
@@ -51,7 +51,7 @@
         return mIncarnation;
     }
 
-    PeerNews.State state() {
+    PeerUpdate.State state() {
         return mState;
     }
 
@@ -129,7 +129,7 @@
     }
 
     /** Takes a heartbeat of its own. */
-    void heard(PeerNews news, long now) {
+    void heard(PeerUpdate news, long now) {
         if (news.sequence() >= mHeardSequence) {
             mHeard = true;
             mHeardSequence = news.sequence();
@@ -139,7 +139,7 @@
     }
 
     /** Takes over news of at least this moment; tells whether others must hear of them. */
-    boolean take(PeerNews news, long now) {
+    boolean applyUpdate(PeerUpdate news, long now) {
         if (mIncarnation > news.incarnation()
                 || (mIncarnation == news.incarnation() && mSequence > news.sequence())) {
             return false;
@@ -175,22 +175,22 @@
     }
 
     /** Tells whether a sign later than a claim of silence is known. */
-    boolean refutes(PeerNews claim) {
+    boolean refutes(PeerUpdate claim) {
         return mIncarnation > claim.incarnation()
                 || (mIncarnation == claim.incarnation() && mSequence > claim.sequence());
     }
 
     /** Gives the news of it as told by itself. */
-    PeerNews news(boolean withPlace) {
+    PeerUpdate update(boolean withPlace) {
         Optional<PeerPlace> place = withPlace ? Optional.of(mPlace) : Optional.empty();
-        return new PeerNews(mId, mIncarnation, mSequence, mRevision, mState, place);
+        return new PeerUpdate(mId, mIncarnation, mSequence, mRevision, mState, place);
     }
 
     /** Gives the word that it is silent since it was heard last. */
-    PeerNews claimNews() {
+    PeerUpdate claimUpdate() {
         long sequence = mHeard && !mClaimed ? mHeardSequence : mSequence;
-        return new PeerNews(
-                mId, mIncarnation, sequence, mRevision, PeerNews.State.SILENT, Optional.empty());
+        return new PeerUpdate(
+                mId, mIncarnation, sequence, mRevision, PeerUpdate.State.SILENT, Optional.empty());
     }
 
     /** Gives it as others see it. */
@@ -202,7 +202,7 @@
                 mPlace.region(),
                 mPlace.entry(),
                 mPlace.internal(),
-                mState == PeerNews.State.READY,
+                mState == PeerUpdate.State.READY,
                 mRevision);
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerSender.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerSender.java
@@ -17,8 +17,8 @@
 
     private final OwnStatus mSelf;
     private final PeerOutput mOutput;
-    private final Map<InstanceId, PeerNews> mSpread = new LinkedHashMap<>();
-    private final Map<InstanceId, PeerNews> mUrgent = new LinkedHashMap<>();
+    private final Map<InstanceId, PeerUpdate> mSpread = new LinkedHashMap<>();
+    private final Map<InstanceId, PeerUpdate> mUrgent = new LinkedHashMap<>();
     private int mTurn;
 
     PeerSender(OwnStatus self, PeerOutput output) {
@@ -26,11 +26,11 @@
         mOutput = output;
     }
 
-    void heartbeat(ServerAddress to, boolean withPlace, List<PeerNews> news) {
+    void heartbeat(ServerAddress to, boolean withPlace, List<PeerUpdate> news) {
         send(PeerMessage.Kind.HEARTBEAT, to, withPlace, "", news);
     }
 
-    void answer(ServerAddress to, boolean withPlace, List<PeerNews> news) {
+    void answer(ServerAddress to, boolean withPlace, List<PeerUpdate> news) {
         send(PeerMessage.Kind.ANSWER, to, withPlace, "", news);
     }
 
@@ -42,7 +42,7 @@
         send(PeerMessage.Kind.LIST_ASK, to, true, after, List.of());
     }
 
-    void page(ServerAddress to, List<PeerNews> news) {
+    void page(ServerAddress to, List<PeerUpdate> news) {
         send(PeerMessage.Kind.LIST_PAGE, to, true, "", news);
     }
 
@@ -53,13 +53,13 @@
      * @param isUrgent whether all neighbors must hear it, and not just enough of them for it to get
      *     round nearly everywhere
      */
-    void spread(PeerNews news, boolean isUrgent) {
+    void disseminate(PeerUpdate news, boolean isUrgent) {
         mSpread.remove(news.id());
         mUrgent.remove(news.id());
         (isUrgent ? mUrgent : mSpread).put(news.id(), news);
     }
 
-    boolean hasSpread() {
+    boolean hasPendingUpdates() {
         return !mSpread.isEmpty() || !mUrgent.isEmpty();
     }
 
@@ -73,11 +73,11 @@
         flush(mSpread, some);
     }
 
-    private void flush(Map<InstanceId, PeerNews> from, List<PeerRecord> neighbors) {
-        List<PeerNews> kept = new ArrayList<>(from.values());
+    private void flush(Map<InstanceId, PeerUpdate> from, List<PeerRecord> neighbors) {
+        List<PeerUpdate> kept = new ArrayList<>(from.values());
         from.clear();
         for (int first = 0; first < kept.size(); first += PAGE) {
-            List<PeerNews> part = kept.subList(first, Math.min(kept.size(), first + PAGE));
+            List<PeerUpdate> part = kept.subList(first, Math.min(kept.size(), first + PAGE));
             neighbors.forEach(neighbor -> heartbeat(neighbor.place().internal(), false, part));
         }
     }
@@ -87,7 +87,7 @@
             ServerAddress to,
             boolean withPlace,
             String listAfter,
-            List<PeerNews> news) {
-        mOutput.send(to, new PeerMessage(kind, mSelf.news(withPlace), listAfter, news));
+            List<PeerUpdate> news) {
+        mOutput.send(to, new PeerMessage(kind, mSelf.update(withPlace), listAfter, news));
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerTable.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerTable.java
@@ -67,7 +67,7 @@
         for (PeerRecord other : replaced) {
             mRecords.remove(other.id());
             if (other.verdict() != Verdict.GONE) {
-                mListener.lost(other.id(), other.state() == PeerNews.State.LEAVING);
+                mListener.lost(other.id(), other.state() == PeerUpdate.State.LEAVING);
             }
         }
         PeerRecord record = new PeerRecord(id, place, incarnation, now);
@@ -123,7 +123,7 @@
         }
         boolean lost = before != Verdict.GONE && verdict == Verdict.GONE;
         if (lost) {
-            mListener.lost(record.id(), record.state() == PeerNews.State.LEAVING);
+            mListener.lost(record.id(), record.state() == PeerUpdate.State.LEAVING);
         }
         return lost;
     }
@@ -166,7 +166,7 @@
                     new PeerMember(
                             record.instance(),
                             PeerMember.State.valueOf(record.verdict().name()),
-                            record.state() == PeerNews.State.LEAVING,
+                            record.state() == PeerUpdate.State.LEAVING,
                             TimeUnit.NANOSECONDS.toMillis(record.sinceSign(now))));
         }
         return members;
@@ -181,7 +181,7 @@
         alive.add(self);
         for (PeerRecord record : mRecords.values()) {
             boolean gone = record.verdict() == Verdict.GONE;
-            boolean left = record.state() == PeerNews.State.LEAVING;
+            boolean left = record.state() == PeerUpdate.State.LEAVING;
             if (!gone) {
                 alive.add(record.instance());
             }
@@ -204,7 +204,7 @@
         int watched = 0;
         int heard = 0;
         for (PeerRecord record : mRecords.values()) {
-            boolean left = record.state() == PeerNews.State.LEAVING;
+            boolean left = record.state() == PeerUpdate.State.LEAVING;
             if (record.isWatched() && record.isTold() && !left) {
                 watched++;
                 boolean isNear = record.silence(now) < mSettings.deadAfter().toNanos();
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerNews.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerUpdate.java
@@ -14,7 +14,7 @@
  * @param place where it is, absent where the hearer knows
  * @since 0.2
  */
-public record PeerNews(
+public record PeerUpdate(
         InstanceId id,
         long incarnation,
         long sequence,
@@ -39,8 +39,8 @@
     }
 
     /** Gives the same news with or without the place. */
-    PeerNews withPlace(Optional<PeerPlace> place) {
-        return new PeerNews(id, incarnation, sequence, revision, state, place);
+    PeerUpdate withPlace(Optional<PeerPlace> place) {
+        return new PeerUpdate(id, incarnation, sequence, revision, state, place);
     }
 
     /** Tells whether these news are of a later moment than others of the same instance. */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/CategoryCopy.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/CategoryCopy.java
@@ -246,7 +246,7 @@
      * @param afterRevision the revision up to which the other is complete; negative if it is empty
      * @return whether it does
      */
-    boolean hasNews(long afterRevision) {
+    boolean hasUpdates(long afterRevision) {
         return afterRevision < mHorizon || afterRevision < mContentRevision;
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayService.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayService.java
@@ -94,7 +94,7 @@
                         .anyMatch(
                                 part ->
                                         copy(part.getCategory())
-                                                .filter(copy -> copy.hasNews(after(part)))
+                                                .filter(copy -> copy.hasUpdates(after(part)))
                                                 .isPresent());
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestFlow.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestFlow.java
@@ -57,7 +57,7 @@
     private final EntryAnswers mAnswers;
     private final CrashGuard mCrashes;
     private EntryState mState = EntryState.EMPTY;
-    private volatile NewsTimes mNewsTimes;
+    private volatile UpdateTimes mNewsTimes;
     private final Set<RequestRun> mRuns = new HashSet<>();
     private final HeldRequests mHeld;
     private boolean mKnewServers;
@@ -140,7 +140,7 @@
      *
      * @param times the times
      */
-    public void confirmed(NewsTimes times) {
+    public void confirmed(UpdateTimes times) {
         mNewsTimes = times;
     }
 
@@ -211,7 +211,7 @@
     }
 
     private void decide(IncomingRequest request, Responder responder, RequestRecord facts) {
-        noteNews(facts);
+        recordUpdateAges(facts);
         String id = request.headers().get(mNames.requestId());
         if (id == null || id.isEmpty()) {
             refuse(request, responder, facts, Rejection.wrong("no-request-id", BAD_REQUEST));
@@ -237,8 +237,8 @@
         return Rejection.unavailable(cause, UNTIL_CONFIGURED);
     }
 
-    private void noteNews(RequestRecord facts) {
-        NewsTimes times = mNewsTimes;
+    private void recordUpdateAges(RequestRecord facts) {
+        UpdateTimes times = mNewsTimes;
         long now = nowNanos();
         boolean known = times != null;
         facts.routing(version(), known ? now - times.routingNanos() : RequestRecord.UNKNOWN);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/NewsTimes.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/UpdateTimes.java
@@ -7,4 +7,4 @@
  * @param registryNanos when the backend servers were
  * @since 0.2
  */
-public record NewsTimes(long routingNanos, long registryNanos) {}
+public record UpdateTimes(long routingNanos, long registryNanos) {}
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlModule.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlModule.java
@@ -47,7 +47,7 @@
                 HeartbeatSettings.DEFAULT,
                 timeSource,
                 control,
-                new PeerNewsLog(log, timeSource));
+                new LoggingPeerListener(log, timeSource));
     }
 
     @Provides
@@ -105,7 +105,7 @@
                         platform.storeProbe(control, settings),
                         new KnownZonesTranslator(platform.translator(), settings.zones().keySet()),
                         (snapshot, source) -> updates.get().snapshotChanged(snapshot, source));
-        replica.addStoreListener(new StoreNewsLog(log));
+        replica.addStoreListener(new LoggingStoreListener(log));
         HeardRevisions heard = new HeardRevisions(heartbeats, self.id());
         RelayClient client = new RelayClient(control);
         replica.usePeers(heard, client, settings.zone(), settings.region());
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlSide.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlSide.java
@@ -10,7 +10,7 @@
 import io.masticpond.entry.replica.InstanceRegistration;
 import io.masticpond.entry.replica.RelayServer;
 import io.masticpond.entry.replica.ReplicaStatus;
-import io.masticpond.entry.request.NewsTimes;
+import io.masticpond.entry.request.UpdateTimes;
 import java.net.InetSocketAddress;
 import java.util.Optional;
 import javax.inject.Inject;
@@ -64,14 +64,14 @@
     }
 
     /** Tells when the routes and backend servers were last confirmed, if they ever were. */
-    Optional<NewsTimes> newsTimes() {
+    Optional<UpdateTimes> updateTimes() {
         ReplicaStatus status = mReplica.status();
         if (!status.usable()) {
             return Optional.empty();
         }
         long now = mTimeSource.monotonicNanos();
         return Optional.of(
-                new NewsTimes(
+                new UpdateTimes(
                         now - age(status, Category.ROUTING),
                         now - age(status, Category.BACKEND_SERVERS)));
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryInstance.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryInstance.java
@@ -27,7 +27,7 @@
     private final EntryListeners mListeners;
     private final SnapshotUpdates mUpdates;
     private final StopSwitch mStop;
-    private final ProcessNews mNews;
+    private final ProcessChangeLog mNews;
     private final SettingsInForce mSettings;
     private final LoadSharing mLoadSharing;
     private final CrashSharing mCrashSharing;
@@ -37,7 +37,7 @@
 
     @Inject
     EntryInstance(
-            ProcessNews news,
+            ProcessChangeLog news,
             @TrafficThread EventLoop traffic,
             @ControlThread EventLoop control,
             ControlSide controlSide,
@@ -69,7 +69,7 @@
 
     /** Starts all parts; readiness follows once routes and backend servers are known. */
     public void start() {
-        mNews.tell(ProcessChange.Kind.STARTED);
+        mNews.log(ProcessChange.Kind.STARTED);
         mLoadSharing.start();
         mCrashSharing.start();
         mProofSharing.start();
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryStop.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryStop.java
@@ -22,7 +22,7 @@
     private final InstanceRegistration mRegistration;
     private final EntryListeners mListeners;
     private final RequestFlow mFlow;
-    private final ProcessNews mNews;
+    private final ProcessChangeLog mNews;
     private final Runnable mExit;
     private boolean mWithdrawalPending;
 
@@ -34,7 +34,7 @@
             InstanceRegistration registration,
             EntryListeners listeners,
             RequestFlow flow,
-            ProcessNews news,
+            ProcessChangeLog news,
             @ProcessEnd Runnable exit) {
         mTraffic = traffic;
         mHeartbeats = heartbeats;
@@ -77,7 +77,7 @@
 
     @Override
     public void exit() {
-        mNews.tell(ProcessChange.Kind.STOPPED);
+        mNews.log(ProcessChange.Kind.STOPPED);
         mExit.run();
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/PeerNewsLog.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoggingPeerListener.java
@@ -12,13 +12,13 @@
 import java.util.concurrent.TimeUnit;
 
 /** Logs which other instances are heard. Control thread only. */
-final class PeerNewsLog implements PeerListener {
+final class LoggingPeerListener implements PeerListener {
 
     private final DecisionLog mLog;
     private final TimeSource mTimeSource;
     private final Map<InstanceId, Long> mLostNanos = new HashMap<>();
 
-    PeerNewsLog(DecisionLog log, TimeSource timeSource) {
+    LoggingPeerListener(DecisionLog log, TimeSource timeSource) {
         mLog = log;
         mTimeSource = timeSource;
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/StoreNewsLog.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoggingStoreListener.java
@@ -6,11 +6,11 @@
 import java.time.Duration;
 
 /** Logs when the platform's store is lost and when it is back. */
-final class StoreNewsLog implements StoreListener {
+final class LoggingStoreListener implements StoreListener {
 
     private final DecisionLog mLog;
 
-    StoreNewsLog(DecisionLog log) {
+    LoggingStoreListener(DecisionLog log) {
         mLog = log;
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ProcessNews.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ProcessChangeLog.java
@@ -10,7 +10,7 @@
 
 /** Logs what happens to this process, with the time since its parts were joined. */
 @Singleton
-final class ProcessNews {
+final class ProcessChangeLog {
 
     private final TimeSource mTimeSource;
     private final PeerInstance mSelf;
@@ -18,18 +18,18 @@
     private final long mStartNanos;
 
     @Inject
-    ProcessNews(TimeSource timeSource, PeerInstance self, DecisionLog log) {
+    ProcessChangeLog(TimeSource timeSource, PeerInstance self, DecisionLog log) {
         mTimeSource = timeSource;
         mSelf = self;
         mLog = log;
         mStartNanos = timeSource.monotonicNanos();
     }
 
-    void tell(ProcessChange.Kind kind) {
-        tell(kind, null);
+    void log(ProcessChange.Kind kind) {
+        log(kind, null);
     }
 
-    void tell(ProcessChange.Kind kind, String detail) {
+    void log(ProcessChange.Kind kind, String detail) {
         long millis = Duration.ofNanos(mTimeSource.monotonicNanos() - mStartNanos).toMillis();
         mLog.processChanged(
                 new ProcessChange(mSelf.id(), mSelf.incarnation(), kind, millis, detail));
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SettingsInForce.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SettingsInForce.java
@@ -26,7 +26,7 @@
     private final ServerChooser mChooser;
     private final RequestFlow mFlow;
     private final StopSwitch mStop;
-    private final ProcessNews mNews;
+    private final ProcessChangeLog mProcessChanges;
     private EntrySettings mSettings;
 
     @Inject
@@ -40,7 +40,7 @@
             ServerChooser chooser,
             RequestFlow flow,
             StopSwitch stop,
-            ProcessNews news) {
+            ProcessChangeLog news) {
         mSettings = settings;
         mTraffic = traffic;
         mSelf = self;
@@ -50,7 +50,7 @@
         mChooser = chooser;
         mFlow = flow;
         mStop = stop;
-        mNews = news;
+        mProcessChanges = news;
     }
 
     /** Takes the settings and tells what changed; to be called by one thread at a time. */
@@ -67,7 +67,7 @@
                     mFlow.statements().limits().tune(settings.serverLimits());
                     mFlow.statements().tune(settings.withdrawals());
                 });
-        mNews.tell(ProcessChange.Kind.RELOADED, SettingsPart.tellChange(mSettings, settings));
+        mProcessChanges.log(ProcessChange.Kind.RELOADED, SettingsPart.tellChange(mSettings, settings));
         mSettings = settings;
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SnapshotUpdates.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SnapshotUpdates.java
@@ -6,7 +6,7 @@
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.entry.lifecycle.Readiness;
 import io.masticpond.entry.log.FleetSnapshotLog;
-import io.masticpond.entry.log.NewsSource;
+import io.masticpond.entry.log.UpdateSource;
 import io.masticpond.entry.log.ProcessChange;
 import io.masticpond.entry.replica.CopySource;
 import io.masticpond.entry.request.EntryState;
@@ -28,7 +28,7 @@
     private final ServiceSplit mSplit;
     private final EntryListeners mListeners;
     private final Readiness mReadiness;
-    private final ProcessNews mNews;
+    private final ProcessChangeLog mNews;
     private boolean mToldReady;
 
     @Inject
@@ -42,7 +42,7 @@
             ServiceSplit split,
             EntryListeners listeners,
             Readiness readiness,
-            ProcessNews news) {
+            ProcessChangeLog news) {
         mTraffic = traffic;
         mTimeSource = timeSource;
         mLog = log;
@@ -63,11 +63,11 @@
         tellStatus();
     }
 
-    private static NewsSource source(CopySource told) {
+    private static UpdateSource source(CopySource told) {
         return switch (told) {
-            case STORE -> NewsSource.STORE;
-            case PEER -> NewsSource.PEER;
-            case NONE -> NewsSource.SELF;
+            case STORE -> UpdateSource.STORE;
+            case PEER -> UpdateSource.PEER;
+            case NONE -> UpdateSource.SELF;
         };
     }
 
@@ -89,11 +89,11 @@
     /** Tells peers and the request path how far this instance is, on the control thread. */
     void tellStatus() {
         mLog.logWarmed(mTimeSource.monotonicNanos());
-        mControlSide.newsTimes().ifPresent(mFlow::confirmed);
+        mControlSide.updateTimes().ifPresent(mFlow::confirmed);
         boolean ready = mReadiness.isReady();
         if (ready && !mToldReady) {
             mToldReady = true;
-            mNews.tell(ProcessChange.Kind.READY);
+            mNews.log(ProcessChange.Kind.READY);
         }
         mControlSide.heartbeats().update(ready, mControlSide.replica().revision());
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/StopSwitch.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/StopSwitch.java
@@ -20,7 +20,7 @@
     private final TimeSource mTimeSource;
     private volatile Bounds mBounds;
     private final EntryStop mActions;
-    private final ProcessNews mNews;
+    private final ProcessChangeLog mNews;
     private volatile PlannedStop mStop;
 
     @Inject
@@ -29,7 +29,7 @@
             TimeSource timeSource,
             EntrySettings settings,
             EntryStop actions,
-            ProcessNews news) {
+            ProcessChangeLog news) {
         mControl = control;
         mTimeSource = timeSource;
         mBounds = settings.bounds();
@@ -47,7 +47,7 @@
         if (isStopping()) {
             return;
         }
-        mNews.tell(ProcessChange.Kind.STOPPING);
+        mNews.log(ProcessChange.Kind.STOPPING);
         PlannedStop stop =
                 new PlannedStop(
                         StopSettings.within(mBounds.stop(), DirectorySettings.DEFAULT.timeToLive()),
--- a/masticpond-entry/src/test/java/io/masticpond/entry/log/FleetSnapshotLogTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/log/FleetSnapshotLogTest.java
@@ -48,23 +48,23 @@
     void theFirstServersAreOneLine() {
         mLog.changed(
                 snapshot(3, 1, Set.of(), server("b1", true, 0), server("b2", false, 500)),
-                NewsSource.PEER,
+                UpdateSource.PEER,
                 0);
         assertThat(mChanges)
                 .containsExactly(
-                        new BeliefChange.Routing(RequestRecord.UNKNOWN, 1, 3, NewsSource.PEER),
-                        new BeliefChange.Registry(2, 1, 1, 3, NewsSource.PEER));
+                        new BeliefChange.Routing(RequestRecord.UNKNOWN, 1, 3, UpdateSource.PEER),
+                        new BeliefChange.Registry(2, 1, 1, 3, UpdateSource.PEER));
     }
 
     @Example
     void eachLaterChangeIsOneLineAndNothingIsToldTwice() {
         RegisteredServer stays = server("b1", false, 0);
-        mLog.changed(snapshot(3, 1, Set.of(), stays, server("b2", false, 0)), NewsSource.STORE, 0);
+        mLog.changed(snapshot(3, 1, Set.of(), stays, server("b2", false, 0)), UpdateSource.STORE, 0);
         mChanges.clear();
         FleetSnapshot next =
                 snapshot(4, 2, Set.of(ZONE), server("b1", true, 0), server("b3", false, 500));
-        mLog.changed(next, NewsSource.STORE, 0);
-        mLog.changed(next, NewsSource.STORE, 10);
+        mLog.changed(next, UpdateSource.STORE, 0);
+        mLog.changed(next, UpdateSource.STORE, 10);
         assertThat(mChanges.stream().map(FleetSnapshotLogTest::brief))
                 .containsExactlyInAnyOrder(
                         "1 to 2", "evacuated true", "b1 LEAVING", "b3 SEEN", "b3 COLD", "b2 GONE");
@@ -73,13 +73,13 @@
     @Example
     void serversThatWarmUpAndZonesThatReturnAreTold() {
         RegisteredServer cold = server("b1", false, 500);
-        mLog.changed(snapshot(3, 1, Set.of(ZONE), cold), NewsSource.STORE, 0);
+        mLog.changed(snapshot(3, 1, Set.of(ZONE), cold), UpdateSource.STORE, 0);
         mChanges.clear();
         mLog.logWarmed(499);
         assertThat(mChanges).isEmpty();
         mLog.logWarmed(500);
         mLog.logWarmed(501);
-        mLog.changed(snapshot(5, 1, Set.of(), cold), NewsSource.STORE, 600);
+        mLog.changed(snapshot(5, 1, Set.of(), cold), UpdateSource.STORE, 600);
         assertThat(mChanges.stream().map(FleetSnapshotLogTest::brief))
                 .containsExactly("b1 WARM", "evacuated false");
     }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/log/RecentDecisionsTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/log/RecentDecisionsTest.java
@@ -62,7 +62,7 @@
     void theNewestBeliefsAreGiven() {
         for (int index = 0; index < 3; index++) {
             mDecisions.beliefChanged(
-                    new BeliefChange.Zone(new ZoneId("z" + index), true, 1, NewsSource.STORE));
+                    new BeliefChange.Zone(new ZoneId("z" + index), true, 1, UpdateSource.STORE));
         }
         assertThat(mDecisions.beliefs(2))
                 .extracting(line -> line.path("zone").asText())
--- a/masticpond-entry/src/test/java/io/masticpond/entry/peer/PeerExchangeTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/peer/PeerExchangeTest.java
@@ -113,13 +113,13 @@
     void aHeartbeatOfAnEarlierRunChangesNothing() {
         mWorld.startAll(2).pass(SETTLED);
         PeerInstance old = instance(name(1), 1, CLOCK - 5);
-        PeerNews news =
-                new PeerNews(
+        PeerUpdate news =
+                new PeerUpdate(
                         old.id(),
                         old.incarnation(),
                         900,
                         0,
-                        PeerNews.State.LEAVING,
+                        PeerUpdate.State.LEAVING,
                         java.util.Optional.of(PeerPlace.of(old)));
         PeerMessage late = new PeerMessage(PeerMessage.Kind.HEARTBEAT, news, "", List.of());
         mWorld.run(0).mExchange.receive(late, old.internal(), SETTLED.toNanos() + 1);
--- a/masticpond-entry/src/test/java/io/masticpond/entry/peer/PeerMessageCodecTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/peer/PeerMessageCodecTest.java
@@ -14,11 +14,11 @@
 
 class PeerMessageCodecTest {
 
-    private static PeerNews news(long number, boolean withPlace) {
+    private static PeerUpdate news(long number, boolean withPlace) {
         PeerInstance instance = PeerWorld.instance("edge-casa-ain-1", 1, number);
         Optional<PeerPlace> place =
                 withPlace ? Optional.of(PeerPlace.of(instance)) : Optional.empty();
-        return new PeerNews(instance.id(), number, number, number, PeerNews.State.LEAVING, place);
+        return new PeerUpdate(instance.id(), number, number, number, PeerUpdate.State.LEAVING, place);
     }
 
     private static ByteBuf written(PeerMessage message) {
@@ -39,13 +39,13 @@
 
     @Example
     void aHeartbeatIsSmall() {
-        PeerNews sender =
-                new PeerNews(
+        PeerUpdate sender =
+                new PeerUpdate(
                         PeerWorld.instance("edge-casa-ain-1", 1, 1).id(),
                         PeerWorld.CLOCK,
                         5000,
                         100_000,
-                        PeerNews.State.READY,
+                        PeerUpdate.State.READY,
                         Optional.empty());
         PeerMessage message = new PeerMessage(PeerMessage.Kind.HEARTBEAT, sender, "", List.of());
         assertThat(written(message).readableBytes()).isLessThan(60);
@@ -53,11 +53,11 @@
 
     @Example
     void whatDoesNotFitIsLeftOut() {
-        List<PeerNews> many = Collections.nCopies(100, news(1, true));
+        List<PeerUpdate> many = Collections.nCopies(100, news(1, true));
         PeerMessage message = new PeerMessage(PeerMessage.Kind.LIST_PAGE, news(1, true), "", many);
         ByteBuf bytes = written(message);
         assertThat(bytes.readableBytes()).isLessThanOrEqualTo(PeerMessageCodec.MAXIMUM_BYTES);
-        assertThat(PeerMessageCodec.read(bytes).orElseThrow().news()).isNotEmpty();
+        assertThat(PeerMessageCodec.read(bytes).orElseThrow().updates()).isNotEmpty();
     }
 
     @Property(seed = "18")
--- a/masticpond-entry/src/test/java/io/masticpond/entry/peer/PeerWorld.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/peer/PeerWorld.java
@@ -42,7 +42,7 @@
             mInstance = instance;
             mStatus = new OwnStatus(instance.id(), PeerPlace.of(instance), instance.incarnation());
             mExchange = new PeerExchange(mStatus, SETTINGS, seeds, this::send, listener(), mNow);
-            mStatus.tellState(PeerNews.State.READY);
+            mStatus.tellState(PeerUpdate.State.READY);
         }
 
         PeerSnapshot view() {
@@ -55,7 +55,7 @@
         }
 
         void leave() {
-            mStatus.tellState(PeerNews.State.LEAVING);
+            mStatus.tellState(PeerUpdate.State.LEAVING);
             mExchange.announce(mNow);
         }
 
@@ -68,7 +68,7 @@
         }
 
         private void afterwards() {
-            if (mExchange.hasSpread() && !mFlushDue) {
+            if (mExchange.hasPendingUpdates() && !mFlushDue) {
                 mFlushDue = true;
                 after(100 * MILLI, this::flush);
             }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/hostile/NewsTarget.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/hostile/ConfigurationUpdateTarget.java
@@ -3,7 +3,7 @@
 import com.google.protobuf.ByteString;
 import io.masticpond.core.configuration.Configuration;
 import io.masticpond.core.configuration.ConfigurationContent;
-import io.masticpond.core.configuration.ConfigurationNews;
+import io.masticpond.core.configuration.ConfigurationUpdate;
 import io.masticpond.core.id.InstanceId;
 import io.masticpond.core.id.PlanId;
 import io.masticpond.core.id.ZoneId;
@@ -29,7 +29,7 @@
 import java.util.zip.DeflaterOutputStream;
 
 /** The configuration's duty, which gets messages of an instance that has gone wrong. */
-final class NewsTarget implements HostileTarget, ConfigurationPeers {
+final class ConfigurationUpdateTarget implements HostileTarget, ConfigurationPeers {
 
     private static final int INPUTS = 25_000;
     private static final InstanceId PEER = new InstanceId("entry-2");
@@ -49,7 +49,7 @@
     private Handler mHandler;
     private long mNumber;
 
-    NewsTarget() {
+    ConfigurationUpdateTarget() {
         mDuty.start();
     }
 
@@ -70,7 +70,7 @@
                         mHolder.current().version().next(),
                         Optional.of(new PlanId("plan")),
                         ConfigurationContent.EMPTY);
-        return List.of(mCodec.encode(ConfigurationNews.of(next)));
+        return List.of(mCodec.encode(ConfigurationUpdate.of(next)));
     }
 
     /** Every third document is broken only after it was deflated. */
--- a/masticpond-measure/src/main/java/io/masticpond/measure/hostile/HostileTargets.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/hostile/HostileTargets.java
@@ -58,7 +58,7 @@
                 HostileTargets::platformObjects,
                 HostileTargets::clientBlocks,
                 HostileTargets::operationKeys,
-                NewsTarget::new,
+                ConfigurationUpdateTarget::new,
                 HostileTargets::operatorRequests,
                 HostileTargets::callerRequests,
                 HostileTargets::linkFrames,
