--- a/masticpond-core/src/main/java/io/masticpond/core/admission/Admission.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/Admission.java
@@ -57,7 +57,7 @@
      * @param server the backend server
      * @param sign the sign
      */
-    void observe(BackendServerId server, BackendServerSign sign);
+    void observe(BackendServerId server, BackendServerSignal sign);
 
     /**
      * Lets time act: refuses what can no longer meet its deadline, and dispatches what may go.
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/AnswerJudge.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/AttemptEvaluator.java
@@ -1,11 +1,11 @@
 package io.masticpond.core.admission;
 
 /** Draws conclusions about a backend server from answers and, where these are silent, reports. */
-final class AnswerJudge {
+final class AttemptEvaluator {
 
     /** Takes the events that people should see. */
     @FunctionalInterface
-    interface Events {
+    interface EventListener {
 
         /**
          * Takes an event.
@@ -23,7 +23,7 @@
     private final OutlierSettings mSettings;
     private final OutlierDetector mDetector;
     private final BackendServerTable mServers;
-    private final Events mEvents;
+    private final EventListener mEvents;
 
     /**
      * Makes the judge.
@@ -32,7 +32,7 @@
      * @param servers the servers of the shard
      * @param events takes what people should see
      */
-    AnswerJudge(OutlierSettings settings, BackendServerTable servers, Events events) {
+    AttemptEvaluator(OutlierSettings settings, BackendServerTable servers, EventListener events) {
         mSettings = settings;
         mDetector = new OutlierDetector(settings);
         mServers = servers;
@@ -47,13 +47,13 @@
      * @param heldNanos how long the slot was held
      * @param nanos the time now
      */
-    void judge(BackendServerState server, AttemptOutcome outcome, long heldNanos, long nanos) {
+    void evaluate(BackendServerState server, AttemptOutcome outcome, long heldNanos, long nanos) {
         switch (outcome) {
             case ANSWERED -> answered(server, heldNanos, nanos);
             case SERVER_ERROR, BROKEN -> failed(server, nanos);
             case TIMED_OUT -> timedOut(server, heldNanos, nanos);
             case SHED -> shed(server, nanos);
-            case UNREACHABLE -> eject(server, ServerStanding.Reason.UNREACHABLE, nanos);
+            case UNREACHABLE -> eject(server, EjectionState.Reason.UNREACHABLE, nanos);
             case CANCELLED -> {}
             default -> throw new IllegalStateException("No such outcome: " + outcome);
         }
@@ -66,13 +66,13 @@
      * @param sign the sign
      * @param nanos the time now
      */
-    void observe(BackendServerState server, BackendServerSign sign, long nanos) {
+    void observe(BackendServerState server, BackendServerSignal sign, long nanos) {
         if (sign.reportedInFlight() >= 0) {
             server.report(sign.reportedInFlight(), nanos);
         }
         switch (sign.kind()) {
-            case HEALTHY -> server.standing().reportedWell(nanos);
-            case UNHEALTHY -> reportedUnwell(server, nanos);
+            case HEALTHY -> server.ejectionState().reportedHealthy(nanos);
+            case UNHEALTHY -> reportedUnhealthy(server, nanos);
             case LEAVING -> leaving(server);
             case STARTED -> {
                 server.started(nanos);
@@ -87,7 +87,7 @@
         ServerRecord record = server.record();
         record.answered(heldNanos, nanos);
         server.rampIn().answered(server.specification().slots(), nanos);
-        if (server.standing().answered(record.consecutiveAnswers(), nanos)) {
+        if (server.ejectionState().answered(record.consecutiveAnswers(), nanos)) {
             server.rampIn().start(nanos);
             record("server-returned", server, "");
         }
@@ -96,8 +96,8 @@
 
     private void failed(BackendServerState server, long nanos) {
         server.record().failed();
-        if (server.standing().isTrickle()) {
-            eject(server, server.standing().reason(), nanos);
+        if (server.ejectionState().isOnTrial()) {
+            eject(server, server.ejectionState().reason(), nanos);
             return;
         }
         ejectOutlier(server, nanos);
@@ -114,14 +114,14 @@
         server.withheld().shed();
     }
 
-    private void reportedUnwell(BackendServerState server, long nanos) {
-        boolean trusted = server.record().answeredWithin(nanos, mSettings.answerTrust().toNanos());
+    private void reportedUnhealthy(BackendServerState server, long nanos) {
+        boolean trusted = server.record().answeredWithin(nanos, mSettings.answerValidity().toNanos());
         if (trusted
-                || !server.standing().isInUse()
+                || !server.ejectionState().isInUse()
                 || !mDetector.mayEject(server, mServers.all())) {
             return;
         }
-        eject(server, ServerStanding.Reason.REPORT, nanos);
+        eject(server, EjectionState.Reason.REPORT, nanos);
     }
 
     private void leaving(BackendServerState server) {
@@ -132,22 +132,22 @@
     }
 
     private void staying(BackendServerState server, long nanos) {
-        if (server.isLeavingBySign()) {
+        if (server.isLeavingBySignal()) {
             server.cold(nanos);
             record("server-staying", server, "");
         }
     }
 
     private void ejectOutlier(BackendServerState server, long nanos) {
-        if (server.standing().isInUse()
+        if (server.ejectionState().isInUse()
                 && mDetector.isOutlier(server, mServers.all())
                 && mDetector.mayEject(server, mServers.all())) {
-            eject(server, ServerStanding.Reason.ANSWERS, nanos);
+            eject(server, EjectionState.Reason.ANSWERS, nanos);
         }
     }
 
-    private void eject(BackendServerState server, ServerStanding.Reason reason, long nanos) {
-        server.standing().eject(reason, nanos);
+    private void eject(BackendServerState server, EjectionState.Reason reason, long nanos) {
+        server.ejectionState().eject(reason, nanos);
         record("server-ejected", server, reason.name());
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/BackendServerSign.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/BackendServerSignal.java
@@ -9,7 +9,7 @@
  * @param reportedInFlight how many requests the server says it works on, or -1 if it does not say
  * @since 0.1
  */
-public record BackendServerSign(Kind kind, int reportedInFlight) {
+public record BackendServerSignal(Kind kind, int reportedInFlight) {
 
     /** What a backend server may say. */
     public enum Kind {
@@ -26,7 +26,7 @@
     }
 
     /** Checks the parts. */
-    public BackendServerSign {
+    public BackendServerSignal {
         Assert.notNull(kind, "The kind of a sign");
     }
 
@@ -36,7 +36,7 @@
      * @param kind what is said
      * @return the sign
      */
-    public static BackendServerSign of(Kind kind) {
-        return new BackendServerSign(kind, -1);
+    public static BackendServerSignal of(Kind kind) {
+        return new BackendServerSignal(kind, -1);
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/BackendServerState.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/BackendServerState.java
@@ -10,7 +10,7 @@
     private final WithheldSlots mWithheld;
     private final RampIn mRampIn;
     private final ServerRecord mRecord = new ServerRecord();
-    private final ServerStanding mStanding;
+    private final EjectionState mStanding;
     private BackendServerSpecification mSpecification;
     private AdmissionShare mShare = AdmissionShare.FAIR_SHARE;
     private int mFairSlots;
@@ -30,7 +30,7 @@
         mHeld = new HeldSlots(settings.reportLag().toNanos(), nanos);
         mWithheld = new WithheldSlots(settings);
         mRampIn = new RampIn(settings.rampIn());
-        mStanding = new ServerStanding(settings.outliers());
+        mStanding = new EjectionState(settings.outliers());
     }
 
     /**
@@ -120,7 +120,7 @@
     void dispatch(long nanos) {
         mHeld.dispatch();
         mLastDispatchNanos = nanos;
-        mStanding.trickled(nanos);
+        mStanding.trialSent(nanos);
     }
 
     /**
@@ -137,7 +137,7 @@
      *
      * @return whether it did, whatever operators say
      */
-    boolean isLeavingBySign() {
+    boolean isLeavingBySignal() {
         return mLeavingSign;
     }
 
@@ -208,7 +208,7 @@
         return mRecord;
     }
 
-    ServerStanding standing() {
+    EjectionState ejectionState() {
         return mStanding;
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/BackendServerTable.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/BackendServerTable.java
@@ -95,13 +95,13 @@
             if (!server.hasFreeSlot()) {
                 continue;
             }
-            if (server.standing().isInUse()) {
+            if (server.ejectionState().isInUse()) {
                 mCandidates.add(server);
-            } else if (trickle == null || server.standing().isTrickleDue(nanos)) {
+            } else if (trickle == null || server.ejectionState().isTrialDue(nanos)) {
                 trickle = server;
             }
         }
-        boolean trickleIsDue = trickle != null && trickle.standing().isTrickleDue(nanos);
+        boolean trickleIsDue = trickle != null && trickle.ejectionState().isTrialDue(nanos);
         if (trickle != null && (!anyRegular || (trickleIsDue && request.kind().isIdempotent()))) {
             return Optional.of(trickle);
         }
@@ -160,7 +160,7 @@
     long nextOpeningNanos() {
         return mServers.values().stream()
                 .filter(server -> !server.isLeaving())
-                .mapToLong(server -> server.standing().untilNanos())
+                .mapToLong(server -> server.ejectionState().untilNanos())
                 .min()
                 .orElse(Long.MAX_VALUE);
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/DefaultAdmission.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/DefaultAdmission.java
@@ -40,7 +40,7 @@
     private final DeadlineQueue mQueue;
     private final WaitEstimator mEstimator = new WaitEstimator();
     private final OverloadCheck mOverloadCheck = new OverloadCheck(mEstimator);
-    private final AnswerJudge mJudge;
+    private final AttemptEvaluator mJudge;
     private final Map<RequestId, Dispatch> mDispatches = new HashMap<>();
     private Optional<SlotShare> mShare = Optional.empty();
     private AdmissionShare mInUse = AdmissionShare.FAIR_SHARE;
@@ -90,7 +90,7 @@
         mTimeline = Assert.notNull(timeline, "A time line");
         mServers = new BackendServerTable(settings, Assert.notNull(selector, "A selector"));
         mQueue = new DeadlineQueue(settings.maximumWaiting());
-        mJudge = new AnswerJudge(settings.outliers(), mServers, this::record);
+        mJudge = new AttemptEvaluator(settings.outliers(), mServers, this::record);
         mLastCallNanos = timeSource.monotonicNanos();
     }
 
@@ -152,12 +152,12 @@
         if (outcome == AttemptOutcome.ANSWERED || outcome == AttemptOutcome.TIMED_OUT) {
             mEstimator.sample(held);
         }
-        mJudge.judge(server, outcome, held, nanos);
+        mJudge.evaluate(server, outcome, held, nanos);
         act(nanos);
     }
 
     @Override
-    public void observe(BackendServerId server, BackendServerSign sign) {
+    public void observe(BackendServerId server, BackendServerSignal sign) {
         long nanos = enter();
         Optional<BackendServerState> state = mServers.find(server);
         state.ifPresent(found -> mJudge.observe(found, sign, nanos));
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/ServerStanding.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/EjectionState.java
@@ -8,7 +8,7 @@
  * <p>An ejection ends in a trickle: one request at a time. Good answers in a row put the server
  * back in use, a failure ejects it again for twice as long.
  */
-final class ServerStanding {
+final class EjectionState {
 
     /** Why a server is not in use. */
     enum Reason {
@@ -56,7 +56,7 @@
      *
      * @param settings when and how long to eject
      */
-    ServerStanding(OutlierSettings settings) {
+    EjectionState(OutlierSettings settings) {
         mSettings = settings;
     }
 
@@ -93,7 +93,7 @@
             return false;
         }
         mCondition = Condition.TRICKLE;
-        mLastTrickleNanos = nanos - mSettings.trickleInterval().toNanos();
+        mLastTrickleNanos = nanos - mSettings.trialInterval().toNanos();
         return true;
     }
 
@@ -103,7 +103,7 @@
      *
      * @param nanos the time now
      */
-    void reportedWell(long nanos) {
+    void reportedHealthy(long nanos) {
         if (mCondition == Condition.EJECTED && mReason != Reason.ANSWERS) {
             mUntilNanos = nanos;
         }
@@ -117,7 +117,7 @@
      * @return whether the server is back in use
      */
     boolean answered(int consecutiveAnswers, long nanos) {
-        int needed = mReason == Reason.UNREACHABLE ? 1 : mSettings.trickleAnswers();
+        int needed = mReason == Reason.UNREACHABLE ? 1 : mSettings.trialAnswers();
         if (mCondition != Condition.TRICKLE || consecutiveAnswers < needed) {
             return false;
         }
@@ -150,7 +150,7 @@
      *
      * @param nanos the time now
      */
-    void trickled(long nanos) {
+    void trialSent(long nanos) {
         mLastTrickleNanos = nanos;
     }
 
@@ -158,12 +158,12 @@
         return mCondition == Condition.IN_USE;
     }
 
-    boolean isTrickle() {
+    boolean isOnTrial() {
         return mCondition == Condition.TRICKLE;
     }
 
-    boolean isTrickleDue(long nanos) {
-        return isTrickle() && nanos - mLastTrickleNanos >= mSettings.trickleInterval().toNanos();
+    boolean isTrialDue(long nanos) {
+        return isOnTrial() && nanos - mLastTrickleNanos >= mSettings.trialInterval().toNanos();
     }
 
     boolean isEjectedWithinBound() {
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/OutlierDetector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/OutlierDetector.java
@@ -49,7 +49,7 @@
                 continue;
             }
             inZone++;
-            if (each != server && each.standing().isEjectedWithinBound()) {
+            if (each != server && each.ejectionState().isEjectedWithinBound()) {
                 ejected++;
             }
         }
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/OutlierSettings.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/OutlierSettings.java
@@ -13,9 +13,9 @@
  * @param maximumEjectedShare the greatest part of an availability zone's servers that is ejected
  * @param ejection how long the first ejection lasts; each next one lasts twice as long
  * @param maximumEjection how long an ejection lasts at most
- * @param trickleAnswers how many good answers in a row end the trickle
- * @param trickleInterval the least time between two requests of a trickle
- * @param answerTrust how long a good answer outweighs a report that the server is not well
+ * @param trialAnswers how many good answers in a row end the trickle
+ * @param trialInterval the least time between two requests of a trickle
+ * @param answerValidity how long a good answer outweighs a report that the server is not well
  * @param unreachableBackoff how long a server gets nothing after a connection failed; doubles
  * @since 0.1
  */
@@ -27,9 +27,9 @@
         double maximumEjectedShare,
         Duration ejection,
         Duration maximumEjection,
-        int trickleAnswers,
-        Duration trickleInterval,
-        Duration answerTrust,
+        int trialAnswers,
+        Duration trialInterval,
+        Duration answerValidity,
         Duration unreachableBackoff) {
 
     /** Suits services with answers of 10 to 1,000 milliseconds. */
@@ -65,9 +65,9 @@
                 maximumEjectedShare);
         Assert.positive(ejection.toNanos(), "An ejection");
         Assert.positive(maximumEjection.toNanos(), "A greatest ejection");
-        Assert.positive(trickleAnswers, "The answers that end a trickle");
-        Assert.notNegative(trickleInterval.toNanos(), "A trickle interval");
-        Assert.notNegative(answerTrust.toNanos(), "The trust in an answer");
+        Assert.positive(trialAnswers, "The answers that end a trickle");
+        Assert.notNegative(trialInterval.toNanos(), "A trickle interval");
+        Assert.notNegative(answerValidity.toNanos(), "The trust in an answer");
         Assert.positive(unreachableBackoff.toNanos(), "The backoff from an unreachable server");
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/OutlierJudge.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/CallOutlierDetector.java
@@ -22,7 +22,7 @@
  *
  * @since 0.2
  */
-public final class OutlierJudge {
+public final class CallOutlierDetector {
 
     /** Verdicts are as old as this at most. */
     private static final long VERDICT_NANOS = 100_000_000L;
@@ -30,7 +30,7 @@
     /** A mean over fewer answers says nothing. */
     private static final double LEAST_BELIEF = 0.1;
 
-    private final OutlierJudgeSettings mSettings;
+    private final CallOutlierDetectorSettings mSettings;
     private final Map<ServiceId, Peers> mServices = new HashMap<>();
 
     /**
@@ -38,7 +38,7 @@
      *
      * @param settings when a server stands out
      */
-    public OutlierJudge(OutlierJudgeSettings settings) {
+    public CallOutlierDetector(CallOutlierDetectorSettings settings) {
         mSettings = Assert.notNull(settings, "Settings of a judge");
     }
 
@@ -94,9 +94,9 @@
             return 0;
         }
         if (nowNanos - peers.mJudgedNanos >= VERDICT_NANOS) {
-            judge(peers, nowNanos);
+            evaluate(peers, nowNanos);
         }
-        boolean due = nowNanos - tally.lastSentNanos() >= mSettings.trickle().toNanos();
+        boolean due = nowNanos - tally.lastSentNanos() >= mSettings.trialInterval().toNanos();
         return due ? 0 : tally.penalty();
     }
 
@@ -131,7 +131,7 @@
      * @param nowNanos the monotonic time
      * @return the judgement, or empty if nothing was sent there
      */
-    public Optional<ServerJudgement> judgement(
+    public Optional<ServerEvaluation> evaluation(
             ServiceId service, BackendServerId server, long nowNanos) {
         double penalty = penalty(service, server, nowNanos);
         Peers peers = mServices.get(service);
@@ -141,7 +141,7 @@
         }
         double mean = tally.successes() > 0 ? tally.meanNanos() : 0;
         return Optional.of(
-                new ServerJudgement(penalty, tally.calls(), tally.failureShare(), (long) mean));
+                new ServerEvaluation(penalty, tally.calls(), tally.failureShare(), (long) mean));
     }
 
     private CallTally tally(ServiceId service, BackendServerId server, long nowNanos) {
@@ -152,7 +152,7 @@
                         server, ignored -> new CallTally(mSettings.halfLife().toNanos(), nowNanos));
     }
 
-    private void judge(Peers peers, long nowNanos) {
+    private void evaluate(Peers peers, long nowNanos) {
         peers.mJudgedNanos = nowNanos;
         Collection<CallTally> tallies = peers.mTallies.values();
         tallies.forEach(each -> each.decay(nowNanos));
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/OutlierJudgeSettings.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/CallOutlierDetectorSettings.java
@@ -12,25 +12,25 @@
  * @param failureFull the failure share above the peers' that counts fully
  * @param slownessFrom the multiple of the peers' latency from which on it counts
  * @param slownessFull the multiple of the peers' latency that counts fully
- * @param trickle the time after which a condemned server gets one request
+ * @param trialInterval the time after which a condemned server gets one request
  * @since 0.2
  */
-public record OutlierJudgeSettings(
+public record CallOutlierDetectorSettings(
         Duration halfLife,
         double enoughCalls,
         double failureFrom,
         double failureFull,
         double slownessFrom,
         double slownessFull,
-        Duration trickle) {
+        Duration trialInterval) {
 
     /** Settings that fit most services. */
-    public static final OutlierJudgeSettings DEFAULT =
-            new OutlierJudgeSettings(
+    public static final CallOutlierDetectorSettings DEFAULT =
+            new CallOutlierDetectorSettings(
                     Duration.ofSeconds(3), 3, 0.1, 0.5, 2.5, 5, Duration.ofSeconds(3));
 
     /** Checks that the parts are in range. */
-    public OutlierJudgeSettings {
+    public CallOutlierDetectorSettings {
         Assert.positive(halfLife.toNanos(), "A half-life");
         Assert.isTrue(enoughCalls > 0, "A number of calls must be positive.");
         Assert.isTrue(
@@ -43,6 +43,6 @@
                 "The multiples of the latency must rise from 1, but were %s and %s.",
                 slownessFrom,
                 slownessFull);
-        Assert.positive(trickle.toNanos(), "A trickle interval");
+        Assert.positive(trialInterval.toNanos(), "A trickle interval");
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/ServerJudgement.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/ServerEvaluation.java
@@ -9,4 +9,4 @@
  * @param meanNanos the mean time of those that succeeded, 0 if none did
  * @since 0.2
  */
-public record ServerJudgement(double penalty, double calls, double failureShare, long meanNanos) {}
+public record ServerEvaluation(double penalty, double calls, double failureShare, long meanNanos) {}
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/SilenceJudge.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/FailureDetector.java
@@ -3,11 +3,11 @@
 import java.util.Optional;
 
 /** Says what the silence of a member means. */
-final class SilenceJudge {
+final class FailureDetector {
 
     private final MembershipTimings mTimings;
 
-    SilenceJudge(MembershipTimings timings) {
+    FailureDetector(MembershipTimings timings) {
         mTimings = timings;
     }
 
@@ -20,11 +20,11 @@
      * @param now the elapsed time
      * @return what to claim of it now, or empty if nothing changes
      */
-    Optional<MemberClaim> judge(MemberRecord record, boolean watched, long now) {
+    Optional<MemberClaim> evaluate(MemberRecord record, boolean watched, long now) {
         return switch (record.state()) {
             case EXPECTED, DEAD -> Optional.empty();
-            case LIVE, LEAVING -> watched ? judgeLive(record, now) : Optional.empty();
-            case SUSPECT -> judgeSuspect(record, watched, now);
+            case LIVE, LEAVING -> watched ? evaluateLive(record, now) : Optional.empty();
+            case SUSPECT -> evaluateSuspect(record, watched, now);
         };
     }
 
@@ -41,7 +41,7 @@
                 && record.sinceClaim(now) >= mTimings.forget().toNanos();
     }
 
-    private Optional<MemberClaim> judgeLive(MemberRecord record, long now) {
+    private Optional<MemberClaim> evaluateLive(MemberRecord record, long now) {
         if (isProcessGone(record, now)) {
             return Optional.of(MemberClaim.GONE);
         }
@@ -49,7 +49,7 @@
         return silent ? Optional.of(MemberClaim.SUSPECT) : Optional.empty();
     }
 
-    private Optional<MemberClaim> judgeSuspect(MemberRecord record, boolean watched, long now) {
+    private Optional<MemberClaim> evaluateSuspect(MemberRecord record, boolean watched, long now) {
         if (watched && isProcessGone(record, now)) {
             return Optional.of(MemberClaim.GONE);
         }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTable.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTable.java
@@ -30,7 +30,7 @@
     private static final int ASKED_AT_ONCE = 3;
 
     private final OwnHeartbeat mSelf;
-    private final SilenceJudge mJudge;
+    private final FailureDetector mFailureDetector;
     private final TimeSource mTimeSource;
     private final MembershipSink mSink;
     private final Map<InstanceId, MemberRecord> mRecords = new TreeMap<>();
@@ -55,7 +55,7 @@
     public MembershipTable(
             OwnState self, MembershipTimings timings, TimeSource timeSource, MembershipSink sink) {
         mSelf = new OwnHeartbeat(self);
-        mJudge = new SilenceJudge(Assert.notNull(timings, "The times of membership"));
+        mFailureDetector = new FailureDetector(Assert.notNull(timings, "The times of membership"));
         mTimeSource = Assert.notNull(timeSource, "A time source");
         mSink = Assert.notNull(sink, "A sink");
         mAskRelay = new AskRelay(timings.dead().toNanos());
@@ -186,7 +186,7 @@
         MemberRecord record = mRecords.get(id);
         if (record != null) {
             record.refused();
-            judge(record, mTimeSource.monotonicNanos());
+            evaluate(record, mTimeSource.monotonicNanos());
             mDisseminator.flush(neighbors());
         }
     }
@@ -199,7 +199,7 @@
         }
         mAskRelay.expire(now);
         for (MemberRecord record : List.copyOf(mRecords.values())) {
-            judge(record, now);
+            evaluate(record, now);
         }
         mDisseminator.flush(neighbors());
     }
@@ -359,14 +359,14 @@
         }
     }
 
-    private void judge(MemberRecord record, long now) {
+    private void evaluate(MemberRecord record, long now) {
         boolean watched = isWatched(record);
-        mJudge.judge(record, watched, now).ifPresent(claim -> claim(record, claim));
-        if (watched && mJudge.mustAsk(record, now)) {
+        mFailureDetector.evaluate(record, watched, now).ifPresent(claim -> claim(record, claim));
+        if (watched && mFailureDetector.mustAsk(record, now)) {
             record.asked(now);
             askAround(record);
         }
-        if (mJudge.mustForget(record, now)) {
+        if (mFailureDetector.mustForget(record, now)) {
             forget(record, now);
         }
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/RequestPlacer.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/RequestPlacer.java
@@ -183,7 +183,7 @@
      */
     public void sent(ServerLoad load, long nowNanos) {
         load.began();
-        mChooser.judge().sent(load.server().service(), load.server().id(), nowNanos);
+        mChooser.outlierDetector().sent(load.server().service(), load.server().id(), nowNanos);
     }
 
     /**
@@ -200,7 +200,7 @@
         }
         load.answeredIn(nanos);
         RegisteredServer server = load.server();
-        mChooser.judge().succeeded(server.service(), server.id(), nanos, nowNanos);
+        mChooser.outlierDetector().succeeded(server.service(), server.id(), nanos, nowNanos);
         if (!waited) {
             mChooser.answeredIn(server.service(), nanos);
         }
@@ -216,7 +216,7 @@
         if (load.isOver()) {
             return;
         }
-        mChooser.judge().failed(load.server().service(), load.server().id(), nowNanos);
+        mChooser.outlierDetector().failed(load.server().service(), load.server().id(), nowNanos);
     }
 
     /**
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/ServerChooser.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/ServerChooser.java
@@ -2,7 +2,7 @@
 
 import io.masticpond.core.id.RouteId;
 import io.masticpond.core.id.ServiceId;
-import io.masticpond.core.limit.OutlierJudge;
+import io.masticpond.core.limit.CallOutlierDetector;
 import io.masticpond.core.routing.RoutingConfiguration;
 import io.masticpond.core.support.Assert;
 import io.masticpond.core.support.HashMixer;
@@ -32,7 +32,7 @@
     private static final double FETCHED_AND_EVICTED = 2;
 
     private PlacementSettings mSettings;
-    private final OutlierJudge mJudge;
+    private final CallOutlierDetector mJudge;
     private final Map<ServiceId, CacheMissCost> mCacheMissCosts = new HashMap<>();
     private final AnswerSizes mSizes = new AnswerSizes();
 
@@ -42,7 +42,7 @@
      * @param settings how much each thing counts
      * @param judge tells which servers fail or are slow
      */
-    public ServerChooser(PlacementSettings settings, OutlierJudge judge) {
+    public ServerChooser(PlacementSettings settings, CallOutlierDetector judge) {
         mSettings = Assert.notNull(settings, "Placement settings");
         mJudge = Assert.notNull(judge, "A judge of outliers");
     }
@@ -92,7 +92,7 @@
      *
      * @return the judge
      */
-    public OutlierJudge judge() {
+    public CallOutlierDetector outlierDetector() {
         return mJudge;
     }
 
--- a/masticpond-core/src/test/java/io/masticpond/core/admission/AdmissionHarness.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/admission/AdmissionHarness.java
@@ -127,13 +127,13 @@
         return !isDispatched(request) && !isRefused(request);
     }
 
-    void sign(int server, BackendServerSign.Kind kind) {
-        mAdmission.observe(id(server), BackendServerSign.of(kind));
+    void signal(int server, BackendServerSignal.Kind kind) {
+        mAdmission.observe(id(server), BackendServerSignal.of(kind));
     }
 
     void report(int server, int inFlight) {
         mAdmission.observe(
-                id(server), new BackendServerSign(BackendServerSign.Kind.HEALTHY, inFlight));
+                id(server), new BackendServerSignal(BackendServerSignal.Kind.HEALTHY, inFlight));
     }
 
     static void require(boolean condition, String sentence, Object... arguments) {
--- a/masticpond-core/src/test/java/io/masticpond/core/admission/AdmissionProperties.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/admission/AdmissionProperties.java
@@ -172,14 +172,14 @@
         }
 
         void leave(int number) {
-            mHarness.sign(number, BackendServerSign.Kind.LEAVING);
+            mHarness.signal(number, BackendServerSignal.Kind.LEAVING);
             settle();
         }
 
         void restart(int number) {
             mRunning.values().removeIf(AdmissionHarness.id(number)::equals);
             mHistory.remove(AdmissionHarness.id(number));
-            mHarness.sign(number, BackendServerSign.Kind.STARTED);
+            mHarness.signal(number, BackendServerSignal.Kind.STARTED);
             settle();
         }
 
--- a/masticpond-core/src/test/java/io/masticpond/core/admission/DefaultAdmissionTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/admission/DefaultAdmissionTest.java
@@ -117,7 +117,7 @@
         AdmissionHarness harness = AdmissionHarness.whole(1, 1);
         RequestId old = harness.offer(60_000);
         harness.pass(50);
-        harness.sign(0, BackendServerSign.Kind.STARTED);
+        harness.signal(0, BackendServerSignal.Kind.STARTED);
         harness.mAdmission.complete(old, AttemptOutcome.BROKEN);
         require(
                 harness.isDispatched(harness.offer(1_000)),
@@ -127,8 +127,8 @@
     @Example
     void leavingServerGetsNothingUntilItStartsAnew() {
         AdmissionHarness harness = AdmissionHarness.whole(2, 2);
-        harness.sign(0, BackendServerSign.Kind.LEAVING);
-        harness.sign(0, BackendServerSign.Kind.HEALTHY);
+        harness.signal(0, BackendServerSignal.Kind.LEAVING);
+        harness.signal(0, BackendServerSignal.Kind.HEALTHY);
         harness.mAdmission.configure(
                 AdmissionHarness.servers(2, 2), SlotShare.whole(AdmissionHarness.SELF));
         for (int i = 0; i < 4; i++) {
@@ -137,7 +137,7 @@
         require(
                 !harness.mDispatched.containsValue(AdmissionHarness.id(0)),
                 "Neither a health answer nor the same configuration takes the sign back.");
-        harness.sign(0, BackendServerSign.Kind.STARTED);
+        harness.signal(0, BackendServerSignal.Kind.STARTED);
         require(
                 harness.mDispatched.containsValue(AdmissionHarness.id(0)),
                 "A server that started anew takes what waits.");
@@ -147,8 +147,8 @@
     void drainsTakenBackOpenTheServerAndForgetNoWorkInFlight() {
         AdmissionHarness harness = AdmissionHarness.whole(1, 1);
         RequestId inFlight = harness.offer(1_000);
-        harness.sign(0, BackendServerSign.Kind.LEAVING);
-        harness.sign(0, BackendServerSign.Kind.STAYING);
+        harness.signal(0, BackendServerSignal.Kind.LEAVING);
+        harness.signal(0, BackendServerSignal.Kind.STAYING);
         RequestId next = harness.offer(1_000);
         require(!harness.isDispatched(next), "The slot is held by the request before.");
         harness.mAdmission.complete(inFlight, AttemptOutcome.ANSWERED);
@@ -162,7 +162,7 @@
         harness.mAdmission.configure(
                 List.of(AdmissionHarness.server(0, 1, true)),
                 SlotShare.whole(AdmissionHarness.SELF));
-        harness.sign(0, BackendServerSign.Kind.LEAVING);
+        harness.signal(0, BackendServerSignal.Kind.LEAVING);
         RequestId refused = harness.offer(1_000);
         require(
                 harness.mRefused.get(refused).cause() == RefusalCause.NO_BACKEND_SERVER,
--- a/masticpond-core/src/test/java/io/masticpond/core/admission/OutlierTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/admission/OutlierTest.java
@@ -31,7 +31,7 @@
         runRounds(harness, 20, this::badFailsFast);
         int before = countAtBad(harness);
         for (int i = 0; i < 20; i++) {
-            harness.sign(0, BackendServerSign.Kind.HEALTHY);
+            harness.signal(0, BackendServerSignal.Kind.HEALTHY);
             runRounds(harness, 1, this::badFailsFast);
         }
         require(countAtBad(harness) == before, "A lying health endpoint must change nothing.");
@@ -42,7 +42,7 @@
         AdmissionHarness harness = AdmissionHarness.whole(4, 2);
         runRounds(harness, 5, server -> AttemptOutcome.ANSWERED);
         for (int i = 0; i < 4; i++) {
-            harness.sign(i, BackendServerSign.Kind.UNHEALTHY);
+            harness.signal(i, BackendServerSignal.Kind.UNHEALTHY);
         }
         require(harness.mAdmission.headroom().usableSlots() == 8, "All servers answer well.");
     }
@@ -51,7 +51,7 @@
     void unhealthyReportsOfAllServersEjectOnlyPart() {
         AdmissionHarness harness = AdmissionHarness.whole(4, 2);
         for (int i = 0; i < 4; i++) {
-            harness.sign(i, BackendServerSign.Kind.UNHEALTHY);
+            harness.signal(i, BackendServerSignal.Kind.UNHEALTHY);
         }
         require(harness.mAdmission.headroom().usableSlots() == 4, "Half of each zone stays.");
     }
--- a/masticpond-core/src/test/java/io/masticpond/core/limit/OutlierJudgeTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/limit/CallOutlierDetectorTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.constraints.IntRange;
 
 /** Servers that fail or are slow beside their peers get a penalty and can lose it again. */
-final class OutlierJudgeTest {
+final class CallOutlierDetectorTest {
 
     private static final long MILLI = 1_000_000L;
     private static final ServiceId SERVICE = new ServiceId("s");
@@ -32,12 +32,12 @@
         World world = new World(1, 8);
         world.mFailureShare[3] = 0.5;
         world.run(6_000, false);
-        ServerJudgement judgement =
-                world.mJudge.judgement(SERVICE, world.id(3), 6_000 * MILLI).orElseThrow();
+        ServerEvaluation judgement =
+                world.mJudge.evaluation(SERVICE, world.id(3), 6_000 * MILLI).orElseThrow();
         assertThat(judgement.failureShare()).isBetween(0.3, 0.7);
         assertThat(judgement.penalty()).isGreaterThan(0.5);
         BackendServerId unknown = new BackendServerId("unknown");
-        assertThat(world.mJudge.judgement(SERVICE, unknown, 0)).isEmpty();
+        assertThat(world.mJudge.evaluation(SERVICE, unknown, 0)).isEmpty();
     }
 
     @Example
@@ -100,7 +100,7 @@
     private static final class World {
 
         private final Random mRandom;
-        private final OutlierJudge mJudge = new OutlierJudge(OutlierJudgeSettings.DEFAULT);
+        private final CallOutlierDetector mJudge = new CallOutlierDetector(CallOutlierDetectorSettings.DEFAULT);
         private final double[] mFailureShare;
         private final double[] mSlowness;
         private final int[] mSent;
--- a/masticpond-core/src/test/java/io/masticpond/core/placement/RequestPlacerTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/placement/RequestPlacerTest.java
@@ -9,8 +9,8 @@
 import io.masticpond.core.id.ServiceId;
 import io.masticpond.core.id.ZoneId;
 import io.masticpond.core.limit.AdmissionAnswer;
-import io.masticpond.core.limit.OutlierJudge;
-import io.masticpond.core.limit.OutlierJudgeSettings;
+import io.masticpond.core.limit.CallOutlierDetector;
+import io.masticpond.core.limit.CallOutlierDetectorSettings;
 import io.masticpond.core.routing.Route;
 import io.masticpond.core.routing.WeightedService;
 import java.time.Duration;
@@ -66,7 +66,7 @@
     private Placement place() {
         ServerChooser chooser =
                 new ServerChooser(
-                        PlacementSettings.DEFAULT, new OutlierJudge(OutlierJudgeSettings.DEFAULT));
+                        PlacementSettings.DEFAULT, new CallOutlierDetector(CallOutlierDetectorSettings.DEFAULT));
         Route route =
                 new Route(
                         new RouteId("r"),
--- a/masticpond-core/src/test/java/io/masticpond/core/placement/ServerChooserTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/placement/ServerChooserTest.java
@@ -8,8 +8,8 @@
 import io.masticpond.core.id.RouteId;
 import io.masticpond.core.id.ServiceId;
 import io.masticpond.core.id.ZoneId;
-import io.masticpond.core.limit.OutlierJudge;
-import io.masticpond.core.limit.OutlierJudgeSettings;
+import io.masticpond.core.limit.CallOutlierDetector;
+import io.masticpond.core.limit.CallOutlierDetectorSettings;
 import io.masticpond.core.routing.RequestLimits;
 import io.masticpond.core.routing.Route;
 import io.masticpond.core.routing.RoutingConfiguration;
@@ -32,7 +32,7 @@
 
     private final ServerChooser mChooser =
             new ServerChooser(
-                    PlacementSettings.DEFAULT, new OutlierJudge(OutlierJudgeSettings.DEFAULT));
+                    PlacementSettings.DEFAULT, new CallOutlierDetector(CallOutlierDetectorSettings.DEFAULT));
 
     @Example
     void theShareThatLeavesSmallRegionsDoesNotDependOnTheNumberOfServers() {
--- a/masticpond-core/src/test/java/io/masticpond/core/placement/SharedLoadsTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/placement/SharedLoadsTest.java
@@ -9,8 +9,8 @@
 import io.masticpond.core.id.RegionId;
 import io.masticpond.core.id.ServiceId;
 import io.masticpond.core.id.ZoneId;
-import io.masticpond.core.limit.OutlierJudge;
-import io.masticpond.core.limit.OutlierJudgeSettings;
+import io.masticpond.core.limit.CallOutlierDetector;
+import io.masticpond.core.limit.CallOutlierDetectorSettings;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
@@ -94,7 +94,7 @@
                 new RequestPlacer(
                         new ServerChooser(
                                 PlacementSettings.DEFAULT,
-                                new OutlierJudge(OutlierJudgeSettings.DEFAULT)),
+                                new CallOutlierDetector(CallOutlierDetectorSettings.DEFAULT)),
                         LoadGate.OPEN);
         mServers.update(snapshot(1), 0);
         placer.reported(mServer, FULL, 0);
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendHealthDuty.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendHealthDuty.java
@@ -1,6 +1,6 @@
 package io.masticpond.daemon.backend;
 
-import io.masticpond.core.admission.BackendServerSign;
+import io.masticpond.core.admission.BackendServerSignal;
 import io.masticpond.core.configuration.BackendServerSpecification;
 import io.masticpond.core.id.BackendServerId;
 import io.masticpond.core.support.Assert;
@@ -32,7 +32,7 @@
     private final BackendHealthSettings mSettings;
     private final TimeSource mTimeSource;
     private final UniformRandomProvider mRandom;
-    private final BackendSignListener mListener;
+    private final BackendSignalListener mListener;
     private final ProbeClient mClient;
     private final Duty mDuty;
     private final Map<BackendServerId, WatchedServer> mServers = new HashMap<>();
@@ -49,7 +49,7 @@
             BackendHealthSettings settings,
             TimeSource timeSource,
             UniformRandomProvider random,
-            BackendSignListener listener) {
+            BackendSignalListener listener) {
         mSettings = Assert.notNull(settings, "The settings of health calls");
         mTimeSource = Assert.notNull(timeSource, "A time source");
         mRandom = Assert.notNull(random, "A source of random numbers");
@@ -122,7 +122,7 @@
         if (mServers.get(server.mId) != server) {
             return;
         }
-        for (BackendServerSign sign : server.mJudge.judge(end)) {
+        for (BackendServerSignal sign : server.mJudge.evaluate(end)) {
             mListener.observe(server.mId, sign);
         }
     }
@@ -132,7 +132,7 @@
 
         private final BackendServerId mId;
         private final String mAddress;
-        private final ProbeJudge mJudge = new ProbeJudge();
+        private final ProbeEvaluator mJudge = new ProbeEvaluator();
         private long mNextNanos;
         private long mProbes;
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendSignListener.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendSignalListener.java
@@ -1,6 +1,6 @@
 package io.masticpond.daemon.backend;
 
-import io.masticpond.core.admission.BackendServerSign;
+import io.masticpond.core.admission.BackendServerSignal;
 import io.masticpond.core.id.BackendServerId;
 
 /**
@@ -9,7 +9,7 @@
  * @since 0.1
  */
 @FunctionalInterface
-public interface BackendSignListener {
+public interface BackendSignalListener {
 
     /**
      * Takes a sign, on the thread of the health duty; must be short.
@@ -17,5 +17,5 @@
      * @param server the backend server
      * @param sign the sign
      */
-    void observe(BackendServerId server, BackendServerSign sign);
+    void observe(BackendServerId server, BackendServerSignal sign);
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/ProbeJudge.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/ProbeEvaluator.java
@@ -1,7 +1,7 @@
 package io.masticpond.daemon.backend;
 
-import io.masticpond.core.admission.BackendServerSign;
-import io.masticpond.core.admission.BackendServerSign.Kind;
+import io.masticpond.core.admission.BackendServerSignal;
+import io.masticpond.core.admission.BackendServerSignal.Kind;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -13,7 +13,7 @@
  * begins to close its connections after each answer is leaving; one that always did is not. A
  * server that said it was leaving and then answers well several times in a row is staying.
  */
-final class ProbeJudge {
+final class ProbeEvaluator {
 
     private static final int FAILURES_TO_TELL = 3;
     private static final int CLOSES_TO_TELL = 2;
@@ -27,31 +27,31 @@
     private boolean mLeaving;
     private int mStays;
 
-    List<BackendServerSign> judge(ProbeEnd end) {
+    List<BackendServerSignal> evaluate(ProbeEnd end) {
         if (end instanceof ProbeEnd.Health health) {
             return answered(health);
         }
         if (end instanceof ProbeEnd.Load load) {
-            return List.of(new BackendServerSign(mLastKind, load.inFlight()));
+            return List.of(new BackendServerSignal(mLastKind, load.inFlight()));
         }
         return failed(end instanceof ProbeEnd.Refused);
     }
 
-    private List<BackendServerSign> answered(ProbeEnd.Health health) {
-        List<BackendServerSign> signs = new ArrayList<>();
+    private List<BackendServerSignal> answered(ProbeEnd.Health health) {
+        List<BackendServerSignal> signs = new ArrayList<>();
         mFailures = 0;
         if (mGone) {
             mGone = false;
             mKeptConnections = false;
             mCloses = 0;
             mLeaving = false;
-            signs.add(BackendServerSign.of(Kind.STARTED));
+            signs.add(BackendServerSignal.of(Kind.STARTED));
         }
         mLastKind = kind(health);
         if (staysAfterAll()) {
-            signs.add(BackendServerSign.of(Kind.STAYING));
+            signs.add(BackendServerSignal.of(Kind.STAYING));
         }
-        signs.add(new BackendServerSign(mLastKind, health.inFlight()));
+        signs.add(new BackendServerSignal(mLastKind, health.inFlight()));
         return signs;
     }
 
@@ -79,13 +79,13 @@
         return true;
     }
 
-    private List<BackendServerSign> failed(boolean refused) {
+    private List<BackendServerSignal> failed(boolean refused) {
         mGone |= refused;
         mFailures++;
         if (!refused && mFailures < FAILURES_TO_TELL) {
             return List.of();
         }
         mLastKind = Kind.UNHEALTHY;
-        return List.of(BackendServerSign.of(Kind.UNHEALTHY));
+        return List.of(BackendServerSignal.of(Kind.UNHEALTHY));
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/AdmitterSteering.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/AdmitterSteering.java
@@ -2,7 +2,7 @@
 
 import io.masticpond.core.admission.Admission;
 import io.masticpond.core.admission.AdmissionSink;
-import io.masticpond.core.admission.BackendServerSign;
+import io.masticpond.core.admission.BackendServerSignal;
 import io.masticpond.core.admission.Headroom;
 import io.masticpond.core.configuration.BackendServerSpecification;
 import io.masticpond.core.id.BackendServerId;
@@ -131,7 +131,7 @@
      * @param server the backend server
      * @param sign the sign
      */
-    public void observe(BackendServerId server, BackendServerSign sign) {
+    public void observe(BackendServerId server, BackendServerSignal sign) {
         for (ShardAdmission each : mShards.values()) {
             if (each.mServers.containsKey(server)) {
                 each.mAdmission.observe(server, sign);
@@ -246,7 +246,7 @@
         private void complete(
                 RequestId id, BackendServerId server, BackendDispatcher.AttemptResult result) {
             if (result.leaving()) {
-                mAdmission.observe(server, BackendServerSign.of(BackendServerSign.Kind.LEAVING));
+                mAdmission.observe(server, BackendServerSignal.of(BackendServerSignal.Kind.LEAVING));
             }
             mAdmission.complete(id, result.outcome());
             end(id, result.end());
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/MeteredAdmission.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/MeteredAdmission.java
@@ -3,7 +3,7 @@
 import io.masticpond.core.admission.Admission;
 import io.masticpond.core.admission.AdmissionSink;
 import io.masticpond.core.admission.AttemptOutcome;
-import io.masticpond.core.admission.BackendServerSign;
+import io.masticpond.core.admission.BackendServerSignal;
 import io.masticpond.core.admission.Headroom;
 import io.masticpond.core.admission.SlotShare;
 import io.masticpond.core.configuration.BackendServerSpecification;
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public void observe(BackendServerId server, BackendServerSign sign) {
+    public void observe(BackendServerId server, BackendServerSignal sign) {
         mDelegate.observe(server, sign);
     }
 
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/backend/BackendHealthDutyTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/backend/BackendHealthDutyTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.masticpond.core.admission.BackendServerSign;
-import io.masticpond.core.admission.BackendServerSign.Kind;
+import io.masticpond.core.admission.BackendServerSignal;
+import io.masticpond.core.admission.BackendServerSignal.Kind;
 import io.masticpond.core.configuration.BackendServerSpecification;
 import io.masticpond.core.id.BackendServerId;
 import io.masticpond.core.id.ZoneId;
@@ -38,8 +38,8 @@
                             BackendServerSettings.of("view-2", "127.0.0.1:0", 2, 1, 0, 7)));
     private final BackendServerStandIn mServer = mFleet.server("view-1").orElseThrow();
     private final BackendServerStandIn mOther = mFleet.server("view-2").orElseThrow();
-    private final BlockingQueue<BackendServerSign> mSigns = new LinkedBlockingQueue<>();
-    private final BlockingQueue<BackendServerSign> mOtherSigns = new LinkedBlockingQueue<>();
+    private final BlockingQueue<BackendServerSignal> mSigns = new LinkedBlockingQueue<>();
+    private final BlockingQueue<BackendServerSignal> mOtherSigns = new LinkedBlockingQueue<>();
     private BackendHealthDuty mDuty = duty(LONG);
 
     private BackendHealthDuty duty(Duration timeout) {
@@ -53,7 +53,7 @@
         return duty;
     }
 
-    private BlockingQueue<BackendServerSign> signs(BackendServerId server) {
+    private BlockingQueue<BackendServerSignal> signs(BackendServerId server) {
         return server.value().equals(mServer.id()) ? mSigns : mOtherSigns;
     }
 
@@ -105,7 +105,7 @@
         mServer.setFaults(BackendServerFaults.NONE);
         mSigns.clear();
         await(Kind.HEALTHY);
-        assertThat(mSigns).extracting(BackendServerSign::kind).doesNotContain(Kind.STARTED);
+        assertThat(mSigns).extracting(BackendServerSignal::kind).doesNotContain(Kind.STARTED);
     }
 
     @Example
@@ -122,28 +122,28 @@
 
     @Example
     void oneLostAnswerSaysNothing() {
-        ProbeJudge judge = new ProbeJudge();
-        assertThat(judge.judge(new ProbeEnd.Failed())).isEmpty();
-        assertThat(judge.judge(new ProbeEnd.Failed())).isEmpty();
-        assertThat(judge.judge(new ProbeEnd.Failed()))
-                .containsExactly(BackendServerSign.of(Kind.UNHEALTHY));
+        ProbeEvaluator judge = new ProbeEvaluator();
+        assertThat(judge.evaluate(new ProbeEnd.Failed())).isEmpty();
+        assertThat(judge.evaluate(new ProbeEnd.Failed())).isEmpty();
+        assertThat(judge.evaluate(new ProbeEnd.Failed()))
+                .containsExactly(BackendServerSignal.of(Kind.UNHEALTHY));
     }
 
     @Example
     void serversThatAlwaysCloseConnectionsAreNotLeaving() {
-        ProbeJudge judge = new ProbeJudge();
+        ProbeEvaluator judge = new ProbeEvaluator();
         ProbeEnd closing = new ProbeEnd.Health(ProbeEnd.Status.HEALTHY, 1, true);
         for (int answer = 0; answer < 5; answer++) {
-            assertThat(judge.judge(closing))
-                    .containsExactly(new BackendServerSign(Kind.HEALTHY, 1));
+            assertThat(judge.evaluate(closing))
+                    .containsExactly(new BackendServerSignal(Kind.HEALTHY, 1));
         }
         ProbeEnd keeping = new ProbeEnd.Health(ProbeEnd.Status.HEALTHY, 1, false);
-        assertThat(judge.judge(keeping)).hasSize(1);
-        assertThat(judge.judge(closing))
-                .extracting(BackendServerSign::kind)
+        assertThat(judge.evaluate(keeping)).hasSize(1);
+        assertThat(judge.evaluate(closing))
+                .extracting(BackendServerSignal::kind)
                 .containsExactly(Kind.HEALTHY);
-        assertThat(judge.judge(closing))
-                .extracting(BackendServerSign::kind)
+        assertThat(judge.evaluate(closing))
+                .extracting(BackendServerSignal::kind)
                 .containsExactly(Kind.LEAVING);
     }
 
@@ -158,31 +158,31 @@
 
     @Example
     void oneGoodAnswerTakesNoDrainBack() {
-        ProbeJudge judge = new ProbeJudge();
+        ProbeEvaluator judge = new ProbeEvaluator();
         ProbeEnd leaving = new ProbeEnd.Health(ProbeEnd.Status.LEAVING, 1, false);
         ProbeEnd well = new ProbeEnd.Health(ProbeEnd.Status.HEALTHY, 1, false);
         for (ProbeEnd end : List.of(leaving, well, well, leaving, well, well)) {
-            assertThat(judge.judge(end))
-                    .extracting(BackendServerSign::kind)
+            assertThat(judge.evaluate(end))
+                    .extracting(BackendServerSignal::kind)
                     .doesNotContain(Kind.STAYING);
         }
-        assertThat(judge.judge(well)).contains(BackendServerSign.of(Kind.STAYING));
+        assertThat(judge.evaluate(well)).contains(BackendServerSignal.of(Kind.STAYING));
     }
 
     private void await(Kind kind) throws InterruptedException {
-        BackendServerSign sign = next();
+        BackendServerSignal sign = next();
         while (sign.kind() != kind) {
             sign = next();
         }
     }
 
-    private BackendServerSign next() throws InterruptedException {
+    private BackendServerSignal next() throws InterruptedException {
         return await(mSigns);
     }
 
-    private static BackendServerSign await(BlockingQueue<BackendServerSign> signs)
+    private static BackendServerSignal await(BlockingQueue<BackendServerSignal> signs)
             throws InterruptedException {
-        BackendServerSign sign = signs.poll(WAIT_SECONDS, TimeUnit.SECONDS);
+        BackendServerSignal sign = signs.poll(WAIT_SECONDS, TimeUnit.SECONDS);
         assertThat(sign).as("a sign within %d s", WAIT_SECONDS).isNotNull();
         return sign;
     }
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/SteeringFakes.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/SteeringFakes.java
@@ -2,7 +2,7 @@
 
 import io.masticpond.core.admission.Admission;
 import io.masticpond.core.admission.AttemptOutcome;
-import io.masticpond.core.admission.BackendServerSign;
+import io.masticpond.core.admission.BackendServerSignal;
 import io.masticpond.core.admission.Headroom;
 import io.masticpond.core.admission.SlotShare;
 import io.masticpond.core.configuration.BackendServerSpecification;
@@ -216,7 +216,7 @@
         public void complete(RequestId request, AttemptOutcome outcome) {}
 
         @Override
-        public void observe(BackendServerId server, BackendServerSign sign) {}
+        public void observe(BackendServerId server, BackendServerSignal sign) {}
 
         @Override
         public void advance() {}
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ServerDocument.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ServerDocument.java
@@ -27,7 +27,7 @@
         snapshot.avoidReason().ifPresent(reason -> into.put("avoided", Spelling.of(reason)));
         snapshot.withdrawal().ifPresent(each -> writeWithdrawal(each, into));
         snapshot.limit().ifPresent(limit -> writeLimit(limit, into));
-        snapshot.judgement()
+        snapshot.evaluation()
                 .ifPresent(
                         judgement ->
                                 into.put("penalty", Spelling.rounded(judgement.penalty()))
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ServerSnapshot.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ServerSnapshot.java
@@ -2,7 +2,7 @@
 
 import io.masticpond.core.fleet.RegisteredServer;
 import io.masticpond.core.id.InstanceId;
-import io.masticpond.core.limit.ServerJudgement;
+import io.masticpond.core.limit.ServerEvaluation;
 import io.masticpond.core.placement.AvoidReason;
 import io.masticpond.core.serverlimit.LimitBelief;
 import io.masticpond.core.statement.WithdrawalBelief;
@@ -22,7 +22,7 @@
  * @param avoidReason why requests are kept away for a moment, if they are
  * @param withdrawal what it has said of whether it takes requests, if it has
  * @param limit what is believed of the limit that it names, if it names one
- * @param judgement what is held against it, if anything was sent there
+ * @param evaluation what is held against it, if anything was sent there
  */
 record ServerSnapshot(
         RegisteredServer server,
@@ -35,4 +35,4 @@
         Optional<AvoidReason> avoidReason,
         Optional<WithdrawalBelief> withdrawal,
         Optional<LimitBelief> limit,
-        Optional<ServerJudgement> judgement) {}
+        Optional<ServerEvaluation> evaluation) {}
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/TrafficSnapshot.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/TrafficSnapshot.java
@@ -106,6 +106,6 @@
                 load.avoidReason(nowNanos),
                 Optional.ofNullable(withdrawal),
                 Optional.ofNullable(limit),
-                flow.placer().chooser().judge().judgement(server.service(), server.id(), nowNanos));
+                flow.placer().chooser().outlierDetector().evaluation(server.service(), server.id(), nowNanos));
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/HeartbeatDuty.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/HeartbeatDuty.java
@@ -55,7 +55,7 @@
     private volatile PeerSnapshot mSnapshot;
     private Channel mChannel;
     private boolean mFlushDue;
-    private boolean mJudgementDue;
+    private boolean mEvaluationDue;
     private long mSent;
     private long mHeard;
 
@@ -307,9 +307,9 @@
         mSnapshot = mExchange.snapshot(now);
         tellListener();
         long next = mExchange.untilNextVerdict(now);
-        if (!mJudgementDue && next < mSettings.period().toNanos()) {
-            mJudgementDue = true;
-            mEventLoop.schedule(this::judge, next, TimeUnit.NANOSECONDS);
+        if (!mEvaluationDue && next < mSettings.period().toNanos()) {
+            mEvaluationDue = true;
+            mEventLoop.schedule(this::evaluate, next, TimeUnit.NANOSECONDS);
         }
     }
 
@@ -318,9 +318,9 @@
         mExchange.flush(now());
     }
 
-    private void judge() {
-        mJudgementDue = false;
-        mExchange.judge(now());
+    private void evaluate() {
+        mEvaluationDue = false;
+        mExchange.evaluate(now());
         afterwards();
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerExchange.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerExchange.java
@@ -93,7 +93,7 @@
         mTicks++;
         mChanged = true;
         mSelf.next();
-        judge(now);
+        evaluate(now);
         contactSeeds(now);
         for (PeerRecord record : mTable.watched(now)) {
             sendTo(record, now);
@@ -103,8 +103,8 @@
     }
 
     /** Judges all anew, and passes on who fell silent. */
-    void judge(long now) {
-        for (PeerRecord lost : mTable.judge(now)) {
+    void evaluate(long now) {
+        for (PeerRecord lost : mTable.evaluate(now)) {
             if (!mTable.isFullMesh() && lost.isWatched() && !lost.isClaimed()) {
                 mSender.disseminate(lost.claimUpdate(), true);
             }
@@ -189,7 +189,7 @@
         boolean wasClaimed = record.isClaimed();
         boolean changed = record.applyUpdate(news, now);
         record.heard(news, now);
-        mTable.judge(record, now);
+        mTable.evaluate(record, now);
         mChanged |= changed;
         if (changed || wasClaimed) {
             disseminate(record, wasClaimed);
@@ -221,7 +221,7 @@
         } else if (news.isLaterThan(record.incarnation(), record.seen())) {
             boolean wasClaimed = record.isClaimed();
             if (record.applyUpdate(news, now)) {
-                mTable.judge(record, now);
+                mTable.evaluate(record, now);
                 mChanged = true;
                 disseminate(record, wasClaimed);
             }
@@ -235,7 +235,7 @@
         }
         PeerRecord record = mTable.add(news.id(), news.place().get(), news.incarnation(), now);
         record.applyUpdate(news, now);
-        mTable.judge(record, now);
+        mTable.evaluate(record, now);
         mChanged = true;
         if (mTable.isFullMesh()) {
             sendTo(record, now);
@@ -255,7 +255,7 @@
         if (record.refutes(claim)) {
             mSender.answer(from, false, List.of(record.update(true)));
         } else if (!mTable.isFullMesh() && record.claim(now)) {
-            mTable.judge(record, now);
+            mTable.evaluate(record, now);
             mChanged = true;
             mSender.disseminate(claim, true);
         }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerJudge.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerFailureDetector.java
@@ -9,26 +9,26 @@
  * their neighbors says that they are silent, and while this instance hears enough of its own
  * neighbors for such word to reach it.
  */
-final class PeerJudge {
+final class PeerFailureDetector {
 
     private final HeartbeatSettings mSettings;
 
-    PeerJudge(HeartbeatSettings settings) {
+    PeerFailureDetector(HeartbeatSettings settings) {
         mSettings = settings;
     }
 
-    Verdict judge(PeerRecord record, boolean cutOff, long now) {
+    Verdict evaluate(PeerRecord record, boolean cutOff, long now) {
         long silence = record.silence(now);
         if (silence < mSettings.suspectAfter().toNanos()) {
             return Verdict.ALIVE;
         }
         if (record.isWatched()) {
-            return judgeWatched(record, silence, now);
+            return evaluateWatched(record, silence, now);
         }
         if (!record.isTold() || cutOff) {
             return Verdict.GONE;
         }
-        return record.isClaimed() ? judgeClaimed(record, now) : Verdict.ALIVE;
+        return record.isClaimed() ? evaluateClaimed(record, now) : Verdict.ALIVE;
     }
 
     /** Gives the time until the verdict can change by silence alone. */
@@ -55,7 +55,7 @@
         return candidate > 0 ? Math.min(next, candidate) : next;
     }
 
-    private Verdict judgeWatched(PeerRecord record, long silence, long now) {
+    private Verdict evaluateWatched(PeerRecord record, long silence, long now) {
         if (silence < mSettings.deadAfter().toNanos()) {
             return Verdict.SUSPECT;
         }
@@ -64,7 +64,7 @@
         return mayCome ? Verdict.ALIVE : Verdict.GONE;
     }
 
-    private Verdict judgeClaimed(PeerRecord record, long now) {
+    private Verdict evaluateClaimed(PeerRecord record, long now) {
         return record.sinceClaim(now) < mSettings.claimPatience().toNanos()
                 ? Verdict.SUSPECT
                 : Verdict.GONE;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerRecord.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerRecord.java
@@ -59,7 +59,7 @@
         return mVerdict;
     }
 
-    void judged(Verdict verdict) {
+    void setVerdict(Verdict verdict) {
         mVerdict = verdict;
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerTable.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerTable.java
@@ -21,7 +21,7 @@
     private final InstanceId mSelf;
     private final ServerAddress mOwnAddress;
     private final HeartbeatSettings mSettings;
-    private final PeerJudge mJudge;
+    private final PeerFailureDetector mFailureDetector;
     private final PeerListener mListener;
     private final TreeMap<InstanceId, PeerRecord> mRecords = new TreeMap<>();
     private boolean mStale = true;
@@ -32,7 +32,7 @@
         mSelf = self.id();
         mOwnAddress = self.place().internal();
         mSettings = settings;
-        mJudge = new PeerJudge(settings);
+        mFailureDetector = new PeerFailureDetector(settings);
         mListener = listener;
     }
 
@@ -98,11 +98,11 @@
      *
      * @return those that were alive and are not any more
      */
-    List<PeerRecord> judge(long now) {
+    List<PeerRecord> evaluate(long now) {
         mCutOff = isCutOff(now);
         List<PeerRecord> lost = new ArrayList<>();
         for (PeerRecord record : mRecords.values()) {
-            if (judge(record, now)) {
+            if (evaluate(record, now)) {
                 lost.add(record);
             }
         }
@@ -112,10 +112,10 @@
     }
 
     /** Judges one, and tells whether it was alive and is not any more. */
-    boolean judge(PeerRecord record, long now) {
+    boolean evaluate(PeerRecord record, long now) {
         Verdict before = record.verdict();
-        Verdict verdict = mJudge.judge(record, mCutOff, now);
-        record.judged(verdict);
+        Verdict verdict = mFailureDetector.evaluate(record, mCutOff, now);
+        record.setVerdict(verdict);
         mChanged |= before != verdict;
         mStale |= (before == Verdict.GONE) != (verdict == Verdict.GONE);
         if (before == Verdict.GONE && verdict != Verdict.GONE) {
@@ -139,7 +139,7 @@
     long untilNextVerdict(long now) {
         long next = Long.MAX_VALUE;
         for (PeerRecord record : mRecords.values()) {
-            next = Math.min(next, mJudge.untilNext(record, now));
+            next = Math.min(next, mFailureDetector.untilNext(record, now));
         }
         return next;
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/ServerDocuments.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/ServerDocuments.java
@@ -99,7 +99,7 @@
      */
     Map<BackendServerId, RegisteredServer> servers(
             Function<ServiceId, Duration> warmUp, long nowNanos) {
-        believeOvertaken(nowNanos);
+        acceptOvertaken(nowNanos);
         Set<ServiceId> reported = reportedServices();
         Map<BackendServerId, RegisteredServer> servers = new HashMap<>();
         for (Map.Entry<String, RegisteredServer> entry : mServers.entrySet()) {
@@ -162,14 +162,14 @@
     }
 
     /** Takes the documents that their servers let stand: then it was the clock that went back. */
-    private void believeOvertaken(long nowNanos) {
+    private void acceptOvertaken(long nowNanos) {
         Iterator<Overtaken> overtaken = mOvertaken.values().iterator();
         while (overtaken.hasNext()) {
             Overtaken each = overtaken.next();
             if (each.untilNanos() - nowNanos <= 0) {
                 overtaken.remove();
                 StoredDocument document = each.document();
-                mRuns.believe(document.name(), mTranslator.report(document.content()));
+                mRuns.acceptOvertaken(document.name(), mTranslator.report(document.content()));
                 startedAgain(document);
                 put(document, each.server(), each.stateNanos());
             }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/ServerRuns.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/ServerRuns.java
@@ -70,7 +70,7 @@
      * @param name the id of the server
      * @param report what the entry says of its run
      */
-    void believe(String name, ServerReport report) {
+    void acceptOvertaken(String name, ServerReport report) {
         mRuns.computeIfAbsent(name, absent -> new Run(report)).startAgain(report);
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestFlow.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestFlow.java
@@ -124,10 +124,10 @@
         mState = state;
         for (RegisteredServer gone : mServers.update(state.snapshot(), nowNanos())) {
             mConnections.forget(gone);
-            mPlacer.chooser().judge().forget(gone.service(), gone.id());
+            mPlacer.chooser().outlierDetector().forget(gone.service(), gone.id());
         }
         mStatements.update(state.snapshot());
-        mPlacer.chooser().judge().retain(state.snapshot().servers().keySet());
+        mPlacer.chooser().outlierDetector().retain(state.snapshot().servers().keySet());
         state.snapshot().routing().ifPresent(mAuthenticator::update);
         mKnewServers |= !state.snapshot().servers().isEmpty();
         if (isReady()) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/TrafficModule.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/TrafficModule.java
@@ -3,8 +3,8 @@
 import dagger.Module;
 import dagger.Provides;
 import io.masticpond.core.limit.AdmissionLimitSettings;
-import io.masticpond.core.limit.OutlierJudge;
-import io.masticpond.core.limit.OutlierJudgeSettings;
+import io.masticpond.core.limit.CallOutlierDetector;
+import io.masticpond.core.limit.CallOutlierDetectorSettings;
 import io.masticpond.core.limit.OwnerCandidate;
 import io.masticpond.core.limit.SharedRates;
 import io.masticpond.core.placement.PriorityLoadGate;
@@ -90,7 +90,7 @@
     @Singleton
     static ServerChooser chooser(EntrySettings settings) {
         return new ServerChooser(
-                settings.placement(), new OutlierJudge(OutlierJudgeSettings.DEFAULT));
+                settings.placement(), new CallOutlierDetector(CallOutlierDetectorSettings.DEFAULT));
     }
 
     @Provides
--- a/masticpond-entry/src/test/java/io/masticpond/entry/peer/PeerExchangeTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/peer/PeerExchangeTest.java
@@ -170,7 +170,7 @@
         paused.tick(later);
         assertThat(paused.snapshot(later).alive()).hasSize(3);
         long silent = later + Duration.ofMillis(1800).toNanos();
-        paused.judge(silent);
+        paused.evaluate(silent);
         assertThat(paused.snapshot(silent).alive()).hasSize(1);
     }
 
--- a/masticpond-entry/src/test/java/io/masticpond/entry/peer/PeerWorld.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/peer/PeerWorld.java
@@ -46,7 +46,7 @@
         }
 
         PeerSnapshot view() {
-            mExchange.judge(mNow);
+            mExchange.evaluate(mNow);
             return mExchange.snapshot(mNow);
         }
 
@@ -87,7 +87,7 @@
 
         private void judge() {
             if (mRunning) {
-                mExchange.judge(mNow);
+                mExchange.evaluate(mNow);
                 afterwards();
             }
         }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/AbstractRequestFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/AbstractRequestFlowTest.java
@@ -6,8 +6,8 @@
 import io.masticpond.core.id.RegionId;
 import io.masticpond.core.id.ServiceId;
 import io.masticpond.core.id.ZoneId;
-import io.masticpond.core.limit.OutlierJudge;
-import io.masticpond.core.limit.OutlierJudgeSettings;
+import io.masticpond.core.limit.CallOutlierDetector;
+import io.masticpond.core.limit.CallOutlierDetectorSettings;
 import io.masticpond.core.limit.OwnerCandidate;
 import io.masticpond.core.limit.SharedRates;
 import io.masticpond.core.placement.LoadGate;
@@ -108,7 +108,7 @@
                         new RequestPlacer(
                                 new ServerChooser(
                                         PlacementSettings.DEFAULT,
-                                        new OutlierJudge(OutlierJudgeSettings.DEFAULT)),
+                                        new CallOutlierDetector(CallOutlierDetectorSettings.DEFAULT)),
                                 mLoadGate),
                         new ColdWithoutPermit(),
                         new FixedBudget(() -> mBudget),
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/RestartedServerFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/RestartedServerFlowTest.java
@@ -40,7 +40,7 @@
         assertThat(former.own()).isZero();
         assertThat(later.own()).isZero();
         long now = mTime.monotonicNanos();
-        assertThat(flow.placer().chooser().judge().judgement(SERVICE, id, now)).isEmpty();
+        assertThat(flow.placer().chooser().outlierDetector().evaluation(SERVICE, id, now)).isEmpty();
         assertThat(mConnections.mForgotten)
                 .extracting(RegisteredServer::run)
                 .as("the connections that lead to the former run")
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/ServerWithdrawalFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/ServerWithdrawalFlowTest.java
@@ -5,7 +5,7 @@
 import io.masticpond.core.fleet.FleetSnapshot;
 import io.masticpond.core.fleet.RegisteredServer;
 import io.masticpond.core.id.BackendServerId;
-import io.masticpond.core.limit.ServerJudgement;
+import io.masticpond.core.limit.ServerEvaluation;
 import io.masticpond.core.request.Verdict;
 import io.masticpond.core.statement.WithdrawalSettings;
 import io.masticpond.entry.backend.CallFailure;
@@ -54,9 +54,9 @@
     private double failureShare(RequestFlow flow, BackendServerId server) {
         return flow.placer()
                 .chooser()
-                .judge()
-                .judgement(SERVICE, server, mTime.monotonicNanos())
-                .map(ServerJudgement::failureShare)
+                .outlierDetector()
+                .evaluation(SERVICE, server, mTime.monotonicNanos())
+                .map(ServerEvaluation::failureShare)
                 .orElse(0.0);
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelInstance.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelInstance.java
@@ -5,8 +5,8 @@
 import io.masticpond.core.id.ServiceId;
 import io.masticpond.core.id.ZoneId;
 import io.masticpond.core.limit.AdmissionLimitSettings;
-import io.masticpond.core.limit.OutlierJudge;
-import io.masticpond.core.limit.OutlierJudgeSettings;
+import io.masticpond.core.limit.CallOutlierDetector;
+import io.masticpond.core.limit.CallOutlierDetectorSettings;
 import io.masticpond.core.limit.RetryBudgetSettings;
 import io.masticpond.core.limit.SharedRetryBudget;
 import io.masticpond.core.placement.LoadReport;
@@ -47,7 +47,7 @@
                 new RequestPlacer(
                         new ServerChooser(
                                 variant.placement(),
-                                new OutlierJudge(OutlierJudgeSettings.DEFAULT)),
+                                new CallOutlierDetector(CallOutlierDetectorSettings.DEFAULT)),
                         new PriorityLoadGate(
                                 AdmissionLimitSettings.DEFAULT,
                                 RandomSource.XO_RO_SHI_RO_128_PP.create(seed)));
@@ -70,7 +70,7 @@
 
     void update(FleetSnapshot snapshot, long nowNanos) {
         mServers.update(snapshot, nowNanos);
-        mPlacer.chooser().judge().retain(snapshot.servers().keySet());
+        mPlacer.chooser().outlierDetector().retain(snapshot.servers().keySet());
     }
 
     void hear(List<LoadReport> reports, long nowNanos) {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/AdmitterHost.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/AdmitterHost.java
@@ -4,7 +4,7 @@
 import io.masticpond.core.admission.AdmissionSettings;
 import io.masticpond.core.admission.AdmissionSink;
 import io.masticpond.core.admission.AttemptOutcome;
-import io.masticpond.core.admission.BackendServerSign;
+import io.masticpond.core.admission.BackendServerSignal;
 import io.masticpond.core.admission.DefaultAdmission;
 import io.masticpond.core.admission.Headroom;
 import io.masticpond.core.id.BackendServerId;
@@ -58,7 +58,7 @@
         mAdmission.advance();
     }
 
-    void observe(BackendServerId server, BackendServerSign sign) {
+    void observe(BackendServerId server, BackendServerSignal sign) {
         mAdmission.observe(server, sign);
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/RegionWorld.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/RegionWorld.java
@@ -1,6 +1,6 @@
 package io.masticpond.measure.region;
 
-import io.masticpond.core.admission.BackendServerSign;
+import io.masticpond.core.admission.BackendServerSignal;
 import io.masticpond.core.admission.Headroom;
 import io.masticpond.core.configuration.BackendServerSpecification;
 import io.masticpond.core.configuration.Configuration;
@@ -187,7 +187,7 @@
         servers(zone -> regionOf(zone).equals(region)).forEach(FakeServer::startCold);
         instancesIn(region).forEach(this::startInstance);
         for (FakeServer server : servers(zone -> regionOf(zone).equals(region))) {
-            tell(server, BackendServerSign.of(BackendServerSign.Kind.STARTED));
+            tell(server, BackendServerSignal.of(BackendServerSignal.Kind.STARTED));
         }
     }
 
@@ -258,12 +258,12 @@
             if (server.isAlive()) {
                 tell(
                         server,
-                        new BackendServerSign(BackendServerSign.Kind.HEALTHY, server.inFlight()));
+                        new BackendServerSignal(BackendServerSignal.Kind.HEALTHY, server.inFlight()));
             }
         }
     }
 
-    private void tell(FakeServer server, BackendServerSign sign) {
+    private void tell(FakeServer server, BackendServerSignal sign) {
         ZoneId zone = server.specification().zone();
         for (FakeInstance instance : mInstances.values()) {
             if (instance.isAlive()) {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailAdmitter.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailAdmitter.java
@@ -4,7 +4,7 @@
 import io.masticpond.core.admission.AdmissionShare;
 import io.masticpond.core.admission.AdmissionSink;
 import io.masticpond.core.admission.AttemptOutcome;
-import io.masticpond.core.admission.BackendServerSign;
+import io.masticpond.core.admission.BackendServerSignal;
 import io.masticpond.core.admission.DefaultAdmission;
 import io.masticpond.core.admission.SlotShare;
 import io.masticpond.core.configuration.BackendServerSpecification;
@@ -114,8 +114,8 @@
      */
     void report(int[] loads) {
         for (int server = 0; server < loads.length; server++) {
-            BackendServerSign sign =
-                    new BackendServerSign(BackendServerSign.Kind.HEALTHY, loads[server]);
+            BackendServerSignal sign =
+                    new BackendServerSignal(BackendServerSignal.Kind.HEALTHY, loads[server]);
             BackendServerId id = mServers.get(server).id();
             mProcess.deliver(() -> mAdmission.observe(id, sign));
         }
