--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationConfirmation.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationConfirmation.java
@@ -40,7 +40,7 @@
     private final int mMaximumReads;
     private int mReads;
     private Optional<WriteHead> mLastWrite = Optional.empty();
-    private boolean mInDoubt;
+    private boolean mUncertain;
 
     /**
      * Starts a confirmation.
@@ -81,7 +81,7 @@
             return otherVersion(head);
         }
         if (mLastWrite.isPresent() && mLastWrite.get().expectedObjectVersion() != objectVersion) {
-            mInDoubt = false;
+            mUncertain = false;
         }
         WriteHead write = new WriteHead(head.append(mPlan, mLimits), objectVersion);
         mLastWrite = Optional.of(write);
@@ -94,7 +94,7 @@
      * @return the next step
      */
     public ConfirmationStep onHeadAway() {
-        return mInDoubt ? read() : new Away();
+        return mUncertain ? read() : new Away();
     }
 
     /**
@@ -109,10 +109,10 @@
             case WRITTEN -> new Accepted(write.head().version());
             case CONFLICT -> read();
             case UNCERTAIN -> {
-                mInDoubt = true;
+                mUncertain = true;
                 yield read();
             }
-            case AWAY -> mInDoubt ? read() : new Away();
+            case AWAY -> mUncertain ? read() : new Away();
         };
     }
 
@@ -126,7 +126,7 @@
 
     private ConfirmationStep read() {
         if (mReads >= mMaximumReads) {
-            return mInDoubt ? new Unsettled(mPlan.id()) : new Away();
+            return mUncertain ? new Unsettled(mPlan.id()) : new Away();
         }
         mReads++;
         return new ReadHead();
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashOutput.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashOutput.java
@@ -26,5 +26,5 @@
      *
      * @param belief what is believed now
      */
-    void changed(CrashBelief belief);
+    void viewChanged(CrashView belief);
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashSuspect.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashSuspect.java
@@ -20,7 +20,7 @@
      * So many other instances must say what this one saw nothing of; one is enough for a request
      * that was rejected before.
      */
-    private static final int BELIEVED = 2;
+    private static final int REQUIRED_REPORTERS = 2;
 
     /** A conclusion and when it was heard. */
     private record Word(CrashMessage.Verdict verdict, long heardNanos) {
@@ -83,11 +83,11 @@
 
     /** Counts the ends in a row that the reports which came here show. */
     int seenEnds() {
-        return mMarks.consecutive(mRejections > 0 ? 1 : BELIEVED);
+        return mMarks.consecutive(mRejections > 0 ? 1 : REQUIRED_REPORTERS);
     }
 
     private int toldEnds() {
-        int needed = mMarks.own() > 0 || mRejections > 0 ? 1 : BELIEVED;
+        int needed = mMarks.own() > 0 || mRejections > 0 ? 1 : REQUIRED_REPORTERS;
         if (mTold.size() < needed) {
             return 0;
         }
@@ -123,7 +123,7 @@
     /** Tells whether anybody rejects it, as far as is believed. */
     boolean isToldRejected() {
         long tellers = mTold.values().stream().filter(Word::isRejection).count();
-        return tellers >= (mRejections > 0 || mMarks.own() > 0 ? 1 : BELIEVED);
+        return tellers >= (mRejections > 0 || mMarks.own() > 0 ? 1 : REQUIRED_REPORTERS);
     }
 
     /** Notes whether it is suspected; the time since which it is without a break counts. */
@@ -166,19 +166,19 @@
     }
 
     /** Tells what is believed of it now. */
-    CrashBelief.State state() {
+    CrashView.State state() {
         if (mIsRejected) {
-            return CrashBelief.State.REJECTED;
+            return CrashView.State.REJECTED;
         }
         if (mRejections > 0) {
-            return CrashBelief.State.ON_TRIAL;
+            return CrashView.State.ON_TRIAL;
         }
-        return ends() >= SUSPICIOUS_ENDS ? CrashBelief.State.SUSPECTED : CrashBelief.State.NOTED;
+        return ends() >= SUSPICIOUS_ENDS ? CrashView.State.SUSPECTED : CrashView.State.NOTED;
     }
 
     /** Gives a belief with what it rests on. */
-    CrashBelief belief(CrashBelief.State state, long nowNanos) {
-        return new CrashBelief(
+    CrashView view(CrashView.State state, long nowNanos) {
+        return new CrashView(
                 mRequest,
                 state,
                 ends(),
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashBelief.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashView.java
@@ -11,10 +11,10 @@
  * @param tellers how many other instances came to the same conclusion
  * @param newestEndAgoNanos how long ago the newest end was, -1 if none is known here
  * @param rejections how often it was rejected
- * @param leftNanos for how long it is rejected still, 0 if it is not
+ * @param remainingNanos for how long it is rejected still, 0 if it is not
  * @since 0.2
  */
-public record CrashBelief(
+public record CrashView(
         RequestFingerprint request,
         State state,
         int ends,
@@ -23,7 +23,7 @@
         int tellers,
         long newestEndAgoNanos,
         int rejections,
-        long leftNanos) {
+        long remainingNanos) {
 
     /** What is believed of a request. */
     public enum State {
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashingRequests.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashingRequests.java
@@ -147,7 +147,7 @@
         } else {
             CrashSuspect suspect = mSuspects.get(message.request());
             if (suspect != null) {
-                clear(suspect, CrashBelief.State.ANSWERED, nowNanos);
+                clear(suspect, CrashView.State.ANSWERED, nowNanos);
             }
         }
     }
@@ -164,7 +164,7 @@
             return;
         }
         tellCleared(suspect);
-        clear(suspect, CrashBelief.State.ANSWERED, nowNanos);
+        clear(suspect, CrashView.State.ANSWERED, nowNanos);
     }
 
     /**
@@ -180,7 +180,7 @@
             return false;
         }
         mOutput.tellAll(new CrashMessage.Clearance(request));
-        clear(suspect, CrashBelief.State.RELEASED, nowNanos);
+        clear(suspect, CrashView.State.RELEASED, nowNanos);
         return true;
     }
 
@@ -212,15 +212,15 @@
      * @param nowNanos the monotonic time
      * @return the beliefs, the rejected ones first
      */
-    public List<CrashBelief> beliefs(long nowNanos) {
-        List<CrashBelief> beliefs = new ArrayList<>();
+    public List<CrashView> views(long nowNanos) {
+        List<CrashView> beliefs = new ArrayList<>();
         for (CrashSuspect suspect : mSuspects.all()) {
             if (current(suspect.request(), nowNanos) == suspect) {
-                beliefs.add(suspect.belief(suspect.state(), nowNanos));
+                beliefs.add(suspect.view(suspect.state(), nowNanos));
             }
         }
         beliefs.sort(
-                Comparator.comparing((CrashBelief each) -> each.leftNanos() == 0)
+                Comparator.comparing((CrashView each) -> each.remainingNanos() == 0)
                         .thenComparing(each -> -each.ends()));
         return beliefs;
     }
@@ -261,7 +261,7 @@
             suspect.mAnnounced = seen;
             mOutput.tellAll(verdict(suspect, nowNanos));
             if (!suspect.mIsRejected) {
-                mOutput.changed(suspect.belief(suspect.state(), nowNanos));
+                mOutput.viewChanged(suspect.view(suspect.state(), nowNanos));
             }
         }
     }
@@ -299,7 +299,7 @@
             endOfHold(suspect);
             return;
         }
-        mOutput.changed(suspect.belief(CrashBelief.State.REJECTED, nowNanos));
+        mOutput.viewChanged(suspect.view(CrashView.State.REJECTED, nowNanos));
         if (isOwn) {
             suspect.mAnnounced = Math.max(suspect.mAnnounced, suspect.seenEnds());
             mOutput.tellAll(verdict(suspect, nowNanos));
@@ -315,11 +315,11 @@
         suspect.forget(suspect.mHeldUntilNanos);
     }
 
-    private void clear(CrashSuspect suspect, CrashBelief.State why, long nowNanos) {
+    private void clear(CrashSuspect suspect, CrashView.State why, long nowNanos) {
         boolean mattered = suspect.mIsRejected || suspect.mAnnounced > 0;
         suspect.clear(nowNanos);
         if (mattered) {
-            mOutput.changed(suspect.belief(why, nowNanos));
+            mOutput.viewChanged(suspect.view(why, nowNanos));
         }
     }
 
@@ -341,7 +341,7 @@
         }
         if (suspect.mIsRejected && nowNanos - suspect.mHeldUntilNanos >= 0) {
             endOfHold(suspect);
-            mOutput.changed(suspect.belief(CrashBelief.State.ON_TRIAL, nowNanos));
+            mOutput.viewChanged(suspect.view(CrashView.State.ON_TRIAL, nowNanos));
         }
         rejectIfProven(suspect, nowNanos);
         if (!suspect.mIsRejected && isOver(suspect, nowNanos)) {
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/CallOutlierDetector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/CallOutlierDetector.java
@@ -168,8 +168,8 @@
     }
 
     private double penaltyOf(CallTally tally, PeerMedians failures, PeerMedians means) {
-        double failure = failurePenalty(tally, failures) * belief(tally.calls());
-        double slowness = slownessPenalty(tally, means) * belief(tally.successes());
+        double failure = failurePenalty(tally, failures) * confidence(tally.calls());
+        double slowness = slownessPenalty(tally, means) * confidence(tally.successes());
         return Math.max(failure, slowness);
     }
 
@@ -183,7 +183,7 @@
     }
 
     private double slownessPenalty(CallTally tally, PeerMedians means) {
-        if (belief(tally.successes()) < LEAST_BELIEF) {
+        if (confidence(tally.successes()) < LEAST_BELIEF) {
             return 0;
         }
         double peers = means.without(tally);
@@ -194,7 +194,7 @@
         return part(multiple, mSettings.slownessFrom(), mSettings.slownessFull());
     }
 
-    private double belief(double calls) {
+    private double confidence(double calls) {
         return Math.min(1, calls / mSettings.enoughCalls());
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipSink.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipSink.java
@@ -45,5 +45,5 @@
      *
      * @param member the member as it is now
      */
-    void changed(Member member);
+    void memberChanged(Member member);
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTable.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTable.java
@@ -110,7 +110,7 @@
                 record = add(new MemberRecord(entry, now));
             }
             if (record.apply(entry) || changed) {
-                mSink.changed(record.member());
+                mSink.memberChanged(record.member());
             }
         }
         if (mRecords.values().removeIf(record -> !record.isListed() && !record.isHeard())) {
@@ -342,7 +342,7 @@
         }
         mDisseminator.answerAskers(news);
         if (changed) {
-            mSink.changed(record.member());
+            mSink.memberChanged(record.member());
         }
         if (changed && spread) {
             mDisseminator.disseminate(news, teller);
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipView.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipView.java
@@ -17,7 +17,7 @@
  * @param self this run of this instance
  * @param members all members, this instance among them, in the order of ids
  * @param missing the members that may be at work out of sight
- * @param trusted whether this instance trusts its own view
+ * @param upToDate whether this instance trusts its own view
  * @param superseded whether a later run of this instance exists
  * @param regions gives the region of an availability zone
  * @since 0.1
@@ -26,7 +26,7 @@
         Incarnation self,
         List<Member> members,
         Set<InstanceId> missing,
-        boolean trusted,
+        boolean upToDate,
         boolean superseded,
         Function<ZoneId, Optional<RegionId>> regions)
         implements Admitters {
@@ -54,7 +54,7 @@
                 region,
                 near.stream().filter(member -> member.state().admits()).map(Member::id).toList(),
                 near.stream().map(Member::id).filter(missing::contains).toList(),
-                trusted);
+                upToDate);
     }
 
     /**
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/RegionView.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/RegionView.java
@@ -10,12 +10,12 @@
  * @param region the region
  * @param admitting the instances that may admit work, in the order of their ids
  * @param missing the instances that may be at work out of sight: silent, suspected or expected
- * @param trusted whether this instance trusts its own view: it did not just wake from a pause, and
+ * @param upToDate whether this instance trusts its own view: it did not just wake from a pause, and
  *     it has learned who the members are
  * @since 0.1
  */
 public record RegionView(
-        RegionId region, List<InstanceId> admitting, List<InstanceId> missing, boolean trusted) {
+        RegionId region, List<InstanceId> admitting, List<InstanceId> missing, boolean upToDate) {
 
     /** Copies the lists. */
     public RegionView {
@@ -28,7 +28,7 @@
      *
      * @return whether every instance of the region is heard from or certainly gone
      */
-    public boolean isWhole() {
-        return trusted && missing.isEmpty();
+    public boolean isComplete() {
+        return upToDate && missing.isEmpty();
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/serverlimit/LimitOutput.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/serverlimit/LimitOutput.java
@@ -14,7 +14,7 @@
      *
      * @param belief what is believed now
      */
-    void changed(LimitBelief belief);
+    void changed(LimitView belief);
 
     /**
      * An answer to this instance changed what is believed, so the others should hear of it.
--- a/masticpond-core/src/main/java/io/masticpond/core/serverlimit/LimitBelief.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/serverlimit/LimitView.java
@@ -15,7 +15,7 @@
  * @param ownPerSecond the requests a second that this instance may send, 0 if it is no sender
  * @since 0.2
  */
-public record LimitBelief(
+public record LimitView(
         BackendServerId server,
         ServiceId service,
         double perSecond,
--- a/masticpond-core/src/main/java/io/masticpond/core/serverlimit/ServerLimits.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/serverlimit/ServerLimits.java
@@ -196,7 +196,7 @@
             return false;
         }
         state.mReported = limit;
-        mOutput.changed(belief(state, nowNanos));
+        mOutput.changed(view(state, nowNanos));
         if (state.mIsOwn) {
             mOutput.publish(report(state, 0));
         }
@@ -326,7 +326,7 @@
         }
         if (state.isLimited()) {
             state.mStatement = new LimitStatement(Double.POSITIVE_INFINITY, nowNanos, nowNanos);
-            mOutput.changed(belief(state, nowNanos));
+            mOutput.changed(view(state, nowNanos));
             return true;
         }
         return nowNanos - state.mLiftedNanos > mSettings.memory().toNanos();
@@ -338,19 +338,19 @@
      * @param nowNanos the monotonic time
      * @return the beliefs, by service and server
      */
-    public List<LimitBelief> beliefs(long nowNanos) {
-        List<LimitBelief> beliefs = new ArrayList<>();
-        mServers.values().forEach(each -> beliefs.add(belief(each, nowNanos)));
+    public List<LimitView> views(long nowNanos) {
+        List<LimitView> beliefs = new ArrayList<>();
+        mServers.values().forEach(each -> beliefs.add(view(each, nowNanos)));
         beliefs.sort(
-                Comparator.comparing((LimitBelief each) -> each.service().value())
+                Comparator.comparing((LimitView each) -> each.service().value())
                         .thenComparing(each -> each.server().value()));
         return beliefs;
     }
 
-    private LimitBelief belief(LimitedServer state, long nowNanos) {
+    private LimitView view(LimitedServer state, long nowNanos) {
         place(state, nowNanos);
         boolean isSender = state.isLimited() && state.isSender();
-        return new LimitBelief(
+        return new LimitView(
                 state.mServer.id(),
                 state.mServer.service(),
                 state.mStatement.perSecond(),
--- a/masticpond-core/src/main/java/io/masticpond/core/statement/ServerWithdrawals.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/statement/ServerWithdrawals.java
@@ -79,7 +79,7 @@
         boolean isNews = !state.mIsLeaving;
         state.mIsLeaving = true;
         if (isNews) {
-            mOutput.changed(belief(state, WithdrawalBelief.State.LEAVING, nowNanos));
+            mOutput.changed(view(state, WithdrawalView.State.LEAVING, nowNanos));
         }
     }
 
@@ -98,7 +98,7 @@
         state.mUntilNanos = nowNanos + nanos;
         state.mPauseNanos = nanos;
         if (isNews) {
-            mOutput.changed(belief(state, WithdrawalBelief.State.PAUSED, nowNanos));
+            mOutput.changed(view(state, WithdrawalView.State.PAUSED, nowNanos));
         }
     }
 
@@ -169,7 +169,7 @@
             if (state.mIsPaused && state.mUntilNanos - nowNanos <= 0) {
                 state.mIsPaused = false;
                 if (!state.mIsLeaving) {
-                    mOutput.changed(belief(state, WithdrawalBelief.State.RETURNED, nowNanos));
+                    mOutput.changed(view(state, WithdrawalView.State.RETURNED, nowNanos));
                 }
             }
         }
@@ -209,7 +209,7 @@
             return false;
         }
         if (registered != null && (state.mIsLeaving || state.mIsPaused)) {
-            mOutput.changed(belief(state, WithdrawalBelief.State.RETURNED, nowNanos));
+            mOutput.changed(view(state, WithdrawalView.State.RETURNED, nowNanos));
         }
         return true;
     }
@@ -220,24 +220,24 @@
      * @param nowNanos the monotonic time
      * @return the beliefs, by service and server
      */
-    public List<WithdrawalBelief> beliefs(long nowNanos) {
-        List<WithdrawalBelief> beliefs = new ArrayList<>();
+    public List<WithdrawalView> views(long nowNanos) {
+        List<WithdrawalView> beliefs = new ArrayList<>();
         for (Withdrawal state : mServers.values()) {
             if (state.mIsLeaving) {
-                beliefs.add(belief(state, WithdrawalBelief.State.LEAVING, nowNanos));
+                beliefs.add(view(state, WithdrawalView.State.LEAVING, nowNanos));
             } else if (state.mIsPaused) {
-                beliefs.add(belief(state, WithdrawalBelief.State.PAUSED, nowNanos));
+                beliefs.add(view(state, WithdrawalView.State.PAUSED, nowNanos));
             }
         }
         beliefs.sort(
-                Comparator.comparing((WithdrawalBelief each) -> each.service().value())
+                Comparator.comparing((WithdrawalView each) -> each.service().value())
                         .thenComparing(each -> each.server().value()));
         return beliefs;
     }
 
-    private static WithdrawalBelief belief(
-            Withdrawal state, WithdrawalBelief.State now, long nowNanos) {
-        return new WithdrawalBelief(
+    private static WithdrawalView view(
+            Withdrawal state, WithdrawalView.State now, long nowNanos) {
+        return new WithdrawalView(
                 state.mServer.id(),
                 state.mServer.service(),
                 now,
--- a/masticpond-core/src/main/java/io/masticpond/core/statement/WithdrawalOutput.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/statement/WithdrawalOutput.java
@@ -14,7 +14,7 @@
      *
      * @param belief what is believed now
      */
-    void changed(WithdrawalBelief belief);
+    void changed(WithdrawalView belief);
 
     /**
      * A server has stated something that means nothing, for the first time.
--- a/masticpond-core/src/main/java/io/masticpond/core/statement/WithdrawalBelief.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/statement/WithdrawalView.java
@@ -13,7 +13,7 @@
  * @param leftNanos how long its pause still lasts, 0 if it has none
  * @since 0.2
  */
-public record WithdrawalBelief(
+public record WithdrawalView(
         BackendServerId server, ServiceId service, State state, long ageNanos, long leftNanos) {
 
     /**
--- a/masticpond-core/src/test/java/io/masticpond/core/configuration/ConfigurationChainProperties.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/configuration/ConfigurationChainProperties.java
@@ -72,7 +72,7 @@
         private final Map<String, Long> mAccepted = new TreeMap<>();
         private final Set<String> mRefused = new HashSet<>();
         private int mPlans;
-        private boolean mInDoubt;
+        private boolean mUncertain;
         private Plan mPlan;
         private ConfigurationConfirmation mConfirmation;
         private ConfirmationStep mNext;
@@ -93,7 +93,7 @@
                 mConfirmation =
                         new ConfigurationConfirmation(mPlan, Contents.LIMITS, MAXIMUM_READS);
                 mNext = mConfirmation.start();
-                mInDoubt = false;
+                mUncertain = false;
                 return;
             }
             if (mNext instanceof ReadHead) {
@@ -103,7 +103,7 @@
                                 : mConfirmation.onHead(mPlatform.mHead, mPlatform.mObjectVersion);
             } else if (mNext instanceof WriteHead write) {
                 WriteEnd end = mPlatform.write(write, choice % 7);
-                mInDoubt |= end == WriteEnd.UNCERTAIN;
+                mUncertain |= end == WriteEnd.UNCERTAIN;
                 mNext = mConfirmation.onWrite(end);
             }
             finish();
@@ -123,7 +123,7 @@
                 mPlan = null;
             } else if (mNext instanceof Away) {
                 Assert.isTrue(
-                        !mInDoubt,
+                        !mUncertain,
                         "The plan %s may still be accepted, yet was told as unchanged.",
                         id);
             }
--- a/masticpond-core/src/test/java/io/masticpond/core/crash/CrashFleet.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/crash/CrashFleet.java
@@ -22,7 +22,7 @@
 
         private final int mNumber;
         CrashingRequests mRequests;
-        final List<CrashBelief> mBeliefs = new ArrayList<>();
+        final List<CrashView> mBeliefs = new ArrayList<>();
         long mMessages;
         boolean mIsCutOff;
 
@@ -62,7 +62,7 @@
         }
 
         @Override
-        public void changed(CrashBelief belief) {
+        public void viewChanged(CrashView belief) {
             mBeliefs.add(belief);
         }
 
--- a/masticpond-core/src/test/java/io/masticpond/core/crash/CrashingRequestsTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/crash/CrashingRequestsTest.java
@@ -187,7 +187,7 @@
             instance.mRequests.heard(
                     "flooding", new CrashMessage.End(other, number, 5, 5), fleet.nowNanos());
         }
-        assertThat(instance.mRequests.beliefs(fleet.nowNanos()))
+        assertThat(instance.mRequests.views(fleet.nowNanos()))
                 .hasSizeLessThanOrEqualTo(CrashSuspects.MOST);
         assertThat(instance.rejects(CRASHING)).isTrue();
     }
@@ -198,7 +198,7 @@
         crash(fleet, fleet.instances().get(0));
         fleet.pass(CrashSettings.DEFAULT.memory().plusMinutes(1));
         List<Instance> instances = fleet.instances();
-        assertThat(instances).allMatch(each -> each.mRequests.beliefs(fleet.nowNanos()).isEmpty());
+        assertThat(instances).allMatch(each -> each.mRequests.views(fleet.nowNanos()).isEmpty());
         assertThat(instances).allMatch(each -> each.mRequests.isEmpty());
     }
 }
--- a/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipFixture.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipFixture.java
@@ -161,7 +161,7 @@
         }
 
         @Override
-        public void changed(Member member) {
+        public void memberChanged(Member member) {
             mChanged.add(member);
         }
 
--- a/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipTableTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipTableTest.java
@@ -30,7 +30,7 @@
 
     private void settle() {
         mFixture.run(Duration.ofSeconds(3));
-        assertThat(mFixture.view(A).region(CASA).isWhole()).isTrue();
+        assertThat(mFixture.view(A).region(CASA).isComplete()).isTrue();
     }
 
     private static boolean isOneOf(InstanceId id, InstanceId... ids) {
@@ -40,7 +40,7 @@
     @Example
     void aListedInstanceIsExpectedUntilItIsHeard() {
         assertThat(mFixture.state(A, B)).isEqualTo(MemberState.EXPECTED);
-        assertThat(mFixture.view(A).region(CASA).isWhole()).isFalse();
+        assertThat(mFixture.view(A).region(CASA).isComplete()).isFalse();
         settle();
         assertThat(mFixture.state(A, B)).isEqualTo(MemberState.LIVE);
     }
@@ -66,7 +66,7 @@
         settle();
         mFixture.kill(C);
         assertThat(mFixture.state(A, C)).isEqualTo(MemberState.DEAD);
-        assertThat(mFixture.view(A).region(CASA).isWhole()).isTrue();
+        assertThat(mFixture.view(A).region(CASA).isComplete()).isTrue();
         assertThat(mFixture.view(A).order(new Shard(new ServiceId("s"), CASA, 0)))
                 .containsExactlyInAnyOrder(A, B);
     }
@@ -77,7 +77,7 @@
         mFixture.mPaused.add(C);
         mFixture.runUntil(NOTICED, () -> mFixture.state(A, C) == MemberState.DEAD);
         assertThat(mFixture.view(A).region(CASA).missing()).containsExactly(C);
-        assertThat(mFixture.view(A).region(CASA).isWhole()).isFalse();
+        assertThat(mFixture.view(A).region(CASA).isComplete()).isFalse();
     }
 
     @Example
@@ -87,7 +87,7 @@
         mFixture.runUntil(NOTICED, () -> mFixture.state(A, C) == MemberState.SUSPECT);
         mFixture.cut((from, to) -> false);
         mFixture.runUntil(Duration.ofSeconds(1), () -> mFixture.state(A, C) == MemberState.LIVE);
-        assertThat(mFixture.view(A).region(CASA).isWhole()).isTrue();
+        assertThat(mFixture.view(A).region(CASA).isComplete()).isTrue();
     }
 
     @Example
@@ -112,8 +112,8 @@
         assertThat(mFixture.view(A).region(CASA).missing()).containsExactly(C);
         mFixture.cut((from, to) -> false);
         mFixture.run(NOTICED);
-        assertThat(mFixture.view(C).region(CASA).isWhole()).isTrue();
-        assertThat(mFixture.view(A).region(CASA).isWhole()).isTrue();
+        assertThat(mFixture.view(C).region(CASA).isComplete()).isTrue();
+        assertThat(mFixture.view(A).region(CASA).isComplete()).isTrue();
     }
 
     @Example
@@ -165,7 +165,7 @@
                 false,
                 0);
         assertThat(old.view().superseded()).isTrue();
-        assertThat(old.view().region(CASA).isWhole()).isFalse();
+        assertThat(old.view().region(CASA).isComplete()).isFalse();
     }
 
     @Example
@@ -173,17 +173,17 @@
         settle();
         mFixture.mPaused.add(A);
         mFixture.run(Duration.ofSeconds(10));
-        assertThat(mFixture.view(A).region(CASA).isWhole()).isTrue();
+        assertThat(mFixture.view(A).region(CASA).isComplete()).isTrue();
         mFixture.mPaused.clear();
         mFixture.mTables.get(A).advance();
         assertThat(mFixture.mTables.get(A).isSelfPaused()).isTrue();
-        assertThat(mFixture.view(A).region(CASA).isWhole()).isFalse();
+        assertThat(mFixture.view(A).region(CASA).isComplete()).isFalse();
         mFixture.mTables.get(B).beat();
         mFixture.mTables.get(C).beat();
         mFixture.run(MembershipFixture.TICK);
         assertThat(mFixture.mTables.get(A).isSelfPaused()).isTrue();
         mFixture.run(NOTICED);
-        assertThat(mFixture.view(A).region(CASA).isWhole()).isTrue();
+        assertThat(mFixture.view(A).region(CASA).isComplete()).isTrue();
         assertThat(mFixture.state(B, A)).isEqualTo(MemberState.LIVE);
     }
 
@@ -197,7 +197,7 @@
         mFixture.mPaused.clear();
         for (int i = 0; i < 100; i++) {
             mFixture.run(MembershipFixture.TICK);
-            assertThat(mFixture.view(A).region(CASA).isWhole()).isFalse();
+            assertThat(mFixture.view(A).region(CASA).isComplete()).isFalse();
         }
     }
 
@@ -208,7 +208,7 @@
             mFixture.mTime.stepWallClock(Duration.ofHours(hours));
             mFixture.run(Duration.ofSeconds(2));
             assertThat(mFixture.view(A).live()).hasSize(4);
-            assertThat(mFixture.view(A).region(CASA).isWhole()).isTrue();
+            assertThat(mFixture.view(A).region(CASA).isComplete()).isTrue();
         }
     }
 
@@ -219,7 +219,7 @@
         mFixture.run(Duration.ofSeconds(1));
         assertThat(mFixture.state(A, C)).isEqualTo(MemberState.LEAVING);
         assertThat(mFixture.view(A).region(CASA).admitting()).containsExactly(A, B);
-        assertThat(mFixture.view(A).region(CASA).isWhole()).isTrue();
+        assertThat(mFixture.view(A).region(CASA).isComplete()).isTrue();
         mFixture.mTables.get(C).leaving(false);
         mFixture.run(Duration.ofSeconds(1));
         assertThat(mFixture.state(A, C)).isEqualTo(MemberState.LIVE);
@@ -231,7 +231,7 @@
         mFixture.mTables.get(C).farewell();
         mFixture.run(MembershipFixture.TICK);
         assertThat(mFixture.state(A, C)).isEqualTo(MemberState.DEAD);
-        assertThat(mFixture.view(A).region(CASA).isWhole()).isTrue();
+        assertThat(mFixture.view(A).region(CASA).isComplete()).isTrue();
     }
 
     @Example
@@ -250,7 +250,7 @@
         settle();
         InstanceId newcomer = id("fes2", 0);
         MembershipTable table = mFixture.start(newcomer, "fes2", 1);
-        assertThat(table.view().trusted()).isFalse();
+        assertThat(table.view().upToDate()).isFalse();
         table.listed(
                 List.of(
                         new ListedMember(
--- a/masticpond-core/src/test/java/io/masticpond/core/serverlimit/LimitFleet.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/serverlimit/LimitFleet.java
@@ -148,7 +148,7 @@
         }
 
         @Override
-        public void changed(LimitBelief belief) {
+        public void changed(LimitView belief) {
             mChanges++;
         }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/LinkedMembershipSink.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/LinkedMembershipSink.java
@@ -66,7 +66,7 @@
     }
 
     @Override
-    public void changed(Member member) {
+    public void memberChanged(Member member) {
         mLinks.address(member.id(), member.linkAddress());
         String state = member.state().name().toLowerCase(Locale.ROOT);
         sLogger.info("MEMBER  Instance {} is {}.", member.incarnation(), state);
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/DefaultShardDirectory.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/DefaultShardDirectory.java
@@ -177,7 +177,7 @@
             ids.add(mSelf);
         }
         boolean hidden = ids.stream().anyMatch(mView.missing()::contains);
-        if (!mView.trusted() || hidden) {
+        if (!mView.upToDate() || hidden) {
             return new SlotShare(AdmissionShare.FAIR_SHARE, mSelf, ids);
         }
         return new SlotShare(
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/EntrySteering.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/EntrySteering.java
@@ -385,7 +385,7 @@
 
         private void finish(RequestEnd end) {
             mFlows.remove(mRequest.head().id());
-            mListener.accept(mMayHaveRun ? end.withDoubt() : end);
+            mListener.accept(mMayHaveRun ? end.asUncertain() : end);
         }
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/PayingEntry.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/PayingEntry.java
@@ -189,7 +189,7 @@
 
         private void finish(RequestEnd end) {
             mSearches.remove(mRequest.head().id());
-            mListener.accept(mMayHaveRun ? end.withDoubt() : end);
+            mListener.accept(mMayHaveRun ? end.asUncertain() : end);
         }
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/RequestEnd.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/RequestEnd.java
@@ -16,7 +16,7 @@
      *
      * @return this end, but in place of a refusal that says it did not run one that says it may
      */
-    default RequestEnd withDoubt() {
+    default RequestEnd asUncertain() {
         return this;
     }
 
@@ -46,7 +46,7 @@
     record Refused(Refusal refusal) implements RequestEnd {
 
         @Override
-        public RequestEnd withDoubt() {
+        public RequestEnd asUncertain() {
             if (refusal.verdict() != Verdict.DID_NOT_RUN) {
                 return this;
             }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlDocuments.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlDocuments.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.masticpond.core.crash.CrashBelief;
+import io.masticpond.core.crash.CrashView;
 import io.masticpond.core.fleet.StoreRevision;
 import io.masticpond.core.id.ServiceId;
 import io.masticpond.core.limit.RetryBudgetUse;
@@ -174,7 +174,7 @@
     ObjectNode crashes() {
         ObjectNode document = beginTraffic();
         ArrayNode crashes = document.putArray("crashes");
-        for (CrashBelief each : mTraffic.crashes()) {
+        for (CrashView each : mTraffic.crashes()) {
             ObjectNode crash =
                     crashes.addObject()
                             .put("fingerprint", each.request().toString())
@@ -184,7 +184,7 @@
                             .put("reporters", each.reporters())
                             .put("tellers", each.tellers())
                             .put("rejections", each.rejections())
-                            .put("leftMillis", Spelling.millis(each.leftNanos()));
+                            .put("leftMillis", Spelling.millis(each.remainingNanos()));
             if (each.newestEndAgoNanos() >= 0) {
                 crash.put("newestEndMillis", Spelling.millis(each.newestEndAgoNanos()));
             }
@@ -199,7 +199,7 @@
     }
 
     Either<ControlProblem, ObjectNode> timeline(ControlQuestion question) {
-        return question.number(ControlView.BELIEFS, USUAL_BELIEFS, RecentDecisions.KEPT_BELIEFS)
+        return question.number(ControlView.BELIEFS, USUAL_BELIEFS, RecentDecisions.MAXIMUM_VIEW_CHANGES)
                 .map(beliefs -> timeline(question.parameter(ControlView.REQUEST), beliefs));
     }
 
@@ -211,7 +211,7 @@
                     document.put("request", id);
                     document.putArray("lines").addAll(mSources.decisions().ofRequest(id));
                 });
-        document.putArray("beliefs").addAll(mSources.decisions().beliefs(beliefs));
+        document.putArray("beliefs").addAll(mSources.decisions().recentViewChanges(beliefs));
         return document;
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ServerDocument.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ServerDocument.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.masticpond.core.fleet.RegisteredServer;
-import io.masticpond.core.serverlimit.LimitBelief;
-import io.masticpond.core.statement.WithdrawalBelief;
+import io.masticpond.core.serverlimit.LimitView;
+import io.masticpond.core.statement.WithdrawalView;
 
 /** Writes what is believed of a backend server. */
 final class ServerDocument {
@@ -38,7 +38,7 @@
                                         .put("meanMillis", Spelling.millis(judgement.meanNanos())));
     }
 
-    private static void writeWithdrawal(WithdrawalBelief withdrawal, ObjectNode into) {
+    private static void writeWithdrawal(WithdrawalView withdrawal, ObjectNode into) {
         into.put("withdrawal", Spelling.of(withdrawal.state()))
                 .put("withdrawalAgeMillis", Spelling.millis(withdrawal.ageNanos()));
         if (withdrawal.leftNanos() > 0) {
@@ -46,7 +46,7 @@
         }
     }
 
-    private static void writeLimit(LimitBelief limit, ObjectNode into) {
+    private static void writeLimit(LimitView limit, ObjectNode into) {
         into.put("limitPerSecond", Spelling.rounded(limit.perSecond()))
                 .put("limitSenders", limit.senders())
                 .put("limitOwnPerSecond", Spelling.rounded(limit.ownPerSecond()))
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ServerSnapshot.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ServerSnapshot.java
@@ -4,8 +4,8 @@
 import io.masticpond.core.id.InstanceId;
 import io.masticpond.core.limit.ServerEvaluation;
 import io.masticpond.core.placement.AvoidReason;
-import io.masticpond.core.serverlimit.LimitBelief;
-import io.masticpond.core.statement.WithdrawalBelief;
+import io.masticpond.core.serverlimit.LimitView;
+import io.masticpond.core.statement.WithdrawalView;
 import java.util.List;
 import java.util.Optional;
 
@@ -33,6 +33,6 @@
         double inFlight,
         double serviceNanos,
         Optional<AvoidReason> avoidReason,
-        Optional<WithdrawalBelief> withdrawal,
-        Optional<LimitBelief> limit,
+        Optional<WithdrawalView> withdrawal,
+        Optional<LimitView> limit,
         Optional<ServerEvaluation> evaluation) {}
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/TrafficSnapshot.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/TrafficSnapshot.java
@@ -1,6 +1,6 @@
 package io.masticpond.entry.control;
 
-import io.masticpond.core.crash.CrashBelief;
+import io.masticpond.core.crash.CrashView;
 import io.masticpond.core.fleet.FleetSnapshot;
 import io.masticpond.core.fleet.RegisteredServer;
 import io.masticpond.core.id.BackendServerId;
@@ -9,9 +9,9 @@
 import io.masticpond.core.limit.RetryBudgetUse;
 import io.masticpond.core.placement.ServerLoad;
 import io.masticpond.core.routing.ServiceRules;
-import io.masticpond.core.serverlimit.LimitBelief;
+import io.masticpond.core.serverlimit.LimitView;
 import io.masticpond.core.spending.SpendingView;
-import io.masticpond.core.statement.WithdrawalBelief;
+import io.masticpond.core.statement.WithdrawalView;
 import io.masticpond.entry.request.RequestFlow;
 import io.masticpond.entry.request.SpendingCheck;
 import java.util.ArrayList;
@@ -37,7 +37,7 @@
         List<ServerSnapshot> servers,
         Map<ServiceId, RetryBudgetUse> budgets,
         List<SpendingView> spendings,
-        List<CrashBelief> crashes,
+        List<CrashView> crashes,
         WorkspaceSnapshot workspaces) {
 
     private static final Comparator<ServerSnapshot> ORDER =
@@ -57,19 +57,19 @@
         TreeSet<ServiceId> services =
                 new TreeSet<>(Comparator.comparing((ServiceId service) -> service.value()));
         fleet.servers().values().forEach(server -> services.add(server.service()));
-        Map<BackendServerId, LimitBelief> named = new HashMap<>();
-        for (LimitBelief each : flow.statements().limits().beliefs()) {
+        Map<BackendServerId, LimitView> named = new HashMap<>();
+        for (LimitView each : flow.statements().limits().views()) {
             if (each.isLimited()) {
                 named.put(each.server(), each);
             }
         }
-        Map<BackendServerId, WithdrawalBelief> withdrawn = new HashMap<>();
+        Map<BackendServerId, WithdrawalView> withdrawn = new HashMap<>();
         flow.statements().withdrawals().forEach(each -> withdrawn.put(each.server(), each));
         List<ServerSnapshot> servers = new ArrayList<>();
         for (ServiceId service : services) {
             for (ServerLoad load : flow.servers().of(service)) {
-                LimitBelief limit = named.get(load.server().id());
-                WithdrawalBelief withdrawal = withdrawn.get(load.server().id());
+                LimitView limit = named.get(load.server().id());
+                WithdrawalView withdrawal = withdrawn.get(load.server().id());
                 servers.add(snapshot(flow, limits, load, withdrawal, limit, nowNanos));
             }
         }
@@ -79,7 +79,7 @@
                 servers,
                 limits.budgets(nowNanos),
                 flow.spending().map(SpendingCheck::views).orElse(List.of()),
-                flow.crashes().beliefs(),
+                flow.crashes().views(),
                 WorkspaceSnapshot.take(flow.authenticator(), nowNanos));
     }
 
@@ -87,8 +87,8 @@
             RequestFlow flow,
             LimitFigures limits,
             ServerLoad load,
-            WithdrawalBelief withdrawal,
-            LimitBelief limit,
+            WithdrawalView withdrawal,
+            LimitView limit,
             long nowNanos) {
         RegisteredServer server = load.server();
         boolean cold = limits.isCold(server, nowNanos);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/DecisionLog.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/DecisionLog.java
@@ -18,7 +18,7 @@
                 public void requestRetried(RequestRecord request) {}
 
                 @Override
-                public void beliefChanged(BeliefChange change) {}
+                public void viewChanged(ViewChange change) {}
 
                 @Override
                 public void processChanged(ProcessChange change) {}
@@ -44,7 +44,7 @@
      *
      * @param change the change
      */
-    void beliefChanged(BeliefChange change);
+    void viewChanged(ViewChange change);
 
     /**
      * Logs a start, stop or reload.
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/FleetSnapshotLog.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/FleetSnapshotLog.java
@@ -6,7 +6,7 @@
 import io.masticpond.core.id.ZoneId;
 import io.masticpond.core.routing.RoutingConfiguration;
 import io.masticpond.core.support.Assert;
-import io.masticpond.entry.log.BeliefChange.ServerState;
+import io.masticpond.entry.log.ViewChange.ServerState;
 import java.util.HashSet;
 import java.util.Set;
 
@@ -77,8 +77,8 @@
         long former = version(before);
         long version = version(mSnapshot);
         if (version != former) {
-            mLog.beliefChanged(
-                    new BeliefChange.Routing(former, version, mSnapshot.revision(), source));
+            mLog.viewChanged(
+                    new ViewChange.Routing(former, version, mSnapshot.revision(), source));
         }
     }
 
@@ -100,7 +100,7 @@
     }
 
     private void logZone(ZoneId zone, boolean evacuated, UpdateSource source) {
-        mLog.beliefChanged(new BeliefChange.Zone(zone, evacuated, mSnapshot.revision(), source));
+        mLog.viewChanged(new ViewChange.Zone(zone, evacuated, mSnapshot.revision(), source));
     }
 
     private void logFirst(UpdateSource source, long nowNanos) {
@@ -113,8 +113,8 @@
                 mCold.add(server.id());
             }
         }
-        mLog.beliefChanged(
-                new BeliefChange.Registry(
+        mLog.viewChanged(
+                new ViewChange.Registry(
                         mSnapshot.servers().size(),
                         leaving,
                         mCold.size(),
@@ -145,8 +145,8 @@
     }
 
     private void logServer(RegisteredServer server, ServerState state, UpdateSource source) {
-        mLog.beliefChanged(
-                new BeliefChange.Server(
+        mLog.viewChanged(
+                new ViewChange.Server(
                         server.id(),
                         server.service(),
                         server.zone(),
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/RecentDecisions.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/RecentDecisions.java
@@ -27,7 +27,7 @@
 public final class RecentDecisions implements DecisionLog {
 
     /** How many changes of belief, with starts and stops, are kept. */
-    public static final int KEPT_BELIEFS = 512;
+    public static final int MAXIMUM_VIEW_CHANGES = 512;
 
     private static final int KEPT_REQUESTS = 2_048;
 
@@ -35,7 +35,7 @@
     private final TimeSource mTimeSource;
     private final LineKeeper mPlain = new LineKeeper(KEPT_REQUESTS);
     private final LineKeeper mNoteworthy = new LineKeeper(KEPT_REQUESTS);
-    private final LineKeeper mBeliefs = new LineKeeper(KEPT_BELIEFS);
+    private final LineKeeper mViewChanges = new LineKeeper(MAXIMUM_VIEW_CHANGES);
 
     /**
      * Starts with nothing kept.
@@ -61,14 +61,14 @@
     }
 
     @Override
-    public void beliefChanged(BeliefChange change) {
-        keep(mBeliefs, change);
-        mNext.beliefChanged(change);
+    public void viewChanged(ViewChange change) {
+        keep(mViewChanges, change);
+        mNext.viewChanged(change);
     }
 
     @Override
     public void processChanged(ProcessChange change) {
-        keep(mBeliefs, change);
+        keep(mViewChanges, change);
         mNext.processChanged(change);
     }
 
@@ -93,8 +93,8 @@
      * @param most how many at most
      * @return their lines as in the log, oldest first
      */
-    public List<JsonNode> beliefs(int most) {
-        List<TimedLine> lines = mBeliefs.lines();
+    public List<JsonNode> recentViewChanges(int most) {
+        List<TimedLine> lines = mViewChanges.lines();
         return lines.subList(Math.max(0, lines.size() - most), lines.size()).stream()
                 .map(RecentDecisions::document)
                 .toList();
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/StandardOutputLog.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/StandardOutputLog.java
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public void beliefChanged(BeliefChange change) {
+    public void viewChanged(ViewChange change) {
         offer(LineClass.NOTEWORTHY, change);
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/BeliefChange.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/ViewChange.java
@@ -1,14 +1,14 @@
 package io.masticpond.entry.log;
 
 import com.fasterxml.jackson.core.JsonGenerator;
-import io.masticpond.core.crash.CrashBelief;
+import io.masticpond.core.crash.CrashView;
 import io.masticpond.core.id.BackendServerId;
 import io.masticpond.core.id.InstanceId;
 import io.masticpond.core.id.ServiceId;
 import io.masticpond.core.id.ZoneId;
-import io.masticpond.core.serverlimit.LimitBelief;
+import io.masticpond.core.serverlimit.LimitView;
 import io.masticpond.core.statement.StatementPart;
-import io.masticpond.core.statement.WithdrawalBelief;
+import io.masticpond.core.statement.WithdrawalView;
 import java.io.IOException;
 
 /**
@@ -16,7 +16,7 @@
  *
  * @since 0.2
  */
-public sealed interface BeliefChange extends LineContent {
+public sealed interface ViewChange extends LineContent {
 
     /** How a backend server changed. */
     enum ServerState {
@@ -43,7 +43,7 @@
      * @param source where the news came from
      */
     record Routing(long formerVersion, long version, long revision, UpdateSource source)
-            implements BeliefChange {
+            implements ViewChange {
 
         @Override
         public String event() {
@@ -68,7 +68,7 @@
      * @param source where the news came from
      */
     record Registry(int servers, int leaving, int cold, long revision, UpdateSource source)
-            implements BeliefChange {
+            implements ViewChange {
 
         @Override
         public String event() {
@@ -101,7 +101,7 @@
             ServerState state,
             long revision,
             UpdateSource source)
-            implements BeliefChange {
+            implements ViewChange {
 
         @Override
         public String event() {
@@ -126,8 +126,8 @@
      * @param requests how many requests broke off there
      * @param millis how long before the result the first of them did
      */
-    record ServerEnd(BackendServerId server, boolean ended, int requests, long millis)
-            implements BeliefChange {
+    record ServerCheck(BackendServerId server, boolean ended, int requests, long millis)
+            implements ViewChange {
 
         @Override
         public String event() {
@@ -146,9 +146,9 @@
     /**
      * Something else is believed of a request under which servers ended.
      *
-     * @param belief what is believed, and on what grounds
+     * @param view what is believed, and on what grounds
      */
-    record Crashing(CrashBelief belief) implements BeliefChange {
+    record CrashingRequest(CrashView view) implements ViewChange {
 
         @Override
         public String event() {
@@ -157,27 +157,27 @@
 
         @Override
         public void write(JsonGenerator line) throws IOException {
-            line.writeStringField("fingerprint", belief.request().toString());
-            line.writeStringField("state", Words.spell(belief.state()));
-            line.writeNumberField("ends", belief.ends());
-            line.writeNumberField("ownEnds", belief.ownEnds());
-            line.writeNumberField("reporters", belief.reporters());
-            line.writeNumberField("tellers", belief.tellers());
-            if (belief.newestEndAgoNanos() >= 0) {
+            line.writeStringField("fingerprint", view.request().toString());
+            line.writeStringField("state", Words.spell(view.state()));
+            line.writeNumberField("ends", view.ends());
+            line.writeNumberField("ownEnds", view.ownEnds());
+            line.writeNumberField("reporters", view.reporters());
+            line.writeNumberField("tellers", view.tellers());
+            if (view.newestEndAgoNanos() >= 0) {
                 line.writeNumberField(
-                        "newestEndMillis", RequestLine.millis(belief.newestEndAgoNanos()));
+                        "newestEndMillis", RequestLine.millis(view.newestEndAgoNanos()));
             }
-            line.writeNumberField("rejections", belief.rejections());
-            line.writeNumberField("leftMillis", RequestLine.millis(belief.leftNanos()));
+            line.writeNumberField("rejections", view.rejections());
+            line.writeNumberField("leftMillis", RequestLine.millis(view.remainingNanos()));
         }
     }
 
     /**
      * Something else is believed of the limit that a backend server names.
      *
-     * @param belief what is believed, and on what grounds
+     * @param view what is believed, and on what grounds
      */
-    record ServerLimit(LimitBelief belief) implements BeliefChange {
+    record ServerLimit(LimitView view) implements ViewChange {
 
         @Override
         public String event() {
@@ -186,16 +186,16 @@
 
         @Override
         public void write(JsonGenerator line) throws IOException {
-            line.writeStringField("server", belief.server().value());
-            line.writeStringField("service", belief.service().value());
-            line.writeStringField("state", belief.isLimited() ? "limited" : "lifted");
-            if (belief.isLimited()) {
-                line.writeNumberField("perSecond", RequestLine.rounded(belief.perSecond()));
-                line.writeNumberField("senders", belief.senders());
-                line.writeNumberField("ownPerSecond", RequestLine.rounded(belief.ownPerSecond()));
+            line.writeStringField("server", view.server().value());
+            line.writeStringField("service", view.service().value());
+            line.writeStringField("state", view.isLimited() ? "limited" : "lifted");
+            if (view.isLimited()) {
+                line.writeNumberField("perSecond", RequestLine.rounded(view.perSecond()));
+                line.writeNumberField("senders", view.senders());
+                line.writeNumberField("ownPerSecond", RequestLine.rounded(view.ownPerSecond()));
             }
-            line.writeStringField("source", belief.isOwn() ? "answer" : "peer");
-            line.writeNumberField("ageMillis", RequestLine.millis(belief.ageNanos()));
+            line.writeStringField("source", view.isOwn() ? "answer" : "peer");
+            line.writeNumberField("ageMillis", RequestLine.millis(view.ageNanos()));
         }
     }
 
@@ -204,7 +204,7 @@
      *
      * @param server the server
      */
-    record MalformedLimit(BackendServerId server) implements BeliefChange {
+    record MalformedLimit(BackendServerId server) implements ViewChange {
 
         @Override
         public String event() {
@@ -221,9 +221,9 @@
     /**
      * A backend server has withdrawn by its own word, or that holds no more.
      *
-     * @param belief what is believed, and on what grounds
+     * @param view what is believed, and on what grounds
      */
-    record Withdrawal(WithdrawalBelief belief) implements BeliefChange {
+    record Withdrawal(WithdrawalView view) implements ViewChange {
 
         @Override
         public String event() {
@@ -232,14 +232,14 @@
 
         @Override
         public void write(JsonGenerator line) throws IOException {
-            line.writeStringField("server", belief.server().value());
-            line.writeStringField("service", belief.service().value());
-            line.writeStringField("state", Words.spell(belief.state()));
-            if (belief.leftNanos() > 0) {
-                line.writeNumberField("leftMillis", RequestLine.millis(belief.leftNanos()));
+            line.writeStringField("server", view.server().value());
+            line.writeStringField("service", view.service().value());
+            line.writeStringField("state", Words.spell(view.state()));
+            if (view.leftNanos() > 0) {
+                line.writeNumberField("leftMillis", RequestLine.millis(view.leftNanos()));
             }
             line.writeStringField("source", "answer");
-            line.writeNumberField("ageMillis", RequestLine.millis(belief.ageNanos()));
+            line.writeNumberField("ageMillis", RequestLine.millis(view.ageNanos()));
         }
     }
 
@@ -249,7 +249,7 @@
      * @param server the server
      * @param part what it is about
      */
-    record MalformedStatement(BackendServerId server, StatementPart part) implements BeliefChange {
+    record MalformedStatement(BackendServerId server, StatementPart part) implements ViewChange {
 
         @Override
         public String event() {
@@ -273,7 +273,7 @@
      * @param source where the news came from
      */
     record Zone(ZoneId zone, boolean evacuated, long revision, UpdateSource source)
-            implements BeliefChange {
+            implements ViewChange {
 
         @Override
         public String event() {
@@ -297,7 +297,7 @@
      * @param silentMillis how long it had been silent
      */
     record Peer(InstanceId peer, long incarnation, boolean alive, long silentMillis)
-            implements BeliefChange {
+            implements ViewChange {
 
         @Override
         public String event() {
@@ -320,7 +320,7 @@
      * @param silentMillis how long it had not answered
      * @param cause what failed last, from a fixed set of words; null if nothing did
      */
-    record Store(boolean reachable, long silentMillis, String cause) implements BeliefChange {
+    record Store(boolean reachable, long silentMillis, String cause) implements ViewChange {
 
         @Override
         public String event() {
@@ -344,7 +344,7 @@
      * @param ageNanos how old the youngest proof is, or {@link RequestRecord#UNKNOWN}
      * @param revision the revision of the configuration in force
      */
-    record Proof(boolean proven, long ageNanos, long revision) implements BeliefChange {
+    record Proof(boolean proven, long ageNanos, long revision) implements ViewChange {
 
         @Override
         public String event() {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/metrics/CountingLog.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/metrics/CountingLog.java
@@ -1,6 +1,6 @@
 package io.masticpond.entry.metrics;
 
-import io.masticpond.entry.log.BeliefChange;
+import io.masticpond.entry.log.ViewChange;
 import io.masticpond.entry.log.DecisionLog;
 import io.masticpond.entry.log.ProcessChange;
 import io.masticpond.entry.log.RequestRecord;
@@ -29,8 +29,8 @@
     }
 
     @Override
-    public void beliefChanged(BeliefChange change) {
-        mNext.beliefChanged(change);
+    public void viewChanged(ViewChange change) {
+        mNext.viewChanged(change);
     }
 
     @Override
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/CategoryCopy.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/CategoryCopy.java
@@ -32,7 +32,7 @@
     private final Map<String, Told> mReturned = new HashMap<>();
 
     private boolean mReturning;
-    private boolean mDoubting;
+    private boolean mUncertain;
     private boolean mListed;
     private long mRevision;
     private long mContentRevision;
@@ -109,7 +109,7 @@
         }
         if (mListed && StoreRevision.isOfEarlierEra(mRevision, revision)) {
             mReturning = true;
-            mDoubting = true;
+            mUncertain = true;
         }
         Set<String> names = new HashSet<>();
         for (Told told : documents) {
@@ -140,7 +140,7 @@
     /** Tells whether a document was deleted in an earlier era than that of which it is listed. */
     private boolean isReturned(StoredDocument document) {
         Tombstone tombstone = mTombstones.get(document.name());
-        return mDoubting
+        return mUncertain
                 && tombstone != null
                 && !document.deleted()
                 && StoreRevision.isOfEarlierEra(tombstone.revision(), document.revision());
@@ -192,7 +192,7 @@
      * @param nowNanos the monotonic time
      */
     void believeReturned(long nowNanos) {
-        mDoubting = false;
+        mUncertain = false;
         List.copyOf(mReturned.values()).forEach(told -> apply(told, mRevision, nowNanos));
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayService.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayService.java
@@ -121,11 +121,11 @@
         return mCodec.category(name)
                 .map(mCopies::get)
                 .filter(CategoryCopy::isListed)
-                .filter(copy -> !isInDoubt(copy));
+                .filter(copy -> !isUncertain(copy));
     }
 
     /** An entry that may come back must not be told of as gone. */
-    private boolean isInDoubt(CategoryCopy copy) {
+    private boolean isUncertain(CategoryCopy copy) {
         return copy.category() == Category.BACKEND_SERVERS && mServers.unconfirmed() > 0;
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/BrokenOffRequests.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/BrokenOffRequests.java
@@ -6,7 +6,7 @@
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.entry.backend.BackendConnections;
 import io.masticpond.entry.backend.ServerReach;
-import io.masticpond.entry.log.BeliefChange;
+import io.masticpond.entry.log.ViewChange;
 import io.masticpond.entry.log.DecisionLog;
 import io.netty.channel.EventLoop;
 import java.util.ArrayList;
@@ -88,8 +88,8 @@
         List<Request> requests = mUnderCheck.remove(server.id());
         boolean ended = reach == ServerReach.REFUSED;
         long sinceNanos = mTimeSource.monotonicNanos() - requests.get(0).endedNanos();
-        mLog.beliefChanged(
-                new BeliefChange.ServerEnd(
+        mLog.viewChanged(
+                new ViewChange.ServerCheck(
                         server.id(),
                         ended,
                         requests.size(),
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/CrashGuard.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/CrashGuard.java
@@ -1,6 +1,6 @@
 package io.masticpond.entry.request;
 
-import io.masticpond.core.crash.CrashBelief;
+import io.masticpond.core.crash.CrashView;
 import io.masticpond.core.crash.CrashMessage;
 import io.masticpond.core.crash.CrashOutput;
 import io.masticpond.core.crash.CrashSettings;
@@ -12,7 +12,7 @@
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.entry.backend.BackendConnections;
 import io.masticpond.entry.http.IncomingRequest;
-import io.masticpond.entry.log.BeliefChange;
+import io.masticpond.entry.log.ViewChange;
 import io.masticpond.entry.log.DecisionLog;
 import io.netty.channel.EventLoop;
 import java.util.List;
@@ -100,8 +100,8 @@
      *
      * @return the beliefs, the rejected ones first
      */
-    public List<CrashBelief> beliefs() {
-        return mRequests.beliefs(now());
+    public List<CrashView> views() {
+        return mRequests.views(now());
     }
 
     /**
@@ -175,9 +175,9 @@
         }
 
         @Override
-        public void changed(CrashBelief belief) {
-            mLog.beliefChanged(new BeliefChange.Crashing(belief));
-            if (belief.state() == CrashBelief.State.REJECTED) {
+        public void viewChanged(CrashView belief) {
+            mLog.viewChanged(new ViewChange.CrashingRequest(belief));
+            if (belief.state() == CrashView.State.REJECTED) {
                 mWhenRejected.accept(belief.request());
             }
         }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestEnd.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestCompletion.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 
 /** Words the one answer that a request ends with, and notes it among the facts of the request. */
-final class RequestEnd {
+final class RequestCompletion {
 
     private static final int BAD_GATEWAY = 502;
     private static final int GATEWAY_TIMEOUT = 504;
@@ -15,14 +15,14 @@
     private final RequestRecord mFacts;
     private final String mRequestId;
 
-    RequestEnd(EntryAnswers answers, RequestRecord facts, String requestId) {
+    RequestCompletion(EntryAnswers answers, RequestRecord facts, String requestId) {
         mAnswers = answers;
         mFacts = facts;
         mRequestId = requestId;
     }
 
     /** The backend server's answer, as it is. */
-    OutgoingAnswer passedOn(BackendAnswer answer, long nowNanos) {
+    OutgoingAnswer forwarded(BackendAnswer answer, long nowNanos) {
         mFacts.answered(answer.status(), nowNanos);
         return new OutgoingAnswer(answer.status(), answer.headers(), answer.body());
     }
@@ -41,7 +41,7 @@
     }
 
     /** An end without promise. */
-    OutgoingAnswer inDoubt(String cause, boolean late, long nowNanos) {
+    OutgoingAnswer uncertain(String cause, boolean late, long nowNanos) {
         int status = late ? GATEWAY_TIMEOUT : BAD_GATEWAY;
         mFacts.gaveUp(cause, status, nowNanos);
         return mAnswers.plain(status, mRequestId, "The request may have run: " + cause + ".");
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestFlow.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestFlow.java
@@ -269,7 +269,7 @@
             Rejection rejection) {
         request.body().release();
         String id = request.headers().get(mNames.requestId());
-        responder.answer(new RequestEnd(mAnswers, facts, id).notRun(rejection, nowNanos()));
+        responder.answer(new RequestCompletion(mAnswers, facts, id).notRun(rejection, nowNanos()));
         mLog.requestEnded(facts);
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestRun.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestRun.java
@@ -47,7 +47,7 @@
     private final String mRequestId;
     private final ForwardedHeaders mHeaders;
     private final ServerSearch mSearch;
-    private final RequestEnd mEnd;
+    private final RequestCompletion mEnd;
     private final CrashCheck mCrashCheck;
 
     /** Null where spending has no cap. */
@@ -87,7 +87,7 @@
         facts.key(key);
         mSearch = new ServerSearch(flow, facts, mRoute, service, key);
         mCrashCheck = new CrashCheck(flow.crashes(), request, facts);
-        mEnd = new RequestEnd(flow.answers(), facts, mRequestId);
+        mEnd = new RequestCompletion(flow.answers(), facts, mRequestId);
         mPayment = AttemptPayment.of(flow.spending(), facts, service);
     }
 
@@ -186,7 +186,7 @@
             answer.body().release();
             takeBack();
             mFacts.attemptEnded(AttemptResult.TURNED_AWAY, answer.status(), now);
-            turnedAway(server, answer.status(), statement, now);
+            rejectedByServer(server, answer.status(), statement, now);
             return;
         }
         if (answer.isSuccess() && !answer.headers().contains(mFlow.names().seal())) {
@@ -213,10 +213,10 @@
             retry();
             return;
         }
-        respond(mEnd.passedOn(answer, now));
+        respond(mEnd.forwarded(answer, now));
     }
 
-    private void turnedAway(ServerLoad server, int status, ServerStatement told, long now) {
+    private void rejectedByServer(ServerLoad server, int status, ServerStatement told, long now) {
         if (status == MISDIRECTED) {
             mFlow.placer().misdirected(server, now);
         } else if (!told.isWithdrawing()) {
@@ -364,7 +364,7 @@
             return;
         }
         long now = mFlow.nowNanos();
-        respond(mEnd.inDoubt(cause, mTimes.leftNanos(now) <= 0, now));
+        respond(mEnd.uncertain(cause, mTimes.leftNanos(now) <= 0, now));
     }
 
     private void refuse(String cause) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerLimitGate.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerLimitGate.java
@@ -6,7 +6,7 @@
 import io.masticpond.core.limit.OwnerCandidate;
 import io.masticpond.core.placement.ServerLoad;
 import io.masticpond.core.placement.ServerTable;
-import io.masticpond.core.serverlimit.LimitBelief;
+import io.masticpond.core.serverlimit.LimitView;
 import io.masticpond.core.serverlimit.LimitHeader;
 import io.masticpond.core.serverlimit.LimitOutput;
 import io.masticpond.core.serverlimit.LimitReport;
@@ -15,7 +15,7 @@
 import io.masticpond.core.support.Assert;
 import io.masticpond.core.time.Moment;
 import io.masticpond.core.time.TimeSource;
-import io.masticpond.entry.log.BeliefChange;
+import io.masticpond.entry.log.ViewChange;
 import io.masticpond.entry.log.DecisionLog;
 import java.util.ArrayList;
 import java.util.List;
@@ -129,8 +129,8 @@
      *
      * @return the beliefs
      */
-    public List<LimitBelief> beliefs() {
-        return mLimits.beliefs(now());
+    public List<LimitView> views() {
+        return mLimits.views(now());
     }
 
     /**
@@ -188,8 +188,8 @@
     private final class Output implements LimitOutput {
 
         @Override
-        public void changed(LimitBelief belief) {
-            mLog.beliefChanged(new BeliefChange.ServerLimit(belief));
+        public void changed(LimitView belief) {
+            mLog.viewChanged(new ViewChange.ServerLimit(belief));
         }
 
         @Override
@@ -199,7 +199,7 @@
 
         @Override
         public void malformed(BackendServerId server) {
-            mLog.beliefChanged(new BeliefChange.MalformedLimit(server));
+            mLog.viewChanged(new ViewChange.MalformedLimit(server));
         }
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerStatements.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerStatements.java
@@ -7,12 +7,12 @@
 import io.masticpond.core.statement.ServerStatement;
 import io.masticpond.core.statement.ServerWithdrawals;
 import io.masticpond.core.statement.StatementPart;
-import io.masticpond.core.statement.WithdrawalBelief;
+import io.masticpond.core.statement.WithdrawalView;
 import io.masticpond.core.statement.WithdrawalOutput;
 import io.masticpond.core.statement.WithdrawalSettings;
 import io.masticpond.core.support.Assert;
 import io.masticpond.core.time.TimeSource;
-import io.masticpond.entry.log.BeliefChange;
+import io.masticpond.entry.log.ViewChange;
 import io.masticpond.entry.log.DecisionLog;
 import io.masticpond.entry.log.Exclusion;
 import io.masticpond.entry.settings.HeaderNames;
@@ -77,8 +77,8 @@
      *
      * @return the beliefs
      */
-    public List<WithdrawalBelief> withdrawals() {
-        return mWithdrawals.beliefs(mTimeSource.monotonicNanos());
+    public List<WithdrawalView> withdrawals() {
+        return mWithdrawals.views(mTimeSource.monotonicNanos());
     }
 
     /**
@@ -151,13 +151,13 @@
     private record Output(DecisionLog log) implements WithdrawalOutput {
 
         @Override
-        public void changed(WithdrawalBelief belief) {
-            log.beliefChanged(new BeliefChange.Withdrawal(belief));
+        public void changed(WithdrawalView belief) {
+            log.viewChanged(new ViewChange.Withdrawal(belief));
         }
 
         @Override
         public void malformed(BackendServerId server, StatementPart part) {
-            log.beliefChanged(new BeliefChange.MalformedStatement(server, part));
+            log.viewChanged(new ViewChange.MalformedStatement(server, part));
         }
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryFigures.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryFigures.java
@@ -1,14 +1,14 @@
 package io.masticpond.entry.wiring;
 
-import io.masticpond.core.crash.CrashBelief;
+import io.masticpond.core.crash.CrashView;
 import io.masticpond.core.fleet.FleetSnapshot;
 import io.masticpond.core.fleet.RegisteredServer;
 import io.masticpond.core.fleet.StoreRevision;
 import io.masticpond.core.limit.RetryBudgetUse;
 import io.masticpond.core.routing.RoutingConfiguration;
-import io.masticpond.core.serverlimit.LimitBelief;
+import io.masticpond.core.serverlimit.LimitView;
 import io.masticpond.core.spending.SpendingView;
-import io.masticpond.core.statement.WithdrawalBelief;
+import io.masticpond.core.statement.WithdrawalView;
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.entry.backend.ConnectionCounts;
 import io.masticpond.entry.backend.NettyBackendConnections;
@@ -85,10 +85,10 @@
         static final Limits NONE = new Limits(0, 0, 0);
 
         static Limits of(ServerLimitGate gate) {
-            List<LimitBelief> beliefs = gate.beliefs();
+            List<LimitView> beliefs = gate.views();
             return new Limits(
-                    beliefs.stream().filter(LimitBelief::isLimited).count(),
-                    beliefs.stream().mapToDouble(LimitBelief::ownPerSecond).sum(),
+                    beliefs.stream().filter(LimitView::isLimited).count(),
+                    beliefs.stream().mapToDouble(LimitView::ownPerSecond).sum(),
                     gate.malformed());
         }
     }
@@ -99,10 +99,10 @@
         static final Withdrawals NONE = new Withdrawals(0, 0, 0);
 
         static Withdrawals of(ServerStatements statements) {
-            List<WithdrawalBelief> beliefs = statements.withdrawals();
+            List<WithdrawalView> beliefs = statements.withdrawals();
             long paused =
                     beliefs.stream()
-                            .filter(each -> each.state() == WithdrawalBelief.State.PAUSED)
+                            .filter(each -> each.state() == WithdrawalView.State.PAUSED)
                             .count();
             return new Withdrawals(beliefs.size() - paused, paused, statements.malformed());
         }
@@ -148,7 +148,7 @@
 
     /** Reads what the traffic thread owns, on that thread. */
     void readTraffic() {
-        List<CrashBelief> crashes = mFlow.crashes().beliefs();
+        List<CrashView> crashes = mFlow.crashes().views();
         mTraffic =
                 new Traffic(
                         mFlow.open(),
@@ -159,7 +159,7 @@
                         mFlow.placer().shared().heardCount(),
                         mFlow.crashes().ends(),
                         crashes.size(),
-                        crashes.stream().filter(each -> each.leftNanos() > 0).count(),
+                        crashes.stream().filter(each -> each.remainingNanos() > 0).count(),
                         List.copyOf(mLimits.budgets(mTimeSource.monotonicNanos()).values()),
                         mFlow.spending().map(SpendingCheck::views),
                         Keys.of(mFlow.authenticator()),
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoggingPeerListener.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoggingPeerListener.java
@@ -2,7 +2,7 @@
 
 import io.masticpond.core.id.InstanceId;
 import io.masticpond.core.time.TimeSource;
-import io.masticpond.entry.log.BeliefChange;
+import io.masticpond.entry.log.ViewChange;
 import io.masticpond.entry.log.DecisionLog;
 import io.masticpond.entry.log.RequestRecord;
 import io.masticpond.entry.peer.PeerInstance;
@@ -30,13 +30,13 @@
                 lost == null
                         ? 0
                         : TimeUnit.NANOSECONDS.toMillis(mTimeSource.monotonicNanos() - lost);
-        mLog.beliefChanged(
-                new BeliefChange.Peer(instance.id(), instance.incarnation(), true, silent));
+        mLog.viewChanged(
+                new ViewChange.Peer(instance.id(), instance.incarnation(), true, silent));
     }
 
     @Override
     public void lost(InstanceId id, boolean planned) {
         mLostNanos.put(id, mTimeSource.monotonicNanos());
-        mLog.beliefChanged(new BeliefChange.Peer(id, RequestRecord.UNKNOWN, false, 0));
+        mLog.viewChanged(new ViewChange.Peer(id, RequestRecord.UNKNOWN, false, 0));
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoggingStoreListener.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoggingStoreListener.java
@@ -1,6 +1,6 @@
 package io.masticpond.entry.wiring;
 
-import io.masticpond.entry.log.BeliefChange;
+import io.masticpond.entry.log.ViewChange;
 import io.masticpond.entry.log.DecisionLog;
 import io.masticpond.entry.replica.StoreListener;
 import java.time.Duration;
@@ -16,11 +16,11 @@
 
     @Override
     public void storeLost() {
-        mLog.beliefChanged(new BeliefChange.Store(false, 0, null));
+        mLog.viewChanged(new ViewChange.Store(false, 0, null));
     }
 
     @Override
     public void storeRegained(Duration outage) {
-        mLog.beliefChanged(new BeliefChange.Store(true, outage.toMillis(), null));
+        mLog.viewChanged(new ViewChange.Store(true, outage.toMillis(), null));
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ProofSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ProofSharing.java
@@ -4,7 +4,7 @@
 import io.masticpond.core.freshness.FreshnessProof;
 import io.masticpond.core.time.Moment;
 import io.masticpond.core.time.TimeSource;
-import io.masticpond.entry.log.BeliefChange;
+import io.masticpond.entry.log.ViewChange;
 import io.masticpond.entry.log.DecisionLog;
 import io.masticpond.entry.log.RequestRecord;
 import io.masticpond.entry.peer.HeartbeatDuty;
@@ -202,7 +202,7 @@
         boolean isProven = proof != null && age <= mLimitNanos;
         if (isProven != mProven) {
             mProven = isProven;
-            mLog.beliefChanged(new BeliefChange.Proof(isProven, age, mReader.revisionInForce()));
+            mLog.viewChanged(new ViewChange.Proof(isProven, age, mReader.revisionInForce()));
         }
     }
 
--- a/masticpond-entry/src/test/java/io/masticpond/entry/log/FleetSnapshotLogTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/log/FleetSnapshotLogTest.java
@@ -25,7 +25,7 @@
 
     private static final ZoneId ZONE = new ZoneId("z1");
 
-    private final List<BeliefChange> mChanges = new ArrayList<>();
+    private final List<ViewChange> mChanges = new ArrayList<>();
     private final FleetSnapshotLog mLog =
             new FleetSnapshotLog(
                     new DecisionLog() {
@@ -36,7 +36,7 @@
                         public void requestRetried(RequestRecord request) {}
 
                         @Override
-                        public void beliefChanged(BeliefChange change) {
+                        public void viewChanged(ViewChange change) {
                             mChanges.add(change);
                         }
 
@@ -52,8 +52,8 @@
                 0);
         assertThat(mChanges)
                 .containsExactly(
-                        new BeliefChange.Routing(RequestRecord.UNKNOWN, 1, 3, UpdateSource.PEER),
-                        new BeliefChange.Registry(2, 1, 1, 3, UpdateSource.PEER));
+                        new ViewChange.Routing(RequestRecord.UNKNOWN, 1, 3, UpdateSource.PEER),
+                        new ViewChange.Registry(2, 1, 1, 3, UpdateSource.PEER));
     }
 
     @Example
@@ -84,14 +84,14 @@
                 .containsExactly("b1 WARM", "evacuated false");
     }
 
-    private static String brief(BeliefChange change) {
-        if (change instanceof BeliefChange.Server server) {
+    private static String brief(ViewChange change) {
+        if (change instanceof ViewChange.Server server) {
             return server.server() + " " + server.state();
         }
-        if (change instanceof BeliefChange.Zone zone) {
+        if (change instanceof ViewChange.Zone zone) {
             return "evacuated " + zone.evacuated();
         }
-        if (change instanceof BeliefChange.Routing routing) {
+        if (change instanceof ViewChange.Routing routing) {
             return routing.formerVersion() + " to " + routing.version();
         }
         return change.toString();
--- a/masticpond-entry/src/test/java/io/masticpond/entry/log/RecentDecisionsTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/log/RecentDecisionsTest.java
@@ -43,7 +43,7 @@
         RequestRecord refused = new RequestRecord("refused", 0);
         refused.refused("overload", 503, 100, 0);
         mDecisions.requestEnded(refused);
-        mDecisions.beliefChanged(new BeliefChange.Store(false, 0, null));
+        mDecisions.viewChanged(new ViewChange.Store(false, 0, null));
         for (int index = 0; index < MANY; index++) {
             RequestRecord plain = new RequestRecord("plain" + index, 0);
             plain.answered(200, 0);
@@ -53,7 +53,7 @@
         assertThat(mDecisions.ofRequest("plain" + (MANY - 1))).hasSize(1);
         assertThat(mDecisions.ofRequest("plain0")).isEmpty();
         assertThat(mDecisions.forgotten()).isPositive();
-        assertThat(mDecisions.beliefs(1))
+        assertThat(mDecisions.recentViewChanges(1))
                 .singleElement()
                 .matches(line -> line.path("event").asText().equals("store"));
     }
@@ -61,12 +61,12 @@
     @Example
     void theNewestBeliefsAreGiven() {
         for (int index = 0; index < 3; index++) {
-            mDecisions.beliefChanged(
-                    new BeliefChange.Zone(new ZoneId("z" + index), true, 1, UpdateSource.STORE));
+            mDecisions.viewChanged(
+                    new ViewChange.Zone(new ZoneId("z" + index), true, 1, UpdateSource.STORE));
         }
-        assertThat(mDecisions.beliefs(2))
+        assertThat(mDecisions.recentViewChanges(2))
                 .extracting(line -> line.path("zone").asText())
                 .containsExactly("z1", "z2");
-        assertThat(mDecisions.beliefs(0)).isEmpty();
+        assertThat(mDecisions.recentViewChanges(0)).isEmpty();
     }
 }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/log/RequestLineTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/log/RequestLineTest.java
@@ -163,7 +163,7 @@
     @Example
     void aLineThatCannotBeEncodedLeavesTheOthersWhole() {
         write(answered("r1"));
-        mBatch.add(0, new BeliefChange.Routing(1, 2, 3, null));
+        mBatch.add(0, new ViewChange.Routing(1, 2, 3, null));
         write(answered("r2"));
         assertThat(mOutput.lines().stream().map(line -> line.path("id").asText()))
                 .containsExactly("r1", "r2");
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/CrashingRequestFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/CrashingRequestFlowTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.masticpond.core.crash.CrashBelief;
+import io.masticpond.core.crash.CrashView;
 import io.masticpond.core.crash.CrashMessage;
 import io.masticpond.core.crash.RequestFingerprint;
 import io.masticpond.core.request.Verdict;
@@ -78,7 +78,7 @@
         JsonNode line = mDecisions.ofRequest("one").get(mDecisions.ofRequest("one").size() - 1);
         assertThat(line.path("cause").asText()).isEqualTo("ends-servers");
         assertThat(line.path("fingerprint").asText())
-                .isEqualTo(flow.crashes().beliefs().get(0).request().toString());
+                .isEqualTo(flow.crashes().views().get(0).request().toString());
     }
 
     @Example
@@ -112,7 +112,7 @@
                 breakOff(reach);
                 breakOff(reach);
             }
-            assertThat(flow.crashes().beliefs()).isEmpty();
+            assertThat(flow.crashes().views()).isEmpty();
             assertThat(flow.crashes().ends()).isZero();
         }
     }
@@ -159,16 +159,16 @@
     void answerClearsWhatWasThereByChance() {
         RequestFlow flow = flow(true, 2);
         crash(flow, 1);
-        assertThat(flow.crashes().beliefs().get(0).ends()).isEqualTo(2);
+        assertThat(flow.crashes().views().get(0).ends()).isEqualTo(2);
         passTime(Duration.ofSeconds(1));
         ask(flow);
         mConnections.last().answer(200, "Seal", "s");
-        assertThat(flow.crashes().beliefs().get(0).ends()).isZero();
+        assertThat(flow.crashes().views().get(0).ends()).isZero();
         crash(flow, 1);
         passTime(Duration.ofSeconds(2));
         ask(flow);
         assertThat(mConnections.last().mCancelled).isFalse();
-        assertThat(flow.crashes().beliefs().get(0).state()).isEqualTo(CrashBelief.State.SUSPECTED);
+        assertThat(flow.crashes().views().get(0).state()).isEqualTo(CrashView.State.SUSPECTED);
     }
 
     @Example
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/ServerLimitFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/ServerLimitFlowTest.java
@@ -11,7 +11,7 @@
 import io.masticpond.core.limit.OwnerCandidate;
 import io.masticpond.core.placement.PriorityLoadGate;
 import io.masticpond.core.request.Verdict;
-import io.masticpond.core.serverlimit.LimitBelief;
+import io.masticpond.core.serverlimit.LimitView;
 import io.masticpond.core.serverlimit.LimitReport;
 import io.masticpond.core.support.HashMixer;
 import io.masticpond.entry.backend.CallFailure;
@@ -139,7 +139,7 @@
             } else {
                 mConnections.last().answer(status, "Limit", "0.5", "Not-Run", "1");
             }
-            assertThat(flow.statements().limits().beliefs())
+            assertThat(flow.statements().limits().views())
                     .as("status %d", status)
                     .anyMatch(belief -> belief.isLimited() && belief.perSecond() == 0.5);
             passTime(Duration.ofSeconds(3));
@@ -167,9 +167,9 @@
         assertThat(only(flow).isLimited()).isFalse();
     }
 
-    private static LimitBelief only(RequestFlow flow) {
-        assertThat(flow.statements().limits().beliefs()).hasSize(1);
-        return flow.statements().limits().beliefs().get(0);
+    private static LimitView only(RequestFlow flow) {
+        assertThat(flow.statements().limits().views()).hasSize(1);
+        return flow.statements().limits().views().get(0);
     }
 
     @Example
@@ -177,7 +177,7 @@
         RequestFlow flow = settled(true);
         ask(flow, "k");
         mConnections.last().answer(200, "Seal", "s", "Limit", "NaN");
-        assertThat(flow.statements().limits().beliefs()).isEmpty();
+        assertThat(flow.statements().limits().views()).isEmpty();
         ask(flow, "k");
         mConnections.last().answer(200, "Seal", "s", "Limit", "2");
         passTime(Duration.ofSeconds(1));
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/ServerWithdrawalFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/ServerWithdrawalFlowTest.java
@@ -175,7 +175,7 @@
         RequestFlow flow = flow(true, 2);
         hear(flow, 421, "Leaving", "1", "Limit", "0", "Not-Run", "1");
         assertThat(flow.statements().withdrawals()).isEmpty();
-        assertThat(flow.statements().limits().beliefs()).isEmpty();
+        assertThat(flow.statements().limits().views()).isEmpty();
     }
 
     @Example
@@ -226,7 +226,7 @@
             mConnections.last().answer(503, "Leaving", "soon", "Retry-After", "soon");
         }
         assertThat(flow.statements().malformed()).isEqualTo(10);
-        assertThat(mDecisions.beliefs(100))
+        assertThat(mDecisions.recentViewChanges(100))
                 .extracting(line -> line.path("part").asText())
                 .containsExactlyInAnyOrder("leaving", "pause");
     }
