--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationAudience.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationDistribution.java
@@ -24,15 +24,15 @@
  * @param zone its availability zone
  * @since 0.1
  */
-public record ConfigurationAudience(InstanceId self, ZoneId zone) {
+public record ConfigurationDistribution(InstanceId self, ZoneId zone) {
 
     /** How many instances of an availability zone watch the platform. */
-    public static final int WATCHING_PER_ZONE = 2;
+    public static final int WATCHERS_PER_ZONE = 2;
 
     private static final String KEY = "configuration-watch";
 
     /** Checks the parts. */
-    public ConfigurationAudience {
+    public ConfigurationDistribution {
         Assert.notNull(self, "An instance id");
         Assert.notNull(zone, "An availability zone id");
     }
@@ -43,8 +43,8 @@
      * @param members the other instances as this one sees them
      * @return whether it does
      */
-    public boolean watches(Collection<Member> members) {
-        return watching(zone, members).contains(self);
+    public boolean isWatcher(Collection<Member> members) {
+        return watchers(zone, members).contains(self);
     }
 
     /**
@@ -54,7 +54,7 @@
      * @param version the new version; who is known to have it is not told
      * @return the instances, those of other availability zones last
      */
-    public List<InstanceId> toTell(Collection<Member> members, ConfigurationVersion version) {
+    public List<InstanceId> recipients(Collection<Member> members, ConfigurationVersion version) {
         List<InstanceId> told = new ArrayList<>();
         for (Member member : members) {
             if (member.zone().equals(zone) && lacks(member, version)) {
@@ -65,7 +65,7 @@
         for (Member member : members) {
             if (!member.zone().equals(zone)
                     && lacks(member, version)
-                    && watching.computeIfAbsent(member.zone(), each -> watching(each, members))
+                    && watching.computeIfAbsent(member.zone(), each -> watchers(each, members))
                             .contains(member.id())) {
                 told.add(member.id());
             }
@@ -79,7 +79,7 @@
                 && version.isAfter(member.configuration());
     }
 
-    private List<InstanceId> watching(ZoneId ofZone, Collection<Member> members) {
+    private List<InstanceId> watchers(ZoneId ofZone, Collection<Member> members) {
         TreeSet<InstanceId> candidates = new TreeSet<>();
         for (Member member : members) {
             if (member.zone().equals(ofZone) && member.state().admits()) {
@@ -90,7 +90,7 @@
             candidates.add(self);
         }
         return Rendezvous.order(KEY + "/" + ofZone, candidates).stream()
-                .limit(WATCHING_PER_ZONE)
+                .limit(WATCHERS_PER_ZONE)
                 .toList();
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashMessage.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashMessage.java
@@ -25,11 +25,11 @@
      * @param sentAgoNanos how long ago the request was sent to it
      * @param endedAgoNanos how long ago the send ended without an answer, at most as long
      */
-    record End(RequestFingerprint request, long serverHash, long sentAgoNanos, long endedAgoNanos)
+    record ServerEnd(RequestFingerprint request, long serverHash, long sentAgoNanos, long endedAgoNanos)
             implements CrashMessage {
 
         /** Checks the times. */
-        public End {
+        public ServerEnd {
             Assert.isTrue(endedAgoNanos >= 0, "An end lies in the past.");
             Assert.isTrue(sentAgoNanos >= endedAgoNanos, "A request is sent before it ends.");
         }
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashOutput.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashOutput.java
@@ -12,14 +12,14 @@
      *
      * @param message the message
      */
-    void tellKeepers(CrashMessage message);
+    void sendToAggregators(CrashMessage message);
 
     /**
      * Tells all instances.
      *
      * @param message the message
      */
-    void tellAll(CrashMessage message);
+    void sendToAll(CrashMessage message);
 
     /**
      * Hears that something else is believed of a request.
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashSuspect.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashSuspect.java
@@ -23,7 +23,7 @@
     private static final int REQUIRED_REPORTERS = 2;
 
     /** A conclusion and when it was heard. */
-    private record Word(CrashMessage.Verdict verdict, long heardNanos) {
+    private record ReceivedVerdict(CrashMessage.Verdict verdict, long receivedNanos) {
 
         boolean isRejection() {
             return verdict.rejections() > 0;
@@ -31,8 +31,8 @@
     }
 
     private final RequestFingerprint mRequest;
-    private final EndMarks mMarks = new EndMarks();
-    private final Map<String, Word> mTold = new HashMap<>();
+    private final ServerEndHistory mServerEnds = new ServerEndHistory();
+    private final Map<String, ReceivedVerdict> mVerdicts = new HashMap<>();
 
     private boolean mIsSuspected;
     private long mSuspectedNanos;
@@ -56,42 +56,42 @@
         return mRequest;
     }
 
-    EndMarks marks() {
-        return mMarks;
+    ServerEndHistory serverEnds() {
+        return mServerEnds;
     }
 
     /** Takes what another instance concluded; only its newest word counts. */
-    void told(String teller, CrashMessage.Verdict verdict, long nowNanos) {
-        if (mTold.size() < MOST_TELLERS || mTold.containsKey(teller)) {
-            mTold.put(teller, new Word(verdict, nowNanos));
+    void addVerdict(String teller, CrashMessage.Verdict verdict, long nowNanos) {
+        if (mVerdicts.size() < MOST_TELLERS || mVerdicts.containsKey(teller)) {
+            mVerdicts.put(teller, new ReceivedVerdict(verdict, nowNanos));
         }
     }
 
     /** Forgets what others suspected a while ago; who still does says so with the next end. */
     void forgetSuspicions(long nowNanos) {
-        mTold.values()
+        mVerdicts.values()
                 .removeIf(
                         word ->
                                 !word.isRejection()
-                                        && nowNanos - word.heardNanos > SUSPICION_NANOS);
+                                        && nowNanos - word.receivedNanos > SUSPICION_NANOS);
     }
 
     /** Counts the ends in a row that are believed: by own marks, or as others concluded. */
     int ends() {
-        return Math.max(seenEnds(), toldEnds());
+        return Math.max(seenEnds(), reportedEnds());
     }
 
     /** Counts the ends in a row that the reports which came here show. */
     int seenEnds() {
-        return mMarks.consecutive(mRejections > 0 ? 1 : REQUIRED_REPORTERS);
+        return mServerEnds.consecutive(mRejections > 0 ? 1 : REQUIRED_REPORTERS);
     }
 
-    private int toldEnds() {
-        int needed = mMarks.own() > 0 || mRejections > 0 ? 1 : REQUIRED_REPORTERS;
-        if (mTold.size() < needed) {
+    private int reportedEnds() {
+        int needed = mServerEnds.own() > 0 || mRejections > 0 ? 1 : REQUIRED_REPORTERS;
+        if (mVerdicts.size() < needed) {
             return 0;
         }
-        return mTold.values().stream()
+        return mVerdicts.values().stream()
                 .map(word -> word.verdict().ends())
                 .sorted((one, other) -> other - one)
                 .skip(needed - 1L)
@@ -100,30 +100,30 @@
     }
 
     /** Gives how often it was rejected before, as far as is believed. */
-    int toldRejections() {
-        return mTold.values().stream()
+    int reportedRejections() {
+        return mVerdicts.values().stream()
                 .mapToInt(word -> word.verdict().rejections())
                 .max()
                 .orElse(0);
     }
 
     /** Gives how long ago the newest conclusion of the others was made, when it was told. */
-    long toldAgoNanos() {
-        return mTold.values().stream()
-                .filter(Word::isRejection)
+    long reportedAgoNanos() {
+        return mVerdicts.values().stream()
+                .filter(ReceivedVerdict::isRejection)
                 .mapToLong(word -> word.verdict().agoNanos())
                 .min()
                 .orElse(0);
     }
 
-    int tellers() {
-        return mTold.size();
+    int verdictReporters() {
+        return mVerdicts.size();
     }
 
     /** Tells whether anybody rejects it, as far as is believed. */
-    boolean isToldRejected() {
-        long tellers = mTold.values().stream().filter(Word::isRejection).count();
-        return tellers >= (mRejections > 0 || mMarks.own() > 0 ? 1 : REQUIRED_REPORTERS);
+    boolean isReportedRejected() {
+        long tellers = mVerdicts.values().stream().filter(ReceivedVerdict::isRejection).count();
+        return tellers >= (mRejections > 0 || mServerEnds.own() > 0 ? 1 : REQUIRED_REPORTERS);
     }
 
     /** Notes whether it is suspected; the time since which it is without a break counts. */
@@ -143,8 +143,8 @@
         mIsSuspected = false;
         mIsRejected = false;
         mAnnounced = 0;
-        mMarks.forgetBefore(beforeNanos);
-        mTold.clear();
+        mServerEnds.forgetBefore(beforeNanos);
+        mVerdicts.clear();
     }
 
     /** Forgets all that was found out before now. */
@@ -161,8 +161,8 @@
     }
 
     /** Tells whether dropping it loses least: nothing is decided, and nobody here saw an end. */
-    boolean isHearsay() {
-        return !mIsRejected && mMarks.own() == 0;
+    boolean isUnconfirmed() {
+        return !mIsRejected && mServerEnds.own() == 0;
     }
 
     /** Tells what is believed of it now. */
@@ -182,10 +182,10 @@
                 mRequest,
                 state,
                 ends(),
-                mMarks.own(),
-                mMarks.reporters(),
-                tellers(),
-                mMarks.newestAgoNanos(nowNanos),
+                mServerEnds.own(),
+                mServerEnds.reporters(),
+                verdictReporters(),
+                mServerEnds.newestAgoNanos(nowNanos),
                 mRejections,
                 mIsRejected ? mHeldUntilNanos - nowNanos : 0);
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashSuspects.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashSuspects.java
@@ -45,7 +45,7 @@
     }
 
     /** Puts a request behind the others. */
-    void toTheEnd(CrashSuspect suspect) {
+    void moveToEnd(CrashSuspect suspect) {
         mSuspects.remove(suspect.request());
         mSuspects.put(suspect.request(), suspect);
     }
@@ -68,7 +68,7 @@
                 Comparator.comparingLong(suspect -> suspect.mTouchedNanos - nowNanos);
         all.stream()
                 .min(
-                        Comparator.comparing((CrashSuspect each) -> !each.isHearsay())
+                        Comparator.comparing((CrashSuspect each) -> !each.isUnconfirmed())
                                 .thenComparing(each -> each.mIsRejected)
                                 .thenComparing(oldest))
                 .ifPresent(suspect -> remove(suspect.request()));
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashView.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashView.java
@@ -8,7 +8,7 @@
  * @param ends how many servers ended one after the other under it, as far as is believed
  * @param ownEnds how many ends this instance saw itself
  * @param reporters how many instances reported ends, this one included
- * @param tellers how many other instances came to the same conclusion
+ * @param verdictReporters how many other instances came to the same conclusion
  * @param newestEndAgoNanos how long ago the newest end was, -1 if none is known here
  * @param rejections how often it was rejected
  * @param remainingNanos for how long it is rejected still, 0 if it is not
@@ -20,7 +20,7 @@
         int ends,
         int ownEnds,
         int reporters,
-        int tellers,
+        int verdictReporters,
         long newestEndAgoNanos,
         int rejections,
         long remainingNanos) {
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashingRequests.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashingRequests.java
@@ -81,7 +81,7 @@
      * @param checksum the checksum of its fingerprint
      * @return false if it certainly is not
      */
-    public boolean mayFollow(int checksum) {
+    public boolean mightContain(int checksum) {
         return mSuspects.has(checksum);
     }
 
@@ -118,17 +118,17 @@
      * @param endedNanos the monotonic time at which the send ended
      * @param nowNanos the monotonic time
      */
-    public void ended(
+    public void addServerEnd(
             RequestFingerprint request,
             long serverHash,
             long sentNanos,
             long endedNanos,
             long nowNanos) {
-        CrashMessage.End end =
-                new CrashMessage.End(
+        CrashMessage.ServerEnd end =
+                new CrashMessage.ServerEnd(
                         request, serverHash, nowNanos - sentNanos, nowNanos - endedNanos);
         add(OWN, end, nowNanos);
-        mOutput.tellKeepers(end);
+        mOutput.sendToAggregators(end);
     }
 
     /**
@@ -138,12 +138,12 @@
      * @param message what it tells
      * @param nowNanos the monotonic time
      */
-    public void heard(String teller, CrashMessage message, long nowNanos) {
+    public void receive(String teller, CrashMessage message, long nowNanos) {
         Assert.hasText(teller, "The name of a teller");
-        if (message instanceof CrashMessage.End end) {
+        if (message instanceof CrashMessage.ServerEnd end) {
             add(teller, end, nowNanos);
         } else if (message instanceof CrashMessage.Verdict verdict) {
-            heardVerdict(teller, verdict, nowNanos);
+            receiveVerdict(teller, verdict, nowNanos);
         } else {
             CrashSuspect suspect = mSuspects.get(message.request());
             if (suspect != null) {
@@ -160,10 +160,10 @@
      */
     public void answered(RequestFingerprint request, long nowNanos) {
         CrashSuspect suspect = current(request, nowNanos);
-        if (suspect == null || (suspect.marks().isEmpty() && suspect.tellers() == 0)) {
+        if (suspect == null || (suspect.serverEnds().isEmpty() && suspect.verdictReporters() == 0)) {
             return;
         }
-        tellCleared(suspect);
+        sendClearance(suspect);
         clear(suspect, CrashView.State.ANSWERED, nowNanos);
     }
 
@@ -179,7 +179,7 @@
         if (suspect == null) {
             return false;
         }
-        mOutput.tellAll(new CrashMessage.Clearance(request));
+        mOutput.sendToAll(new CrashMessage.Clearance(request));
         clear(suspect, CrashView.State.RELEASED, nowNanos);
         return true;
     }
@@ -202,7 +202,7 @@
                 again.add(suspect);
             }
         }
-        again.forEach(mSuspects::toTheEnd);
+        again.forEach(mSuspects::moveToEnd);
         return told;
     }
 
@@ -225,22 +225,22 @@
         return beliefs;
     }
 
-    private void add(String reporter, CrashMessage.End end, long nowNanos) {
+    private void add(String reporter, CrashMessage.ServerEnd end, long nowNanos) {
         long endedNanos = nowNanos - end.endedAgoNanos();
-        CrashSuspect suspect = follow(end.request(), nowNanos);
+        CrashSuspect suspect = track(end.request(), nowNanos);
         if (suspect.wasClearedAfter(endedNanos)) {
             return;
         }
-        suspect.marks().add(reporter, end.serverHash(), nowNanos - end.sentAgoNanos(), endedNanos);
+        suspect.serverEnds().add(reporter, end.serverHash(), nowNanos - end.sentAgoNanos(), endedNanos);
         conclude(suspect, nowNanos);
     }
 
-    private void heardVerdict(String teller, CrashMessage.Verdict verdict, long nowNanos) {
-        CrashSuspect suspect = follow(verdict.request(), nowNanos);
+    private void receiveVerdict(String teller, CrashMessage.Verdict verdict, long nowNanos) {
+        CrashSuspect suspect = track(verdict.request(), nowNanos);
         if (suspect.wasClearedAfter(nowNanos - verdict.agoNanos())) {
             if (nowNanos - suspect.mTouchedNanos >= CLEAR_AGAIN_NANOS) {
                 suspect.mTouchedNanos = nowNanos;
-                mOutput.tellAll(new CrashMessage.Clearance(verdict.request()));
+                mOutput.sendToAll(new CrashMessage.Clearance(verdict.request()));
             }
             return;
         }
@@ -248,7 +248,7 @@
         if (isOld && verdict.rejections() > 0) {
             return;
         }
-        suspect.told(teller, verdict, nowNanos);
+        suspect.addVerdict(teller, verdict, nowNanos);
         conclude(suspect, nowNanos);
     }
 
@@ -259,7 +259,7 @@
         int seen = suspect.seenEnds();
         if (seen > suspect.mAnnounced && (seen >= suspicion(suspect) || suspect.mIsRejected)) {
             suspect.mAnnounced = seen;
-            mOutput.tellAll(verdict(suspect, nowNanos));
+            mOutput.sendToAll(verdict(suspect, nowNanos));
             if (!suspect.mIsRejected) {
                 mOutput.viewChanged(suspect.view(suspect.state(), nowNanos));
             }
@@ -279,7 +279,7 @@
                         ? ends >= ENDS_ON_TRIAL
                         : suspect.seenEnds() >= mSettings.ends()
                                 && suspect.isSuspectedFor(ANSWERED_WITHIN_NANOS, nowNanos);
-        if (isProven || suspect.isToldRejected()) {
+        if (isProven || suspect.isReportedRejected()) {
             reject(suspect, nowNanos);
         }
     }
@@ -290,10 +290,10 @@
     }
 
     private void reject(CrashSuspect suspect, long nowNanos) {
-        boolean isOwn = !suspect.isToldRejected();
-        suspect.mRejections = Math.max(suspect.mRejections + 1, suspect.toldRejections());
+        boolean isOwn = !suspect.isReportedRejected();
+        suspect.mRejections = Math.max(suspect.mRejections + 1, suspect.reportedRejections());
         suspect.mIsRejected = true;
-        suspect.mRejectedNanos = nowNanos - (isOwn ? 0 : suspect.toldAgoNanos());
+        suspect.mRejectedNanos = nowNanos - (isOwn ? 0 : suspect.reportedAgoNanos());
         suspect.mHeldUntilNanos = suspect.mRejectedNanos + holdNanos(suspect);
         if (suspect.mHeldUntilNanos - nowNanos <= 0) {
             endOfHold(suspect);
@@ -302,7 +302,7 @@
         mOutput.viewChanged(suspect.view(CrashView.State.REJECTED, nowNanos));
         if (isOwn) {
             suspect.mAnnounced = Math.max(suspect.mAnnounced, suspect.seenEnds());
-            mOutput.tellAll(verdict(suspect, nowNanos));
+            mOutput.sendToAll(verdict(suspect, nowNanos));
         }
     }
 
@@ -324,12 +324,12 @@
     }
 
     /** Whoever was told of a suspicion, believed or not, hears that it is over. */
-    private void tellCleared(CrashSuspect suspect) {
+    private void sendClearance(CrashSuspect suspect) {
         CrashMessage.Clearance clearance = new CrashMessage.Clearance(suspect.request());
-        if (suspect.mIsRejected || suspect.mAnnounced > 0 || suspect.tellers() > 0) {
-            mOutput.tellAll(clearance);
+        if (suspect.mIsRejected || suspect.mAnnounced > 0 || suspect.verdictReporters() > 0) {
+            mOutput.sendToAll(clearance);
         } else {
-            mOutput.tellKeepers(clearance);
+            mOutput.sendToAggregators(clearance);
         }
     }
 
@@ -356,11 +356,11 @@
         if (suspect.mRejections > 0) {
             return nowNanos - suspect.mHeldUntilNanos > holdNanos(suspect);
         }
-        suspect.marks().forgetBefore(nowNanos - mSettings.memory().toNanos());
+        suspect.serverEnds().forgetBefore(nowNanos - mSettings.memory().toNanos());
         return nowNanos - suspect.mTouchedNanos > mSettings.memory().toNanos();
     }
 
-    private CrashSuspect follow(RequestFingerprint request, long nowNanos) {
+    private CrashSuspect track(RequestFingerprint request, long nowNanos) {
         CrashSuspect suspect = current(request, nowNanos);
         return suspect != null ? suspect : mSuspects.add(request, nowNanos);
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/EndMarks.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/ServerEndHistory.java
@@ -15,7 +15,7 @@
  * server after the one before had ended. Being there once by chance is common, three times in a row
  * without an answer is not.
  */
-final class EndMarks {
+final class ServerEndHistory {
 
     /**
      * Servers that end at one moment are seen to within this time, and two instances learn of one
@@ -30,14 +30,14 @@
     private static final int MOST = 16;
 
     /** An end, with the instance that saw it; no reporter is this instance. */
-    private record Mark(String reporter, long serverHash, long sentNanos, long endedNanos) {}
+    private record ObservedEnd(String reporter, long serverHash, long sentNanos, long endedNanos) {}
 
-    private final List<Mark> mMarks = new ArrayList<>();
+    private final List<ObservedEnd> mEnds = new ArrayList<>();
 
     /** Adds an end; the oldest makes room for it. */
     void add(String reporter, long serverHash, long sentNanos, long endedNanos) {
         boolean isKnown =
-                mMarks.stream()
+                mEnds.stream()
                         .anyMatch(
                                 mark ->
                                         mark.serverHash == serverHash
@@ -46,24 +46,24 @@
         if (isKnown) {
             return;
         }
-        mMarks.add(new Mark(reporter, serverHash, sentNanos, endedNanos));
-        mMarks.sort(Comparator.comparingLong(mark -> mark.endedNanos - endedNanos));
-        if (mMarks.size() > MOST) {
-            mMarks.remove(0);
+        mEnds.add(new ObservedEnd(reporter, serverHash, sentNanos, endedNanos));
+        mEnds.sort(Comparator.comparingLong(mark -> mark.endedNanos - endedNanos));
+        if (mEnds.size() > MOST) {
+            mEnds.remove(0);
         }
     }
 
-    private static boolean isSameEnd(Mark mark, long endedNanos) {
+    private static boolean isSameEnd(ObservedEnd mark, long endedNanos) {
         return Math.abs(mark.endedNanos - endedNanos) < SAME_END_NANOS;
     }
 
     /** Forgets the ends before a time. */
     void forgetBefore(long nanos) {
-        mMarks.removeIf(mark -> mark.endedNanos - nanos < 0);
+        mEnds.removeIf(mark -> mark.endedNanos - nanos < 0);
     }
 
     boolean isEmpty() {
-        return mMarks.isEmpty();
+        return mEnds.isEmpty();
     }
 
     /**
@@ -76,8 +76,8 @@
             return 0;
         }
         int count = 0;
-        Mark last = null;
-        for (Mark mark : mMarks) {
+        ObservedEnd last = null;
+        for (ObservedEnd mark : mEnds) {
             if (last == null || follows(last, mark)) {
                 last = mark;
                 count++;
@@ -86,7 +86,7 @@
         return count;
     }
 
-    private static boolean follows(Mark last, Mark mark) {
+    private static boolean follows(ObservedEnd last, ObservedEnd mark) {
         if (last.serverHash == mark.serverHash && isSameEnd(last, mark.endedNanos)) {
             return false;
         }
@@ -96,19 +96,19 @@
     }
 
     int own() {
-        return (int) mMarks.stream().filter(mark -> mark.reporter.isEmpty()).count();
+        return (int) mEnds.stream().filter(mark -> mark.reporter.isEmpty()).count();
     }
 
     int reporters() {
         Set<String> reporters = new HashSet<>();
-        mMarks.forEach(mark -> reporters.add(mark.reporter));
+        mEnds.forEach(mark -> reporters.add(mark.reporter));
         return reporters.size();
     }
 
     /** Gives how long ago the newest end was, -1 if there is none. */
     long newestAgoNanos(long nowNanos) {
-        return mMarks.isEmpty()
+        return mEnds.isEmpty()
                 ? -1
-                : Math.max(0, nowNanos - mMarks.get(mMarks.size() - 1).endedNanos);
+                : Math.max(0, nowNanos - mEnds.get(mEnds.size() - 1).endedNanos);
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/RateTotals.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/RateTotals.java
@@ -31,26 +31,26 @@
      */
     public record Sum(Map<Integer, RateUse> uses, int instances) {}
 
-    private record Told(Sum sum, long nanos) {}
+    private record ReceivedSum(Sum sum, long nanos) {}
 
     /** A part of what one told, which is replaced by the same part told later. */
-    private record Part<T>(T teller, int part) {
+    private record Part<T>(T reporter, int part) {
 
         /** Written out, since the one that records get is linked at its first use, in a start. */
         @Override
         public boolean equals(Object other) {
-            return other instanceof Part<?> that && part == that.part && teller.equals(that.teller);
+            return other instanceof Part<?> that && part == that.part && reporter.equals(that.reporter);
         }
 
         @Override
         public int hashCode() {
-            return 31 * teller.hashCode() + part;
+            return 31 * reporter.hashCode() + part;
         }
     }
 
-    private final Map<Part<InstanceId>, Told> mInstances = new HashMap<>();
+    private final Map<Part<InstanceId>, ReceivedSum> mInstances = new HashMap<>();
     private final Map<Integer, Sums> mSums = new HashMap<>();
-    private final Map<Part<ZoneId>, Told> mZones = new HashMap<>();
+    private final Map<Part<ZoneId>, ReceivedSum> mZones = new HashMap<>();
 
     /**
      * Takes what an instance of the own zone does; what it told before counts no more.
@@ -61,7 +61,7 @@
      * @param nowNanos the monotonic time
      */
     public void received(InstanceId instance, int part, Map<Integer, RateUse> uses, long nowNanos) {
-        mInstances.put(new Part<>(instance, part), new Told(new Sum(uses, 1), nowNanos));
+        mInstances.put(new Part<>(instance, part), new ReceivedSum(new Sum(uses, 1), nowNanos));
     }
 
     /**
@@ -73,7 +73,7 @@
      * @param nowNanos the monotonic time
      */
     public void received(ZoneId zone, int part, Sum sum, long nowNanos) {
-        mZones.put(new Part<>(zone, part), new Told(sum, nowNanos));
+        mZones.put(new Part<>(zone, part), new ReceivedSum(sum, nowNanos));
     }
 
     /**
@@ -98,7 +98,7 @@
     public Sum forInstance(InstanceId instance, int part, long nowNanos) {
         Sums sums = sums(part, nowNanos);
         Sum all = sums.all();
-        Told own = sums.told().get(new Part<>(instance, part));
+        ReceivedSum own = sums.received().get(new Part<>(instance, part));
         if (own == null) {
             return all;
         }
@@ -110,7 +110,7 @@
     }
 
     /** What was added up at a moment, and of what each instance then had told. */
-    private record Sums(Sum zone, Sum all, Map<Part<InstanceId>, Told> told, long nanos) {}
+    private record Sums(Sum zone, Sum all, Map<Part<InstanceId>, ReceivedSum> received, long nanos) {}
 
     /** Adds up anew only now and then, since each instance of the zone asks often. */
     private Sums sums(int part, long nowNanos) {
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MemberRecord.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MemberRecord.java
@@ -12,7 +12,7 @@
 
     private final InstanceId mId;
     private MemberUpdate mUpdate;
-    private boolean mHeard;
+    private boolean mHasReceivedUpdate;
     private boolean mListed;
     private boolean mListedLeaving;
     private boolean mBroken;
@@ -55,7 +55,7 @@
     }
 
     MemberState state() {
-        if (!mHeard) {
+        if (!mHasReceivedUpdate) {
             return MemberState.EXPECTED;
         }
         return switch (mUpdate.claim()) {
@@ -67,12 +67,12 @@
 
     /** Tells whether the process of the run has ended. */
     boolean isGone() {
-        return mHeard && mUpdate.claim() == MemberClaim.GONE;
+        return mHasReceivedUpdate && mUpdate.claim() == MemberClaim.GONE;
     }
 
     /** Gives the share of this member in the digest of all. */
     long digest() {
-        return mHeard && !mUpdate.claim().isEnd() ? MemberDigest.of(mUpdate) : 0;
+        return mHasReceivedUpdate && !mUpdate.claim().isEnd() ? MemberDigest.of(mUpdate) : 0;
     }
 
     Member member() {
@@ -86,8 +86,8 @@
                 mUpdate.configuration());
     }
 
-    boolean isHeard() {
-        return mHeard;
+    boolean hasReceivedUpdate() {
+        return mHasReceivedUpdate;
     }
 
     boolean isListed() {
@@ -121,7 +121,7 @@
     boolean apply(MemberUpdate news, long now) {
         Member before = member();
         boolean advances =
-                !mHeard
+                !mHasReceivedUpdate
                         || news.run().number() > mUpdate.run().number()
                         || news.sequence() > mUpdate.sequence();
         if (advances && news.claim() == MemberClaim.LIVE) {
@@ -132,7 +132,7 @@
         if (news.claim() != mUpdate.claim()) {
             mClaimNanos = now;
         }
-        mHeard = true;
+        mHasReceivedUpdate = true;
         mUpdate = news;
         Member after = member();
         return before.state() != after.state()
@@ -147,7 +147,7 @@
         MemberState before = state();
         mListed = true;
         mListedLeaving = listed.leaving();
-        if (!mHeard && !mUpdate.linkAddress().equals(listed.linkAddress())) {
+        if (!mHasReceivedUpdate && !mUpdate.linkAddress().equals(listed.linkAddress())) {
             mUpdate = new MemberRecord(listed, mFreshNanos).mUpdate;
             mRefused = false;
         }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTable.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTable.java
@@ -113,7 +113,7 @@
                 mSink.memberChanged(record.member());
             }
         }
-        if (mRecords.values().removeIf(record -> !record.isListed() && !record.isHeard())) {
+        if (mRecords.values().removeIf(record -> !record.isListed() && !record.hasReceivedUpdate())) {
             mNeighborhood.membersChanged();
         }
     }
@@ -126,7 +126,7 @@
      * @param all whether the news are all that the sender knows, and so need not be passed on
      * @param digest the digest of the sender
      */
-    public void heard(MemberUpdate own, List<MemberUpdate> others, boolean all, long digest) {
+    public void receiveHeartbeat(MemberUpdate own, List<MemberUpdate> others, boolean all, long digest) {
         if (own.id().equals(mSelf.id())) {
             return;
         }
@@ -138,7 +138,7 @@
         if (!isKnownRun(own)) {
             return;
         }
-        mPauseDetector.heardFrom(own.id(), mTimeSource.monotonicNanos());
+        mPauseDetector.receiveHeartbeat(own.id(), mTimeSource.monotonicNanos());
         if (newRun || (others.isEmpty() && mDigestComparison.differs(own.id(), digest(), digest))) {
             sendAllTo(own.id());
         }
@@ -154,7 +154,7 @@
     public void asked(InstanceId from, Incarnation run, long sequence) {
         MemberRecord record = mRecords.get(run.instance());
         if (run.instance().equals(mSelf.id())) {
-            greet(from);
+            sendHeartbeat(from);
         } else if (record != null && record.update().isNewerThan(run, sequence)) {
             mSink.send(from, mSelf.next(), List.of(record.update()));
         } else if (record != null
@@ -174,7 +174,7 @@
             return;
         }
         record.broken();
-        greet(run.instance());
+        sendHeartbeat(run.instance());
     }
 
     /**
@@ -205,7 +205,7 @@
     }
 
     /** Sends a heartbeat to every neighbor. */
-    public void beat() {
+    public void sendHeartbeats() {
         MemberUpdate own = mSelf.next();
         neighbors().forEach(id -> mSink.send(id, own, List.of()));
     }
@@ -215,12 +215,12 @@
      *
      * @param to the instance
      */
-    public void greet(InstanceId to) {
+    public void sendHeartbeat(InstanceId to) {
         mSink.send(to, mSelf.next(), List.of());
     }
 
     /** Tells every neighbor that this run ends now. */
-    public void farewell() {
+    public void announceTermination() {
         MemberUpdate own = mSelf.next().claiming(MemberClaim.GONE);
         neighbors().forEach(id -> mSink.send(id, own, List.of()));
     }
@@ -282,7 +282,7 @@
         Set<InstanceId> others = new HashSet<>();
         for (MemberRecord record : mRecords.values()) {
             boolean near = mRegions.apply(record.update().zone()).equals(own);
-            if (near && record.isHeard() && record.state() != MemberState.DEAD) {
+            if (near && record.hasReceivedUpdate() && record.state() != MemberState.DEAD) {
                 others.add(record.id());
             }
         }
@@ -301,13 +301,13 @@
 
     private boolean isKnownRun(MemberUpdate news) {
         MemberRecord record = mRecords.get(news.id());
-        return record != null && record.isHeard() && record.update().run().equals(news.run());
+        return record != null && record.hasReceivedUpdate() && record.update().run().equals(news.run());
     }
 
     private void sendAllTo(InstanceId to) {
         List<MemberUpdate> all =
                 mRecords.values().stream()
-                        .filter(MemberRecord::isHeard)
+                        .filter(MemberRecord::hasReceivedUpdate)
                         .filter(record -> !record.id().equals(to))
                         .map(MemberRecord::update)
                         .toList();
@@ -325,7 +325,7 @@
             if (!news.claim().isEnd()) {
                 accept(add(new MemberRecord(news, now)), news, teller, spread);
             }
-        } else if (!record.isHeard()
+        } else if (!record.hasReceivedUpdate()
                 || news.supersedes(record.update())
                 || record.isRestartWithEarlierClock(news, teller)) {
             accept(record, news, teller, spread);
@@ -355,7 +355,7 @@
             mSuperseded |= !news.claim().isEnd();
         } else if (news.run().equals(own) && news.claim() != MemberClaim.LIVE) {
             mSelf.outdo(news.sequence());
-            beat();
+            sendHeartbeats();
         }
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/PauseDetector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/PauseDetector.java
@@ -15,9 +15,9 @@
 
     private final long mPauseNanos;
     private final long mSettleNanos;
-    private final Set<InstanceId> mHeardSince = new HashSet<>();
+    private final Set<InstanceId> mReceivedSinceResume = new HashSet<>();
     private long mLastNanos;
-    private long mWokeNanos;
+    private long mResumedNanos;
     private boolean mPaused;
 
     PauseDetector(MembershipTimings timings, long now) {
@@ -32,16 +32,16 @@
         mLastNanos = now;
         if (woke) {
             mPaused = true;
-            mWokeNanos = now;
-            mHeardSince.clear();
+            mResumedNanos = now;
+            mReceivedSinceResume.clear();
         }
         return woke;
     }
 
     /** Notes a heartbeat. */
-    void heardFrom(InstanceId id, long now) {
-        if (mPaused && now - mWokeNanos >= mSettleNanos) {
-            mHeardSince.add(id);
+    void receiveHeartbeat(InstanceId id, long now) {
+        if (mPaused && now - mResumedNanos >= mSettleNanos) {
+            mReceivedSinceResume.add(id);
         }
     }
 
@@ -51,7 +51,7 @@
             return false;
         }
         Set<InstanceId> others = all.get();
-        long heard = others.stream().filter(mHeardSince::contains).count();
+        long heard = others.stream().filter(mReceivedSinceResume::contains).count();
         mPaused = !others.isEmpty() && heard * 2 <= others.size();
         return mPaused;
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/UpdateDisseminator.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/UpdateDisseminator.java
@@ -11,7 +11,7 @@
 final class UpdateDisseminator {
 
     /** News and who told it; that instance need not hear it again. */
-    private record PendingUpdate(MemberUpdate update, InstanceId teller) {}
+    private record PendingUpdate(MemberUpdate update, InstanceId reporter) {}
 
     private final OwnHeartbeat mSelf;
     private final MembershipSink mSink;
@@ -51,7 +51,7 @@
 
     private void collect(InstanceId to) {
         for (PendingUpdate told : mWaiting) {
-            if (!to.equals(told.teller()) && !to.equals(told.update().id())) {
+            if (!to.equals(told.reporter()) && !to.equals(told.update().id())) {
                 mAnswers.computeIfAbsent(to, key -> new ArrayList<>()).add(told.update());
             }
         }
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/ServerLoad.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/ServerLoad.java
@@ -140,7 +140,7 @@
      * @param load the load
      * @param nowNanos the monotonic time
      */
-    void heard(ReportedLoad load, long nowNanos) {
+    void receivedFromPeer(ReportedLoad load, long nowNanos) {
         if (mIsReported && nowNanos - mOthersNanos < HEARD_AGE_NANOS) {
             return;
         }
@@ -151,12 +151,12 @@
     }
 
     /** Notes what the instances around were told last. */
-    void saidToBeFull(boolean full) {
+    void setReportedFull(boolean full) {
         mSaidToBeFull = full;
     }
 
     /** Tells whether the instances around were told last that no slot is free there. */
-    boolean isSaidToBeFull() {
+    boolean isReportedFull() {
         return mSaidToBeFull;
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/SharedLoads.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/SharedLoads.java
@@ -50,11 +50,11 @@
      */
     void answered(ServerLoad server, ReportedLoad load) {
         boolean full = !load.hasRoom();
-        if ((full || server.isSaidToBeFull())
+        if ((full || server.isReportedFull())
                 && (mWaiting.size() < MOST_WAITING || mWaiting.containsKey(server.hash()))) {
             boolean isFirst = mWaiting.isEmpty();
             mWaiting.put(server.hash(), new LoadReport(server.hash(), load));
-            server.saidToBeFull(full);
+            server.setReportedFull(full);
             if (isFirst) {
                 mWhenWaiting.run();
             }
@@ -99,13 +99,13 @@
      * @param reports the loads, of servers that may be unknown here
      * @param nowNanos the monotonic time
      */
-    public void heard(ServerTable servers, List<LoadReport> reports, long nowNanos) {
+    public void receive(ServerTable servers, List<LoadReport> reports, long nowNanos) {
         for (LoadReport each : reports) {
             ServerLoad server = servers.byHash(each.serverHash());
             if (server != null) {
                 mHeard++;
-                server.heard(each.load(), nowNanos);
-                server.saidToBeFull(!each.load().hasRoom());
+                server.receivedFromPeer(each.load(), nowNanos);
+                server.setReportedFull(!each.load().hasRoom());
             }
         }
     }
@@ -115,7 +115,7 @@
      *
      * @return how many since the start
      */
-    public long told() {
+    public long reportedCount() {
         return mTold;
     }
 
@@ -124,7 +124,7 @@
      *
      * @return how many since the start
      */
-    public long heardCount() {
+    public long receivedCount() {
         return mHeard;
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/serverlimit/LimitOutput.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/serverlimit/LimitListener.java
@@ -7,26 +7,26 @@
  *
  * @since 0.2
  */
-public interface LimitOutput {
+public interface LimitListener {
 
     /**
      * Something else is believed of a server's limit.
      *
      * @param belief what is believed now
      */
-    void changed(LimitView belief);
+    void onViewChanged(LimitView belief);
 
     /**
      * An answer to this instance changed what is believed, so the others should hear of it.
      *
      * @param report what the answer said
      */
-    void publish(LimitReport report);
+    void onReport(LimitReport report);
 
     /**
      * A server has named something that is no limit, for the first time.
      *
      * @param server the server
      */
-    void malformed(BackendServerId server);
+    void onMalformed(BackendServerId server);
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/serverlimit/ServerLimits.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/serverlimit/ServerLimits.java
@@ -41,7 +41,7 @@
     private static final long CLOCK_MARGIN_NANOS = 100_000_000;
 
     private final LimitSenders mSenders;
-    private final LimitOutput mOutput;
+    private final LimitListener mOutput;
     private final Map<BackendServerId, LimitedServer> mServers = new LinkedHashMap<>();
     private final Set<BackendServerId> mMalformed = new HashSet<>();
     private ServerLimitSettings mSettings;
@@ -60,7 +60,7 @@
             ServerLimitSettings settings,
             OwnerCandidate self,
             Function<ZoneId, Optional<RegionId>> regions,
-            LimitOutput output,
+            LimitListener output,
             long nowNanos) {
         mSettings = Assert.notNull(settings, "Settings of server limits");
         mSenders = new LimitSenders(self, regions, nowNanos);
@@ -111,7 +111,7 @@
         if (header.kind() == LimitHeader.Kind.MALFORMED) {
             mMalformedCount++;
             if (mMalformed.add(server.id())) {
-                mOutput.malformed(server.id());
+                mOutput.onMalformed(server.id());
             }
             return;
         }
@@ -196,9 +196,9 @@
             return false;
         }
         state.mReported = limit;
-        mOutput.changed(view(state, nowNanos));
+        mOutput.onViewChanged(view(state, nowNanos));
         if (state.mIsOwn) {
-            mOutput.publish(report(state, 0));
+            mOutput.onReport(report(state, 0));
         }
         return true;
     }
@@ -326,7 +326,7 @@
         }
         if (state.isLimited()) {
             state.mStatement = new LimitStatement(Double.POSITIVE_INFINITY, nowNanos, nowNanos);
-            mOutput.changed(view(state, nowNanos));
+            mOutput.onViewChanged(view(state, nowNanos));
             return true;
         }
         return nowNanos - state.mLiftedNanos > mSettings.memory().toNanos();
--- a/masticpond-core/src/main/java/io/masticpond/core/statement/ServerWithdrawals.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/statement/ServerWithdrawals.java
@@ -27,7 +27,7 @@
  */
 public final class ServerWithdrawals {
 
-    private final WithdrawalOutput mOutput;
+    private final WithdrawalListener mOutput;
     private final Map<BackendServerId, Withdrawal> mServers = new HashMap<>();
     private WithdrawalSettings mSettings;
     private long mMalformed;
@@ -38,7 +38,7 @@
      * @param settings for how long they count
      * @param output takes what is to be told
      */
-    public ServerWithdrawals(WithdrawalSettings settings, WithdrawalOutput output) {
+    public ServerWithdrawals(WithdrawalSettings settings, WithdrawalListener output) {
         mSettings = Assert.notNull(settings, "Settings of withdrawals");
         mOutput = Assert.notNull(output, "An output of withdrawals");
     }
@@ -79,7 +79,7 @@
         boolean isNews = !state.mIsLeaving;
         state.mIsLeaving = true;
         if (isNews) {
-            mOutput.changed(view(state, WithdrawalView.State.LEAVING, nowNanos));
+            mOutput.onViewChanged(view(state, WithdrawalView.State.LEAVING, nowNanos));
         }
     }
 
@@ -98,7 +98,7 @@
         state.mUntilNanos = nowNanos + nanos;
         state.mPauseNanos = nanos;
         if (isNews) {
-            mOutput.changed(view(state, WithdrawalView.State.PAUSED, nowNanos));
+            mOutput.onViewChanged(view(state, WithdrawalView.State.PAUSED, nowNanos));
         }
     }
 
@@ -106,7 +106,7 @@
         mMalformed++;
         Withdrawal state = state(server, nowNanos);
         if (state.mMalformed.add(part)) {
-            mOutput.malformed(server.id(), part);
+            mOutput.onMalformed(server.id(), part);
         }
     }
 
@@ -169,7 +169,7 @@
             if (state.mIsPaused && state.mUntilNanos - nowNanos <= 0) {
                 state.mIsPaused = false;
                 if (!state.mIsLeaving) {
-                    mOutput.changed(view(state, WithdrawalView.State.RETURNED, nowNanos));
+                    mOutput.onViewChanged(view(state, WithdrawalView.State.RETURNED, nowNanos));
                 }
             }
         }
@@ -209,7 +209,7 @@
             return false;
         }
         if (registered != null && (state.mIsLeaving || state.mIsPaused)) {
-            mOutput.changed(view(state, WithdrawalView.State.RETURNED, nowNanos));
+            mOutput.onViewChanged(view(state, WithdrawalView.State.RETURNED, nowNanos));
         }
         return true;
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/statement/WithdrawalOutput.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/statement/WithdrawalListener.java
@@ -7,14 +7,14 @@
  *
  * @since 0.2
  */
-public interface WithdrawalOutput {
+public interface WithdrawalListener {
 
     /**
      * Something else is believed of a server.
      *
      * @param belief what is believed now
      */
-    void changed(WithdrawalView belief);
+    void onViewChanged(WithdrawalView belief);
 
     /**
      * A server has stated something that means nothing, for the first time.
@@ -22,5 +22,5 @@
      * @param server the server
      * @param part what it was about
      */
-    void malformed(BackendServerId server, StatementPart part);
+    void onMalformed(BackendServerId server, StatementPart part);
 }
--- a/masticpond-core/src/test/java/io/masticpond/core/crash/CrashFleet.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/crash/CrashFleet.java
@@ -12,7 +12,7 @@
 /** Instances on one simulated clock, with messages that take their time and may be lost. */
 final class CrashFleet {
 
-    private static final int KEEPERS = 3;
+    private static final int AGGREGATORS = 3;
 
     /** Something that happens at a time; of two at one time the first that was planned. */
     private record Event(long atNanos, long order, Runnable action) {}
@@ -45,10 +45,10 @@
         }
 
         @Override
-        public void tellKeepers(CrashMessage message) {
+        public void sendToAggregators(CrashMessage message) {
             mInstances.stream()
                     .sorted(Comparator.comparingLong(each -> each.weight(message.request())))
-                    .limit(KEEPERS)
+                    .limit(AGGREGATORS)
                     .forEach(each -> send(each, message));
         }
 
@@ -57,7 +57,7 @@
         }
 
         @Override
-        public void tellAll(CrashMessage message) {
+        public void sendToAll(CrashMessage message) {
             mInstances.forEach(each -> send(each, message));
         }
 
@@ -72,7 +72,7 @@
             }
             mMessages++;
             long onTheWay = Duration.ofMillis(1 + mRandom.nextInt(40)).toNanos();
-            after(onTheWay, () -> to.mRequests.heard(name(), message, nowNanos()));
+            after(onTheWay, () -> to.mRequests.receive(name(), message, nowNanos()));
         }
     }
 
@@ -92,16 +92,16 @@
         for (int number = 0; number < instances; number++) {
             mInstances.add(new Instance(number));
         }
-        after(Duration.ofSeconds(1).toNanos(), this::tellRejections);
+        after(Duration.ofSeconds(1).toNanos(), this::sendRejections);
     }
 
     /** Each instance tells one other what it rejects, once a second. */
-    private void tellRejections() {
+    private void sendRejections() {
         for (Instance each : mInstances) {
             Instance to = mInstances.get(mRandom.nextInt(mInstances.size()));
             each.mRequests.rejections(nowNanos()).forEach(message -> each.send(to, message));
         }
-        after(Duration.ofSeconds(1).toNanos(), this::tellRejections);
+        after(Duration.ofSeconds(1).toNanos(), this::sendRejections);
     }
 
     /** Loses a share of all messages. */
--- a/masticpond-core/src/test/java/io/masticpond/core/crash/CrashingRequestsTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/crash/CrashingRequestsTest.java
@@ -47,7 +47,7 @@
                 after.toNanos(),
                 () -> {
                     long now = fleet.nowNanos();
-                    at.mRequests.ended(request, server, sentNanos, now, now);
+                    at.mRequests.addServerEnd(request, server, sentNanos, now, now);
                 });
     }
 
@@ -170,7 +170,7 @@
         Instance broken = fleet.instances().get(0);
         for (int time = 0; time < 50; time++) {
             end(fleet, broken, INNOCENT, WORK);
-            broken.tellAll(new CrashMessage.Verdict(INNOCENT, 9, 3, 0));
+            broken.sendToAll(new CrashMessage.Verdict(INNOCENT, 9, 3, 0));
             fleet.pass(Duration.ofMillis(200));
         }
         assertThat(fleet.instances().subList(1, 10)).noneMatch(each -> each.rejects(INNOCENT));
@@ -184,8 +184,8 @@
         Instance instance = fleet.instances().get(0);
         for (int number = 0; number < 5_000; number++) {
             RequestFingerprint other = new RequestFingerprint(99, number);
-            instance.mRequests.heard(
-                    "flooding", new CrashMessage.End(other, number, 5, 5), fleet.nowNanos());
+            instance.mRequests.receive(
+                    "flooding", new CrashMessage.ServerEnd(other, number, 5, 5), fleet.nowNanos());
         }
         assertThat(instance.mRequests.views(fleet.nowNanos()))
                 .hasSizeLessThanOrEqualTo(CrashSuspects.MOST);
--- a/masticpond-core/src/test/java/io/masticpond/core/crash/InnocentRequestsTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/crash/InnocentRequestsTest.java
@@ -56,7 +56,7 @@
 
         private void breakOff() {
             long now = mFleet.nowNanos();
-            mAt.mRequests.ended(mRequest, 1_000L * mServer + mRun, mSentNanos, now, now);
+            mAt.mRequests.addServerEnd(mRequest, 1_000L * mServer + mRun, mSentNanos, now, now);
             if (mAttempt == 1) {
                 send(mRequest, mAt, 2);
             }
--- a/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipFixture.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipFixture.java
@@ -108,7 +108,7 @@
                 }
                 entry.getValue().advance();
                 if ((mTicks + phase) % TICKS_IN_HEARTBEAT == 0) {
-                    entry.getValue().beat();
+                    entry.getValue().sendHeartbeats();
                 }
             }
             deliver();
@@ -146,13 +146,13 @@
         @Override
         public void send(InstanceId to, MemberUpdate own, List<MemberUpdate> others) {
             long digest = mTables.get(mFrom).digest();
-            carry(to, table -> table.heard(own, others, false, digest));
+            carry(to, table -> table.receiveHeartbeat(own, others, false, digest));
         }
 
         @Override
         public void sendAll(InstanceId to, MemberUpdate own, List<MemberUpdate> others) {
             long digest = mTables.get(mFrom).digest();
-            carry(to, table -> table.heard(own, others, true, digest));
+            carry(to, table -> table.receiveHeartbeat(own, others, true, digest));
         }
 
         @Override
--- a/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipTableTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipTableTest.java
@@ -137,7 +137,7 @@
         mFixture.start(C, "casa2", 2);
         mFixture.list();
         mFixture.run(NOTICED);
-        table.heard(news(B, 1, 999, MemberClaim.LIVE), List.of(earlier), false, 0);
+        table.receiveHeartbeat(news(B, 1, 999, MemberClaim.LIVE), List.of(earlier), false, 0);
         assertThat(mFixture.view(A).member(C).orElseThrow().incarnation().number()).isEqualTo(2);
     }
 
@@ -159,7 +159,7 @@
     void aRunThatWasReplacedLearnsIt() {
         settle();
         MembershipTable old = mFixture.mTables.get(C);
-        old.heard(
+        old.receiveHeartbeat(
                 news(B, 1, 999, MemberClaim.LIVE),
                 List.of(news(C, 2, 1, MemberClaim.LIVE)),
                 false,
@@ -178,8 +178,8 @@
         mFixture.mTables.get(A).advance();
         assertThat(mFixture.mTables.get(A).isSelfPaused()).isTrue();
         assertThat(mFixture.view(A).region(CASA).isComplete()).isFalse();
-        mFixture.mTables.get(B).beat();
-        mFixture.mTables.get(C).beat();
+        mFixture.mTables.get(B).sendHeartbeats();
+        mFixture.mTables.get(C).sendHeartbeats();
         mFixture.run(MembershipFixture.TICK);
         assertThat(mFixture.mTables.get(A).isSelfPaused()).isTrue();
         mFixture.run(NOTICED);
@@ -228,7 +228,7 @@
     @Example
     void aFarewellEndsTheRunWithoutSuspicion() {
         settle();
-        mFixture.mTables.get(C).farewell();
+        mFixture.mTables.get(C).announceTermination();
         mFixture.run(MembershipFixture.TICK);
         assertThat(mFixture.state(A, C)).isEqualTo(MemberState.DEAD);
         assertThat(mFixture.view(A).region(CASA).isComplete()).isTrue();
--- a/masticpond-core/src/test/java/io/masticpond/core/placement/SharedLoadsTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/placement/SharedLoadsTest.java
@@ -44,7 +44,7 @@
         assertThat(mShared.take()).containsExactly(new LoadReport(mServer.hash(), ROOM));
         mShared.answered(mServer, ROOM);
         assertThat(mShared.take()).isEmpty();
-        assertThat(mShared.told()).isEqualTo(2);
+        assertThat(mShared.reportedCount()).isEqualTo(2);
     }
 
     @Example
@@ -57,15 +57,15 @@
     @Example
     void whatNeighborsTellsCountsLikeAnAnswerAndFades() {
         mServers.of(SERVICE).forEach(server -> assertThat(server.inFlight(0)).isZero());
-        mShared.heard(mServers, List.of(new LoadReport(mServer.hash(), FULL)), 0);
+        mShared.receive(mServers, List.of(new LoadReport(mServer.hash(), FULL)), 0);
         assertThat(mServer.inFlight(0)).isGreaterThan(3);
         assertThat(mServer.inFlight(TimeUnit.SECONDS.toNanos(10))).isLessThan(0.1);
-        assertThat(mShared.heardCount()).isEqualTo(1);
+        assertThat(mShared.receivedCount()).isEqualTo(1);
     }
 
     @Example
     void whoHeardThatTheServerIsFullTellsThatItHasRoomAgain() {
-        mShared.heard(mServers, List.of(new LoadReport(mServer.hash(), FULL)), 0);
+        mShared.receive(mServers, List.of(new LoadReport(mServer.hash(), FULL)), 0);
         mShared.answered(mServer, ROOM);
         assertThat(mShared.take()).hasSize(1);
     }
@@ -73,17 +73,17 @@
     @Example
     void nonsenseIsCutAndUnknownServersAreNothing() {
         ReportedLoad nonsense = new ReportedLoad(255, 255, 1);
-        mShared.heard(
+        mShared.receive(
                 mServers,
                 List.of(new LoadReport(mServer.hash(), nonsense), new LoadReport(99, nonsense)),
                 0);
         assertThat(mServer.inFlight(0)).isLessThanOrEqualTo(16);
-        assertThat(mShared.heardCount()).isEqualTo(1);
+        assertThat(mShared.receivedCount()).isEqualTo(1);
     }
 
     @Example
     void serverThatStartedAgainIsNotFullForWhatItsFormerRunWas() {
-        mShared.heard(mServers, List.of(new LoadReport(mServer.hash(), FULL)), 0);
+        mShared.receive(mServers, List.of(new LoadReport(mServer.hash(), FULL)), 0);
         mServers.update(snapshot(1), 0);
         assertThat(mServers.of(SERVICE).get(0).inFlight(0)).isZero();
     }
--- a/masticpond-core/src/test/java/io/masticpond/core/serverlimit/LimitFleet.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/serverlimit/LimitFleet.java
@@ -44,7 +44,7 @@
     private record Received(long nanos, boolean wasTold) {}
 
     /** One instance. */
-    final class Instance implements LimitOutput {
+    final class Instance implements LimitListener {
 
         final OwnerCandidate mSelf;
         final int mRegion;
@@ -148,19 +148,19 @@
         }
 
         @Override
-        public void changed(LimitView belief) {
+        public void onViewChanged(LimitView belief) {
             mChanges++;
         }
 
         @Override
-        public void publish(LimitReport report) {
+        public void onReport(LimitReport report) {
             after(
                     BUNDLE_NANOS,
                     () -> mInstances.stream().filter(e -> e != this).forEach(e -> send(e, report)));
         }
 
         @Override
-        public void malformed(BackendServerId server) {}
+        public void onMalformed(BackendServerId server) {}
 
         private void send(Instance to, LimitReport report) {
             mMessages++;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/ProbeClient.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/ProbeClient.java
@@ -103,7 +103,7 @@
     }
 
     private static int countOrNotTold(Integer count) {
-        return count == null || count < 0 ? ProbeEnd.NOT_TOLD : count;
+        return count == null || count < 0 ? ProbeEnd.UNREPORTED : count;
     }
 
     /** Reads the answer of one route. */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/ProbeEnd.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/ProbeEnd.java
@@ -4,7 +4,7 @@
 sealed interface ProbeEnd {
 
     /** The number of requests that stands for "not told". */
-    int NOT_TOLD = -1;
+    int UNREPORTED = -1;
 
     /** What a backend server says about its health. */
     enum Status {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationDuty.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationDuty.java
@@ -1,7 +1,7 @@
 package io.masticpond.daemon.configuration;
 
 import io.masticpond.core.configuration.Configuration;
-import io.masticpond.core.configuration.ConfigurationAudience;
+import io.masticpond.core.configuration.ConfigurationDistribution;
 import io.masticpond.core.configuration.ConfigurationLogLimits;
 import io.masticpond.core.configuration.ConfigurationUpdate;
 import io.masticpond.core.configuration.ConfigurationReplica;
@@ -53,7 +53,7 @@
     private final ConfigurationPeers mPeers;
     private final ConfigurationHolder mHolder;
     private final ConfigurationReplica mReplica;
-    private final ConfigurationAudience mAudience;
+    private final ConfigurationDistribution mAudience;
     private final ConfigurationLogLimits mLimits;
     private final ChainStore mChain;
     private final UpdateCodec mNewsCodec;
@@ -97,7 +97,7 @@
         mTimeline = Assert.notNull(timeline, "A time line");
         mDuty = new Duty("configuration", RING_CAPACITY, timeSource);
         mExecutor = new DutyExecutor(mDuty);
-        mAudience = new ConfigurationAudience(self, zone);
+        mAudience = new ConfigurationDistribution(self, zone);
         mLimits = new ConfigurationLogLimits(LOG_BYTES, change -> codec.encode(change).length);
         mReplica = new ConfigurationReplica(mLimits);
         mChain = new ChainStore(store, codec, mExecutor);
@@ -184,7 +184,7 @@
             becomeReady();
             return;
         }
-        if (mAudience.watches(mPeers.members())) {
+        if (mAudience.isWatcher(mPeers.members())) {
             mPlatformFollower.watch();
         }
         lookForSeen();
@@ -269,16 +269,16 @@
     private void tell(
             ConfigurationVersion before, ConfigurationVersion after, Optional<InstanceId> from) {
         Collection<Member> members = mPeers.members();
-        if (from.isPresent() && !mAudience.watches(members)) {
+        if (from.isPresent() && !mAudience.isWatcher(members)) {
             return;
         }
         mReplica.updateSince(before)
                 .map(news -> mNewsCodec.encode(after, news))
                 .ifPresent(
                         push ->
-                                mAudience.toTell(members, after).stream()
+                                mAudience.recipients(members, after).stream()
                                         .filter(id -> !from.equals(Optional.of(id)))
-                                        .forEach(id -> mPeers.tell(id, push)));
+                                        .forEach(id -> mPeers.push(id, push)));
     }
 
     private void answer(ConfigurationFetch fetch, Consumer<ConfigurationPush> answer) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationPeers.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationPeers.java
@@ -29,7 +29,7 @@
      * @param to the instance
      * @param push the message
      */
-    void tell(InstanceId to, ConfigurationPush push);
+    void push(InstanceId to, ConfigurationPush push);
 
     /**
      * Asks an instance for what it knows.
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipDuty.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipDuty.java
@@ -189,7 +189,7 @@
         mDuty.offer(
                 () -> {
                     mTable.leaving(leaving);
-                    mTable.beat();
+                    mTable.sendHeartbeats();
                     mChanged = true;
                 });
     }
@@ -206,7 +206,7 @@
     /** Tells the others that this run ends, and stops. */
     @Override
     public void close() {
-        mDuty.offer(mTable::farewell);
+        mDuty.offer(mTable::announceTermination);
         mDuty.close();
     }
 
@@ -231,7 +231,7 @@
         mTable.advance();
         if (now - mNextBeatNanos >= 0) {
             mNextBeatNanos = now + jittered(mTimings.heartbeat().toNanos());
-            mTable.beat();
+            mTable.sendHeartbeats();
         }
         if (now - mNextListNanos >= 0) {
             mNextListNanos = now + jittered(LIST_RETRY_NANOS);
@@ -297,7 +297,7 @@
             mRejected.increment();
             return;
         }
-        mTable.heard(
+        mTable.receiveHeartbeat(
                 own.get(),
                 MembershipMessages.toUpdate(heartbeat.getOthersList()),
                 heartbeat.getAll(),
@@ -319,7 +319,7 @@
 
         @Override
         public void connected(Incarnation peer) {
-            mDuty.offer(() -> mTable.greet(peer.instance()));
+            mDuty.offer(() -> mTable.sendHeartbeat(peer.instance()));
         }
 
         @Override
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/LinkConfigurationPeers.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/LinkConfigurationPeers.java
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public void tell(InstanceId to, ConfigurationPush push) {
+    public void push(InstanceId to, ConfigurationPush push) {
         mLinks.send(to, Envelope.newBuilder().setConfigurationPush(push).build());
     }
 
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/FakeFleet.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/FakeFleet.java
@@ -135,7 +135,7 @@
         }
 
         @Override
-        public void tell(InstanceId to, ConfigurationPush push) {
+        public void push(InstanceId to, ConfigurationPush push) {
             Node node = mNodes.get(to);
             if (node != null && reaches(node)) {
                 node.mHandler.onPush(mId, push);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/AnswerDecoder.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/AnswerDecoder.java
@@ -36,7 +36,7 @@
             return;
         }
         bytes.skipBytes(bytes.readableBytes());
-        mConnection.heardUnaskedBytes();
+        mConnection.unsolicitedBytesReceived();
     }
 
     @Override
@@ -48,7 +48,7 @@
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
-        mConnection.heard();
+        mConnection.bytesReceived();
         super.channelRead(context, message);
         mConnection.readDone();
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/BackendConnection.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/BackendConnection.java
@@ -182,8 +182,8 @@
         }
     }
 
-    void heard() {
-        mPool.heard();
+    void bytesReceived() {
+        mPool.bytesReceived();
     }
 
     boolean expectsBytes() {
@@ -195,7 +195,7 @@
     }
 
     /** Hears of bytes that belong to no request. */
-    void heardUnaskedBytes() {
+    void unsolicitedBytesReceived() {
         retire();
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/PendingCall.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/PendingCall.java
@@ -75,7 +75,7 @@
 
     void answerBegan(int status, HttpHeaders headers) {
         if (!mEnded) {
-            tell(() -> mListener.answerBegan(status, headers));
+            notifyListener(() -> mListener.answerBegan(status, headers));
         }
     }
 
@@ -85,7 +85,7 @@
             return;
         }
         end();
-        tell(() -> mListener.answered(answer));
+        notifyListener(() -> mListener.answered(answer));
     }
 
     void fail(CallFailure.Kind kind) {
@@ -94,7 +94,7 @@
         }
         end();
         Verdict verdict = mWritten ? Verdict.MAY_HAVE_RUN : Verdict.DID_NOT_RUN;
-        tell(() -> mListener.failed(new CallFailure(verdict, kind)));
+        notifyListener(() -> mListener.failed(new CallFailure(verdict, kind)));
     }
 
     void timeOut() {
@@ -109,7 +109,7 @@
     }
 
     /** Keeps a listener's fault from the connection, which may serve another call by now. */
-    private static void tell(Runnable news) {
+    private static void notifyListener(Runnable news) {
         try {
             news.run();
         } catch (RuntimeException exception) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/ServerPool.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/ServerPool.java
@@ -127,7 +127,7 @@
         }
     }
 
-    void heard() {
+    void bytesReceived() {
         mHeardNanos = nowNanos();
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlDocuments.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlDocuments.java
@@ -182,7 +182,7 @@
                             .put("ends", each.ends())
                             .put("ownEnds", each.ownEnds())
                             .put("reporters", each.reporters())
-                            .put("tellers", each.tellers())
+                            .put("tellers", each.verdictReporters())
                             .put("rejections", each.rejections())
                             .put("leftMillis", Spelling.millis(each.remainingNanos()));
             if (each.newestEndAgoNanos() >= 0) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/ViewChange.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/ViewChange.java
@@ -162,7 +162,7 @@
             line.writeNumberField("ends", view.ends());
             line.writeNumberField("ownEnds", view.ownEnds());
             line.writeNumberField("reporters", view.reporters());
-            line.writeNumberField("tellers", view.tellers());
+            line.writeNumberField("tellers", view.verdictReporters());
             if (view.newestEndAgoNanos() >= 0) {
                 line.writeNumberField(
                         "newestEndMillis", RequestLine.millis(view.newestEndAgoNanos()));
--- a/masticpond-entry/src/main/java/io/masticpond/entry/metrics/EntryValue.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/metrics/EntryValue.java
@@ -61,11 +61,11 @@
     /** Heartbeats sent. */
     HEARTBEATS_SENT("heartbeats_sent", "Heartbeats sent to other instances.", true),
     /** Heartbeats heard. */
-    HEARTBEATS_HEARD("heartbeats_heard", "Heartbeats heard from other instances.", true),
+    HEARTBEATS_RECEIVED("heartbeats_heard", "Heartbeats heard from other instances.", true),
     /** Loads of full servers told to the zone. */
-    LOADS_TOLD("loads_told", "Loads of backend servers told to the zone.", true),
+    LOADS_REPORTED("loads_told", "Loads of backend servers told to the zone.", true),
     /** Loads of servers heard from the zone. */
-    LOADS_HEARD("loads_heard", "Loads of backend servers heard from the zone.", true),
+    LOADS_RECEIVED("loads_heard", "Loads of backend servers heard from the zone.", true),
     /** Ends of servers seen, once for each request that was there. */
     SERVER_ENDS("server_ends", "Ends of backend servers, once for each request there.", true),
     /** Requests that were there when a server ended, and are followed for it. */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/CrashMessageCodec.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/CrashMessageCodec.java
@@ -41,7 +41,7 @@
     public static void write(List<CrashMessage> messages, ByteBuf out) {
         out.writeByte(VERSION);
         for (CrashMessage each : messages.subList(0, Math.min(MOST_MESSAGES, messages.size()))) {
-            if (each instanceof CrashMessage.End end) {
+            if (each instanceof CrashMessage.ServerEnd end) {
                 writeHead(END, end, out);
                 out.writeLong(end.serverHash());
                 out.writeInt(millis(end.sentAgoNanos()));
@@ -86,7 +86,7 @@
         return switch (kind) {
             case END ->
                     Optional.of(
-                            new CrashMessage.End(request, in.readLong(), readAge(in), readAge(in)));
+                            new CrashMessage.ServerEnd(request, in.readLong(), readAge(in), readAge(in)));
             case VERDICT ->
                     Optional.of(
                             new CrashMessage.Verdict(
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/HeartbeatDuty.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/HeartbeatDuty.java
@@ -39,7 +39,7 @@
 public final class HeartbeatDuty implements PeerView {
 
     private static final Logger sLogger = LoggerFactory.getLogger(HeartbeatDuty.class);
-    private static final int LEAVING_TOLD = 3;
+    private static final int LEAVING_REPEATS = 3;
     private static final long LEAVING_GAP_MILLIS = 100;
     private static final long SPREAD_GAP_MILLIS = 100;
 
@@ -49,7 +49,7 @@
     private final OwnStatus mSelf;
     private final PeerExchange mExchange;
     private final Map<ServerAddress, InetSocketAddress> mAddresses = new HashMap<>();
-    private final Queue<Runnable> mUntold = new ArrayDeque<>();
+    private final Queue<Runnable> mPendingNotifications = new ArrayDeque<>();
     private final Map<Byte, BiConsumer<ServerAddress, ByteBuf>> mListeners =
             new ConcurrentHashMap<>();
     private volatile PeerSnapshot mSnapshot;
@@ -57,7 +57,7 @@
     private boolean mFlushDue;
     private boolean mEvaluationDue;
     private long mSent;
-    private long mHeard;
+    private long mReceived;
 
     /**
      * Prepares the duty; nothing is sent before {@link #start}.
@@ -137,9 +137,9 @@
     public void update(boolean ready, long revision) {
         run(
                 () -> {
-                    mSelf.tellRevision(revision);
+                    mSelf.setRevision(revision);
                     PeerUpdate.State state = ready ? PeerUpdate.State.READY : PeerUpdate.State.STARTING;
-                    if (mSelf.tellState(state)) {
+                    if (mSelf.changeState(state)) {
                         mExchange.announce(now());
                     }
                 });
@@ -149,8 +149,8 @@
     public void leave() {
         run(
                 () -> {
-                    if (mSelf.tellState(PeerUpdate.State.LEAVING)) {
-                        tellLeaving(LEAVING_TOLD);
+                    if (mSelf.changeState(PeerUpdate.State.LEAVING)) {
+                        announceLeaving(LEAVING_REPEATS);
                     }
                 });
     }
@@ -162,7 +162,7 @@
      * @param version the first byte of these datagrams, which tells them apart
      * @param listener hears on the control thread who sent one, and the bytes after the version
      */
-    public void hear(int version, BiConsumer<ServerAddress, ByteBuf> listener) {
+    public void registerReceiver(int version, BiConsumer<ServerAddress, ByteBuf> listener) {
         mListeners.put((byte) version, Assert.notNull(listener, "A listener"));
     }
 
@@ -173,7 +173,7 @@
      * @param hearers the instances; this one is left out
      * @param content writes the version and what follows
      */
-    public void tell(Collection<PeerInstance> hearers, Consumer<ByteBuf> content) {
+    public void sendDatagram(Collection<PeerInstance> hearers, Consumer<ByteBuf> content) {
         if (mChannel == null) {
             return;
         }
@@ -193,7 +193,7 @@
     }
 
     /** Sends a datagram to one address, as it is sent to instances. Control thread only. */
-    public void tell(ServerAddress to, Consumer<ByteBuf> content) {
+    public void sendDatagram(ServerAddress to, Consumer<ByteBuf> content) {
         if (mChannel != null) {
             write(to, datagram(content));
         }
@@ -258,8 +258,8 @@
      *
      * @return the count
      */
-    public long heard() {
-        return mHeard;
+    public long received() {
+        return mReceived;
     }
 
     private void begin() {
@@ -276,11 +276,11 @@
         }
     }
 
-    private void tellLeaving(int times) {
+    private void announceLeaving(int times) {
         mExchange.announce(now());
         if (times > 1) {
             mEventLoop.schedule(
-                    () -> run(() -> tellLeaving(times - 1)),
+                    () -> run(() -> announceLeaving(times - 1)),
                     LEAVING_GAP_MILLIS,
                     TimeUnit.MILLISECONDS);
         }
@@ -305,7 +305,7 @@
             return;
         }
         mSnapshot = mExchange.snapshot(now);
-        tellListener();
+        notifyListener();
         long next = mExchange.untilNextVerdict(now);
         if (!mEvaluationDue && next < mSettings.period().toNanos()) {
             mEvaluationDue = true;
@@ -346,22 +346,22 @@
     private PeerListener kept(PeerListener listener) {
         return new PeerListener() {
             @Override
-            public void gained(PeerInstance instance) {
+            public void onPeerReachable(PeerInstance instance) {
                 sLogger.info("PEER  {} of {} is heard.", instance.id(), instance.zone());
-                mUntold.add(() -> listener.gained(instance));
+                mPendingNotifications.add(() -> listener.onPeerReachable(instance));
             }
 
             @Override
-            public void lost(InstanceId id, boolean planned) {
+            public void onPeerUnreachable(InstanceId id, boolean planned) {
                 sLogger.info("PEER  {} is silent{}.", id, planned ? " as planned" : "");
-                mUntold.add(() -> listener.lost(id, planned));
+                mPendingNotifications.add(() -> listener.onPeerUnreachable(id, planned));
             }
         };
     }
 
-    private void tellListener() {
-        while (!mUntold.isEmpty()) {
-            mUntold.remove().run();
+    private void notifyListener() {
+        while (!mPendingNotifications.isEmpty()) {
+            mPendingNotifications.remove().run();
         }
     }
 
@@ -387,7 +387,7 @@
     }
 
     private void receive(PeerMessage message, InetSocketAddress sender) {
-        mHeard++;
+        mReceived++;
         mExchange.receive(message, address(sender), now());
         afterwards();
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/OwnStatus.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/OwnStatus.java
@@ -36,12 +36,12 @@
         mSequence++;
     }
 
-    void tellRevision(long revision) {
+    void setRevision(long revision) {
         mRevision = revision;
     }
 
     /** Takes a state; tells whether it is another one. One that leaves never comes back. */
-    boolean tellState(PeerUpdate.State state) {
+    boolean changeState(PeerUpdate.State state) {
         if (isLeaving() || mState == state) {
             return false;
         }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerExchange.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerExchange.java
@@ -19,7 +19,7 @@
 final class PeerExchange {
 
     private static final int TURN_IN_MESH = 5;
-    private static final int TOLD_IN_TURN = 3;
+    private static final int REPORTED_IN_TURN = 3;
 
     /** The periods in which a new instance asks somebody for the list of members once more. */
     private static final Set<Long> LIST_TICKS = Set.of(2L, 5L, 12L);
@@ -78,7 +78,7 @@
             }
         }
         for (PeerRecord record : mTable.watched(now)) {
-            if (!record.isHeard()) {
+            if (!record.hasReceived()) {
                 sendTo(record, now);
             }
         }
@@ -99,7 +99,7 @@
             sendTo(record, now);
         }
         answerOthers(now);
-        tellInTurn(now);
+        reportInTurn(now);
     }
 
     /** Judges all anew, and passes on who fell silent. */
@@ -156,10 +156,10 @@
     void receive(PeerMessage message, ServerAddress from, long now) {
         PeerUpdate sender = message.sender();
         if (sender.id().equals(mSelf.id())) {
-            hearOfSelf(sender, now);
+            receiveAboutSelf(sender, now);
             return;
         }
-        if (!hearSender(sender, from, now)) {
+        if (!receiveSender(sender, from, now)) {
             return;
         }
         message.updates().forEach(news -> receiveUpdate(news, from, now));
@@ -173,7 +173,7 @@
         }
     }
 
-    private boolean hearSender(PeerUpdate news, ServerAddress from, long now) {
+    private boolean receiveSender(PeerUpdate news, ServerAddress from, long now) {
         PeerRecord record = mTable.get(news.id());
         if (record == null && news.place().isEmpty()) {
             mSender.ask(from);
@@ -188,7 +188,7 @@
         }
         boolean wasClaimed = record.isClaimed();
         boolean changed = record.applyUpdate(news, now);
-        record.heard(news, now);
+        record.received(news, now);
         mTable.evaluate(record, now);
         mChanged |= changed;
         if (changed || wasClaimed) {
@@ -197,7 +197,7 @@
         return true;
     }
 
-    private void hearOfSelf(PeerUpdate news, long now) {
+    private void receiveAboutSelf(PeerUpdate news, long now) {
         if (mSelf.outrank(news)) {
             announce(now);
             if (!mTable.isFullMesh()) {
@@ -208,14 +208,14 @@
 
     private void receiveUpdate(PeerUpdate news, ServerAddress from, long now) {
         if (news.id().equals(mSelf.id())) {
-            hearOfSelf(news, now);
+            receiveAboutSelf(news, now);
             return;
         }
         PeerRecord record = mTable.get(news.id());
         if (record == null) {
             hearOfStranger(news, now);
         } else if (news.state() == PeerUpdate.State.SILENT) {
-            hearClaim(record, news, from, now);
+            receiveClaim(record, news, from, now);
         } else if (record.isClaimed() && !news.isLaterThan(record.incarnation(), record.seen())) {
             mSender.answer(from, false, List.of(record.claimUpdate()));
         } else if (news.isLaterThan(record.incarnation(), record.seen())) {
@@ -251,7 +251,7 @@
         }
     }
 
-    private void hearClaim(PeerRecord record, PeerUpdate claim, ServerAddress from, long now) {
+    private void receiveClaim(PeerRecord record, PeerUpdate claim, ServerAddress from, long now) {
         if (record.refutes(claim)) {
             mSender.answer(from, false, List.of(record.update(true)));
         } else if (!mTable.isFullMesh() && record.claim(now)) {
@@ -301,7 +301,7 @@
         }
         record.sent(now);
         ServerAddress to = record.place().internal();
-        if (record.isHeard()) {
+        if (record.hasReceived()) {
             mSender.heartbeat(to, false, List.of());
         } else {
             mSender.ask(to);
@@ -319,7 +319,7 @@
     }
 
     /** Tells one neighbor of a few members. */
-    private void tellInTurn(long now) {
+    private void reportInTurn(long now) {
         List<PeerRecord> near =
                 mTable.watched(now).stream().filter(r -> r.verdict() == Verdict.ALIVE).toList();
         boolean mesh = mTable.isFullMesh();
@@ -334,7 +334,7 @@
             return;
         }
         List<PeerUpdate> told = new ArrayList<>();
-        int most = mesh ? 1 : TOLD_IN_TURN;
+        int most = mesh ? 1 : REPORTED_IN_TURN;
         for (PeerRecord record : mTable.after(mTurn)) {
             if (told.size() < most && record != to && record.verdict() == Verdict.ALIVE) {
                 told.add(record.update(true));
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerFailureDetector.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerFailureDetector.java
@@ -25,7 +25,7 @@
         if (record.isWatched()) {
             return evaluateWatched(record, silence, now);
         }
-        if (!record.isTold() || cutOff) {
+        if (!record.isReported() || cutOff) {
             return Verdict.GONE;
         }
         return record.isClaimed() ? evaluateClaimed(record, now) : Verdict.ALIVE;
@@ -37,7 +37,7 @@
             return Long.MAX_VALUE;
         }
         long next = Long.MAX_VALUE;
-        if (record.isHeard()) {
+        if (record.hasReceived()) {
             long silence = record.silence(now);
             next = earlier(next, mSettings.suspectAfter().toNanos() - silence);
             next = earlier(next, mSettings.deadAfter().toNanos() - silence);
@@ -60,7 +60,7 @@
             return Verdict.SUSPECT;
         }
         boolean mayCome =
-                record.isTold() && !record.isClaimed() && record.sinceWatched(now) < grace();
+                record.isReported() && !record.isClaimed() && record.sinceWatched(now) < grace();
         return mayCome ? Verdict.ALIVE : Verdict.GONE;
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerListener.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerListener.java
@@ -14,7 +14,7 @@
      *
      * @param instance the instance
      */
-    void gained(PeerInstance instance);
+    void onPeerReachable(PeerInstance instance);
 
     /**
      * Tells that an instance is silent.
@@ -22,5 +22,5 @@
      * @param id the instance
      * @param planned whether it had told that it leaves
      */
-    void lost(InstanceId id, boolean planned);
+    void onPeerUnreachable(InstanceId id, boolean planned);
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerRecord.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerRecord.java
@@ -19,10 +19,10 @@
     private long mSequence;
     private long mRevision;
     private PeerUpdate.State mState = PeerUpdate.State.STARTING;
-    private boolean mHeard;
-    private long mHeardSequence;
-    private long mHeardAt;
-    private long mToldAt;
+    private boolean mHasReceived;
+    private long mReceivedSequence;
+    private long mReceivedAt;
+    private long mReportedAt;
     private boolean mClaimed;
     private long mClaimedAt;
     private boolean mWatched;
@@ -36,7 +36,7 @@
         mId = id;
         mPlace = place;
         mIncarnation = incarnation;
-        mToldAt = now;
+        mReportedAt = now;
     }
 
     InstanceId id() {
@@ -71,17 +71,17 @@
         return mClaimed;
     }
 
-    boolean isHeard() {
-        return mHeard;
+    boolean hasReceived() {
+        return mHasReceived;
     }
 
     /** Tells whether anybody ever heard this run of it. */
-    boolean isTold() {
+    boolean isReported() {
         return mSequence > 0;
     }
 
     long silence(long now) {
-        return mHeard ? now - mHeardAt : Long.MAX_VALUE;
+        return mHasReceived ? now - mReceivedAt : Long.MAX_VALUE;
     }
 
     long sinceClaim(long now) {
@@ -94,7 +94,7 @@
 
     /** Gives the time since the last sign of it, of whatever kind. */
     long sinceSign(long now) {
-        return now - (mHeard ? Math.max(mHeardAt, mToldAt) : mToldAt);
+        return now - (mHasReceived ? Math.max(mReceivedAt, mReportedAt) : mReportedAt);
     }
 
     /** Notes that the instance picked this one as its neighbor. */
@@ -117,7 +117,7 @@
 
     /** Counts a silence as no longer than this. */
     void excuse(long most, long now) {
-        mHeardAt = Math.max(mHeardAt, now - most);
+        mReceivedAt = Math.max(mReceivedAt, now - most);
     }
 
     void watch(boolean watched, long now) {
@@ -129,11 +129,11 @@
     }
 
     /** Takes a heartbeat of its own. */
-    void heard(PeerUpdate news, long now) {
-        if (news.sequence() >= mHeardSequence) {
-            mHeard = true;
-            mHeardSequence = news.sequence();
-            mHeardAt = now;
+    void received(PeerUpdate news, long now) {
+        if (news.sequence() >= mReceivedSequence) {
+            mHasReceived = true;
+            mReceivedSequence = news.sequence();
+            mReceivedAt = now;
             mClaimed = false;
         }
     }
@@ -146,8 +146,8 @@
         }
         boolean restarted = news.incarnation() > mIncarnation;
         if (restarted) {
-            mHeard = false;
-            mHeardSequence = 0;
+            mHasReceived = false;
+            mReceivedSequence = 0;
             mVerdict = Verdict.GONE;
         }
         boolean refuted = mClaimed && news.isLaterThan(mIncarnation, mSequence);
@@ -160,7 +160,7 @@
         mRevision = news.revision();
         mState = news.state();
         mPlace = news.place().orElse(mPlace);
-        mToldAt = now;
+        mReportedAt = now;
         return changed;
     }
 
@@ -188,7 +188,7 @@
 
     /** Gives the word that it is silent since it was heard last. */
     PeerUpdate claimUpdate() {
-        long sequence = mHeard && !mClaimed ? mHeardSequence : mSequence;
+        long sequence = mHasReceived && !mClaimed ? mReceivedSequence : mSequence;
         return new PeerUpdate(
                 mId, mIncarnation, sequence, mRevision, PeerUpdate.State.SILENT, Optional.empty());
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerTable.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerTable.java
@@ -16,7 +16,7 @@
 final class PeerTable {
 
     /** Of so many neighbors, one at least must be heard, or this instance is cut off itself. */
-    private static final int HEARD_ONE_IN = 3;
+    private static final int RECEIVED_ONE_IN = 3;
 
     private final InstanceId mSelf;
     private final ServerAddress mOwnAddress;
@@ -67,7 +67,7 @@
         for (PeerRecord other : replaced) {
             mRecords.remove(other.id());
             if (other.verdict() != Verdict.GONE) {
-                mListener.lost(other.id(), other.state() == PeerUpdate.State.LEAVING);
+                mListener.onPeerUnreachable(other.id(), other.state() == PeerUpdate.State.LEAVING);
             }
         }
         PeerRecord record = new PeerRecord(id, place, incarnation, now);
@@ -119,11 +119,11 @@
         mChanged |= before != verdict;
         mStale |= (before == Verdict.GONE) != (verdict == Verdict.GONE);
         if (before == Verdict.GONE && verdict != Verdict.GONE) {
-            mListener.gained(record.instance());
+            mListener.onPeerReachable(record.instance());
         }
         boolean lost = before != Verdict.GONE && verdict == Verdict.GONE;
         if (lost) {
-            mListener.lost(record.id(), record.state() == PeerUpdate.State.LEAVING);
+            mListener.onPeerUnreachable(record.id(), record.state() == PeerUpdate.State.LEAVING);
         }
         return lost;
     }
@@ -205,13 +205,13 @@
         int heard = 0;
         for (PeerRecord record : mRecords.values()) {
             boolean left = record.state() == PeerUpdate.State.LEAVING;
-            if (record.isWatched() && record.isTold() && !left) {
+            if (record.isWatched() && record.isReported() && !left) {
                 watched++;
                 boolean isNear = record.silence(now) < mSettings.deadAfter().toNanos();
                 heard += isNear || record.verdict() != Verdict.GONE ? 1 : 0;
             }
         }
-        return heard * HEARD_ONE_IN < watched;
+        return heard * RECEIVED_ONE_IN < watched;
     }
 
     private boolean isForgotten(PeerRecord record, long forget, long now) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/CategoryCopy.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/CategoryCopy.java
@@ -29,7 +29,7 @@
     private final Map<String, Tombstone> mTombstones = new HashMap<>();
 
     /** Documents of a store that came back which had been deleted before. */
-    private final Map<String, Told> mReturned = new HashMap<>();
+    private final Map<String, TimestampedDocument> mReturned = new HashMap<>();
 
     private boolean mReturning;
     private boolean mUncertain;
@@ -103,7 +103,7 @@
      * @param source who told
      * @param nowNanos the monotonic time
      */
-    void applyList(List<Told> documents, long revision, CopySource source, long nowNanos) {
+    void applyList(List<TimestampedDocument> documents, long revision, CopySource source, long nowNanos) {
         if (mListed && revision < mRevision) {
             return;
         }
@@ -112,7 +112,7 @@
             mUncertain = true;
         }
         Set<String> names = new HashSet<>();
-        for (Told told : documents) {
+        for (TimestampedDocument told : documents) {
             if (!told.document().deleted()) {
                 names.add(told.document().name());
             }
@@ -146,8 +146,8 @@
                 && StoreRevision.isOfEarlierEra(tombstone.revision(), document.revision());
     }
 
-    private void takeIfWrittenAgain(Told told, long revision, long nowNanos) {
-        Told before = mReturned.get(told.document().name());
+    private void takeIfWrittenAgain(TimestampedDocument told, long revision, long nowNanos) {
+        TimestampedDocument before = mReturned.get(told.document().name());
         if (told.document().revision() > before.document().revision()) {
             apply(told, revision, nowNanos);
         }
@@ -204,8 +204,8 @@
      * @param source who told
      * @param nowNanos the monotonic time
      */
-    void applyChanges(List<Told> changes, long revision, CopySource source, long nowNanos) {
-        for (Told told : changes) {
+    void applyChanges(List<TimestampedDocument> changes, long revision, CopySource source, long nowNanos) {
+        for (TimestampedDocument told : changes) {
             apply(told, revision, nowNanos);
         }
         confirm(Math.max(revision, mRevision), source, nowNanos);
@@ -227,7 +227,7 @@
     }
 
     /** A peer may have kept a newer document than the copy that the store came back from has. */
-    private void takeOutranking(Told told, long nowNanos) {
+    private void takeOutranking(TimestampedDocument told, long nowNanos) {
         StoredDocument document = told.document();
         Held held = mDocuments.get(document.name());
         boolean isOutranking =
@@ -262,10 +262,10 @@
             return new CopyPart(mCategory, mRevision, false, List.of());
         }
         boolean whole = afterRevision < mHorizon;
-        List<Told> documents = new ArrayList<>();
+        List<TimestampedDocument> documents = new ArrayList<>();
         for (Held held : mDocuments.values()) {
             if (whole || held.document().revision() > afterRevision) {
-                documents.add(new Told(held.document(), held.stateNanos()));
+                documents.add(new TimestampedDocument(held.document(), held.stateNanos()));
             }
         }
         if (whole) {
@@ -275,7 +275,7 @@
         for (Map.Entry<String, Tombstone> entry : mTombstones.entrySet()) {
             Tombstone tombstone = entry.getValue();
             if (!whole && tombstone.learntRevision() > afterRevision) {
-                documents.add(new Told(deletion(entry.getKey(), tombstone), nowNanos));
+                documents.add(new TimestampedDocument(deletion(entry.getKey(), tombstone), nowNanos));
             }
         }
         return new CopyPart(mCategory, mRevision, whole, documents);
@@ -301,7 +301,7 @@
         return new StoredDocument(mCategory, name, tombstone.revision(), true, null);
     }
 
-    private void apply(Told told, long completeRevision, long nowNanos) {
+    private void apply(TimestampedDocument told, long completeRevision, long nowNanos) {
         StoredDocument document = told.document();
         mReturned.remove(document.name());
         Held held = mDocuments.get(document.name());
@@ -361,10 +361,10 @@
     }
 
     /** A document and the monotonic time of which it tells. */
-    record Told(StoredDocument document, long stateNanos) {}
+    record TimestampedDocument(StoredDocument document, long stateNanos) {}
 
     /** What another copy lacks, or the whole. */
-    record CopyPart(Category category, long revision, boolean whole, List<Told> documents) {}
+    record CopyPart(Category category, long revision, boolean whole, List<TimestampedDocument> documents) {}
 
     private record Held(StoredDocument document, long stateNanos) {}
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/CategoryFollower.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/CategoryFollower.java
@@ -2,7 +2,7 @@
 
 import io.masticpond.core.time.Moment;
 import io.masticpond.core.time.TimeSource;
-import io.masticpond.entry.replica.CategoryCopy.Told;
+import io.masticpond.entry.replica.CategoryCopy.TimestampedDocument;
 import io.vavr.control.Either;
 import java.time.Duration;
 import java.util.List;
@@ -155,7 +155,7 @@
         FeedResult content = result.get();
         long nowNanos = mTime.monotonicNanos();
         mCopy.applyList(
-                told(content, nowNanos), content.storeRevision(), CopySource.STORE, nowNanos);
+                timestamped(content, nowNanos), content.storeRevision(), CopySource.STORE, nowNanos);
         mApplied.run();
         mListed.accept(start);
         next(Duration.ZERO, this::follow);
@@ -205,7 +205,7 @@
         mCuts = isShort ? mCuts : 0;
         long nowNanos = mTime.monotonicNanos();
         mCopy.applyChanges(
-                told(changes, nowNanos), changes.storeRevision(), CopySource.STORE, nowNanos);
+                timestamped(changes, nowNanos), changes.storeRevision(), CopySource.STORE, nowNanos);
         mApplied.run();
         boolean isEmpty = changes.documents().isEmpty();
         boolean isEarly = !isShort && held.compareTo(mSettings.firstRetry()) < 0;
@@ -281,7 +281,7 @@
         mTimer = mScheduler.schedule(delay, step);
     }
 
-    static List<Told> told(FeedResult result, long nowNanos) {
-        return result.documents().stream().map(document -> new Told(document, nowNanos)).toList();
+    static List<TimestampedDocument> timestamped(FeedResult result, long nowNanos) {
+        return result.documents().stream().map(document -> new TimestampedDocument(document, nowNanos)).toList();
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/FleetReplica.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/FleetReplica.java
@@ -94,7 +94,7 @@
                         mCopies.get(Category.ROUTING),
                         mRouting,
                         mReturn::isSettled,
-                        this::storeTold);
+                        this::onStoreUpdate);
         mReturn.whenSettled((era, hadBefore) -> mRoutingReader.settled(hadBefore));
         mRelayed = new RelayedCopies(mCopies.values(), mTime);
     }
@@ -110,7 +110,7 @@
                     }
                 };
         mFollowers.add(
-                new CategoryFollower(context, copy, settle, mHealth, this::storeTold, listed));
+                new CategoryFollower(context, copy, settle, mHealth, this::onStoreUpdate, listed));
     }
 
     /** A new server's report follows its entry, and must not wait for a burst to settle. */
@@ -144,7 +144,7 @@
     void usePeers(PeerRevisions peers, RelayLink link, RelayFallback.Place place) {
         mFallback =
                 Optional.of(
-                        new RelayFallback(mContext, peers, link, mRelayed, place, this::peerTold));
+                        new RelayFallback(mContext, peers, link, mRelayed, place, this::onPeerUpdate));
         mLag = Optional.of(new PeerLag(peers));
     }
 
@@ -169,7 +169,7 @@
                                     link,
                                     mRelayed,
                                     () -> mUsable && !mHealth.isFailing() && !mLeaving,
-                                    this::peerTold,
+                                    this::onPeerUpdate,
                                     this::relayTurned));
         }
     }
@@ -344,11 +344,11 @@
         }
     }
 
-    private void storeTold() {
+    private void onStoreUpdate() {
         publish(CopySource.STORE);
     }
 
-    private void peerTold() {
+    private void onPeerUpdate() {
         publish(CopySource.PEER);
     }
 
@@ -366,13 +366,13 @@
         isChanged |= mServers.takeChanged();
         isChanged |= mEvacuations.takeChanged();
         if (isChanged) {
-            tell(source, nowNanos);
+            notifyListener(source, nowNanos);
         }
         mRelayService.changed();
         mReturn.look();
     }
 
-    private void tell(CopySource source, long nowNanos) {
+    private void notifyListener(CopySource source, long nowNanos) {
         mSnapshot =
                 new FleetSnapshot(
                         mRevision,
@@ -381,13 +381,13 @@
                         mEvacuations.zones());
         mWarmTimer.run();
         mServers.untilNextDue(mRouting::warmUp, nowNanos)
-                .ifPresent(left -> mWarmTimer = mScheduler.schedule(left, this::tellWarm));
+                .ifPresent(left -> mWarmTimer = mScheduler.schedule(left, this::notifyWarmUp));
         mListener.changed(mSnapshot, source);
     }
 
-    private void tellWarm() {
+    private void notifyWarmUp() {
         if (!mStopped) {
-            tell(CopySource.NONE, mTime.monotonicNanos());
+            notifyListener(CopySource.NONE, mTime.monotonicNanos());
         }
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayCodec.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayCodec.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.google.protobuf.ByteString;
 import io.masticpond.entry.replica.CategoryCopy.CopyPart;
-import io.masticpond.entry.replica.CategoryCopy.Told;
+import io.masticpond.entry.replica.CategoryCopy.TimestampedDocument;
 import io.masticpond.protocol.generated.relay.CategoryAnswer;
 import io.masticpond.protocol.generated.relay.RelayedDocument;
 import io.vavr.control.Either;
@@ -51,13 +51,13 @@
                         .setCategory(part.category().name())
                         .setRevision(part.revision())
                         .setWhole(part.whole());
-        for (Told told : part.documents()) {
+        for (TimestampedDocument told : part.documents()) {
             answer.addDocuments(document(told, nowNanos));
         }
         return answer.build();
     }
 
-    private RelayedDocument document(Told told, long nowNanos) {
+    private RelayedDocument document(TimestampedDocument told, long nowNanos) {
         StoredDocument document = told.document();
         RelayedDocument.Builder message =
                 RelayedDocument.newBuilder()
@@ -91,14 +91,14 @@
         if (answer.getRevision() < 0) {
             return Either.left("A revision is negative.");
         }
-        List<Told> documents = new ArrayList<>();
+        List<TimestampedDocument> documents = new ArrayList<>();
         for (RelayedDocument document : answer.getDocumentsList()) {
             boolean isSound = !document.getName().isEmpty() && document.getRevision() >= 0;
             if (!isSound || document.getAgeMs() < 0) {
                 return Either.left("A document has no name, or a negative revision or age.");
             }
             try {
-                documents.add(told(category, document, nowNanos));
+                documents.add(timestamped(category, document, nowNanos));
             } catch (IOException exception) {
                 return Either.left("A document is no JSON.");
             }
@@ -107,7 +107,7 @@
                 new CopyPart(category, answer.getRevision(), answer.getWhole(), documents));
     }
 
-    private Told told(Category category, RelayedDocument document, long nowNanos)
+    private TimestampedDocument timestamped(Category category, RelayedDocument document, long nowNanos)
             throws IOException {
         JsonNode content =
                 document.getDeleted()
@@ -120,6 +120,6 @@
                         document.getRevision(),
                         document.getDeleted(),
                         content);
-        return new Told(stored, nowNanos - Duration.ofMillis(document.getAgeMs()).toNanos());
+        return new TimestampedDocument(stored, nowNanos - Duration.ofMillis(document.getAgeMs()).toNanos());
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RoutingReader.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RoutingReader.java
@@ -74,7 +74,7 @@
                 content -> {
                     long now = mContext.time().monotonicNanos();
                     mCopy.applyList(
-                            CategoryFollower.told(content, now),
+                            CategoryFollower.timestamped(content, now),
                             content.storeRevision(),
                             CopySource.STORE,
                             now);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/StoreEra.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/StoreEra.java
@@ -20,7 +20,7 @@
     private static final Pattern NUMBER = Pattern.compile("\\d{1,18}");
 
     private long mNewest;
-    private boolean mHasHeard;
+    private boolean mHasReceived;
     private boolean mHasWarned;
 
     /**
@@ -47,10 +47,10 @@
     }
 
     private boolean take(long era) {
-        if (mHasHeard && era > mNewest) {
+        if (mHasReceived && era > mNewest) {
             sLogger.warn("STORE  came back from an older copy: era {} after {}", era, mNewest);
         }
-        mHasHeard = true;
+        mHasReceived = true;
         mNewest = Math.max(mNewest, era);
         return era == mNewest;
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/CrashCheck.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/CrashCheck.java
@@ -34,7 +34,7 @@
     }
 
     /** Says that this one is rejected, of which others told. */
-    Rejection toldRejection() {
+    Rejection reportedRejection() {
         return rejection(rejectedForNanos());
     }
 
@@ -74,7 +74,7 @@
 
     /** Tells whether this one may be followed; for nearly all requests a comparison tells not. */
     private boolean isFollowed() {
-        return mGuard.followsAny() && mGuard.mayFollow(checksum());
+        return mGuard.isTrackingAny() && mGuard.mightContain(checksum());
     }
 
     private int checksum() {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/CrashGuard.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/CrashGuard.java
@@ -32,7 +32,7 @@
     private final Fingerprints mFingerprints = new Fingerprints();
     private final CrashingRequests mRequests;
     private final Consumer<RequestFingerprint> mWhenRejected;
-    private CrashOutlet mOutlet = CrashOutlet.NONE;
+    private CrashMessageSender mOutlet = CrashMessageSender.NONE;
     private long mEnds;
 
     CrashGuard(
@@ -53,7 +53,7 @@
      *
      * @param outlet carries them
      */
-    public void tellBy(CrashOutlet outlet) {
+    public void setMessageSender(CrashMessageSender outlet) {
         mOutlet = Assert.notNull(outlet, "An outlet");
     }
 
@@ -72,8 +72,8 @@
      * @param teller names the other instance
      * @param messages what it told
      */
-    public void heard(String teller, List<CrashMessage> messages) {
-        messages.forEach(message -> mRequests.heard(teller, message, now()));
+    public void receive(String teller, List<CrashMessage> messages) {
+        messages.forEach(message -> mRequests.receive(teller, message, now()));
     }
 
     /**
@@ -118,13 +118,13 @@
     }
 
     /** Tells whether any request is followed, so that others have to be looked at. */
-    boolean followsAny() {
+    boolean isTrackingAny() {
         return !mRequests.isEmpty();
     }
 
     /** Tells whether a request may be followed, at a hundredth of the cost of its fingerprint. */
-    boolean mayFollow(int checksum) {
-        return mRequests.mayFollow(checksum);
+    boolean mightContain(int checksum) {
+        return mRequests.mightContain(checksum);
     }
 
     int checksum(IncomingRequest request) {
@@ -149,7 +149,7 @@
 
     private void ended(RegisteredServer server, BrokenOffRequests.Request request) {
         mEnds++;
-        mRequests.ended(
+        mRequests.addServerEnd(
                 request.fingerprint(),
                 HashMixer.hash(server.id().value()),
                 request.sentNanos(),
@@ -165,13 +165,13 @@
     private final class Output implements CrashOutput {
 
         @Override
-        public void tellKeepers(CrashMessage message) {
-            mOutlet.tell(message, false);
+        public void sendToAggregators(CrashMessage message) {
+            mOutlet.send(message, false);
         }
 
         @Override
-        public void tellAll(CrashMessage message) {
-            mOutlet.tell(message, true);
+        public void sendToAll(CrashMessage message) {
+            mOutlet.send(message, true);
         }
 
         @Override
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/CrashOutlet.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/CrashMessageSender.java
@@ -7,10 +7,10 @@
  *
  * @since 0.2
  */
-public interface CrashOutlet {
+public interface CrashMessageSender {
 
     /** Carries nothing. */
-    CrashOutlet NONE = (message, toAll) -> {};
+    CrashMessageSender NONE = (message, toAll) -> {};
 
     /**
      * Carries a message, soon and without promise. Traffic thread only.
@@ -19,5 +19,5 @@
      * @param toAll whether all instances hear it, or those alone that keep what is known of its
      *     request
      */
-    void tell(CrashMessage message, boolean toAll);
+    void send(CrashMessage message, boolean toAll);
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestRun.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestRun.java
@@ -271,7 +271,7 @@
     void rejected(RequestFingerprint request) {
         if (!mDone && mCrashCheck.isFor(request)) {
             giveUpCall();
-            endRejected(mCrashCheck.toldRejection());
+            endRejected(mCrashCheck.reportedRejection());
         }
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerLimitGate.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerLimitGate.java
@@ -8,7 +8,7 @@
 import io.masticpond.core.placement.ServerTable;
 import io.masticpond.core.serverlimit.LimitView;
 import io.masticpond.core.serverlimit.LimitHeader;
-import io.masticpond.core.serverlimit.LimitOutput;
+import io.masticpond.core.serverlimit.LimitListener;
 import io.masticpond.core.serverlimit.LimitReport;
 import io.masticpond.core.serverlimit.ServerLimitSettings;
 import io.masticpond.core.serverlimit.ServerLimits;
@@ -185,20 +185,20 @@
         return mTimeSource.monotonicNanos();
     }
 
-    private final class Output implements LimitOutput {
+    private final class Output implements LimitListener {
 
         @Override
-        public void changed(LimitView belief) {
+        public void onViewChanged(LimitView belief) {
             mLog.viewChanged(new ViewChange.ServerLimit(belief));
         }
 
         @Override
-        public void publish(LimitReport report) {
+        public void onReport(LimitReport report) {
             mOutlet.accept(report);
         }
 
         @Override
-        public void malformed(BackendServerId server) {
+        public void onMalformed(BackendServerId server) {
             mLog.viewChanged(new ViewChange.MalformedLimit(server));
         }
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerStatements.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerStatements.java
@@ -8,7 +8,7 @@
 import io.masticpond.core.statement.ServerWithdrawals;
 import io.masticpond.core.statement.StatementPart;
 import io.masticpond.core.statement.WithdrawalView;
-import io.masticpond.core.statement.WithdrawalOutput;
+import io.masticpond.core.statement.WithdrawalListener;
 import io.masticpond.core.statement.WithdrawalSettings;
 import io.masticpond.core.support.Assert;
 import io.masticpond.core.time.TimeSource;
@@ -148,15 +148,15 @@
     }
 
     /** Writes what is believed to the log. */
-    private record Output(DecisionLog log) implements WithdrawalOutput {
+    private record Output(DecisionLog log) implements WithdrawalListener {
 
         @Override
-        public void changed(WithdrawalView belief) {
+        public void onViewChanged(WithdrawalView belief) {
             log.viewChanged(new ViewChange.Withdrawal(belief));
         }
 
         @Override
-        public void malformed(BackendServerId server, StatementPart part) {
+        public void onMalformed(BackendServerId server, StatementPart part) {
             log.viewChanged(new ViewChange.MalformedStatement(server, part));
         }
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/settings/SettingsPart.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/settings/SettingsPart.java
@@ -68,7 +68,7 @@
      * @param after the settings now
      * @return the sentence
      */
-    public static String tellChange(EntrySettings before, EntrySettings after) {
+    public static String describeChanges(EntrySettings before, EntrySettings after) {
         Assert.notNull(before, "Settings before");
         Assert.notNull(after, "Settings after");
         return String.format(
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/RepeatHearers.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/AntiEntropyTargets.java
@@ -14,9 +14,9 @@
  * started since the last one, and from time to time one other in turn, which makes up for lost
  * datagrams. A few instances tell one that starts, the same for all who see the same instances.
  */
-final class RepeatHearers {
+final class AntiEntropyTargets {
 
-    private static final int TELLERS = 3;
+    private static final int REPORTERS = 3;
     private static final int LOOKS_FOR_A_REPEAT = 4;
 
     private final InstanceId mSelf;
@@ -25,13 +25,13 @@
     private Set<Long> mKnown = Set.of();
     private List<PeerInstance> mAlive = List.of();
 
-    RepeatHearers(InstanceId self) {
+    AntiEntropyTargets(InstanceId self) {
         mSelf = self;
         mTurn = HashMixer.hash(self.value());
     }
 
     /** Gives those that are to be told now. */
-    List<PeerInstance> look(List<PeerInstance> alive) {
+    List<PeerInstance> select(List<PeerInstance> alive) {
         List<PeerInstance> hearers = new ArrayList<>(started(alive));
         if (mLooks++ % LOOKS_FOR_A_REPEAT == 0 && !alive.isEmpty()) {
             hearers.add(alive.get(Math.floorMod(mTurn++, alive.size())));
@@ -48,7 +48,7 @@
         for (PeerInstance each : alive) {
             long run = each.incarnation() + HashMixer.hash(each.id().value());
             known.add(run);
-            if (!mKnown.contains(run) && tellers(each, alive).contains(mSelf)) {
+            if (!mKnown.contains(run) && reporters(each, alive).contains(mSelf)) {
                 started.add(each);
             }
         }
@@ -57,12 +57,12 @@
         return started;
     }
 
-    private static List<InstanceId> tellers(PeerInstance started, List<PeerInstance> alive) {
+    private static List<InstanceId> reporters(PeerInstance started, List<PeerInstance> alive) {
         List<InstanceId> others =
                 alive.stream()
                         .map(PeerInstance::id)
                         .filter(id -> !id.equals(started.id()))
                         .toList();
-        return Rendezvous.order(started.id().value(), others).stream().limit(TELLERS).toList();
+        return Rendezvous.order(started.id().value(), others).stream().limit(REPORTERS).toList();
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlModule.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlModule.java
@@ -106,7 +106,7 @@
                         new KnownZonesTranslator(platform.translator(), settings.zones().keySet()),
                         (snapshot, source) -> updates.get().snapshotChanged(snapshot, source));
         replica.addStoreListener(new LoggingStoreListener(log));
-        HeardRevisions heard = new HeardRevisions(heartbeats, self.id());
+        HeartbeatRevisions heard = new HeartbeatRevisions(heartbeats, self.id());
         RelayClient client = new RelayClient(control);
         replica.usePeers(heard, client, settings.zone(), settings.region());
         replica.shareWatching(
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/CrashSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/CrashSharing.java
@@ -26,10 +26,10 @@
 final class CrashSharing {
 
     /** One may be down or believed so by some, and a second one proves what the first says. */
-    private static final int KEEPERS = 2;
+    private static final int AGGREGATORS = 2;
 
     /** A keeper in the own zone besides, since a zone that is cut off goes on by itself. */
-    private static final int KEEPERS_IN_ZONE = 1;
+    private static final int AGGREGATORS_IN_ZONE = 1;
 
     /** Requests that one server's end broke off go in one bundle. */
     private static final long BUNDLE_MILLIS = 10;
@@ -45,7 +45,7 @@
     private final CrashGuard mGuard;
     private final HeartbeatDuty mPeers;
     private final Map<PeerInstance, List<CrashMessage>> mWaiting = new HashMap<>();
-    private final RepeatHearers mHearers;
+    private final AntiEntropyTargets mTargets;
 
     @Inject
     CrashSharing(
@@ -58,20 +58,20 @@
         mControl = control;
         mGuard = flow.crashes();
         mPeers = peers;
-        mHearers = new RepeatHearers(self.id());
+        mTargets = new AntiEntropyTargets(self.id());
     }
 
     /** Begins to tell and to hear. */
     void start() {
-        mPeers.hear(
+        mPeers.registerReceiver(
                 CrashMessageCodec.VERSION,
                 (sender, content) -> {
                     List<CrashMessage> messages = CrashMessageCodec.read(content);
-                    mTraffic.execute(() -> mGuard.heard(sender.toString(), messages));
+                    mTraffic.execute(() -> mGuard.receive(sender.toString(), messages));
                 });
         mTraffic.execute(
                 () ->
-                        mGuard.tellBy(
+                        mGuard.setMessageSender(
                                 (message, toAll) -> mControl.execute(() -> add(message, toAll))));
         mTraffic.scheduleWithFixedDelay(
                 this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
@@ -82,17 +82,17 @@
         if (!rejections.isEmpty()) {
             mControl.execute(
                     () ->
-                            mPeers.tell(
-                                    mHearers.look(mPeers.alive()),
+                            mPeers.sendDatagram(
+                                    mTargets.select(mPeers.alive()),
                                     out -> CrashMessageCodec.write(rejections, out)));
         }
     }
 
     private void add(CrashMessage message, boolean toAll) {
         if (mWaiting.isEmpty()) {
-            mControl.schedule(this::tellWaiting, BUNDLE_MILLIS, TimeUnit.MILLISECONDS);
+            mControl.schedule(this::sendPending, BUNDLE_MILLIS, TimeUnit.MILLISECONDS);
         }
-        for (PeerInstance hearer : toAll ? mPeers.alive() : keepers(message.request())) {
+        for (PeerInstance hearer : toAll ? mPeers.alive() : aggregators(message.request())) {
             List<CrashMessage> waiting =
                     mWaiting.computeIfAbsent(hearer, each -> new ArrayList<>());
             if (waiting.size() < MOST_WAITING) {
@@ -101,20 +101,20 @@
         }
     }
 
-    private Set<PeerInstance> keepers(RequestFingerprint request) {
+    private Set<PeerInstance> aggregators(RequestFingerprint request) {
         Set<PeerInstance> keepers = new LinkedHashSet<>();
-        keepers.addAll(PeerOrder.first(request.toString(), mPeers.alive(), KEEPERS));
-        keepers.addAll(PeerOrder.first(request.toString(), mPeers.ownZone(), KEEPERS_IN_ZONE));
+        keepers.addAll(PeerOrder.first(request.toString(), mPeers.alive(), AGGREGATORS));
+        keepers.addAll(PeerOrder.first(request.toString(), mPeers.ownZone(), AGGREGATORS_IN_ZONE));
         return keepers;
     }
 
-    private void tellWaiting() {
+    private void sendPending() {
         mWaiting.forEach(
                 (hearer, messages) -> {
                     for (int from = 0; from < messages.size(); ) {
                         int to = Math.min(messages.size(), from + CrashMessageCodec.MOST_MESSAGES);
                         List<CrashMessage> part = messages.subList(from, to);
-                        mPeers.tell(List.of(hearer), out -> CrashMessageCodec.write(part, out));
+                        mPeers.sendDatagram(List.of(hearer), out -> CrashMessageCodec.write(part, out));
                         from = to;
                     }
                 });
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryFigures.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryFigures.java
@@ -155,8 +155,8 @@
                         mConnections.open(),
                         mConnections.idle(),
                         mConnections.opened(),
-                        mFlow.placer().shared().told(),
-                        mFlow.placer().shared().heardCount(),
+                        mFlow.placer().shared().reportedCount(),
+                        mFlow.placer().shared().receivedCount(),
                         mFlow.crashes().ends(),
                         crashes.size(),
                         crashes.stream().filter(each -> each.remainingNanos() > 0).count(),
@@ -179,7 +179,7 @@
         values.set(EntryValue.SHAREHOLDERS, mControl.heartbeats().shareholders());
         values.set(EntryValue.PEERS_AGE, peersAge());
         values.set(EntryValue.HEARTBEATS_SENT, mControl.heartbeats().sent());
-        values.set(EntryValue.HEARTBEATS_HEARD, mControl.heartbeats().heard());
+        values.set(EntryValue.HEARTBEATS_RECEIVED, mControl.heartbeats().received());
     }
 
     private double peersAge() {
@@ -198,8 +198,8 @@
         values.set(EntryValue.BACKEND_CONNECTIONS, traffic.connections());
         values.set(EntryValue.IDLE_BACKEND_CONNECTIONS, traffic.idle());
         values.set(EntryValue.BACKEND_CONNECTIONS_OPENED, traffic.opened());
-        values.set(EntryValue.LOADS_TOLD, traffic.loadsTold());
-        values.set(EntryValue.LOADS_HEARD, traffic.loadsHeard());
+        values.set(EntryValue.LOADS_REPORTED, traffic.loadsTold());
+        values.set(EntryValue.LOADS_RECEIVED, traffic.loadsHeard());
         values.set(EntryValue.SERVER_ENDS, traffic.serverEnds());
         values.set(EntryValue.FOLLOWED_REQUESTS, traffic.followed());
         values.set(EntryValue.LIMITED_SERVERS, traffic.limits().servers());
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryInstance.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryInstance.java
@@ -87,13 +87,13 @@
                 () -> {
                     mControlSide.start();
                     mControl.scheduleAtFixedRate(
-                            mUpdates::tellStatus,
+                            mUpdates::reportStatus,
                             STATUS_PERIOD_MILLIS,
                             STATUS_PERIOD_MILLIS,
                             TimeUnit.MILLISECONDS);
                     mListeners.serveOperators();
                 });
-        mListeners.start(() -> mControl.execute(mUpdates::tellStatus));
+        mListeners.start(() -> mControl.execute(mUpdates::reportStatus));
     }
 
     /** Begins a planned stop, which ends with the exit given. */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/HeardRevisions.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/HeartbeatRevisions.java
@@ -11,12 +11,12 @@
 import java.util.Set;
 
 /** Tells how far the other instances are, as their heartbeats say. */
-final class HeardRevisions implements PeerRevisions {
+final class HeartbeatRevisions implements PeerRevisions {
 
     private final PeerView mPeers;
     private final InstanceId mSelf;
 
-    HeardRevisions(PeerView peers, InstanceId self) {
+    HeartbeatRevisions(PeerView peers, InstanceId self) {
         mPeers = peers;
         mSelf = self;
     }
@@ -25,7 +25,7 @@
     public List<RelayPeer> alive() {
         return mPeers.alive().stream()
                 .filter(peer -> !peer.id().equals(mSelf))
-                .map(HeardRevisions::relayPeer)
+                .map(HeartbeatRevisions::relayPeer)
                 .toList();
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LimitSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LimitSharing.java
@@ -41,7 +41,7 @@
     private final ServerLimitGate mLimits;
     private final HeartbeatDuty mPeers;
     private final PeerInstance mSelf;
-    private final RepeatHearers mHearers;
+    private final AntiEntropyTargets mTargets;
     private final Map<Long, LimitReport> mWaiting = new HashMap<>();
     private boolean mIsPlanned;
 
@@ -58,26 +58,26 @@
         mLimits = flow.statements().limits();
         mPeers = peers;
         mSelf = self;
-        mHearers = new RepeatHearers(self.id());
+        mTargets = new AntiEntropyTargets(self.id());
     }
 
     /** Begins to tell and to hear. */
     void start() {
-        mPeers.hear(
+        mPeers.registerReceiver(
                 LimitReportCodec.VERSION,
                 (sender, content) -> {
                     LimitReportCodec.Content told = LimitReportCodec.read(content);
-                    mTraffic.execute(() -> hear(told));
+                    mTraffic.execute(() -> receive(told));
                 });
         mTraffic.execute(() -> mLimits.publishTo(report -> mControl.execute(() -> add(report))));
         mTraffic.scheduleWithFixedDelay(
                 this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void hear(LimitReportCodec.Content told) {
+    private void receive(LimitReportCodec.Content told) {
         List<LimitReport> news = mLimits.received(mFlow.servers(), told.reports());
         if (told.passOn() && !news.isEmpty()) {
-            mControl.execute(() -> tell(mPeers.ownZone(), false, news));
+            mControl.execute(() -> send(mPeers.ownZone(), false, news));
         }
     }
 
@@ -85,7 +85,7 @@
         mFlow.statements().refresh();
         List<LimitReport> reports = mLimits.reports();
         if (!reports.isEmpty()) {
-            mControl.execute(() -> tell(mHearers.look(mPeers.alive()), false, reports));
+            mControl.execute(() -> send(mTargets.select(mPeers.alive()), false, reports));
         }
     }
 
@@ -93,12 +93,12 @@
         mWaiting.put(report.serverHash(), report);
         if (!mIsPlanned) {
             mIsPlanned = true;
-            mControl.schedule(this::tellWaiting, BUNDLE_MILLIS, TimeUnit.MILLISECONDS);
+            mControl.schedule(this::sendPending, BUNDLE_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     /** Tells what waits; the next bundle may follow when this one's datagrams are paid for. */
-    private void tellWaiting() {
+    private void sendPending() {
         if (mWaiting.isEmpty()) {
             mIsPlanned = false;
             return;
@@ -107,10 +107,10 @@
         mWaiting.clear();
         List<PeerInstance> relays = relays();
         List<PeerInstance> zone = mPeers.ownZone();
-        tell(zone, false, reports);
-        tell(relays, true, reports);
+        send(zone, false, reports);
+        send(relays, true, reports);
         long rest = MILLIS_FOR_EACH * (zone.size() + relays.size());
-        mControl.schedule(this::tellWaiting, rest, TimeUnit.MILLISECONDS);
+        mControl.schedule(this::sendPending, rest, TimeUnit.MILLISECONDS);
     }
 
     private List<PeerInstance> relays() {
@@ -127,12 +127,12 @@
         return relays;
     }
 
-    private void tell(List<PeerInstance> hearers, boolean passOn, List<LimitReport> reports) {
+    private void send(List<PeerInstance> hearers, boolean passOn, List<LimitReport> reports) {
         for (int from = 0; from < reports.size(); from += LimitReportCodec.MOST_REPORTS) {
             int to = Math.min(reports.size(), from + LimitReportCodec.MOST_REPORTS);
             LimitReportCodec.Content content =
                     new LimitReportCodec.Content(passOn, reports.subList(from, to));
-            mPeers.tell(hearers, out -> LimitReportCodec.write(content, out));
+            mPeers.sendDatagram(hearers, out -> LimitReportCodec.write(content, out));
         }
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoadSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoadSharing.java
@@ -50,11 +50,11 @@
 
     /** Begins to tell and to hear. */
     void start() {
-        mPeers.hear(
+        mPeers.registerReceiver(
                 LoadReportCodec.VERSION,
                 (sender, content) -> {
                     List<LoadReport> reports = LoadReportCodec.read(content);
-                    mTraffic.execute(() -> hear(reports));
+                    mTraffic.execute(() -> receive(reports));
                 });
         mTraffic.execute(() -> shared().whenWaiting(this::plan));
     }
@@ -63,19 +63,19 @@
         return mFlow.placer().shared();
     }
 
-    private void hear(List<LoadReport> reports) {
-        shared().heard(mFlow.servers(), reports, mTimeSource.monotonicNanos());
+    private void receive(List<LoadReport> reports) {
+        shared().receive(mFlow.servers(), reports, mTimeSource.monotonicNanos());
     }
 
     private void plan() {
         long wait = MILLIS_FOR_EACH * (mPeers.ownZone().size() - 1);
         wait = Math.max(LEAST_MILLIS, Math.min(MOST_MILLIS, wait));
-        mTraffic.schedule(this::tell, wait, TimeUnit.MILLISECONDS);
+        mTraffic.schedule(this::send, wait, TimeUnit.MILLISECONDS);
     }
 
-    private void tell() {
+    private void send() {
         List<LoadReport> reports = shared().take();
         mControl.execute(
-                () -> mPeers.tell(mPeers.ownZone(), out -> LoadReportCodec.write(reports, out)));
+                () -> mPeers.sendDatagram(mPeers.ownZone(), out -> LoadReportCodec.write(reports, out)));
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoggingPeerListener.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoggingPeerListener.java
@@ -24,7 +24,7 @@
     }
 
     @Override
-    public void gained(PeerInstance instance) {
+    public void onPeerReachable(PeerInstance instance) {
         Long lost = mLostNanos.remove(instance.id());
         long silent =
                 lost == null
@@ -35,7 +35,7 @@
     }
 
     @Override
-    public void lost(InstanceId id, boolean planned) {
+    public void onPeerUnreachable(InstanceId id, boolean planned) {
         mLostNanos.put(id, mTimeSource.monotonicNanos());
         mLog.viewChanged(new ViewChange.Peer(id, RequestRecord.UNKNOWN, false, 0));
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ProofSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ProofSharing.java
@@ -60,7 +60,7 @@
     private long mTurn;
     private boolean mReading;
     private boolean mProven;
-    private Moment mToldProof;
+    private Moment mReportedProof;
 
     @Inject
     ProofSharing(
@@ -87,16 +87,16 @@
 
     /** Begins to prove, to ask and to answer. */
     void start() {
-        mPeers.hear(
+        mPeers.registerReceiver(
                 ProofCodec.VERSION,
                 (sender, content) ->
                         ProofCodec.read(content)
                                 .ifPresent(
                                         message -> {
                                             if (message instanceof ProofCodec.Ask ask) {
-                                                mPeers.tell(sender, out -> answer(ask, out));
+                                                mPeers.sendDatagram(sender, out -> answer(ask, out));
                                             } else {
-                                                heard((ProofCodec.Answer) message);
+                                                received((ProofCodec.Answer) message);
                                             }
                                         }));
         mReader.whenProven(this::take);
@@ -115,7 +115,7 @@
                 out);
     }
 
-    private void heard(ProofCodec.Answer answer) {
+    private void received(ProofCodec.Answer answer) {
         Moment asked = mAsks.remove(answer.number());
         if (asked != null && answer.revision() > 0) {
             long age = TimeUnit.MILLISECONDS.toNanos(answer.ageMillis());
@@ -125,7 +125,7 @@
 
     private void take(FreshnessProof proof) {
         mKeeper.take(proof, now());
-        tell();
+        reportProof();
     }
 
     private void look() {
@@ -145,7 +145,7 @@
             mReader.read(isRead -> mReading = false);
         }
         ask(rank, now);
-        tell();
+        reportProof();
     }
 
     private int rank() {
@@ -186,16 +186,16 @@
         if (mAsks.size() > MOST_OPEN_ASKS) {
             mAsks.remove(mAsks.keySet().iterator().next());
         }
-        mPeers.tell(asked, out -> ProofCodec.write(new ProofCodec.Ask(number), out));
+        mPeers.sendDatagram(asked, out -> ProofCodec.write(new ProofCodec.Ask(number), out));
     }
 
     /** Tells the request path of a new proof; the snapshot that it proves is there before it. */
-    private void tell() {
+    private void reportProof() {
         Moment now = now();
         mKeeper.inForce(mReader.revisionInForce(), now);
         Moment proof = mKeeper.held().map(FreshnessProof::moment).orElse(null);
-        if (proof != mToldProof) {
-            mToldProof = proof;
+        if (proof != mReportedProof) {
+            mReportedProof = proof;
             mTraffic.execute(() -> mFlow.authenticator().recordProof(proof));
         }
         long age = proof == null ? RequestRecord.UNKNOWN : proof.nanosUntil(now);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/RateSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/RateSharing.java
@@ -27,13 +27,13 @@
 @Singleton
 final class RateSharing {
 
-    private static final long TELL_MILLIS = 200;
+    private static final long REPORT_MILLIS = 200;
 
     /** Between zones, where bytes are dear. */
-    private static final long TELL_ZONES_MILLIS = 400;
+    private static final long REPORT_ZONES_MILLIS = 400;
 
     /** One may be down without having been noticed. */
-    private static final int ADDERS = 2;
+    private static final int AGGREGATORS = 2;
 
     private final EventLoop mTraffic;
     private final EventLoop mControl;
@@ -44,7 +44,7 @@
     private final RateTotals mTotals = new RateTotals();
     private List<PeerInstance> mAlive = List.of();
     private Map<ServerAddress, PeerInstance> mByAddress = Map.of();
-    private Map<ZoneId, List<PeerInstance>> mAdders = Map.of();
+    private Map<ZoneId, List<PeerInstance>> mAggregators = Map.of();
     private int mParts = 1;
     private long mTurn;
 
@@ -66,17 +66,17 @@
 
     /** Begins to tell and to hear. */
     void start() {
-        mPeers.hear(
+        mPeers.registerReceiver(
                 RateCodec.VERSION,
-                (sender, content) -> RateCodec.read(content).ifPresent(part -> hear(sender, part)));
+                (sender, content) -> RateCodec.read(content).ifPresent(part -> receive(sender, part)));
         mTraffic.scheduleWithFixedDelay(
-                this::tell, TELL_MILLIS, TELL_MILLIS, TimeUnit.MILLISECONDS);
+                this::report, REPORT_MILLIS, REPORT_MILLIS, TimeUnit.MILLISECONDS);
         mControl.scheduleWithFixedDelay(
-                this::tellZones, TELL_ZONES_MILLIS, TELL_ZONES_MILLIS, TimeUnit.MILLISECONDS);
+                this::reportToZones, REPORT_ZONES_MILLIS, REPORT_ZONES_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** Takes what this instance does, on the traffic thread. */
-    private void tell() {
+    private void report() {
         SharedRates rates = mFlow.authenticator().rates();
         if (rates.isEmpty()) {
             return;
@@ -85,19 +85,19 @@
         rates.instances(mPeers.shareholders(), now);
         Map<Integer, RateUse> uses = rates.report(now);
         int parts = 1 + rates.size() / RateCodec.MOST_ENTRIES;
-        mControl.execute(() -> tellAdders(uses, parts));
+        mControl.execute(() -> reportToAggregators(uses, parts));
     }
 
-    private void tellAdders(Map<Integer, RateUse> uses, int parts) {
+    private void reportToAggregators(Map<Integer, RateUse> uses, int parts) {
         mParts = parts;
         look();
-        List<PeerInstance> adders = adders(mSelf.zone());
+        List<PeerInstance> adders = aggregators(mSelf.zone());
         if (adders.isEmpty()) {
             return;
         }
         PeerInstance adder = adders.get((int) (mTurn++ % adders.size()));
         if (adder.id().equals(mSelf.id())) {
-            hearSelf(uses);
+            receiveOwn(uses);
             return;
         }
         for (int part = 0; part < parts; part++) {
@@ -105,7 +105,7 @@
         }
     }
 
-    private void hearSelf(Map<Integer, RateUse> uses) {
+    private void receiveOwn(Map<Integer, RateUse> uses) {
         long now = mTimeSource.monotonicNanos();
         mTotals.received(mSelf.id(), 0, uses, now);
         RateTotals.Sum others = mTotals.forInstance(mSelf.id(), 0, now);
@@ -117,7 +117,7 @@
         return new RateCodec.Part(kind, part, parts, sum.instances(), sum.uses());
     }
 
-    private void hear(ServerAddress sender, RateCodec.Part part) {
+    private void receive(ServerAddress sender, RateCodec.Part part) {
         look();
         PeerInstance teller = mByAddress.get(sender);
         if (teller == null) {
@@ -146,14 +146,14 @@
         mFlow.authenticator().rates().received(part.uses(), part::covers, part.instances(), now);
     }
 
-    private void tellZones() {
+    private void reportToZones() {
         look();
-        List<PeerInstance> own = adders(mSelf.zone());
+        List<PeerInstance> own = aggregators(mSelf.zone());
         if (own.isEmpty() || !own.get(0).id().equals(mSelf.id())) {
             return;
         }
         List<PeerInstance> others = new ArrayList<>();
-        mAdders.forEach(
+        mAggregators.forEach(
                 (zone, adders) -> {
                     if (!zone.equals(mSelf.zone())) {
                         others.addAll(adders);
@@ -166,11 +166,11 @@
     }
 
     private void send(List<PeerInstance> hearers, RateCodec.Part part) {
-        mPeers.tell(hearers, out -> RateCodec.write(part, out));
+        mPeers.sendDatagram(hearers, out -> RateCodec.write(part, out));
     }
 
-    private List<PeerInstance> adders(ZoneId zone) {
-        return mAdders.getOrDefault(zone, List.of());
+    private List<PeerInstance> aggregators(ZoneId zone) {
+        return mAggregators.getOrDefault(zone, List.of());
     }
 
     /** Draws anew who adds up, when other instances are alive than before. */
@@ -186,10 +186,10 @@
             mByAddress.put(each.internal(), each);
             zones.computeIfAbsent(each.zone(), zone -> new ArrayList<>()).add(each);
         }
-        mAdders = new HashMap<>();
+        mAggregators = new HashMap<>();
         zones.forEach(
                 (zone, members) ->
-                        mAdders.put(
-                                zone, PeerOrder.first("rates/" + zone.value(), members, ADDERS)));
+                        mAggregators.put(
+                                zone, PeerOrder.first("rates/" + zone.value(), members, AGGREGATORS)));
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SettingsInForce.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SettingsInForce.java
@@ -67,7 +67,7 @@
                     mFlow.statements().limits().tune(settings.serverLimits());
                     mFlow.statements().tune(settings.withdrawals());
                 });
-        mProcessChanges.log(ProcessChange.Kind.RELOADED, SettingsPart.tellChange(mSettings, settings));
+        mProcessChanges.log(ProcessChange.Kind.RELOADED, SettingsPart.describeChanges(mSettings, settings));
         mSettings = settings;
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SnapshotUpdates.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SnapshotUpdates.java
@@ -60,7 +60,7 @@
         snapshot.routing().map(RoutingConfiguration::limits).ifPresent(mListeners::limit);
         mTraffic.execute(() -> follow(snapshot));
         mLog.changed(snapshot, source(told), mTimeSource.monotonicNanos());
-        tellStatus();
+        reportStatus();
     }
 
     private static UpdateSource source(CopySource told) {
@@ -87,7 +87,7 @@
     }
 
     /** Tells peers and the request path how far this instance is, on the control thread. */
-    void tellStatus() {
+    void reportStatus() {
         mLog.logWarmed(mTimeSource.monotonicNanos());
         mControlSide.updateTimes().ifPresent(mFlow::confirmed);
         boolean ready = mReadiness.isReady();
--- a/masticpond-entry/src/test/java/io/masticpond/entry/peer/CrashMessageCodecTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/peer/CrashMessageCodecTest.java
@@ -17,7 +17,7 @@
 
     private static final RequestFingerprint REQUEST = new RequestFingerprint(-5, 7);
     private static final CrashMessage END =
-            new CrashMessage.End(REQUEST, -9, millis(70_000), millis(3));
+            new CrashMessage.ServerEnd(REQUEST, -9, millis(70_000), millis(3));
 
     @Example
     void messagesAreReadAsTheyWereWritten() {
--- a/masticpond-entry/src/test/java/io/masticpond/entry/peer/HeartbeatDutyTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/peer/HeartbeatDutyTest.java
@@ -59,12 +59,12 @@
         PeerListener listener =
                 new PeerListener() {
                     @Override
-                    public void gained(PeerInstance instance) {
+                    public void onPeerReachable(PeerInstance instance) {
                         mEvents.add(name + " hears " + instance.id());
                     }
 
                     @Override
-                    public void lost(InstanceId id, boolean planned) {
+                    public void onPeerUnreachable(InstanceId id, boolean planned) {
                         mEvents.add(name + " lost " + id + " " + planned);
                     }
                 };
@@ -118,7 +118,7 @@
         HeartbeatDuty one = duty("one", first, second);
         HeartbeatDuty two = duty("two", second, first);
         BlockingQueue<LoadReport> heard = new LinkedBlockingQueue<>();
-        two.hear(
+        two.registerReceiver(
                 LoadReportCodec.VERSION,
                 (sender, content) -> {
                     assertThat(sender).isEqualTo(first);
@@ -133,7 +133,7 @@
         mGroup.next()
                 .execute(
                         () ->
-                                one.tell(
+                                one.sendDatagram(
                                         one.ownZone(),
                                         out -> LoadReportCodec.write(List.of(report), out)));
         assertThat(heard.poll(60, TimeUnit.SECONDS)).isEqualTo(report);
--- a/masticpond-entry/src/test/java/io/masticpond/entry/peer/PeerWorld.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/peer/PeerWorld.java
@@ -42,7 +42,7 @@
             mInstance = instance;
             mStatus = new OwnStatus(instance.id(), PeerPlace.of(instance), instance.incarnation());
             mExchange = new PeerExchange(mStatus, SETTINGS, seeds, this::send, listener(), mNow);
-            mStatus.tellState(PeerUpdate.State.READY);
+            mStatus.changeState(PeerUpdate.State.READY);
         }
 
         PeerSnapshot view() {
@@ -55,7 +55,7 @@
         }
 
         void leave() {
-            mStatus.tellState(PeerUpdate.State.LEAVING);
+            mStatus.changeState(PeerUpdate.State.LEAVING);
             mExchange.announce(mNow);
         }
 
@@ -116,12 +116,12 @@
         private PeerListener listener() {
             return new PeerListener() {
                 @Override
-                public void gained(PeerInstance instance) {
+                public void onPeerReachable(PeerInstance instance) {
                     mHeard.add("+" + instance.id());
                 }
 
                 @Override
-                public void lost(InstanceId id, boolean planned) {
+                public void onPeerUnreachable(InstanceId id, boolean planned) {
                     mHeard.add((planned ? "left " : "-") + id);
                 }
             };
--- a/masticpond-entry/src/test/java/io/masticpond/entry/replica/CategoryCopyTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/replica/CategoryCopyTest.java
@@ -4,7 +4,7 @@
 
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import io.masticpond.entry.replica.CategoryCopy.CopyPart;
-import io.masticpond.entry.replica.CategoryCopy.Told;
+import io.masticpond.entry.replica.CategoryCopy.TimestampedDocument;
 import java.util.ArrayList;
 import java.util.List;
 import net.jqwik.api.Example;
@@ -80,7 +80,7 @@
         for (int step : steps) {
             revision++;
             String name = "n" + step / 2;
-            Told told = step % 2 == 0 ? live(name, revision) : gone(name, revision);
+            TimestampedDocument told = step % 2 == 0 ? live(name, revision) : gone(name, revision);
             peer.applyChanges(List.of(told), revision, CopySource.STORE, 0);
             if (revision % (fedAfter + 1) == 0) {
                 feed(peer, other);
@@ -102,20 +102,20 @@
                 .toList();
     }
 
-    private static boolean named(Told told, String name) {
+    private static boolean named(TimestampedDocument told, String name) {
         return told.document().name().equals(name);
     }
 
-    private static Told live(String name, long revision) {
+    private static TimestampedDocument live(String name, long revision) {
         return told(name, revision, false);
     }
 
-    private static Told gone(String name, long revision) {
+    private static TimestampedDocument gone(String name, long revision) {
         return told(name, revision, true);
     }
 
-    private static Told told(String name, long revision, boolean deleted) {
-        return new Told(
+    private static TimestampedDocument told(String name, long revision, boolean deleted) {
+        return new TimestampedDocument(
                 new StoredDocument(
                         Category.BACKEND_SERVERS,
                         name,
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/CrashingRequestFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/CrashingRequestFlowTest.java
@@ -177,9 +177,9 @@
         ask(flow);
         RequestFingerprint request = flow.crashes().fingerprint(request());
         CrashMessage told = new CrashMessage.Verdict(request, 3, 1, 0);
-        flow.crashes().heard("second", List.of(told));
+        flow.crashes().receive("second", List.of(told));
         assertThat(mConnections.last().mCancelled).as("one may be broken").isFalse();
-        flow.crashes().heard("third", List.of(told));
+        flow.crashes().receive("third", List.of(told));
         assertThat(mConnections.last().mCancelled).isTrue();
         assertThat(mLast.status()).as("it may have run").isEqualTo(502);
         ask(flow);
--- a/masticpond-entry/src/test/java/io/masticpond/entry/settings/EntrySettingsReaderTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/settings/EntrySettingsReaderTest.java
@@ -237,13 +237,13 @@
     @Example
     void changeTellsWhatIsInForceAndWhatWaits() {
         EntrySettings before = mReader.read(SETTINGS).get();
-        assertThat(SettingsPart.tellChange(before, before))
+        assertThat(SettingsPart.describeChanges(before, before))
                 .isEqualTo("In force: nothing. Waiting for a restart: nothing.");
         String changed =
                 SETTINGS.replace("2500ms", "12500ms")
                         .replaceFirst("\\{", "{\"reportInterval\": \"7s\", ")
                         .replaceFirst("\\{", "{\"log\": {\"linesPerSecond\": 9}, ");
-        assertThat(SettingsPart.tellChange(before, mReader.read(changed).get()))
+        assertThat(SettingsPart.describeChanges(before, mReader.read(changed).get()))
                 .isEqualTo("In force: bounds, log. Waiting for a restart: reportInterval.");
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionWorld.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionWorld.java
@@ -252,7 +252,7 @@
     private void tell(ModelInstance from, List<LoadReport> reports) {
         for (ModelInstance each : mInstances.getOrDefault(from.zone(), List.of())) {
             if (each != from) {
-                each.hear(reports, now());
+                each.receive(reports, now());
             }
         }
     }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelInstance.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelInstance.java
@@ -73,8 +73,8 @@
         mPlacer.chooser().outlierDetector().retain(snapshot.servers().keySet());
     }
 
-    void hear(List<LoadReport> reports, long nowNanos) {
-        mPlacer.shared().heard(mServers, reports, nowNanos);
+    void receive(List<LoadReport> reports, long nowNanos) {
+        mPlacer.shared().receive(mServers, reports, nowNanos);
     }
 
     void counted(ServiceId service, long nowNanos) {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/hostile/ConfigurationUpdateTarget.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/hostile/ConfigurationUpdateTarget.java
@@ -97,7 +97,7 @@
     }
 
     @Override
-    public void tell(InstanceId to, ConfigurationPush push) {
+    public void push(InstanceId to, ConfigurationPush push) {
         throw new IllegalStateException("There is nobody to tell.");
     }
 
--- a/masticpond-testing/src/main/java/io/masticpond/testing/backend/BackendServerStandIn.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/backend/BackendServerStandIn.java
@@ -68,7 +68,7 @@
         }
         mListener.close().syncUninterruptibly();
         mListener = null;
-        tell(BackendServerWork::crash);
+        execute(BackendServerWork::crash);
     }
 
     /**
@@ -78,12 +78,12 @@
      */
     public void drain(DrainPlan plan) {
         Assert.notNull(plan, "A plan of a drain");
-        tell(work -> work.drain(plan));
+        execute(work -> work.drain(plan));
     }
 
     /** Ends a drain. */
     public void undrain() {
-        tell(BackendServerWork::undrain);
+        execute(BackendServerWork::undrain);
     }
 
     /**
@@ -93,7 +93,7 @@
      */
     public void setFaults(BackendServerFaults faults) {
         Assert.notNull(faults, "Faults");
-        tell(work -> work.setFaults(faults));
+        execute(work -> work.setFaults(faults));
     }
 
     /**
@@ -116,7 +116,7 @@
 
     /** Sets the counts to zero, and the highest counts to what is in flight. */
     public void resetCounts() {
-        tell(BackendServerWork::resetCounts);
+        execute(BackendServerWork::resetCounts);
     }
 
     /**
@@ -161,7 +161,7 @@
                         });
     }
 
-    private void tell(Consumer<BackendServerWork> action) {
+    private void execute(Consumer<BackendServerWork> action) {
         call(
                 work -> {
                     action.accept(work);
