--- a/masticpond-command/src/main/java/io/masticpond/command/SystemTerminal.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/SystemTerminal.java
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public Optional<String> ask(String question) {
+    public Optional<String> prompt(String question) {
         Console console = System.console();
         if (console == null) {
             return Optional.empty();
--- a/masticpond-command/src/main/java/io/masticpond/command/client/FanOut.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/client/FanOut.java
@@ -30,7 +30,7 @@
      * @param question asks one; must end in bounded time
      * @return the answers in the order of the addresses
      */
-    public static <T> Map<InstanceAddress, Either<ClientError, T>> ask(
+    public static <T> Map<InstanceAddress, Either<ClientError, T>> query(
             List<InstanceAddress> addresses,
             Function<InstanceAddress, Either<ClientError, T>> question) {
         ExecutorService executor =
--- a/masticpond-command/src/main/java/io/masticpond/command/task/AbstractEntryCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/AbstractEntryCommand.java
@@ -30,11 +30,11 @@
      * Asks all instances: those given, and all that the first to answer knows, also those that it
      * takes for gone.
      */
-    static Either<CommandError, EntryParts> askAll(OperatorClient client, String path) {
-        return translate(client.get(MEMBERS)).map(members -> askAll(client, members, path));
+    static Either<CommandError, EntryParts> queryAll(OperatorClient client, String path) {
+        return translate(client.get(MEMBERS)).map(members -> queryAll(client, members, path));
     }
 
-    private static EntryParts askAll(OperatorClient client, JsonNode members, String path) {
+    private static EntryParts queryAll(OperatorClient client, JsonNode members, String path) {
         Map<InstanceAddress, String> names = new LinkedHashMap<>();
         List<Part> parts = new ArrayList<>();
         for (JsonNode member : members.path("members")) {
@@ -44,7 +44,7 @@
                     .peekLeft(error -> parts.add(new Part(name, null, error.message())));
         }
         client.instances().forEach(given -> names.putIfAbsent(given, given.toString()));
-        FanOut.ask(List.copyOf(names.keySet()), address -> client.getFrom(address, path))
+        FanOut.query(List.copyOf(names.keySet()), address -> client.getFrom(address, path))
                 .forEach(
                         (address, answer) ->
                                 parts.add(
--- a/masticpond-command/src/main/java/io/masticpond/command/task/ConfirmCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/ConfirmCommand.java
@@ -54,7 +54,7 @@
             context().terminal().output().flush();
         }
         Optional<String> answer =
-                context().terminal().ask("Bring it into force? Type yes to confirm: ");
+                context().terminal().prompt("Bring it into force? Type yes to confirm: ");
         if (answer.isEmpty()) {
             return Either.left(
                     CommandError.of(
--- a/masticpond-command/src/main/java/io/masticpond/command/task/EntryTimelineCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/EntryTimelineCommand.java
@@ -38,7 +38,7 @@
 
     @Override
     protected Either<CommandError, ExitCode> run(OperatorClient client) {
-        return askAll(client, path()).map(this::show);
+        return queryAll(client, path()).map(this::show);
     }
 
     private String path() {
--- a/masticpond-command/src/main/java/io/masticpond/command/task/EntryVersionsCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/EntryVersionsCommand.java
@@ -20,7 +20,7 @@
 
     @Override
     protected Either<CommandError, ExitCode> run(OperatorClient client) {
-        return askAll(client, "v1/status").map(this::show);
+        return queryAll(client, "v1/status").map(this::show);
     }
 
     private ExitCode show(EntryParts parts) {
--- a/masticpond-command/src/main/java/io/masticpond/command/task/Terminal.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/Terminal.java
@@ -37,5 +37,5 @@
      * @param question the question
      * @return the answer, or empty if no person is there
      */
-    Optional<String> ask(String question);
+    Optional<String> prompt(String question);
 }
--- a/masticpond-command/src/main/java/io/masticpond/command/task/TimelineCollector.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/TimelineCollector.java
@@ -44,7 +44,7 @@
         }
         mClient.instances().forEach(given -> namesByAddress.putIfAbsent(given, given.toString()));
         Map<InstanceAddress, Either<ClientError, TimelineAnswer>> answers =
-                FanOut.ask(List.copyOf(namesByAddress.keySet()), address -> ask(address, path));
+                FanOut.query(List.copyOf(namesByAddress.keySet()), address -> ask(address, path));
         for (Map.Entry<InstanceAddress, Either<ClientError, TimelineAnswer>> entry :
                 answers.entrySet()) {
             Either<ClientError, TimelineAnswer> answer = entry.getValue();
--- a/masticpond-command/src/test/java/io/masticpond/command/task/FakeTerminal.java
+++ b/masticpond-command/src/test/java/io/masticpond/command/task/FakeTerminal.java
@@ -48,7 +48,7 @@
     }
 
     @Override
-    public Optional<String> ask(String question) {
+    public Optional<String> prompt(String question) {
         return mAnswer;
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/FailureDetector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/FailureDetector.java
@@ -29,10 +29,10 @@
     }
 
     /** Tells whether others should be asked for newer news of a watched member. */
-    boolean mustAsk(MemberRecord record, long now) {
+    boolean mustRequestUpdate(MemberRecord record, long now) {
         return record.state().isReachable()
-                && record.silence(now) >= mTimings.ask().toNanos()
-                && record.sinceAsked(now) >= mTimings.heartbeat().toNanos();
+                && record.silence(now) >= mTimings.updateRequest().toNanos()
+                && record.sinceUpdateRequested(now) >= mTimings.heartbeat().toNanos();
     }
 
     /** Tells whether a dead member is dead for so long that it can be forgotten. */
@@ -60,7 +60,7 @@
     }
 
     private boolean isProcessGone(MemberRecord record, long now) {
-        boolean missed = record.silence(now) >= mTimings.ask().toNanos();
+        boolean missed = record.silence(now) >= mTimings.updateRequest().toNanos();
         return record.isRefused() && (record.isBroken() || missed);
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MemberRecord.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MemberRecord.java
@@ -19,7 +19,7 @@
     private boolean mRefused;
     private long mFreshNanos;
     private long mClaimNanos;
-    private long mAskedNanos;
+    private long mUpdateRequestedNanos;
 
     /** Makes the record of an instance that the platform lists. */
     MemberRecord(ListedMember listed, long now) {
@@ -43,7 +43,7 @@
         mUpdate = news;
         mFreshNanos = now;
         mClaimNanos = now;
-        mAskedNanos = now;
+        mUpdateRequestedNanos = now;
     }
 
     InstanceId id() {
@@ -179,12 +179,12 @@
         return now - mClaimNanos;
     }
 
-    long sinceAsked(long now) {
-        return now - mAskedNanos;
+    long sinceUpdateRequested(long now) {
+        return now - mUpdateRequestedNanos;
     }
 
-    void asked(long now) {
-        mAskedNanos = now;
+    void markUpdateRequested(long now) {
+        mUpdateRequestedNanos = now;
     }
 
     /** Starts the silence anew, because this process itself could not listen. */
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipSink.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipSink.java
@@ -38,7 +38,7 @@
      * @param run the run
      * @param sequence the newest heartbeat of it that is known here
      */
-    void ask(InstanceId to, Incarnation run, long sequence);
+    void requestUpdate(InstanceId to, Incarnation run, long sequence);
 
     /**
      * Tells that a member is new or has another state, run or address than before.
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTable.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTable.java
@@ -27,14 +27,14 @@
  */
 public final class MembershipTable {
 
-    private static final int ASKED_AT_ONCE = 3;
+    private static final int UPDATE_REQUEST_FANOUT = 3;
 
     private final OwnHeartbeat mSelf;
     private final FailureDetector mFailureDetector;
     private final TimeSource mTimeSource;
     private final MembershipSink mSink;
     private final Map<InstanceId, MemberRecord> mRecords = new TreeMap<>();
-    private final AskRelay mAskRelay;
+    private final UpdateRequestRelay mRequestRelay;
     private final UpdateDisseminator mDisseminator;
     private final Neighborhood mNeighborhood;
     private final DigestComparison mDigestComparison = new DigestComparison();
@@ -58,8 +58,8 @@
         mFailureDetector = new FailureDetector(Assert.notNull(timings, "The times of membership"));
         mTimeSource = Assert.notNull(timeSource, "A time source");
         mSink = Assert.notNull(sink, "A sink");
-        mAskRelay = new AskRelay(timings.dead().toNanos());
-        mDisseminator = new UpdateDisseminator(mSelf, sink, mAskRelay);
+        mRequestRelay = new UpdateRequestRelay(timings.dead().toNanos());
+        mDisseminator = new UpdateDisseminator(mSelf, sink, mRequestRelay);
         mNeighborhood = new Neighborhood(mSelf.id(), mSelf.zone());
         mPauseDetector = new PauseDetector(timings, timeSource.monotonicNanos());
     }
@@ -151,15 +151,15 @@
      * @param run the run
      * @param sequence the newest heartbeat of it that the asker knows
      */
-    public void asked(InstanceId from, Incarnation run, long sequence) {
+    public void receiveUpdateRequest(InstanceId from, Incarnation run, long sequence) {
         MemberRecord record = mRecords.get(run.instance());
         if (run.instance().equals(mSelf.id())) {
             sendHeartbeat(from);
         } else if (record != null && record.update().isNewerThan(run, sequence)) {
             mSink.send(from, mSelf.next(), List.of(record.update()));
         } else if (record != null
-                && mAskRelay.add(run.instance(), from, mTimeSource.monotonicNanos())) {
-            mSink.ask(run.instance(), run, sequence);
+                && mRequestRelay.add(run.instance(), from, mTimeSource.monotonicNanos())) {
+            mSink.requestUpdate(run.instance(), run, sequence);
         }
     }
 
@@ -197,7 +197,7 @@
         if (mPauseDetector.advance(now)) {
             mRecords.values().forEach(record -> record.excuseSilence(now));
         }
-        mAskRelay.expire(now);
+        mRequestRelay.expire(now);
         for (MemberRecord record : List.copyOf(mRecords.values())) {
             evaluate(record, now);
         }
@@ -340,7 +340,7 @@
         if (wasGone != record.isGone()) {
             mNeighborhood.membersChanged();
         }
-        mDisseminator.answerAskers(news);
+        mDisseminator.answerRequesters(news);
         if (changed) {
             mSink.memberChanged(record.member());
         }
@@ -362,9 +362,9 @@
     private void evaluate(MemberRecord record, long now) {
         boolean watched = isWatched(record);
         mFailureDetector.evaluate(record, watched, now).ifPresent(claim -> claim(record, claim));
-        if (watched && mFailureDetector.mustAsk(record, now)) {
-            record.asked(now);
-            askAround(record);
+        if (watched && mFailureDetector.mustRequestUpdate(record, now)) {
+            record.markUpdateRequested(now);
+            requestUpdateFromNeighbors(record);
         }
         if (mFailureDetector.mustForget(record, now)) {
             forget(record, now);
@@ -383,16 +383,16 @@
         accept(record, record.update().claiming(claim), mSelf.id(), true);
     }
 
-    private void askAround(MemberRecord record) {
+    private void requestUpdateFromNeighbors(MemberRecord record) {
         Incarnation run = record.update().run();
         int asked = 0;
         for (InstanceId id : Rendezvous.order(run.toString(), neighbors())) {
             if (id.equals(record.id()) || !mRecords.get(id).state().isReachable()) {
                 continue;
             }
-            mSink.ask(id, run, record.update().sequence());
+            mSink.requestUpdate(id, run, record.update().sequence());
             asked++;
-            if (asked == ASKED_AT_ONCE) {
+            if (asked == UPDATE_REQUEST_FANOUT) {
                 return;
             }
         }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTimings.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTimings.java
@@ -7,7 +7,7 @@
  * The times of membership, all counted from the last heartbeat of a run.
  *
  * @param heartbeat the time from one heartbeat to the next
- * @param ask after how long without a heartbeat other instances are asked
+ * @param updateRequest after how long without a heartbeat other instances are asked
  * @param suspect after how long a run is suspected and takes no new work
  * @param dead after how long it counts as dead
  * @param forget after how long a dead run that the platform does not list is forgotten
@@ -16,7 +16,7 @@
  */
 public record MembershipTimings(
         Duration heartbeat,
-        Duration ask,
+        Duration updateRequest,
         Duration suspect,
         Duration dead,
         Duration forget,
@@ -35,8 +35,8 @@
     /** Checks the order of the times. */
     public MembershipTimings {
         Assert.isTrue(
-                heartbeat.compareTo(ask) < 0
-                        && ask.compareTo(suspect) < 0
+                heartbeat.compareTo(updateRequest) < 0
+                        && updateRequest.compareTo(suspect) < 0
                         && suspect.compareTo(dead) < 0,
                 "The times must grow from heartbeat over ask and suspect to dead.");
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/UpdateDisseminator.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/UpdateDisseminator.java
@@ -15,14 +15,14 @@
 
     private final OwnHeartbeat mSelf;
     private final MembershipSink mSink;
-    private final AskRelay mAskRelay;
+    private final UpdateRequestRelay mRequestRelay;
     private final List<PendingUpdate> mWaiting = new ArrayList<>();
     private final Map<InstanceId, List<MemberUpdate>> mAnswers = new HashMap<>();
 
-    UpdateDisseminator(OwnHeartbeat self, MembershipSink sink, AskRelay askRelay) {
+    UpdateDisseminator(OwnHeartbeat self, MembershipSink sink, UpdateRequestRelay askRelay) {
         mSelf = self;
         mSink = sink;
-        mAskRelay = askRelay;
+        mRequestRelay = askRelay;
     }
 
     /** Takes news for all neighbors. */
@@ -31,8 +31,8 @@
     }
 
     /** Takes news for those who asked for it, if anybody did. */
-    void answerAskers(MemberUpdate news) {
-        for (InstanceId asker : mAskRelay.take(news.id())) {
+    void answerRequesters(MemberUpdate news) {
+        for (InstanceId asker : mRequestRelay.take(news.id())) {
             mAnswers.computeIfAbsent(asker, key -> new ArrayList<>()).add(news);
         }
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/AskRelay.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/UpdateRequestRelay.java
@@ -7,32 +7,32 @@
 import java.util.Set;
 
 /** Remembers who waits for news of whom, for a bounded time. */
-final class AskRelay {
+final class UpdateRequestRelay {
 
-    private final long mPatienceNanos;
-    private final Map<InstanceId, Set<InstanceId>> mAskers = new HashMap<>();
+    private final long mTimeoutNanos;
+    private final Map<InstanceId, Set<InstanceId>> mRequesters = new HashMap<>();
     private final Map<InstanceId, Long> mSinceNanos = new HashMap<>();
 
-    AskRelay(long patienceNanos) {
-        mPatienceNanos = patienceNanos;
+    UpdateRequestRelay(long patienceNanos) {
+        mTimeoutNanos = patienceNanos;
     }
 
     /** Notes an asker; returns whether it is the first for this subject. */
     boolean add(InstanceId subject, InstanceId asker, long now) {
-        mAskers.computeIfAbsent(subject, key -> new HashSet<>()).add(asker);
+        mRequesters.computeIfAbsent(subject, key -> new HashSet<>()).add(asker);
         return mSinceNanos.putIfAbsent(subject, now) == null;
     }
 
     /** Gives those who wait for news of an instance, and forgets them. */
     Set<InstanceId> take(InstanceId subject) {
         mSinceNanos.remove(subject);
-        Set<InstanceId> askers = mAskers.remove(subject);
+        Set<InstanceId> askers = mRequesters.remove(subject);
         return askers == null ? Set.of() : askers;
     }
 
     /** Forgets those who waited for too long. */
     void expire(long now) {
-        mSinceNanos.values().removeIf(since -> now - since > mPatienceNanos);
-        mAskers.keySet().retainAll(mSinceNanos.keySet());
+        mSinceNanos.values().removeIf(since -> now - since > mTimeoutNanos);
+        mRequesters.keySet().retainAll(mSinceNanos.keySet());
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/OperationDecision.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/OperationDecision.java
@@ -73,7 +73,7 @@
      * @param <A> the whole answer of a backend server
      * @param home the run of that instance
      */
-    record Elsewhere<A>(Incarnation home) implements OperationDecision<A> {}
+    record ForwardToHome<A>(Incarnation home) implements OperationDecision<A> {}
 
     /**
      * The home cannot be reached now; the operation may have run and may still run.
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/OperationRegistry.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/OperationRegistry.java
@@ -86,7 +86,7 @@
             return known.decide(fingerprint);
         }
         if (!key.home().equals(mIssuer.home())) {
-            return decideElsewhere(key.home());
+            return decideForOtherHome(key.home());
         }
         if (!mIssuer.issued(key)) {
             return new OperationDecision.ForgedKey<>();
@@ -105,9 +105,9 @@
         return new OperationDecision.Run<>();
     }
 
-    private OperationDecision<A> decideElsewhere(Incarnation home) {
+    private OperationDecision<A> decideForOtherHome(Incarnation home) {
         return switch (mDirectory.stateOf(home)) {
-            case REACHABLE -> new OperationDecision.Elsewhere<>(home);
+            case REACHABLE -> new OperationDecision.ForwardToHome<>(home);
             case UNREACHABLE -> new OperationDecision.HomeUnreachable<>(home);
             case GONE -> new OperationDecision.HomeGone<>(home);
         };
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingAccount.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingAccount.java
@@ -84,7 +84,7 @@
 
     /** Takes a price from the allotment, or tells that it does not suffice. */
     boolean charge(long micros) {
-        mRate.ask(micros);
+        mRate.add(micros);
         price(micros);
         if (mAvailableMicros - micros < mRefillBelowMicros && !mExhausted) {
             advance();
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingRate.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingRate.java
@@ -11,15 +11,15 @@
 
     private double mPerSecond;
     private long mSinceNanos;
-    private long mAskedMicros;
+    private long mRequestedMicros;
 
     SpendingRate(double firstPerSecond, long nowNanos) {
         mPerSecond = firstPerSecond;
         mSinceNanos = nowNanos;
     }
 
-    void ask(long micros) {
-        mAskedMicros += micros;
+    void add(long micros) {
+        mRequestedMicros += micros;
     }
 
     void advance(long nowNanos) {
@@ -29,8 +29,8 @@
         }
         double seconds = elapsed / NANOS_PER_SECOND;
         double weight = 1 - Math.exp(-seconds / TIME_CONSTANT_SECONDS);
-        mPerSecond += weight * (mAskedMicros / seconds - mPerSecond);
-        mAskedMicros = 0;
+        mPerSecond += weight * (mRequestedMicros / seconds - mPerSecond);
+        mRequestedMicros = 0;
         mSinceNanos = nowNanos;
     }
 
--- a/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipFixture.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipFixture.java
@@ -156,8 +156,8 @@
         }
 
         @Override
-        public void ask(InstanceId to, Incarnation run, long sequence) {
-            carry(to, table -> table.asked(mFrom, run, sequence));
+        public void requestUpdate(InstanceId to, Incarnation run, long sequence) {
+            carry(to, table -> table.receiveUpdateRequest(mFrom, run, sequence));
         }
 
         @Override
--- a/masticpond-core/src/test/java/io/masticpond/core/operation/OnceOnlyWorld.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/operation/OnceOnlyWorld.java
@@ -182,7 +182,7 @@
                 mRunning.put(key, callerKey);
             } else if (decision instanceof OperationDecision.Repeat<String> repeat) {
                 tell(callerKey, repeat.outcome());
-            } else if (decision instanceof OperationDecision.Elsewhere && mayPassOn) {
+            } else if (decision instanceof OperationDecision.ForwardToHome && mayPassOn) {
                 List<Home> homes = new ArrayList<>(List.of(mHomes));
                 homes.removeIf(home -> !home.mFixture.mIssuer.home().equals(key.home()));
                 homes.forEach(home -> home.begin(callerKey, key, false));
--- a/masticpond-core/src/test/java/io/masticpond/core/operation/OperationRegistryTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/operation/OperationRegistryTest.java
@@ -106,7 +106,7 @@
         OperationKey key = new OperationFixture(other, OperationLimits.DEFAULT).mIssuer.issue();
         assertThat(mHome.begin(key)).isEqualTo(new OperationDecision.HomeUnreachable<>(other));
         mHome.mHomes.put(other, HomeState.REACHABLE);
-        assertThat(mHome.begin(key)).isEqualTo(new OperationDecision.Elsewhere<>(other));
+        assertThat(mHome.begin(key)).isEqualTo(new OperationDecision.ForwardToHome<>(other));
     }
 
     @Example
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationDuty.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationDuty.java
@@ -192,7 +192,7 @@
 
     private void becomeReady() {
         mPlatformFollower.read();
-        mPeerFollower.askNext();
+        mPeerFollower.queryNext();
         boolean fromPeers =
                 mPeerFollower.allAnswered()
                         && mReplica.current().version().isAfter(ConfigurationVersion.NONE);
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PeerFollower.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PeerFollower.java
@@ -64,7 +64,7 @@
     }
 
     /** Asks the next peer that has not answered yet, whatever version it says it has. */
-    void askNext() {
+    void queryNext() {
         candidate(member -> !mAnswered.contains(member.id()))
                 .ifPresent(member -> fetch(member.id(), mReplica.current().version()));
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/Connection.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/Connection.java
@@ -294,7 +294,7 @@
         }
         Incarnation peer =
                 new Incarnation(new InstanceId(hello.getInstance()), hello.getIncarnation());
-        Optional<String> objection = mOwner.objectionTo(peer);
+        Optional<String> objection = mOwner.rejectionReason(peer);
         if (objection.isPresent()) {
             refuseHandshake(objection.get(), true);
             return;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/ConnectionOwner.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/ConnectionOwner.java
@@ -8,7 +8,7 @@
 interface ConnectionOwner {
 
     /** Says why a run of an instance is not welcome, if so. */
-    Optional<String> objectionTo(Incarnation peer);
+    Optional<String> rejectionReason(Incarnation peer);
 
     /** The connection is authenticated and takes messages. */
     void ready(Connection connection);
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/NettyInstanceLinks.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/NettyInstanceLinks.java
@@ -181,7 +181,7 @@
     }
 
     @Override
-    public Optional<String> objectionTo(Incarnation peer) {
+    public Optional<String> rejectionReason(Incarnation peer) {
         return readyTo(peer.instance()).stream()
                 .filter(open -> open.peer().number() > peer.number())
                 .findFirst()
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/LinkedMembershipSink.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/LinkedMembershipSink.java
@@ -61,8 +61,8 @@
     }
 
     @Override
-    public void ask(InstanceId to, Incarnation run, long sequence) {
-        send(to, Heartbeat.newBuilder().addAsks(MembershipMessages.ask(run, sequence)));
+    public void requestUpdate(InstanceId to, Incarnation run, long sequence) {
+        send(to, Heartbeat.newBuilder().addAsks(MembershipMessages.toQuery(run, sequence)));
     }
 
     @Override
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipDuty.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipDuty.java
@@ -311,7 +311,7 @@
 
     private void takeAsk(Incarnation peer, MemberAsk ask) {
         MembershipMessages.run(ask)
-                .ifPresent(run -> mTable.asked(peer.instance(), run, ask.getSequence()));
+                .ifPresent(run -> mTable.receiveUpdateRequest(peer.instance(), run, ask.getSequence()));
     }
 
     /** Hands over what the links tell. */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipMessages.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipMessages.java
@@ -77,7 +77,7 @@
     }
 
     /** Writes a question for newer news. */
-    static MemberAsk ask(Incarnation run, long sequence) {
+    static MemberAsk toQuery(Incarnation run, long sequence) {
         return MemberAsk.newBuilder()
                 .setInstance(run.instance().value())
                 .setIncarnation(run.number())
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/LinkOperationPeers.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/LinkOperationPeers.java
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public void ask(
+    public void forward(
             InstanceId to,
             OperationKey key,
             SteeredRequest request,
@@ -84,7 +84,7 @@
     }
 
     @Override
-    public void askToClaim(
+    public void forwardToClaim(
             InstanceId to,
             CallerKey callerKey,
             SteeredRequest request,
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyGuard.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyGuard.java
@@ -243,7 +243,7 @@
                 claimHere(callerKey);
                 return;
             }
-            mPeers.askToClaim(
+            mPeers.forwardToClaim(
                     claimer.get(),
                     callerKey,
                     mRequest,
@@ -292,7 +292,7 @@
                 mListener.accept(OutcomeEnds.end(repeat.outcome()));
             } else if (decision instanceof OperationDecision.InProgress) {
                 mWaiters.add(key, mRequest, mListener);
-            } else if (decision instanceof OperationDecision.Elsewhere<?> elsewhere) {
+            } else if (decision instanceof OperationDecision.ForwardToHome<?> elsewhere) {
                 passOn(key, elsewhere.home().instance());
             } else if (decision instanceof OperationDecision.HomeUnreachable) {
                 settleOrAskAdopter(key, OnceOnlyRefusals.homeUnreachable(mFirstAttempt));
@@ -327,7 +327,7 @@
                 return;
             }
             record("operation-passed-on", mRequest, key);
-            mPeers.ask(
+            mPeers.forward(
                     home,
                     key,
                     mRequest,
@@ -365,7 +365,7 @@
         }
 
         private void askAdopter(InstanceId adopter, OperationKey key, Refusal otherwise) {
-            mPeers.ask(
+            mPeers.forward(
                     adopter,
                     key,
                     mRequest,
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationPeers.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationPeers.java
@@ -28,7 +28,7 @@
      * @param request the request
      * @param listener takes the one result, on any thread
      */
-    void ask(
+    void forward(
             InstanceId to,
             OperationKey key,
             SteeredRequest request,
@@ -60,7 +60,7 @@
      * @param request the request
      * @param listener takes the one result, on any thread
      */
-    void askToClaim(
+    void forwardToClaim(
             InstanceId to,
             CallerKey callerKey,
             SteeredRequest request,
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/operation/GuardedInstances.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/operation/GuardedInstances.java
@@ -201,7 +201,7 @@
         }
 
         @Override
-        public void ask(
+        public void forward(
                 InstanceId to,
                 OperationKey key,
                 SteeredRequest request,
@@ -230,7 +230,7 @@
         }
 
         @Override
-        public void askToClaim(
+        public void forwardToClaim(
                 InstanceId to,
                 CallerKey callerKey,
                 SteeredRequest request,
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlDocuments.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlDocuments.java
@@ -198,7 +198,7 @@
         return document;
     }
 
-    Either<ControlProblem, ObjectNode> timeline(ControlQuestion question) {
+    Either<ControlProblem, ObjectNode> timeline(ControlRequest question) {
         return question.number(ControlView.BELIEFS, USUAL_BELIEFS, RecentDecisions.MAXIMUM_VIEW_CHANGES)
                 .map(beliefs -> timeline(question.parameter(ControlView.REQUEST), beliefs));
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlProblem.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlProblem.java
@@ -17,7 +17,7 @@
         return new ControlProblem(404, cause, String.format(form, values));
     }
 
-    static ControlProblem notNow(String cause, String detail) {
+    static ControlProblem unavailable(String cause, String detail) {
         return new ControlProblem(503, cause, detail);
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlQuestion.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlRequest.java
@@ -17,7 +17,7 @@
  * @param isChange whether something is to be changed, not only read
  * @param parameters the parameters, each given once and known to the view
  */
-record ControlQuestion(ControlView view, boolean isChange, Map<String, String> parameters) {
+record ControlRequest(ControlView view, boolean isChange, Map<String, String> parameters) {
 
     /** What the paths of all questions begin with. */
     static final String ROOT = "/v1/";
@@ -25,12 +25,12 @@
     private static final int METHOD_NOT_ALLOWED = 405;
     private static final int LONGEST_VALUE = 256;
 
-    ControlQuestion {
+    ControlRequest {
         parameters = Map.copyOf(parameters);
     }
 
     /** Reads a question, or says what is wrong with it. */
-    static Either<ControlProblem, ControlQuestion> read(HttpMethod method, String target) {
+    static Either<ControlProblem, ControlRequest> read(HttpMethod method, String target) {
         QueryStringDecoder decoder;
         try {
             decoder = new QueryStringDecoder(target);
@@ -62,7 +62,7 @@
         return parameters(view.get(), decoder.parameters())
                 .map(
                         parameters ->
-                                new ControlQuestion(
+                                new ControlRequest(
                                         view.get(), !method.equals(HttpMethod.GET), parameters));
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlSurface.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlSurface.java
@@ -56,13 +56,13 @@
 
     @Override
     public void handle(IncomingRequest request, Responder responder) {
-        if (!request.target().startsWith(ControlQuestion.ROOT)) {
+        if (!request.target().startsWith(ControlRequest.ROOT)) {
             mNext.handle(request, responder);
             return;
         }
         request.body().release();
-        Either<ControlProblem, ControlQuestion> question =
-                ControlQuestion.read(request.method(), request.target());
+        Either<ControlProblem, ControlRequest> question =
+                ControlRequest.read(request.method(), request.target());
         if (question.isLeft()) {
             refuse(question.getLeft(), responder);
         } else if (question.get().isChange()) {
@@ -74,15 +74,15 @@
         }
     }
 
-    private void release(ControlQuestion question, Responder responder) {
+    private void release(ControlRequest question, Responder responder) {
         Optional<RequestFingerprint> request =
-                question.parameter(ControlView.RELEASE).flatMap(RequestFingerprint::parse);
+                question.parameter(ControlView.FINGERPRINT).flatMap(RequestFingerprint::parse);
         if (request.isEmpty()) {
             refuse(
                     ControlProblem.badRequest(
                             "bad-parameter",
                             "%s must be the 32 hexadecimal digits of a fingerprint.",
-                            ControlView.RELEASE),
+                            ControlView.FINGERPRINT),
                     responder);
             return;
         }
@@ -111,7 +111,7 @@
     }
 
     private void answer(
-            ControlQuestion question,
+            ControlRequest question,
             Either<ControlProblem, TrafficSnapshot> snapshot,
             Responder responder) {
         Either<ControlProblem, ObjectNode> document =
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlView.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlView.java
@@ -14,28 +14,28 @@
     /** The instance itself, and how current its snapshot is. */
     STATUS {
         @Override
-        Either<ControlProblem, ObjectNode> show(ControlQuestion question, ControlDocuments from) {
+        Either<ControlProblem, ObjectNode> show(ControlRequest question, ControlDocuments from) {
             return Either.right(from.status());
         }
     },
     /** The services with their rules and backend servers in numbers. */
     SERVICES {
         @Override
-        Either<ControlProblem, ObjectNode> show(ControlQuestion question, ControlDocuments from) {
+        Either<ControlProblem, ObjectNode> show(ControlRequest question, ControlDocuments from) {
             return Either.right(from.fleet().services());
         }
     },
     /** The routes in force. */
     ROUTES {
         @Override
-        Either<ControlProblem, ObjectNode> show(ControlQuestion question, ControlDocuments from) {
+        Either<ControlProblem, ObjectNode> show(ControlRequest question, ControlDocuments from) {
             return Either.right(from.fleet().routes());
         }
     },
     /** The backend servers with what is believed of each. */
     SERVERS(ControlView.SERVICE) {
         @Override
-        Either<ControlProblem, ObjectNode> show(ControlQuestion question, ControlDocuments from) {
+        Either<ControlProblem, ObjectNode> show(ControlRequest question, ControlDocuments from) {
             return from.servers(question.parameter(SERVICE));
         }
 
@@ -47,21 +47,21 @@
     /** The instances. */
     MEMBERS {
         @Override
-        Either<ControlProblem, ObjectNode> show(ControlQuestion question, ControlDocuments from) {
+        Either<ControlProblem, ObjectNode> show(ControlRequest question, ControlDocuments from) {
             return Either.right(from.members());
         }
     },
     /** The evacuated zones. */
     EVACUATIONS {
         @Override
-        Either<ControlProblem, ObjectNode> show(ControlQuestion question, ControlDocuments from) {
+        Either<ControlProblem, ObjectNode> show(ControlRequest question, ControlDocuments from) {
             return Either.right(from.fleet().evacuations());
         }
     },
     /** The retry budgets, and who keeps the pace of cold backend servers. */
     BUDGET {
         @Override
-        Either<ControlProblem, ObjectNode> show(ControlQuestion question, ControlDocuments from) {
+        Either<ControlProblem, ObjectNode> show(ControlRequest question, ControlDocuments from) {
             return Either.right(from.budget());
         }
 
@@ -71,9 +71,9 @@
         }
     },
     /** The requests under which servers ended; one of them may be released. */
-    CRASHES(ControlView.RELEASE) {
+    CRASHES(ControlView.FINGERPRINT) {
         @Override
-        Either<ControlProblem, ObjectNode> show(ControlQuestion question, ControlDocuments from) {
+        Either<ControlProblem, ObjectNode> show(ControlRequest question, ControlDocuments from) {
             return Either.right(from.crashes());
         }
 
@@ -90,7 +90,7 @@
     /** The workspaces with their rates, and whether their keys are proven to be the newest. */
     WORKSPACES {
         @Override
-        Either<ControlProblem, ObjectNode> show(ControlQuestion question, ControlDocuments from) {
+        Either<ControlProblem, ObjectNode> show(ControlRequest question, ControlDocuments from) {
             return Either.right(from.workspaces());
         }
 
@@ -102,13 +102,13 @@
     /** The decisions about a request, and the newest changes of what the instance believes. */
     TIMELINE(ControlView.REQUEST, ControlView.BELIEFS) {
         @Override
-        Either<ControlProblem, ObjectNode> show(ControlQuestion question, ControlDocuments from) {
+        Either<ControlProblem, ObjectNode> show(ControlRequest question, ControlDocuments from) {
             return from.timeline(question);
         }
     };
 
     static final String SERVICE = "service";
-    static final String RELEASE = "fingerprint";
+    static final String FINGERPRINT = "fingerprint";
     static final String REQUEST = "request";
     static final String BELIEFS = "beliefs";
 
@@ -120,7 +120,7 @@
 
     /** Makes the document, or says why there is none. */
     abstract Either<ControlProblem, ObjectNode> show(
-            ControlQuestion question, ControlDocuments from);
+            ControlRequest question, ControlDocuments from);
 
     /** Tells whether the traffic thread has to be asked. */
     boolean needsTraffic() {
@@ -138,7 +138,7 @@
     }
 
     String path() {
-        return ControlQuestion.ROOT + name().toLowerCase(Locale.ROOT);
+        return ControlRequest.ROOT + name().toLowerCase(Locale.ROOT);
     }
 
     static Optional<ControlView> at(String path) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/TrafficReader.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/TrafficReader.java
@@ -25,7 +25,7 @@
     static final Duration FRESH = Duration.ofMillis(200);
 
     /** How long an answer waits for the traffic thread. */
-    static final Duration PATIENCE = Duration.ofSeconds(1);
+    static final Duration TIMEOUT = Duration.ofSeconds(1);
 
     /** How many answers may wait; the next is refused at once. */
     static final int MOST_WAITING = 32;
@@ -61,14 +61,14 @@
         if (mWaiters.size() >= MOST_WAITING) {
             answer.accept(
                     Either.left(
-                            ControlProblem.notNow(
+                            ControlProblem.unavailable(
                                     "too-many-questions", "Too many questions wait already.")));
             return;
         }
         Waiter waiter = new Waiter(answer);
         mWaiters.add(waiter);
         waiter.mTimeout =
-                mControl.schedule(() -> giveUp(waiter), PATIENCE.toNanos(), TimeUnit.NANOSECONDS);
+                mControl.schedule(() -> giveUp(waiter), TIMEOUT.toNanos(), TimeUnit.NANOSECONDS);
         if (!mAsked) {
             mAsked = true;
             mTraffic.execute(this::take);
@@ -103,10 +103,10 @@
         if (mWaiters.remove(waiter)) {
             waiter.mAnswer.accept(
                     Either.left(
-                            ControlProblem.notNow(
+                            ControlProblem.unavailable(
                                     "traffic-busy",
                                     "The traffic thread gave no snapshot within "
-                                            + PATIENCE.toMillis()
+                                            + TIMEOUT.toMillis()
                                             + " ms.")));
         }
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/HeartbeatSettings.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/HeartbeatSettings.java
@@ -9,7 +9,7 @@
  * @param period the time between heartbeats to a neighbor
  * @param suspectAfter the silence after which an instance is not named while others are there
  * @param deadAfter the silence after which it counts as gone
- * @param claimPatience how long others' word that an instance is silent can be refuted before it
+ * @param claimTimeout how long others' word that an instance is silent can be refuted before it
  *     counts
  * @param cutOffFor how long a silent instance that did not leave is counted among those that may be
  *     sending requests
@@ -22,7 +22,7 @@
         Duration period,
         Duration suspectAfter,
         Duration deadAfter,
-        Duration claimPatience,
+        Duration claimTimeout,
         Duration cutOffFor,
         Duration quietAfter,
         Duration quietPeriod,
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerExchange.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerExchange.java
@@ -168,7 +168,7 @@
             case ANSWER -> {}
             case ASK -> mSender.answer(from, true, List.of());
             case LIST_ASK -> mSender.page(from, list(message.listAfter()));
-            case LIST_PAGE -> askOn(message, from);
+            case LIST_PAGE -> requestNextPage(message, from);
             default -> throw new IllegalStateException("The kind is unknown.");
         }
     }
@@ -176,7 +176,7 @@
     private boolean receiveSender(PeerUpdate news, ServerAddress from, long now) {
         PeerRecord record = mTable.get(news.id());
         if (record == null && news.place().isEmpty()) {
-            mSender.ask(from);
+            mSender.requestPlace(from);
             return false;
         }
         if (record == null) {
@@ -271,10 +271,10 @@
         return page;
     }
 
-    private void askOn(PeerMessage message, ServerAddress from) {
+    private void requestNextPage(PeerMessage message, ServerAddress from) {
         List<PeerUpdate> page = message.updates();
         if (page.size() >= PeerSender.PAGE) {
-            mSender.askList(from, page.get(page.size() - 1).id().value());
+            mSender.requestList(from, page.get(page.size() - 1).id().value());
         }
     }
 
@@ -284,7 +284,7 @@
         if (young || mTicks % quietTicks == 0) {
             mSeeds.stream()
                     .filter(seed -> !mTable.knowsAddress(seed))
-                    .forEach(seed -> mSender.askList(seed, ""));
+                    .forEach(seed -> mSender.requestList(seed, ""));
         }
     }
 
@@ -304,7 +304,7 @@
         if (record.hasReceived()) {
             mSender.heartbeat(to, false, List.of());
         } else {
-            mSender.ask(to);
+            mSender.requestPlace(to);
         }
     }
 
@@ -328,7 +328,7 @@
         }
         PeerRecord to = near.get((int) (mTicks % near.size()));
         if (LIST_TICKS.contains(mTicks)) {
-            mSender.askList(to.place().internal(), "");
+            mSender.requestList(to.place().internal(), "");
         }
         if (mesh && mTicks % TURN_IN_MESH != 0) {
             return;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerFailureDetector.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerFailureDetector.java
@@ -46,7 +46,7 @@
             next = earlier(next, grace() - record.sinceWatched(now));
         }
         if (record.isClaimed()) {
-            next = earlier(next, mSettings.claimPatience().toNanos() - record.sinceClaim(now));
+            next = earlier(next, mSettings.claimTimeout().toNanos() - record.sinceClaim(now));
         }
         return next;
     }
@@ -65,13 +65,13 @@
     }
 
     private Verdict evaluateClaimed(PeerRecord record, long now) {
-        return record.sinceClaim(now) < mSettings.claimPatience().toNanos()
+        return record.sinceClaim(now) < mSettings.claimTimeout().toNanos()
                 ? Verdict.SUSPECT
                 : Verdict.GONE;
     }
 
     /** A new neighbor answers within this, or it is gone though others do not know yet. */
     private long grace() {
-        return mSettings.period().plus(mSettings.claimPatience()).toNanos();
+        return mSettings.period().plus(mSettings.claimTimeout()).toNanos();
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerSender.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerSender.java
@@ -34,11 +34,11 @@
         send(PeerMessage.Kind.ANSWER, to, withPlace, "", news);
     }
 
-    void ask(ServerAddress to) {
+    void requestPlace(ServerAddress to) {
         send(PeerMessage.Kind.ASK, to, true, "", List.of());
     }
 
-    void askList(ServerAddress to, String after) {
+    void requestList(ServerAddress to, String after) {
         send(PeerMessage.Kind.LIST_ASK, to, true, after, List.of());
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/ProofCodec.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/ProofCodec.java
@@ -22,14 +22,14 @@
     private ProofCodec() {}
 
     /** A message about a proof. */
-    public sealed interface Message permits Ask, Answer {}
+    public sealed interface Message permits Request, Answer {}
 
     /**
      * Asks for a proof.
      *
      * @param number the number of the ask
      */
-    public record Ask(long number) implements Message {}
+    public record Request(long number) implements Message {}
 
     /**
      * Gives a proof.
@@ -55,7 +55,7 @@
             out.writeLong(answer.revision());
         } else {
             out.writeByte(ASK);
-            out.writeLong(((Ask) message).number());
+            out.writeLong(((Request) message).number());
         }
     }
 
@@ -72,7 +72,7 @@
         byte kind = in.readByte();
         long number = in.readLong();
         if (kind == ASK) {
-            return Optional.of(new Ask(number));
+            return Optional.of(new Request(number));
         }
         if (kind != ANSWER || in.readableBytes() < Integer.BYTES + Long.BYTES) {
             return Optional.empty();
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayClient.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayClient.java
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public void ask(
+    public void request(
             ServerAddress address,
             RelayAsk ask,
             Duration timeout,
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayFallback.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayFallback.java
@@ -73,7 +73,7 @@
     /** Asks from now on. */
     void start() {
         mActive = true;
-        mAskedNanos = mTime.monotonicNanos() - mSettings.askEvery().toNanos();
+        mAskedNanos = mTime.monotonicNanos() - mSettings.pollEvery().toNanos();
         look();
     }
 
@@ -90,7 +90,7 @@
         mTimer.run();
         mTimer = mScheduler.schedule(mSettings.lookEvery(), this::look);
         if (!mAsking) {
-            choose().ifPresent(this::ask);
+            choose().ifPresent(this::poll);
         }
     }
 
@@ -105,20 +105,20 @@
         long known = mCopies.known();
         Optional<RelayPeer> ahead =
                 peers.stream().filter(peer -> peer.revision() > known).findFirst();
-        boolean isDue = nowNanos - mAskedNanos >= mSettings.askEvery().toNanos();
+        boolean isDue = nowNanos - mAskedNanos >= mSettings.pollEvery().toNanos();
         if (ahead.isPresent() || !isDue) {
             return ahead;
         }
         return peers.stream().findFirst();
     }
 
-    private void ask(RelayPeer peer) {
+    private void poll(RelayPeer peer) {
         mAsking = true;
         mAskedNanos = mTime.monotonicNanos();
         int number = ++mAsk;
-        mLink.ask(
+        mLink.request(
                 peer.address(),
-                mCopies.ask(Duration.ZERO),
+                mCopies.buildRequest(Duration.ZERO),
                 mSettings.timeout(),
                 result -> {
                     if (number == mAsk && mAsking) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayFollower.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayFollower.java
@@ -31,7 +31,7 @@
     private final BooleanSupplier mMayRely;
     private final Runnable mApplied;
     private final Runnable mTurned;
-    private final Map<ServerAddress, Line> mLines = new HashMap<>();
+    private final Map<ServerAddress, WatcherPoller> mLines = new HashMap<>();
     private boolean mRelies;
     private long mOwnUntilNanos;
     private Runnable mTimer = () -> {};
@@ -85,7 +85,7 @@
 
     /** Watches by itself for a while, since what the watchers tell is in doubt. */
     void distrust() {
-        mOwnUntilNanos = mContext.time().monotonicNanos() + mSettings.ownFor().toNanos();
+        mOwnUntilNanos = mContext.time().monotonicNanos() + mSettings.ownWatchFor().toNanos();
         turn(false);
     }
 
@@ -99,9 +99,9 @@
         mLines.keySet().retainAll(wanted);
         for (ServerAddress address : wanted) {
             if (!mLines.containsKey(address)) {
-                Line line = new Line(address);
+                WatcherPoller line = new WatcherPoller(address);
                 mLines.put(address, line);
-                line.ask();
+                line.poll();
             }
         }
         settle();
@@ -129,12 +129,12 @@
     }
 
     /** The asks of one watcher, one at a time. */
-    private final class Line {
+    private final class WatcherPoller {
 
         private final ServerAddress mAddress;
         private boolean mSound;
 
-        Line(ServerAddress address) {
+        WatcherPoller(ServerAddress address) {
             mAddress = address;
         }
 
@@ -142,16 +142,16 @@
             return mLines.get(mAddress) == this;
         }
 
-        void ask() {
+        void poll() {
             if (!isWanted()) {
                 return;
             }
             // The first ask only shows whether the watcher is sound.
             Duration hold = mSound ? mSettings.hold() : Duration.ofMillis(1);
             long startNanos = mContext.time().monotonicNanos();
-            mLink.ask(
+            mLink.request(
                     mAddress,
-                    mCopies.ask(hold),
+                    mCopies.buildRequest(hold),
                     hold.plus(mSettings.margin()),
                     result -> answered(startNanos, result));
         }
@@ -176,7 +176,7 @@
                 // A watcher that answers without news must not be asked without a pause.
                 pause = mContext.settings().calls().serverSettle();
             }
-            mContext.scheduler().schedule(pause, this::ask);
+            mContext.scheduler().schedule(pause, this::poll);
             settle();
         }
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayLink.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayLink.java
@@ -18,7 +18,7 @@
      * @param timeout how long the whole may take
      * @param result hears the answer or one sentence that says why there is none, once
      */
-    void ask(
+    void request(
             ServerAddress address,
             RelayAsk ask,
             Duration timeout,
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayServer.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayServer.java
@@ -33,7 +33,7 @@
 
     private static final Logger sLogger = LoggerFactory.getLogger(RelayServer.class);
 
-    private static final int MAXIMUM_ASK_BYTES = 4_096;
+    private static final int MAXIMUM_REQUEST_BYTES = 4_096;
     private static final int MAXIMUM_CONNECTIONS = 256;
     private static final Duration CONNECTION_LIFE = Duration.ofSeconds(5);
 
@@ -109,11 +109,11 @@
                             mConnections--;
                             limit.cancel(false);
                         });
-        channel.pipeline().addLast(RelayFrames.decoder(MAXIMUM_ASK_BYTES), new AskHandler());
+        channel.pipeline().addLast(RelayFrames.decoder(MAXIMUM_REQUEST_BYTES), new RelayRequestHandler());
     }
 
     /** Answers the one ask of a connection. */
-    private final class AskHandler extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class RelayRequestHandler extends SimpleChannelInboundHandler<ByteBuf> {
 
         private boolean mAnswered;
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayService.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayService.java
@@ -27,7 +27,7 @@
     private final Scheduler mScheduler;
     private final BooleanSupplier mWatches;
     private final Duration mLongestWait;
-    private final Set<HeldAsk> mHeld = new LinkedHashSet<>();
+    private final Set<HeldRequest> mHeld = new LinkedHashSet<>();
     private final RelayCodec mCodec = new RelayCodec();
 
     /**
@@ -73,7 +73,7 @@
         }
         Duration asked = Duration.ofMillis(ask.getWaitMs());
         Duration wait = asked.compareTo(mLongestWait) < 0 ? asked : mLongestWait;
-        HeldAsk held = new HeldAsk(ask, result);
+        HeldRequest held = new HeldRequest(ask, result);
         mHeld.add(held);
         held.mTimer = mScheduler.schedule(wait, () -> end(held));
         return () -> forget(held);
@@ -81,7 +81,7 @@
 
     /** Answers the held asks for which there is something new, or on which nobody may rely. */
     void changed() {
-        for (HeldAsk held : List.copyOf(mHeld)) {
+        for (HeldRequest held : List.copyOf(mHeld)) {
             if (mustAnswer(held.mAsk)) {
                 end(held);
             }
@@ -102,13 +102,13 @@
         return mServers.unconfirmed() == 0 && mWatches.getAsBoolean();
     }
 
-    private void end(HeldAsk held) {
+    private void end(HeldRequest held) {
         if (forget(held)) {
             held.mResult.accept(answer(held.mAsk));
         }
     }
 
-    private boolean forget(HeldAsk held) {
+    private boolean forget(HeldRequest held) {
         held.mTimer.run();
         return mHeld.remove(held);
     }
@@ -130,13 +130,13 @@
     }
 
     /** An ask that waits for news. */
-    private static final class HeldAsk {
+    private static final class HeldRequest {
 
         private final RelayAsk mAsk;
         private final Consumer<RelayAnswer> mResult;
         private Runnable mTimer = () -> {};
 
-        HeldAsk(RelayAsk ask, Consumer<RelayAnswer> result) {
+        HeldRequest(RelayAsk ask, Consumer<RelayAnswer> result) {
             mAsk = ask;
             mResult = result;
         }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayedCopies.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayedCopies.java
@@ -40,7 +40,7 @@
      * @param wait how long its answer may be held
      * @return the ask
      */
-    RelayAsk ask(Duration wait) {
+    RelayAsk buildRequest(Duration wait) {
         RelayAsk.Builder ask = RelayAsk.newBuilder().setWaitMs((int) wait.toMillis());
         for (CategoryCopy copy : mCopies) {
             CategoryAsk.Builder part = CategoryAsk.newBuilder().setCategory(copy.category().name());
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/ReplicaSettings.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/ReplicaSettings.java
@@ -68,7 +68,7 @@
                         watching.margin(),
                         watching.lookEvery(),
                         watching.avoidFor(),
-                        watching.ownFor());
+                        watching.ownWatchFor());
         return new ReplicaSettings(calls, outage, relay, changed);
     }
 
@@ -158,18 +158,18 @@
      * The times of asking peers while the store is lost.
      *
      * @param lookEvery how often the revisions of peers are looked at
-     * @param askEvery how often a peer is asked though none reports more than is known
+     * @param pollEvery how often a peer is asked though none reports more than is known
      * @param timeout how long a peer may take
      * @param avoidFor how long a peer that failed is passed over
      * @since 0.2
      */
     public record Relay(
-            Duration lookEvery, Duration askEvery, Duration timeout, Duration avoidFor) {
+            Duration lookEvery, Duration pollEvery, Duration timeout, Duration avoidFor) {
 
         /** Checks that the times are positive. */
         public Relay {
             Assert.positive(lookEvery.toMillis(), "The time between looks at peers");
-            Assert.positive(askEvery.toMillis(), "The time between asks of peers");
+            Assert.positive(pollEvery.toMillis(), "The time between asks of peers");
             Assert.positive(timeout.toMillis(), "The timeout of a peer");
             Assert.positive(avoidFor.toMillis(), "The time to pass over a peer");
         }
@@ -184,7 +184,7 @@
      * @param margin how much later its answer may come before the connection counts as silent
      * @param lookEvery how often the instances of the zone are looked at
      * @param avoidFor how long a watcher that failed is not asked again
-     * @param ownFor how long an instance watches by itself at least once its watchers have failed
+     * @param ownWatchFor how long an instance watches by itself at least once its watchers have failed
      * @since 0.2
      */
     public record Watching(
@@ -193,7 +193,7 @@
             Duration margin,
             Duration lookEvery,
             Duration avoidFor,
-            Duration ownFor) {
+            Duration ownWatchFor) {
 
         /** Checks that the count is not negative and the times are positive. */
         public Watching {
@@ -202,7 +202,7 @@
             Assert.positive(margin.toMillis(), "The margin of a held ask");
             Assert.positive(lookEvery.toMillis(), "The time between looks at a zone");
             Assert.positive(avoidFor.toMillis(), "The time to pass over a watcher");
-            Assert.positive(ownFor.toMillis(), "The time of an own watch");
+            Assert.positive(ownWatchFor.toMillis(), "The time of an own watch");
         }
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ProofSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ProofSharing.java
@@ -40,7 +40,7 @@
     private static final int ASKED_FAR = 2;
 
     /** Asks that may still be answered; later answers tell nothing. */
-    private static final int MOST_OPEN_ASKS = 32;
+    private static final int MAXIMUM_OPEN_REQUESTS = 32;
 
     private final EventLoop mTraffic;
     private final EventLoop mControl;
@@ -53,7 +53,7 @@
     private final DecisionLog mLog;
     private final long mLimitNanos;
     private final FreshnessKeeper mKeeper = new FreshnessKeeper();
-    private final Map<Long, Moment> mAsks = new LinkedHashMap<>();
+    private final Map<Long, Moment> mRequests = new LinkedHashMap<>();
     private List<PeerInstance> mAlive = List.of();
     private List<PeerInstance> mOrder = List.of();
     private long mNumber;
@@ -93,7 +93,7 @@
                         ProofCodec.read(content)
                                 .ifPresent(
                                         message -> {
-                                            if (message instanceof ProofCodec.Ask ask) {
+                                            if (message instanceof ProofCodec.Request ask) {
                                                 mPeers.sendDatagram(sender, out -> answer(ask, out));
                                             } else {
                                                 received((ProofCodec.Answer) message);
@@ -104,7 +104,7 @@
                 this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void answer(ProofCodec.Ask ask, ByteBuf out) {
+    private void answer(ProofCodec.Request ask, ByteBuf out) {
         FreshnessProof proof = mKeeper.held().orElse(null);
         long age = proof == null ? Integer.MAX_VALUE : proof.ageNanos(now());
         ProofCodec.write(
@@ -116,7 +116,7 @@
     }
 
     private void received(ProofCodec.Answer answer) {
-        Moment asked = mAsks.remove(answer.number());
+        Moment asked = mRequests.remove(answer.number());
         if (asked != null && answer.revision() > 0) {
             long age = TimeUnit.MILLISECONDS.toNanos(answer.ageMillis());
             take(new FreshnessProof(asked.minusNanos(age), answer.revision()));
@@ -144,7 +144,7 @@
             mReading = true;
             mReader.read(isRead -> mReading = false);
         }
-        ask(rank, now);
+        request(rank, now);
         reportProof();
     }
 
@@ -168,7 +168,7 @@
         mOrder = PeerOrder.of("proof/" + mSelf.region().value(), inRegion);
     }
 
-    private void ask(int rank, Moment now) {
+    private void request(int rank, Moment now) {
         List<PeerInstance> asked = new ArrayList<>();
         if (rank != 0 && !mOrder.isEmpty() && mKeeper.mustAsk(now)) {
             asked.add(mOrder.get((int) (mNumber % Math.min(ASKED_NEAR, mOrder.size()))));
@@ -182,11 +182,11 @@
             return;
         }
         long number = mNumber++;
-        mAsks.put(number, now);
-        if (mAsks.size() > MOST_OPEN_ASKS) {
-            mAsks.remove(mAsks.keySet().iterator().next());
+        mRequests.put(number, now);
+        if (mRequests.size() > MAXIMUM_OPEN_REQUESTS) {
+            mRequests.remove(mRequests.keySet().iterator().next());
         }
-        mPeers.sendDatagram(asked, out -> ProofCodec.write(new ProofCodec.Ask(number), out));
+        mPeers.sendDatagram(asked, out -> ProofCodec.write(new ProofCodec.Request(number), out));
     }
 
     /** Tells the request path of a new proof; the snapshot that it proves is there before it. */
--- a/masticpond-entry/src/test/java/io/masticpond/entry/control/ControlQuestionTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/control/ControlRequestTest.java
@@ -7,7 +7,7 @@
 import net.jqwik.api.Example;
 
 /** Whatever is wrong with a question is said. */
-class ControlQuestionTest {
+class ControlRequestTest {
 
     @Example
     void whatIsWrongIsNamed() {
@@ -23,8 +23,8 @@
 
     @Example
     void nothingIsChangedByAnyMethod() {
-        Either<ControlProblem, ControlQuestion> question =
-                ControlQuestion.read(HttpMethod.POST, "/v1/status");
+        Either<ControlProblem, ControlRequest> question =
+                ControlRequest.read(HttpMethod.POST, "/v1/status");
         assertThat(question.getLeft().status()).isEqualTo(405);
     }
 
@@ -37,11 +37,11 @@
     }
 
     private static Either<ControlProblem, Integer> number(String text) {
-        return ControlQuestion.read(HttpMethod.GET, "/v1/timeline?beliefs=" + text)
+        return ControlRequest.read(HttpMethod.GET, "/v1/timeline?beliefs=" + text)
                 .flatMap(question -> question.number("beliefs", 1, 10));
     }
 
     private static ControlProblem problem(String target) {
-        return ControlQuestion.read(HttpMethod.GET, target).getLeft();
+        return ControlRequest.read(HttpMethod.GET, target).getLeft();
     }
 }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/control/TrafficReaderTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/control/TrafficReaderTest.java
@@ -89,7 +89,7 @@
     }
 
     private void passTime() {
-        mControl.advanceTimeBy(TrafficReader.PATIENCE.toNanos(), TimeUnit.NANOSECONDS);
+        mControl.advanceTimeBy(TrafficReader.TIMEOUT.toNanos(), TimeUnit.NANOSECONDS);
         mControl.runScheduledPendingTasks();
     }
 }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/replica/RelayLinkTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/replica/RelayLinkTest.java
@@ -100,7 +100,7 @@
         CompletableFuture<Either<String, RelayAnswer>> answer = new CompletableFuture<>();
         mLoop.execute(
                 () ->
-                        mClient.ask(
+                        mClient.request(
                                 new ServerAddress("127.0.0.1", port),
                                 ask,
                                 timeout,
