--- a/masticpond-command/src/main/java/io/masticpond/command/client/OperatorClient.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/client/OperatorClient.java
@@ -184,9 +184,9 @@
             if (outcome instanceof Outcome.Answered answered) {
                 return answered.toEither();
             }
-            if (outcome instanceof Outcome.Silent silent) {
+            if (outcome instanceof Outcome.Unresponsive silent) {
                 unreachable.add(silent.attempt());
-            } else if (outcome instanceof Outcome.NotNow refused) {
+            } else if (outcome instanceof Outcome.NotReady refused) {
                 notNow = Optional.of(refused.error());
             }
         }
@@ -197,7 +197,7 @@
         try (Response response = mHttp.newCall(request).execute()) {
             return outcomeOf(address, response);
         } catch (IOException e) {
-            return new Outcome.Silent(new Attempt(address, reasonOf(e)));
+            return new Outcome.Unresponsive(new Attempt(address, reasonOf(e)));
         }
     }
 
@@ -232,7 +232,7 @@
         }
         ClientError refused = new Refused(problem);
         return status == UNAVAILABLE
-                ? new Outcome.NotNow(refused)
+                ? new Outcome.NotReady(refused)
                 : new Outcome.Answered(Either.left(refused));
     }
 
@@ -279,7 +279,7 @@
         }
 
         /** It answered that it can't now; another may. */
-        record NotNow(ClientError error) implements Outcome {
+        record NotReady(ClientError error) implements Outcome {
 
             @Override
             public Either<ClientError, JsonNode> toEither() {
@@ -288,7 +288,7 @@
         }
 
         /** It did not answer. */
-        record Silent(Attempt attempt) implements Outcome {
+        record Unresponsive(Attempt attempt) implements Outcome {
 
             @Override
             public Either<ClientError, JsonNode> toEither() {
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationConfirmation.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationConfirmation.java
@@ -1,7 +1,7 @@
 package io.masticpond.core.configuration;
 
 import io.masticpond.core.configuration.ConfirmationStep.Accepted;
-import io.masticpond.core.configuration.ConfirmationStep.Away;
+import io.masticpond.core.configuration.ConfirmationStep.Unavailable;
 import io.masticpond.core.configuration.ConfirmationStep.BaseChanged;
 import io.masticpond.core.configuration.ConfirmationStep.ReadHead;
 import io.masticpond.core.configuration.ConfirmationStep.Unsettled;
@@ -32,7 +32,7 @@
         /** It may have taken effect or may still. */
         UNCERTAIN,
         /** It had no effect, since the platform is away. */
-        AWAY
+        UNAVAILABLE
     }
 
     private final Plan mPlan;
@@ -93,8 +93,8 @@
      *
      * @return the next step
      */
-    public ConfirmationStep onHeadAway() {
-        return mUncertain ? read() : new Away();
+    public ConfirmationStep onHeadUnavailable() {
+        return mUncertain ? read() : new Unavailable();
     }
 
     /**
@@ -112,7 +112,7 @@
                 mUncertain = true;
                 yield read();
             }
-            case AWAY -> mUncertain ? read() : new Away();
+            case UNAVAILABLE -> mUncertain ? read() : new Unavailable();
         };
     }
 
@@ -126,7 +126,7 @@
 
     private ConfirmationStep read() {
         if (mReads >= mMaximumReads) {
-            return mUncertain ? new Unsettled(mPlan.id()) : new Away();
+            return mUncertain ? new Unsettled(mPlan.id()) : new Unavailable();
         }
         mReads++;
         return new ReadHead();
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfirmationStep.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfirmationStep.java
@@ -51,7 +51,7 @@
             implements ConfirmationStep {}
 
     /** Nothing was written, since the platform is away. */
-    record Away() implements ConfirmationStep {}
+    record Unavailable() implements ConfirmationStep {}
 
     /**
      * The plan may have been accepted or may still be; confirming it again tells.
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/FailureDetector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/FailureDetector.java
@@ -31,7 +31,7 @@
     /** Tells whether others should be asked for newer news of a watched member. */
     boolean mustRequestUpdate(MemberRecord record, long now) {
         return record.state().isReachable()
-                && record.silence(now) >= mTimings.updateRequest().toNanos()
+                && record.inactivityNanos(now) >= mTimings.updateRequest().toNanos()
                 && record.sinceUpdateRequested(now) >= mTimings.heartbeat().toNanos();
     }
 
@@ -42,16 +42,16 @@
     }
 
     private Optional<MemberClaim> evaluateLive(MemberRecord record, long now) {
-        if (isProcessGone(record, now)) {
-            return Optional.of(MemberClaim.GONE);
+        if (isProcessTerminated(record, now)) {
+            return Optional.of(MemberClaim.TERMINATED);
         }
-        boolean silent = record.silence(now) >= mTimings.suspect().toNanos();
+        boolean silent = record.inactivityNanos(now) >= mTimings.suspect().toNanos();
         return silent ? Optional.of(MemberClaim.SUSPECT) : Optional.empty();
     }
 
     private Optional<MemberClaim> evaluateSuspect(MemberRecord record, boolean watched, long now) {
-        if (watched && isProcessGone(record, now)) {
-            return Optional.of(MemberClaim.GONE);
+        if (watched && isProcessTerminated(record, now)) {
+            return Optional.of(MemberClaim.TERMINATED);
         }
         long patience = mTimings.dead().minus(mTimings.suspect()).toNanos();
         return record.sinceClaim(now) >= patience
@@ -59,8 +59,8 @@
                 : Optional.empty();
     }
 
-    private boolean isProcessGone(MemberRecord record, long now) {
-        boolean missed = record.silence(now) >= mTimings.updateRequest().toNanos();
-        return record.isRefused() && (record.isBroken() || missed);
+    private boolean isProcessTerminated(MemberRecord record, long now) {
+        boolean missed = record.inactivityNanos(now) >= mTimings.updateRequest().toNanos();
+        return record.isConnectionRefused() && (record.isDisconnected() || missed);
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MemberClaim.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MemberClaim.java
@@ -13,7 +13,7 @@
     /** It stayed silent through the time that it had to refute the suspicion. */
     DEAD(true),
     /** Its process has ended: it said so itself, or its address refused a connection. */
-    GONE(true);
+    TERMINATED(true);
 
     private final boolean mEnd;
 
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MemberRecord.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MemberRecord.java
@@ -15,9 +15,9 @@
     private boolean mHasReceivedUpdate;
     private boolean mListed;
     private boolean mListedLeaving;
-    private boolean mBroken;
-    private boolean mRefused;
-    private long mFreshNanos;
+    private boolean mDisconnected;
+    private boolean mConnectionRefused;
+    private long mLastActivityNanos;
     private long mClaimNanos;
     private long mUpdateRequestedNanos;
 
@@ -41,7 +41,7 @@
     MemberRecord(MemberUpdate news, long now) {
         mId = news.id();
         mUpdate = news;
-        mFreshNanos = now;
+        mLastActivityNanos = now;
         mClaimNanos = now;
         mUpdateRequestedNanos = now;
     }
@@ -61,13 +61,13 @@
         return switch (mUpdate.claim()) {
             case LIVE -> mUpdate.leaving() || mListedLeaving ? MemberState.LEAVING : MemberState.LIVE;
             case SUSPECT -> MemberState.SUSPECT;
-            case DEAD, GONE -> MemberState.DEAD;
+            case DEAD, TERMINATED -> MemberState.DEAD;
         };
     }
 
     /** Tells whether the process of the run has ended. */
-    boolean isGone() {
-        return mHasReceivedUpdate && mUpdate.claim() == MemberClaim.GONE;
+    boolean isTerminated() {
+        return mHasReceivedUpdate && mUpdate.claim() == MemberClaim.TERMINATED;
     }
 
     /** Gives the share of this member in the digest of all. */
@@ -101,9 +101,9 @@
     boolean isAccountedFor() {
         return switch (state()) {
             case LIVE, LEAVING -> true;
-            case EXPECTED -> mRefused;
+            case EXPECTED -> mConnectionRefused;
             case SUSPECT -> false;
-            case DEAD -> mUpdate.claim() == MemberClaim.GONE;
+            case DEAD -> mUpdate.claim() == MemberClaim.TERMINATED;
         };
     }
 
@@ -125,9 +125,9 @@
                         || news.run().number() > mUpdate.run().number()
                         || news.sequence() > mUpdate.sequence();
         if (advances && news.claim() == MemberClaim.LIVE) {
-            mFreshNanos = now;
-            mBroken = false;
-            mRefused = false;
+            mLastActivityNanos = now;
+            mDisconnected = false;
+            mConnectionRefused = false;
         }
         if (news.claim() != mUpdate.claim()) {
             mClaimNanos = now;
@@ -148,8 +148,8 @@
         mListed = true;
         mListedLeaving = listed.leaving();
         if (!mHasReceivedUpdate && !mUpdate.linkAddress().equals(listed.linkAddress())) {
-            mUpdate = new MemberRecord(listed, mFreshNanos).mUpdate;
-            mRefused = false;
+            mUpdate = new MemberRecord(listed, mLastActivityNanos).mUpdate;
+            mConnectionRefused = false;
         }
         return before != state();
     }
@@ -162,17 +162,17 @@
                         now);
         expected.mListed = true;
         expected.mListedLeaving = mListedLeaving;
-        expected.mRefused = mUpdate.claim() == MemberClaim.GONE;
+        expected.mConnectionRefused = mUpdate.claim() == MemberClaim.TERMINATED;
         return expected;
     }
 
-    void unlisted() {
+    void markUnlisted() {
         mListed = false;
         mListedLeaving = false;
     }
 
-    long silence(long now) {
-        return now - mFreshNanos;
+    long inactivityNanos(long now) {
+        return now - mLastActivityNanos;
     }
 
     long sinceClaim(long now) {
@@ -188,26 +188,26 @@
     }
 
     /** Starts the silence anew, because this process itself could not listen. */
-    void excuseSilence(long now) {
-        mFreshNanos = now;
+    void resetInactivity(long now) {
+        mLastActivityNanos = now;
         mClaimNanos = now;
     }
 
     /** Notes that the last connection broke. */
-    void broken() {
-        mBroken = true;
+    void markDisconnected() {
+        mDisconnected = true;
     }
 
-    boolean isBroken() {
-        return mBroken;
+    boolean isDisconnected() {
+        return mDisconnected;
     }
 
     /** Notes that the address refused a connection. */
-    void refused() {
-        mRefused = true;
+    void markConnectionRefused() {
+        mConnectionRefused = true;
     }
 
-    boolean isRefused() {
-        return mRefused;
+    boolean isConnectionRefused() {
+        return mConnectionRefused;
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTable.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTable.java
@@ -99,7 +99,7 @@
     public void listed(Collection<ListedMember> listed) {
         long now = mTimeSource.monotonicNanos();
         mRosterKnown = true;
-        mRecords.values().forEach(MemberRecord::unlisted);
+        mRecords.values().forEach(MemberRecord::markUnlisted);
         for (ListedMember entry : listed) {
             if (entry.id().equals(mSelf.id())) {
                 continue;
@@ -168,12 +168,12 @@
      *
      * @param run the run
      */
-    public void disconnected(Incarnation run) {
+    public void onDisconnected(Incarnation run) {
         MemberRecord record = mRecords.get(run.instance());
         if (record == null || !record.update().run().equals(run) || !isWatched(record)) {
             return;
         }
-        record.broken();
+        record.markDisconnected();
         sendHeartbeat(run.instance());
     }
 
@@ -182,10 +182,10 @@
      *
      * @param id the instance
      */
-    public void connectionRefused(InstanceId id) {
+    public void onConnectionRefused(InstanceId id) {
         MemberRecord record = mRecords.get(id);
         if (record != null) {
-            record.refused();
+            record.markConnectionRefused();
             evaluate(record, mTimeSource.monotonicNanos());
             mDisseminator.flush(neighbors());
         }
@@ -195,7 +195,7 @@
     public void advance() {
         long now = mTimeSource.monotonicNanos();
         if (mPauseDetector.advance(now)) {
-            mRecords.values().forEach(record -> record.excuseSilence(now));
+            mRecords.values().forEach(record -> record.resetInactivity(now));
         }
         mRequestRelay.expire(now);
         for (MemberRecord record : List.copyOf(mRecords.values())) {
@@ -221,7 +221,7 @@
 
     /** Tells every neighbor that this run ends now. */
     public void announceTermination() {
-        MemberUpdate own = mSelf.next().claiming(MemberClaim.GONE);
+        MemberUpdate own = mSelf.next().claiming(MemberClaim.TERMINATED);
         neighbors().forEach(id -> mSink.send(id, own, List.of()));
     }
 
@@ -333,11 +333,11 @@
     }
 
     private void accept(MemberRecord record, MemberUpdate news, InstanceId teller, boolean spread) {
-        boolean wasGone = record.isGone();
+        boolean wasGone = record.isTerminated();
         mOthersDigest -= record.digest();
         boolean changed = record.apply(news, mTimeSource.monotonicNanos());
         mOthersDigest += record.digest();
-        if (wasGone != record.isGone()) {
+        if (wasGone != record.isTerminated()) {
             mNeighborhood.membersChanged();
         }
         mDisseminator.answerRequesters(news);
@@ -354,7 +354,7 @@
         if (news.run().number() > own.number()) {
             mSuperseded |= !news.claim().isEnd();
         } else if (news.run().equals(own) && news.claim() != MemberClaim.LIVE) {
-            mSelf.outdo(news.sequence());
+            mSelf.supersede(news.sequence());
             sendHeartbeats();
         }
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/Neighborhood.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/Neighborhood.java
@@ -38,7 +38,7 @@
         Map<InstanceId, ZoneId> alive = new HashMap<>();
         alive.put(mSelf, mZone);
         for (MemberRecord record : records) {
-            if (!record.isGone()) {
+            if (!record.isTerminated()) {
                 alive.put(record.id(), record.update().zone());
             }
         }
@@ -48,7 +48,7 @@
         records.stream()
                 .filter(record -> mNeighbors.contains(record.id()))
                 .filter(record -> !before.contains(record.id()))
-                .forEach(record -> record.excuseSilence(now));
+                .forEach(record -> record.resetInactivity(now));
         return mNeighbors;
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/OwnHeartbeat.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/OwnHeartbeat.java
@@ -49,7 +49,7 @@
     }
 
     /** Lets the next heartbeat refute news with a sequence. */
-    void outdo(long sequence) {
+    void supersede(long sequence) {
         mSequence = Math.max(mSequence, sequence);
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/ClaimBatcher.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/ClaimBatcher.java
@@ -204,7 +204,7 @@
                 spread(call);
             } else if (answer instanceof StoreAnswer.Unknown<ClaimContents>) {
                 mContents = null;
-            } else if (answer instanceof StoreAnswer.Away<ClaimContents>) {
+            } else if (answer instanceof StoreAnswer.Unavailable<ClaimContents>) {
                 mContents = null;
                 List.copyOf(mWaiting).forEach(waiter -> end(waiter, new ClaimResult.Unavailable()));
             }
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/HomeDirectory.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/HomeDirectory.java
@@ -13,7 +13,7 @@
      * Tells the state of a home.
      *
      * @param home the run of an instance, not the own one
-     * @return the state; {@link HomeState#GONE} only if that run can never come back
+     * @return the state; {@link HomeState#TERMINATED} only if that run can never come back
      */
     HomeState stateOf(Incarnation home);
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/HomeState.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/HomeState.java
@@ -11,5 +11,5 @@
     /** The home is silent or unknown; it may be paused or cut off, and come back. */
     UNREACHABLE,
     /** A later run of the same instance was seen, so the home never comes back. */
-    GONE
+    TERMINATED
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/OperationDecision.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/OperationDecision.java
@@ -89,5 +89,5 @@
      * @param <A> the whole answer of a backend server
      * @param home the run of that instance
      */
-    record HomeGone<A>(Incarnation home) implements OperationDecision<A> {}
+    record HomeTerminated<A>(Incarnation home) implements OperationDecision<A> {}
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/OperationRegistry.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/OperationRegistry.java
@@ -109,7 +109,7 @@
         return switch (mDirectory.stateOf(home)) {
             case REACHABLE -> new OperationDecision.ForwardToHome<>(home);
             case UNREACHABLE -> new OperationDecision.HomeUnreachable<>(home);
-            case GONE -> new OperationDecision.HomeGone<>(home);
+            case TERMINATED -> new OperationDecision.HomeTerminated<>(home);
         };
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/OutcomeBatcher.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/OutcomeBatcher.java
@@ -28,7 +28,7 @@
     public static final int SEGMENT_SEQUENCES = 64;
 
     /** How many intervals pass before a platform that was away is tried again. */
-    private static final int AWAY_INTERVALS = 5;
+    private static final int UNAVAILABLE_RETRY_INTERVALS = 5;
 
     private final TimeSource mTimeSource;
     private final HomeClock mClock;
@@ -176,8 +176,8 @@
 
     private long retryNanos(StoreAnswer<Long> answer) {
         boolean away =
-                answer instanceof StoreAnswer.Away || answer instanceof StoreAnswer.Postponed;
-        return away ? mIntervalNanos * AWAY_INTERVALS : 0;
+                answer instanceof StoreAnswer.Unavailable || answer instanceof StoreAnswer.Postponed;
+        return away ? mIntervalNanos * UNAVAILABLE_RETRY_INTERVALS : 0;
     }
 
     /**
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/StoreAnswer.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/StoreAnswer.java
@@ -36,7 +36,7 @@
      *
      * @param <C> what a read gives
      */
-    record Away<C>() implements StoreAnswer<C> {}
+    record Unavailable<C>() implements StoreAnswer<C> {}
 
     /**
      * The call was not made, for want of budget; one shortly after may be.
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/RequestPlacer.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/RequestPlacer.java
@@ -66,7 +66,7 @@
      * @param nowNanos the monotonic time
      */
     public void reported(ServerLoad load, ReportedLoad told, long nowNanos) {
-        if (load.isOver()) {
+        if (load.isTerminated()) {
             return;
         }
         load.reported(told, nowNanos);
@@ -195,7 +195,7 @@
      * @param nowNanos the monotonic time
      */
     public void succeeded(ServerLoad load, long nanos, boolean waited, long nowNanos) {
-        if (load.isOver()) {
+        if (load.isTerminated()) {
             return;
         }
         load.answeredIn(nanos);
@@ -213,7 +213,7 @@
      * @param nowNanos the monotonic time
      */
     public void failed(ServerLoad load, long nowNanos) {
-        if (load.isOver()) {
+        if (load.isTerminated()) {
             return;
         }
         mChooser.outlierDetector().failed(load.server().service(), load.server().id(), nowNanos);
@@ -249,7 +249,7 @@
      * @param told the load that it told with that, or empty
      * @param nowNanos the monotonic time
      */
-    public void turnedAway(ServerLoad load, Optional<ReportedLoad> told, long nowNanos) {
+    public void rejectedByServer(ServerLoad load, Optional<ReportedLoad> told, long nowNanos) {
         if (told.filter(ReportedLoad::hasRoom).isPresent()) {
             failed(load, nowNanos);
         } else {
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/ServerChooser.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/ServerChooser.java
@@ -111,7 +111,7 @@
         }
         double perHome = perHome(usable);
         ServerChoice home = best(homes(usable, request), perHome, nowNanos);
-        if (home.score() >= -strangerPenalty(mSettings.homes(), perHome)) {
+        if (home.score() >= -nonHomePenalty(mSettings.homes(), perHome)) {
             return Optional.of(home);
         }
         return Optional.of(best(preferences(usable, request), perHome, nowNanos));
@@ -226,11 +226,11 @@
         if (rank < mSettings.homes()) {
             return rank * perHome;
         }
-        return strangerPenalty(rank, perHome);
+        return nonHomePenalty(rank, perHome);
     }
 
     /** Gives the least penalty of servers from a rank on that do not hold the object. */
-    private double strangerPenalty(int rank, double perHome) {
+    private double nonHomePenalty(int rank, double perHome) {
         return Math.max(mSettings.cacheMiss(), perHome) + rank * mSettings.perHome();
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/ServerLoad.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/ServerLoad.java
@@ -94,7 +94,7 @@
     /**
      * Takes that this run of the server is over; what still ends there tells nothing of a later.
      */
-    void over() {
+    void markTerminated() {
         mOver = true;
     }
 
@@ -103,7 +103,7 @@
      *
      * @return whether it is
      */
-    public boolean isOver() {
+    public boolean isTerminated() {
         return mOver;
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/ServerTable.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/ServerTable.java
@@ -119,7 +119,7 @@
                             RegisteredServer now = snapshot.servers().get(load.server().id());
                             boolean over = now == null || !now.isSameRun(load.server());
                             if (over) {
-                                load.over();
+                                load.markTerminated();
                                 gone.add(load.server());
                             }
                             return over;
--- a/masticpond-core/src/main/java/io/masticpond/core/region/DefaultRegionSelector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/DefaultRegionSelector.java
@@ -217,9 +217,9 @@
     }
 
     @Override
-    public void reachable(ServiceId service, RegionId region, boolean reachable) {
+    public void setReachable(ServiceId service, RegionId region, boolean reachable) {
         view(service, region)
-                .ifPresent(view -> view.reachable(reachable, mTimeSource.monotonicNanos()));
+                .ifPresent(view -> view.setReachable(reachable, mTimeSource.monotonicNanos()));
     }
 
     private Optional<RegionView> view(ServiceId service, RegionId region) {
--- a/masticpond-core/src/main/java/io/masticpond/core/region/RegionSelector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/RegionSelector.java
@@ -52,5 +52,5 @@
      * @param region the region
      * @param reachable whether any instance there can be reached
      */
-    void reachable(ServiceId service, RegionId region, boolean reachable);
+    void setReachable(ServiceId service, RegionId region, boolean reachable);
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/region/RegionView.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/RegionView.java
@@ -68,7 +68,7 @@
         mLastTaken = Math.max(1, inFlight());
     }
 
-    void reachable(boolean reachable, long nowNanos) {
+    void setReachable(boolean reachable, long nowNanos) {
         if (reachable && mAvailability.returned(nowNanos)) {
             mRamp.cool(nowNanos);
         }
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/DefaultSpendingGate.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/DefaultSpendingGate.java
@@ -175,7 +175,7 @@
     }
 
     /** Reads all ledgers again, since the platform has come back from an older copy. */
-    public void platformReturned() {
+    public void platformRestored() {
         mAccounts.values().forEach(SpendingAccount::readAgain);
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerAnswer.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerAnswer.java
@@ -34,7 +34,7 @@
     record Uncertain() implements LedgerAnswer {}
 
     /** The platform cannot be reached; a change had no effect. */
-    record Away() implements LedgerAnswer {}
+    record Unavailable() implements LedgerAnswer {}
 
     /**
      * The object is not a ledger of this service and shift.
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerExchange.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerExchange.java
@@ -25,8 +25,8 @@
     private static final Duration FIRST_CALL_DELAY_PER_HOLDER = Duration.ofMillis(5);
     private static final Duration CONFLICT_DELAY_PER_HOLDER = Duration.ofMillis(2);
     private static final Duration LONGEST_DELAY_PER_HOLDER = Duration.ofMillis(10);
-    private static final Duration FIRST_AWAY_DELAY = Duration.ofMillis(200);
-    private static final Duration LONGEST_AWAY_DELAY = Duration.ofSeconds(5);
+    private static final Duration FIRST_UNAVAILABLE_DELAY = Duration.ofMillis(200);
+    private static final Duration LONGEST_UNAVAILABLE_DELAY = Duration.ofSeconds(5);
 
     private final LedgerKey mKey;
     private final Incarnation mHolder;
@@ -35,7 +35,7 @@
     private final TimeSource mTimeSource;
     private final UniformRandomProvider mRandom;
     private final Backoff mConflictBackoff;
-    private final Backoff mAwayBackoff;
+    private final Backoff mUnavailableBackoff;
     private SpendingCap mCap;
     private AccountState mState = AccountState.OPEN;
     private SpendingLedger mLedger;
@@ -63,7 +63,7 @@
         mTimeSource = context.timeSource();
         mRandom = context.random();
         mConflictBackoff = new Backoff(mRandom, FIRST_CONFLICT_DELAY, LONGEST_CONFLICT_DELAY);
-        mAwayBackoff = new Backoff(mRandom, FIRST_AWAY_DELAY, LONGEST_AWAY_DELAY);
+        mUnavailableBackoff = new Backoff(mRandom, FIRST_UNAVAILABLE_DELAY, LONGEST_UNAVAILABLE_DELAY);
         mNotBeforeNanos = mTimeSource.monotonicNanos();
     }
 
@@ -173,9 +173,9 @@
             return Optional.empty();
         }
         boolean faulty = answer instanceof LedgerAnswer.Unreadable;
-        mState = faulty ? AccountState.FAULTY : AccountState.AWAY;
+        mState = faulty ? AccountState.FAULTY : AccountState.UNAVAILABLE;
         mStale |= faulty;
-        delay(mAwayBackoff);
+        delay(mUnavailableBackoff);
         return mUncertain ? Optional.empty() : settle(Settlement.Outcome.NO_EFFECT);
     }
 
@@ -220,7 +220,7 @@
         SpendingLedger ledger =
                 found.map(VersionedLedger::ledger)
                         .orElseGet(() -> SpendingLedger.empty(mKey, mCap));
-        if (hasReturned(version)) {
+        if (isPlatformRestored(version)) {
             mLost = mLost == null ? mLedger : mLost.joinedWith(mLedger);
             Optional<Settlement> settlement =
                     settle(mUncertain ? Settlement.Outcome.UNKNOWN : Settlement.Outcome.NO_EFFECT);
@@ -231,7 +231,7 @@
         if (!follows(version, ledger.revision())) {
             mState = AccountState.FAULTY;
             mStale = true;
-            delay(mAwayBackoff);
+            delay(mUnavailableBackoff);
             return Optional.empty();
         }
         accept(version, ledger);
@@ -243,7 +243,7 @@
     }
 
     /** Tells whether a version is of a platform that came back from an older copy. */
-    private boolean hasReturned(long version) {
+    private boolean isPlatformRestored(long version) {
         boolean isLost = version == 0 && mVersion > 0;
         return mLedger != null && (isLost || StoreRevision.isOfEarlierEra(mVersion, version));
     }
@@ -303,7 +303,7 @@
         mReadNanos = mTimeSource.monotonicNanos();
         mState = AccountState.OPEN;
         mStale = false;
-        mAwayBackoff.reset();
+        mUnavailableBackoff.reset();
     }
 
     private void delay(Backoff backoff) {
--- a/masticpond-core/src/test/java/io/masticpond/core/configuration/ConfigurationChainProperties.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/configuration/ConfigurationChainProperties.java
@@ -2,7 +2,7 @@
 
 import io.masticpond.core.configuration.ConfigurationConfirmation.WriteEnd;
 import io.masticpond.core.configuration.ConfirmationStep.Accepted;
-import io.masticpond.core.configuration.ConfirmationStep.Away;
+import io.masticpond.core.configuration.ConfirmationStep.Unavailable;
 import io.masticpond.core.configuration.ConfirmationStep.BaseChanged;
 import io.masticpond.core.configuration.ConfirmationStep.ReadHead;
 import io.masticpond.core.configuration.ConfirmationStep.WriteHead;
@@ -99,7 +99,7 @@
             if (mNext instanceof ReadHead) {
                 mNext =
                         choice % 5 == 0
-                                ? mConfirmation.onHeadAway()
+                                ? mConfirmation.onHeadUnavailable()
                                 : mConfirmation.onHead(mPlatform.mHead, mPlatform.mObjectVersion);
             } else if (mNext instanceof WriteHead write) {
                 WriteEnd end = mPlatform.write(write, choice % 7);
@@ -121,7 +121,7 @@
             } else if (mNext instanceof BaseChanged) {
                 mRefused.add(id);
                 mPlan = null;
-            } else if (mNext instanceof Away) {
+            } else if (mNext instanceof Unavailable) {
                 Assert.isTrue(
                         !mUncertain,
                         "The plan %s may still be accepted, yet was told as unchanged.",
@@ -142,7 +142,7 @@
 
         WriteEnd write(WriteHead write, int choice) {
             return switch (choice) {
-                case 0 -> WriteEnd.AWAY;
+                case 0 -> WriteEnd.UNAVAILABLE;
                 case 1 -> {
                     land(write);
                     yield WriteEnd.UNCERTAIN;
--- a/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipFixture.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipFixture.java
@@ -84,7 +84,7 @@
     void kill(InstanceId id) {
         mTables.remove(id);
         Incarnation run = mStates.get(id).run();
-        mTables.values().forEach(table -> table.disconnected(run));
+        mTables.values().forEach(table -> table.onDisconnected(run));
         deliver();
     }
 
@@ -173,7 +173,7 @@
                         MembershipTable receiver = mTables.get(to);
                         boolean cut = mCut.test(mFrom, to);
                         if (receiver == null && sender != null && !cut) {
-                            sender.connectionRefused(to);
+                            sender.onConnectionRefused(to);
                         } else if (receiver != null && !cut && !mPaused.contains(to)) {
                             message.accept(receiver);
                         }
--- a/masticpond-core/src/test/java/io/masticpond/core/operation/OnceOnlyWorld.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/operation/OnceOnlyWorld.java
@@ -48,7 +48,7 @@
         NONE,
         ANSWER_LOST_AFTER_EFFECT,
         EFFECT_LATE,
-        AWAY
+        UNAVAILABLE
     }
 
     /** How a run ends, and whether it took effect at the backend server. */
@@ -78,7 +78,7 @@
     }
 
     void restart(int home, RunEnd endOfRuns) {
-        mHomes[home].die(endOfRuns.mRan);
+        mHomes[home].terminate(endOfRuns.mRan);
         mHomes[home] = new Home(home, mHomes[home].mNumber + 1);
     }
 
@@ -174,7 +174,7 @@
             for (int i = 0; i < HOMES; i++) {
                 mFixture.mHomes.put(mHomes[i].mFixture.mIssuer.home(), seen());
                 for (long old = 1; old < mHomes[i].mNumber; old++) {
-                    mFixture.mHomes.put(incarnation(i, old), HomeState.GONE);
+                    mFixture.mHomes.put(incarnation(i, old), HomeState.TERMINATED);
                 }
             }
             OperationDecision<String> decision = mFixture.begin(key);
@@ -203,8 +203,8 @@
         }
 
         private StoreAnswer<ClaimContents> answer(ClaimCall call, CallFault fault) {
-            if (fault == CallFault.AWAY) {
-                return new StoreAnswer.Away<>();
+            if (fault == CallFault.UNAVAILABLE) {
+                return new StoreAnswer.Unavailable<>();
             }
             if (call instanceof ClaimCall.Read) {
                 return new StoreAnswer.Held<>(held(call.bucket()));
@@ -243,7 +243,7 @@
             };
         }
 
-        void die(boolean runsTookEffect) {
+        void terminate(boolean runsTookEffect) {
             mCalls.addAll(mClaims.nextCalls());
             for (ClaimCall call : mCalls) {
                 if (call instanceof ClaimCall.Write write) {
--- a/masticpond-core/src/test/java/io/masticpond/core/operation/OperationRegistryTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/operation/OperationRegistryTest.java
@@ -96,8 +96,8 @@
     void aRestartedHomeNeverRunsTheKeysOfItsEarlierRun() {
         OperationFixture restarted =
                 new OperationFixture(home("casa-1", 2), OperationLimits.DEFAULT);
-        restarted.mHomes.put(mKey.home(), HomeState.GONE);
-        assertThat(restarted.begin(mKey)).isEqualTo(new OperationDecision.HomeGone<>(mKey.home()));
+        restarted.mHomes.put(mKey.home(), HomeState.TERMINATED);
+        assertThat(restarted.begin(mKey)).isEqualTo(new OperationDecision.HomeTerminated<>(mKey.home()));
     }
 
     @Example
--- a/masticpond-core/src/test/java/io/masticpond/core/operation/OutcomeBatcherTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/operation/OutcomeBatcherTest.java
@@ -58,7 +58,7 @@
     @Example
     void nothingIsLostWhileThePlatformIsAway() {
         KeptOutcome<String> first = add(answered("one"));
-        mBatcher.answered(onlyCall(), new StoreAnswer.Away<>());
+        mBatcher.answered(onlyCall(), new StoreAnswer.Unavailable<>());
         KeptOutcome<String> second = add(answered("two"));
         mHome.mTime.advance(INTERVAL);
         assertThat(onlyCall()).isEqualTo(new OutcomeCall.Write<>(0, 0, List.of(first, second)));
--- a/masticpond-core/src/test/java/io/masticpond/core/region/DefaultRegionSelectorTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/region/DefaultRegionSelectorTest.java
@@ -82,8 +82,8 @@
     @Example
     void keepsToItsShareOfFullLinkAndSaysSo() {
         RegionScene scene = new RegionScene(Map.of(), 90);
-        scene.mSelector.reachable(SERVICE, CASA, false);
-        scene.mSelector.reachable(SERVICE, AGADIR, false);
+        scene.mSelector.setReachable(SERVICE, CASA, false);
+        scene.mSelector.setReachable(SERVICE, AGADIR, false);
         Tally tally =
                 scene.run(
                         Duration.ofSeconds(10),
@@ -135,7 +135,7 @@
         assertThat(scene.mSelector.step(SERVICE, FES)).isEqualTo(DegradationStep.STALE);
         scene.mTime.advance(Duration.ofSeconds(4));
         assertThat(scene.mSelector.step(SERVICE, FES)).isEqualTo(DegradationStep.FAIR_SHARE);
-        scene.mSelector.reachable(SERVICE, CASA, false);
+        scene.mSelector.setReachable(SERVICE, CASA, false);
         Tally tally = scene.run(Duration.ofSeconds(20), 400, WORK, () -> {});
         int fairShare = SLOTS / 9;
         long most = Duration.ofSeconds(20).dividedBy(WORK) * fairShare;
@@ -170,7 +170,7 @@
         assertThat(scene.mSelector.select(unknown, Set.of()).getLeft().cause())
                 .isEqualTo(RefusalCause.NOT_FOUND);
         for (RegionId region : Set.of(CASA, FES, AGADIR)) {
-            scene.mSelector.reachable(SERVICE, region, false);
+            scene.mSelector.setReachable(SERVICE, region, false);
         }
         assertThat(scene.select().getLeft().cause()).isEqualTo(RefusalCause.NO_BACKEND_SERVER);
     }
--- a/masticpond-core/src/test/java/io/masticpond/core/region/RegionReturnTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/region/RegionReturnTest.java
@@ -24,8 +24,8 @@
     void rampsInTheTrafficThatMovesToColdRegion() {
         RegionScene scene = RegionScene.plain();
         scene.reportAll(8);
-        scene.mSelector.reachable(SERVICE, CASA, false);
-        scene.mSelector.reachable(SERVICE, AGADIR, false);
+        scene.mSelector.setReachable(SERVICE, CASA, false);
+        scene.mSelector.setReachable(SERVICE, AGADIR, false);
         Tally first = scene.run(SECOND, 400, WORK, () -> scene.reportAll(8));
         Tally second = scene.run(SECOND, 400, WORK, () -> scene.reportAll(8));
         Tally fifth = scene.run(Duration.ofSeconds(5), 400, WORK, () -> scene.reportAll(8));
@@ -45,9 +45,9 @@
     @Example
     void returnsSlowlyToItsOwnRegionAfterLoss() {
         RegionScene scene = RegionScene.plain();
-        scene.mSelector.reachable(SERVICE, CASA, false);
+        scene.mSelector.setReachable(SERVICE, CASA, false);
         scene.run(Duration.ofSeconds(10), 200, WORK, () -> scene.reportAll(8));
-        scene.mSelector.reachable(SERVICE, CASA, true);
+        scene.mSelector.setReachable(SERVICE, CASA, true);
         Tally held = scene.run(Duration.ofMillis(900), 200, WORK, () -> scene.reportAll(8));
         assertThat(held.count(CASA)).as("a region that just came back is used last").isLessThan(4);
         Tally first = scene.run(SECOND, 200, WORK, () -> scene.reportAll(8));
@@ -68,7 +68,7 @@
                 () -> {
                     tick[0]++;
                     if (tick[0] % 200 == 0) {
-                        scene.mSelector.reachable(SERVICE, FES, (tick[0] / 200) % 2 == 0);
+                        scene.mSelector.setReachable(SERVICE, FES, (tick[0] / 200) % 2 == 0);
                     }
                     scene.reportAll(8);
                 };
@@ -81,10 +81,10 @@
     @Example
     void usesRegionThatJustCameBackWhenThereIsNoOther() {
         RegionScene scene = RegionScene.plain();
-        scene.mSelector.reachable(SERVICE, FES, false);
-        scene.mSelector.reachable(SERVICE, AGADIR, false);
-        scene.mSelector.reachable(SERVICE, CASA, false);
-        scene.mSelector.reachable(SERVICE, CASA, true);
+        scene.mSelector.setReachable(SERVICE, FES, false);
+        scene.mSelector.setReachable(SERVICE, AGADIR, false);
+        scene.mSelector.setReachable(SERVICE, CASA, false);
+        scene.mSelector.setReachable(SERVICE, CASA, true);
         assertThat(scene.select().get()).isEqualTo(CASA);
     }
 
@@ -108,8 +108,8 @@
     @Example
     void pausesLongerAfterEachRefusalOnOldHeadroom() {
         RegionScene scene = RegionScene.plain();
-        scene.mSelector.reachable(SERVICE, CASA, false);
-        scene.mSelector.reachable(SERVICE, AGADIR, false);
+        scene.mSelector.setReachable(SERVICE, CASA, false);
+        scene.mSelector.setReachable(SERVICE, AGADIR, false);
         int attempts = 0;
         for (int millis = 0; millis < 10_000; millis++) {
             RequestHead head = scene.request(5);
@@ -126,8 +126,8 @@
     void goesOnAloneWhenItsRegionIsCutOff() {
         RegionScene scene = RegionScene.plain();
         scene.reportAll(8);
-        scene.mSelector.reachable(SERVICE, FES, false);
-        scene.mSelector.reachable(SERVICE, AGADIR, false);
+        scene.mSelector.setReachable(SERVICE, FES, false);
+        scene.mSelector.setReachable(SERVICE, AGADIR, false);
         scene.report(CASA, 40, Duration.ofMillis(100));
         assertThat(scene.select().get()).isEqualTo(CASA);
         scene.report(CASA, 40, Duration.ofSeconds(5));
@@ -140,7 +140,7 @@
     void keepsWhatItKnowsOverChangeOfConfiguration() {
         RegionScene scene = RegionScene.plain();
         scene.reportAll(8);
-        scene.mSelector.reachable(SERVICE, CASA, false);
+        scene.mSelector.setReachable(SERVICE, CASA, false);
         RequestHead head = scene.request(5);
         assertThat(scene.mSelector.select(head, Set.of()).get()).isEqualTo(FES);
         scene.mSelector.configure(RegionScene.configuration(Map.of(FES, 3L), 0));
--- a/masticpond-core/src/test/java/io/masticpond/core/spending/FakeLedgers.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/spending/FakeLedgers.java
@@ -22,7 +22,7 @@
         LOST_AFTER_EFFECT,
         LOST_BEFORE_EFFECT,
         LOST_AND_DELAYED,
-        AWAY
+        UNAVAILABLE
     }
 
     /** The calls of one incarnation that wait. */
@@ -73,7 +73,7 @@
     }
 
     /** Puts a ledger back as it was in a copy, or takes it away, in a new era. */
-    void comeBack(LedgerKey key, Optional<VersionedLedger> copy, long era) {
+    void restoreCopy(LedgerKey key, Optional<VersionedLedger> copy, long era) {
         mLastOfEra = StoreRevision.of(era, copy.map(VersionedLedger::version).orElse(0L));
         copy.ifPresentOrElse(ledger -> mLedgers.put(key, ledger), () -> mLedgers.remove(key));
     }
@@ -89,12 +89,12 @@
     }
 
     private LedgerAnswer answerOf(Call call, Fate fate) {
-        if (fate == Fate.AWAY) {
-            return new LedgerAnswer.Away();
+        if (fate == Fate.UNAVAILABLE) {
+            return new LedgerAnswer.Unavailable();
         }
         if (call.change().isEmpty()) {
             boolean lost = fate != Fate.ANSWERED;
-            return lost ? new LedgerAnswer.Away() : new LedgerAnswer.Found(ledger(call.key()));
+            return lost ? new LedgerAnswer.Unavailable() : new LedgerAnswer.Found(ledger(call.key()));
         }
         LedgerChange change = call.change().get();
         switch (fate) {
--- a/masticpond-core/src/test/java/io/masticpond/core/spending/LedgerReturnTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/spending/LedgerRestoreTest.java
@@ -16,13 +16,13 @@
 import net.jqwik.api.constraints.Size;
 
 /** Guards against spending above the cap after the platform came back from an older copy. */
-class LedgerReturnTest {
+class LedgerRestoreTest {
 
     private static final long CAP = 2_000;
     private static final int LAST_STEP = 5;
 
     /** The platform with copies of one ledger. */
-    private static final class Returns {
+    private static final class RestoreScenario {
 
         private final SpendingFixture mFixture = new SpendingFixture();
         private final Configuration mConfiguration = mFixture.configuration(CAP);
@@ -40,9 +40,9 @@
             mCopy = mFixture.mLedgers.ledger(SpendingFixture.MORNING);
         }
 
-        void comeBack() {
+        void restoreCopy() {
             mEra++;
-            mFixture.mLedgers.comeBack(
+            mFixture.mLedgers.restoreCopy(
                     SpendingFixture.MORNING,
                     mCopy.map(
                             ledger ->
@@ -50,7 +50,7 @@
                                             StoreRevision.of(mEra, ledger.version()),
                                             ledger.ledger())),
                     mEra);
-            mNodes.forEach(node -> node.mGate.platformReturned());
+            mNodes.forEach(node -> node.mGate.platformRestored());
             mNodes.forEach(Node::settle);
         }
 
@@ -80,13 +80,13 @@
 
     @Example
     void allotmentsThatThePlatformLostAreNotGivenOutAgain() {
-        Returns returns = new Returns();
+        RestoreScenario returns = new RestoreScenario();
         returns.start();
         returns.start();
         returns.keepCopy();
         returns.spend(0, 40);
         returns.spend(1, 40);
-        returns.comeBack();
+        returns.restoreCopy();
         assertThat(returns.mFixture.allotted(SpendingFixture.MORNING))
                 .isGreaterThanOrEqualTo(returns.heldAndSpent());
         returns.start();
@@ -98,10 +98,10 @@
 
     @Example
     void ledgerThatThePlatformLostWhollyIsWrittenAgain() {
-        Returns returns = new Returns();
+        RestoreScenario returns = new RestoreScenario();
         returns.start();
         returns.spend(0, 60);
-        returns.comeBack();
+        returns.restoreCopy();
         assertThat(returns.mFixture.allotted(SpendingFixture.MORNING))
                 .isGreaterThanOrEqualTo(returns.heldAndSpent());
         returns.start();
@@ -112,12 +112,12 @@
     @Property(seed = "20261203", tries = 200)
     void spendingStaysUnderTheCapOverAnyReturns(
             @ForAll @Size(min = 3, max = 14) List<@IntRange(max = LAST_STEP) Integer> steps) {
-        Returns returns = new Returns();
+        RestoreScenario returns = new RestoreScenario();
         returns.start();
         for (int index = 0; index < steps.size(); index++) {
             switch (steps.get(index)) {
                 case 0 -> returns.keepCopy();
-                case 1 -> returns.comeBack();
+                case 1 -> returns.restoreCopy();
                 case 2 -> returns.start();
                 default -> returns.spend(index, 10 * steps.get(index));
             }
--- a/masticpond-core/src/test/java/io/masticpond/core/spending/SpendingFailureTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/spending/SpendingFailureTest.java
@@ -90,7 +90,7 @@
         node.mCalls.next(FakeLedgers.Fate.LOST_AND_DELAYED, node.mGate);
         node.advance(Duration.ofSeconds(1));
         node.mCalls.next(FakeLedgers.Fate.ANSWERED, node.mGate);
-        node.mCalls.next(FakeLedgers.Fate.AWAY, node.mGate);
+        node.mCalls.next(FakeLedgers.Fate.UNAVAILABLE, node.mGate);
         mFixture.mLedgers.deliverDelayed();
         node.settle();
         assertThat(available(node, MORNING)).isEqualTo(mFixture.allotted(MORNING));
@@ -152,7 +152,7 @@
         node.mGate.advance();
         boolean more = true;
         while (more) {
-            more = node.mCalls.next(FakeLedgers.Fate.AWAY, node.mGate);
+            more = node.mCalls.next(FakeLedgers.Fate.UNAVAILABLE, node.mGate);
         }
         assertThat(node.spend())
                 .as("the next shift's allotment was taken before it began")
--- a/masticpond-core/src/test/java/io/masticpond/core/spending/SpendingProperties.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/spending/SpendingProperties.java
@@ -23,7 +23,7 @@
         LOST_AFTER_EFFECT,
         LOST_BEFORE_EFFECT,
         LOST_AND_DELAYED,
-        AWAY,
+        UNAVAILABLE,
         DELIVER_DELAYED,
         WAIT,
         RESTART,
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationError.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationError.java
@@ -83,7 +83,7 @@
      *
      * @param message one sentence
      */
-    record PlatformAway(String message) implements ConfigurationError {}
+    record PlatformUnavailable(String message) implements ConfigurationError {}
 
     /**
      * The chain at the platform stands before the version in force here: the platform has lost
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfirmationRunner.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfirmationRunner.java
@@ -54,7 +54,7 @@
         if (error instanceof PlatformError.Uncertain) {
             return WriteEnd.UNCERTAIN;
         }
-        return WriteEnd.AWAY;
+        return WriteEnd.UNAVAILABLE;
     }
 
     /** One confirmation with the head that it last read. */
@@ -87,7 +87,7 @@
 
         private ConfirmationStep afterRead(Either<PlatformError, HeadObject> read) {
             if (read.isLeft()) {
-                return mConfirmation.onHeadAway();
+                return mConfirmation.onHeadUnavailable();
             }
             mHead = read.get().head();
             return mConfirmation.onHead(mHead, read.get().objectVersion());
@@ -102,7 +102,7 @@
                     .thenComposeAsync(
                             head ->
                                     head.isLeft()
-                                            ? CompletableFuture.completedFuture(WriteEnd.AWAY)
+                                            ? CompletableFuture.completedFuture(WriteEnd.UNAVAILABLE)
                                             : writeHead(head.get(), write.expectedObjectVersion()),
                             mExecutor);
         }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/DefaultConfigurationCommands.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/DefaultConfigurationCommands.java
@@ -206,9 +206,9 @@
                     new ConfigurationError.BaseChanged(
                             plan.base(), changed.current(), differences(plan, changed)));
         }
-        if (step instanceof ConfirmationStep.Away) {
+        if (step instanceof ConfirmationStep.Unavailable) {
             return Either.left(
-                    new ConfigurationError.PlatformAway(
+                    new ConfigurationError.PlatformUnavailable(
                             "The platform is away; nothing was changed."));
         }
         return Either.left(
@@ -263,7 +263,7 @@
     }
 
     private static ConfigurationError away(PlatformError error) {
-        return new ConfigurationError.PlatformAway(error.message());
+        return new ConfigurationError.PlatformUnavailable(error.message());
     }
 
     private static <T> CompletableFuture<Either<ConfigurationError, T>> failed(
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/LinkSettings.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/LinkSettings.java
@@ -14,10 +14,10 @@
  * @param maximumQueuedBytes how many bytes may wait to be written to an instance on each lane
  * @param maximumCalls how many calls to an instance may be unanswered on each lane
  * @param connectTimeout how long to wait for a connection and its handshake
- * @param shortestBackoff the wait after a first failed connection
- * @param longestBackoff the longest wait after failed connections
- * @param busySilence after how long without a byte a connection with unanswered calls is closed
- * @param idleSilence after how long without a byte any other connection is closed
+ * @param minimumBackoff the wait after a first failed connection
+ * @param maximumBackoff the longest wait after failed connections
+ * @param busyInactivityTimeout after how long without a byte a connection with unanswered calls is closed
+ * @param idleInactivityTimeout after how long without a byte any other connection is closed
  * @since 0.1
  */
 public record LinkSettings(
@@ -29,10 +29,10 @@
         int maximumQueuedBytes,
         int maximumCalls,
         Duration connectTimeout,
-        Duration shortestBackoff,
-        Duration longestBackoff,
-        Duration busySilence,
-        Duration idleSilence) {
+        Duration minimumBackoff,
+        Duration maximumBackoff,
+        Duration busyInactivityTimeout,
+        Duration idleInactivityTimeout) {
 
     /** The version of the protocol that this code speaks. */
     public static final int VERSION = 1;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/PeerLane.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/PeerLane.java
@@ -113,8 +113,8 @@
     /** Notes that dialing failed. */
     void dialFailed(String reason) {
         mDialing = false;
-        long longest = mSettings.longestBackoff().toNanos();
-        long backoff = mSettings.shortestBackoff().toNanos() << Math.min(mFailures, LARGEST_SHIFT);
+        long longest = mSettings.maximumBackoff().toNanos();
+        long backoff = mSettings.minimumBackoff().toNanos() << Math.min(mFailures, LARGEST_SHIFT);
         long bounded = Math.min(longest, backoff);
         mFailures++;
         mNextDialNanos =
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipDuty.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipDuty.java
@@ -324,14 +324,14 @@
 
         @Override
         public void disconnected(Incarnation peer) {
-            mDuty.offer(() -> mTable.disconnected(peer));
+            mDuty.offer(() -> mTable.onDisconnected(peer));
         }
 
         @Override
         public void connectionRefused(InstanceId peer) {
             mDuty.offer(
                     () -> {
-                        mTable.connectionRefused(peer);
+                        mTable.onConnectionRefused(peer);
                         publish(true);
                     });
         }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipMessages.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipMessages.java
@@ -24,7 +24,7 @@
                             MemberClaim.SUSPECT,
                                     io.masticpond.protocol.generated.MemberClaim.SUSPECT,
                             MemberClaim.DEAD, io.masticpond.protocol.generated.MemberClaim.DEAD,
-                            MemberClaim.GONE, io.masticpond.protocol.generated.MemberClaim.GONE));
+                            MemberClaim.TERMINATED, io.masticpond.protocol.generated.MemberClaim.GONE));
 
     private MembershipMessages() {}
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/MemberHomes.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/MemberHomes.java
@@ -40,14 +40,14 @@
     @Override
     public HomeState stateOf(Incarnation home) {
         if (home.instance().equals(mSelf.instance())) {
-            return home.number() < mSelf.number() ? HomeState.GONE : HomeState.UNREACHABLE;
+            return home.number() < mSelf.number() ? HomeState.TERMINATED : HomeState.UNREACHABLE;
         }
         for (Member member : mMembers.get()) {
             if (!member.id().equals(home.instance())) {
                 continue;
             }
             if (member.incarnation().number() > home.number()) {
-                return HomeState.GONE;
+                return HomeState.TERMINATED;
             }
             boolean reachable = member.incarnation().equals(home) && member.state().isReachable();
             return reachable ? HomeState.REACHABLE : HomeState.UNREACHABLE;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyGuard.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyGuard.java
@@ -278,7 +278,7 @@
             } else if (result instanceof ClaimResult.Full) {
                 refuse(OnceOnlyRefusals.claimsFull());
             } else {
-                refuse(OnceOnlyRefusals.platformAway(mFirstAttempt));
+                refuse(OnceOnlyRefusals.platformUnavailable(mFirstAttempt));
             }
         }
 
@@ -296,8 +296,8 @@
                 passOn(key, elsewhere.home().instance());
             } else if (decision instanceof OperationDecision.HomeUnreachable) {
                 settleOrAskAdopter(key, OnceOnlyRefusals.homeUnreachable(mFirstAttempt));
-            } else if (decision instanceof OperationDecision.HomeGone) {
-                settleOrAskAdopter(key, OnceOnlyRefusals.homeGone(key.home()));
+            } else if (decision instanceof OperationDecision.HomeTerminated) {
+                settleOrAskAdopter(key, OnceOnlyRefusals.homeTerminated(key.home()));
             } else {
                 refuse(OnceOnlyRefusals.of(decision, mFirstAttempt));
             }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyRefusals.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyRefusals.java
@@ -43,7 +43,7 @@
                 .retryAfter(AFTER_OUTAGE);
     }
 
-    static Refusal platformAway(boolean firstAttempt) {
+    static Refusal platformUnavailable(boolean firstAttempt) {
         return new Refusal(
                 earlierAttempts(firstAttempt),
                 RefusalCause.PLATFORM_AWAY,
@@ -60,7 +60,7 @@
         boolean unclaimed =
                 end instanceof RequestEnd.Refused refused
                         && refused.refusal().cause() == RefusalCause.PLATFORM_AWAY;
-        return unclaimed ? new RequestEnd.Refused(platformAway(true)) : end;
+        return unclaimed ? new RequestEnd.Refused(platformUnavailable(true)) : end;
     }
 
     static Refusal homeUnreachable(boolean firstAttempt) {
@@ -72,7 +72,7 @@
                 Optional.of(SHORTLY));
     }
 
-    static Refusal homeGone(Incarnation home) {
+    static Refusal homeTerminated(Incarnation home) {
         return Refusal.mayHaveRun(
                 RefusalCause.OPERATION_HOME_GONE,
                 "The home of the key, "
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationDuty.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationDuty.java
@@ -209,7 +209,7 @@
             return new StoreAnswer.Held<>(reader.apply(answer.get()));
         } catch (IllegalArgumentException e) {
             sLogger.error("ONCE  An object of the platform cannot be read.", e);
-            return new StoreAnswer.Away<>();
+            return new StoreAnswer.Unavailable<>();
         }
     }
 
@@ -236,7 +236,7 @@
         if (error instanceof PlatformError.Rejected) {
             sLogger.error("ONCE  The platform refused a call: {}", error.message());
         }
-        return new StoreAnswer.Away<>();
+        return new StoreAnswer.Unavailable<>();
     }
 
     private static Optional<KeptOutcome<RequestEnd.Answered>> outcome(
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/ConfigurationProblems.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/ConfigurationProblems.java
@@ -5,7 +5,7 @@
 import io.masticpond.daemon.configuration.ConfigurationError.ChainBehind;
 import io.masticpond.daemon.configuration.ConfigurationError.Invalid;
 import io.masticpond.daemon.configuration.ConfigurationError.PlanExpired;
-import io.masticpond.daemon.configuration.ConfigurationError.PlatformAway;
+import io.masticpond.daemon.configuration.ConfigurationError.PlatformUnavailable;
 import io.masticpond.daemon.configuration.ConfigurationError.UnknownPlan;
 import io.masticpond.daemon.configuration.ConfigurationError.Unsettled;
 import java.util.List;
@@ -37,7 +37,7 @@
         if (error instanceof PlanExpired) {
             return OperatorProblem.of(GONE, "plan-expired", error.message());
         }
-        if (error instanceof PlatformAway) {
+        if (error instanceof PlatformUnavailable) {
             return OperatorProblem.of(UNAVAILABLE, "platform-away", error.message());
         }
         if (error instanceof ChainBehind) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/PlatformLedgers.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/PlatformLedgers.java
@@ -79,7 +79,7 @@
         if (error instanceof PlatformError.Rejected) {
             return new LedgerAnswer.Unreadable(error.message());
         }
-        return new LedgerAnswer.Away();
+        return new LedgerAnswer.Unavailable();
     }
 
     private LedgerAnswer decode(
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingDuty.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingDuty.java
@@ -157,7 +157,7 @@
 
     private void advance() {
         while (!mNotTaken.isEmpty()) {
-            mGate.answer(mNotTaken.remove(), new LedgerAnswer.Away());
+            mGate.answer(mNotTaken.remove(), new LedgerAnswer.Unavailable());
         }
         mGate.advance();
         mViews = mGate.views();
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/ConfiguredRegionSelector.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/ConfiguredRegionSelector.java
@@ -121,9 +121,9 @@
     }
 
     @Override
-    public void reachable(ServiceId service, RegionId region, boolean reachable) {
+    public void setReachable(ServiceId service, RegionId region, boolean reachable) {
         if (mSelector != null) {
-            mSelector.reachable(service, region, reachable);
+            mSelector.setReachable(service, region, reachable);
         }
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/SteeringDuty.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/SteeringDuty.java
@@ -173,7 +173,7 @@
         for (ServiceSpecification service : mConfiguration.content().services()) {
             Set<RegionId> reachable = mDirectory.reachableRegions(service.id());
             for (RegionSpecification region : mConfiguration.content().regions()) {
-                mSelector.reachable(service.id(), region.id(), reachable.contains(region.id()));
+                mSelector.setReachable(service.id(), region.id(), reachable.contains(region.id()));
             }
         }
     }
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/ConfigurationDutyTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/ConfigurationDutyTest.java
@@ -97,23 +97,23 @@
     void withThePlatformAwayNewInstancesGetTheHighestOfTheirPeers() {
         Node old = mFleet.start("a", "casa-1");
         got(confirm(old, got(plan(old, region("casa")))));
-        mStore.setAway(true);
+        mStore.setUnavailable(true);
         Node fresh = mFleet.start("b", "casa-1");
         fresh.await(1);
         mFleet.stop(old);
         Node next = mFleet.start("a", "casa-1");
         next.await(1);
         ConfigurationError error = plan(next, region("fes")).getLeft();
-        Assert.isTrue(error instanceof ConfigurationError.PlatformAway, "It was %s.", error);
+        Assert.isTrue(error instanceof ConfigurationError.PlatformUnavailable, "It was %s.", error);
     }
 
     @Example
     void anInstanceAloneWithThePlatformAwayIsNotReady() {
-        mStore.setAway(true);
+        mStore.setUnavailable(true);
         Node node = mFleet.start("a", "casa-1");
         Assert.isTrue(plan(node, region("casa")).isLeft(), "A plan was made.");
         Assert.isTrue(!node.duty().isReady(), "It said it was ready.");
-        mStore.setAway(false);
+        mStore.setUnavailable(false);
         Node other = mFleet.start("b", "casa-1");
         got(confirm(other, got(plan(other, region("casa")))));
         node.await(1);
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/FakeFleet.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/FakeFleet.java
@@ -79,7 +79,7 @@
             mZone = zone;
             ConfigurationCodec codec = new ConfigurationCodec();
             FakeObjectStore none = new FakeObjectStore();
-            none.setAway(true);
+            none.setUnavailable(true);
             FakeObjectStore store = mZonesWithoutPlatform.contains(zone) ? none : mStore;
             SystemTimeSource time = new SystemTimeSource();
             mDuty =
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/FakeObjectStore.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/FakeObjectStore.java
@@ -29,7 +29,7 @@
     private boolean mAway;
     private long mWrites;
 
-    synchronized void setAway(boolean away) {
+    synchronized void setUnavailable(boolean away) {
         mAway = away;
         if (away) {
             mWatches.forEach(watch -> watch.mFuture.complete(gone()));
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/instance/LinkFailureTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/instance/LinkFailureTest.java
@@ -72,10 +72,10 @@
                 8 << 20,
                 16,
                 normal.connectTimeout(),
-                normal.shortestBackoff(),
-                normal.longestBackoff(),
-                normal.busySilence(),
-                normal.idleSilence());
+                normal.minimumBackoff(),
+                normal.maximumBackoff(),
+                normal.busyInactivityTimeout(),
+                normal.idleInactivityTimeout());
     }
 
     private RawPeer raw(LinkSettings settings) {
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/instance/LinkFixture.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/instance/LinkFixture.java
@@ -61,8 +61,8 @@
                 normal.maximumQueuedBytes(),
                 normal.maximumCalls(),
                 LONG,
-                normal.shortestBackoff(),
-                normal.longestBackoff(),
+                normal.minimumBackoff(),
+                normal.maximumBackoff(),
                 LONG,
                 LONG);
     }
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/membership/MembershipDutyTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/membership/MembershipDutyTest.java
@@ -126,10 +126,10 @@
                 normal.maximumQueuedBytes(),
                 normal.maximumCalls(),
                 Duration.ofNanos(LONGEST_NANOS),
-                normal.shortestBackoff(),
-                normal.longestBackoff(),
-                normal.busySilence(),
-                normal.idleSilence());
+                normal.minimumBackoff(),
+                normal.maximumBackoff(),
+                normal.busyInactivityTimeout(),
+                normal.idleInactivityTimeout());
     }
 
     /** Lets time pass until something holds. */
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/operation/GuardedInstances.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/operation/GuardedInstances.java
@@ -47,7 +47,7 @@
     final Map<OperationKey, KeptOutcome<RequestEnd.Answered>> mArchive = new HashMap<>();
     final Map<String, OperationKey> mClaims = new HashMap<>();
     final Map<InstanceId, Instance> mInstances = new HashMap<>();
-    boolean mPlatformAway;
+    boolean mPlatformUnavailable;
     InstanceId mClaimer;
     LinkFault mLinkFault = LinkFault.NONE;
     private int mRequests;
@@ -195,7 +195,7 @@
                 return HomeState.UNREACHABLE;
             }
             if (home.number() < instance.mHome.number()) {
-                return HomeState.GONE;
+                return HomeState.TERMINATED;
             }
             return instance.mAlive ? HomeState.REACHABLE : HomeState.UNREACHABLE;
         }
@@ -262,7 +262,7 @@
 
         @Override
         public void claim(ClaimEntry entry, long deadlineNanos, Consumer<ClaimResult> listener) {
-            if (mPlatformAway) {
+            if (mPlatformUnavailable) {
                 listener.accept(new ClaimResult.Unavailable());
                 return;
             }
@@ -274,7 +274,7 @@
 
         @Override
         public void keep(KeptOutcome<RequestEnd.Answered> outcome) {
-            if (!mPlatformAway) {
+            if (!mPlatformUnavailable) {
                 mArchive.put(outcome.key(), outcome);
             }
         }
@@ -283,7 +283,7 @@
         public void find(
                 OperationKey key, Consumer<Optional<KeptOutcome<RequestEnd.Answered>>> listener) {
             listener.accept(
-                    mPlatformAway ? Optional.empty() : Optional.ofNullable(mArchive.get(key)));
+                    mPlatformUnavailable ? Optional.empty() : Optional.ofNullable(mArchive.get(key)));
         }
     }
 }
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/operation/OnceOnlyGuardTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/operation/OnceOnlyGuardTest.java
@@ -155,7 +155,7 @@
     void aCallersKeyThatCannotBeClaimedIsDidNotRunOnlyForItsFirstAttempt() {
         mCasa.submit(mInstances.request("plate 7"), claimed("order-1", true));
         mCasa.execute(answer("reserved"));
-        mInstances.mPlatformAway = true;
+        mInstances.mPlatformUnavailable = true;
         End repeat = mFes.submit(mInstances.request("plate 7"), claimed("order-1", false));
         assertRefused(repeat, Verdict.MAY_HAVE_RUN, RefusalCause.PLATFORM_AWAY, 1);
         End other = mFes.submit(mInstances.request("plate 8"), claimed("order-2", true));
@@ -173,7 +173,7 @@
 
     @Example
     void homedKeysNeedNoPlatformAndHandoverReplacesIt() {
-        mInstances.mPlatformAway = true;
+        mInstances.mPlatformUnavailable = true;
         submit(mCasa);
         mCasa.execute(answer("reserved"));
         mCasa.mGuard.stop();
@@ -214,7 +214,7 @@
     @Example
     void aFirstAttemptThatItsClaimerCannotClaimDidNotRun() {
         mInstances.mClaimer = mCasa.mHome.instance();
-        mInstances.mPlatformAway = true;
+        mInstances.mPlatformUnavailable = true;
         End end = mFes.submit(mInstances.request("plate 7"), claimed("order-1", true));
         assertRefused(end, Verdict.DID_NOT_RUN, RefusalCause.PLATFORM_AWAY, 0);
     }
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/operator/OperatorServerTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/operator/OperatorServerTest.java
@@ -162,7 +162,7 @@
         public CompletableFuture<Either<ConfigurationError, Plan>> plan(
                 ConfigurationIntent intent, String operator) {
             return CompletableFuture.completedFuture(
-                    Either.left(new ConfigurationError.PlatformAway("It is away.")));
+                    Either.left(new ConfigurationError.PlatformUnavailable("It is away.")));
         }
 
         @Override
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/spending/FakeObjectStore.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/spending/FakeObjectStore.java
@@ -21,11 +21,11 @@
     final Map<String, StoredObject> mObjects = new ConcurrentSkipListMap<>();
     final AtomicInteger mLoseAnswers = new AtomicInteger();
     final AtomicInteger mLostAnswers = new AtomicInteger();
-    volatile boolean mAway;
+    volatile boolean mUnavailable;
 
     @Override
     public CompletableFuture<Either<PlatformError, Optional<StoredObject>>> read(ObjectKey key) {
-        if (mAway) {
+        if (mUnavailable) {
             return away();
         }
         return done(Optional.ofNullable(mObjects.get(key.toString())));
@@ -34,7 +34,7 @@
     @Override
     public synchronized CompletableFuture<Either<PlatformError, Long>> write(
             ObjectKey key, long expectedVersion, byte[] value) {
-        if (mAway) {
+        if (mUnavailable) {
             return away();
         }
         StoredObject current = mObjects.get(key.toString());
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/spending/SpendingDutyTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/spending/SpendingDutyTest.java
@@ -118,13 +118,13 @@
         start();
         await(() -> available() > 0);
         long held = available();
-        mStore.mAway = true;
+        mStore.mUnavailable = true;
         long spent = 0;
         while (charge().isRight()) {
             spent += PRICE;
         }
         assertThat(spent).isEqualTo(held / PRICE * PRICE);
-        mStore.mAway = false;
+        mStore.mUnavailable = false;
         await(() -> charge().isRight());
     }
 
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/PaidForwardTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/PaidForwardTest.java
@@ -70,7 +70,7 @@
 
     @Example
     void theInstanceThatIsAskedRefusesWhatItCannotPayForAndAsksNobody() {
-        mGate.mAway = true;
+        mGate.mUnavailable = true;
         passOn();
         runDuty();
         assertThat(mForwardedTo).isEmpty();
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/PayingEntryTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/PayingEntryTest.java
@@ -47,7 +47,7 @@
 
     @Example
     void anotherInstancePaysWhileThisOneHasNoAllotmentAndThePlatformIsAway() {
-        mGate.mAway = true;
+        mGate.mUnavailable = true;
         mResults.add(ended(ANSWER));
         submit(OperationKind.ONCE_ONLY);
         assertThat(mAsked).containsExactly(FIRST);
@@ -57,7 +57,7 @@
 
     @Example
     void instancesThatCannotPayOrCannotBeReachedArePassedOver() {
-        mGate.mAway = true;
+        mGate.mUnavailable = true;
         mResults.add(ended(refused(Verdict.DID_NOT_RUN, RefusalCause.PLATFORM_AWAY)));
         mResults.add(ended(ANSWER));
         submit(OperationKind.ONCE_ONLY);
@@ -71,7 +71,7 @@
 
     @Example
     void anInstanceThatCouldNotPayIsAskedAgainAfterOneSecond() {
-        mGate.mAway = true;
+        mGate.mUnavailable = true;
         mResults.add(ended(refused(Verdict.DID_NOT_RUN, RefusalCause.PLATFORM_AWAY)));
         mResults.add(ended(refused(Verdict.DID_NOT_RUN, RefusalCause.NOT_READY)));
         submit(OperationKind.READ);
@@ -86,7 +86,7 @@
 
     @Example
     void requestsLostOnTheWayToPayersMayHaveRunAndAreNotPassedOnAgain() {
-        mGate.mAway = true;
+        mGate.mUnavailable = true;
         mResults.add(new ForwardResult.Lost(RefusalCause.INSTANCE_LOST, "The link broke."));
         submit(OperationKind.ONCE_ONLY);
         assertThat(mAsked).containsExactly(FIRST);
@@ -95,7 +95,7 @@
 
     @Example
     void readsLostOnTheWayToOnePayerAreAskedOfTheNextAndStayInDoubt() {
-        mGate.mAway = true;
+        mGate.mUnavailable = true;
         mResults.add(new ForwardResult.Lost(RefusalCause.INSTANCE_LOST, "The link broke."));
         mResults.add(ended(ANSWER));
         submit(OperationKind.READ);
@@ -109,7 +109,7 @@
 
     @Example
     void otherRefusalsOfPayersAreFinal() {
-        mGate.mAway = true;
+        mGate.mUnavailable = true;
         mResults.add(ended(refused(Verdict.DID_NOT_RUN, RefusalCause.SPENDING_CAP)));
         mResults.add(ended(refused(Verdict.MAY_HAVE_RUN, RefusalCause.PLATFORM_AWAY)));
         submit(OperationKind.ONCE_ONLY);
@@ -129,7 +129,7 @@
 
     @Example
     void cancellingReachesThePayerAndNobodyElseIsAsked() {
-        mGate.mAway = true;
+        mGate.mUnavailable = true;
         mRemote.mHolds = true;
         submit(OperationKind.READ);
         mEntry.cancel(REQUEST);
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/SteeringFakes.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/SteeringFakes.java
@@ -99,7 +99,7 @@
         }
 
         @Override
-        public void reachable(ServiceId service, RegionId region, boolean reachable) {}
+        public void setReachable(ServiceId service, RegionId region, boolean reachable) {}
     }
 
     /** Counts what stays charged. */
@@ -108,14 +108,14 @@
         int mCharged;
         boolean mOpen = true;
         boolean mRenewing;
-        boolean mAway;
+        boolean mUnavailable;
 
         @Override
         public Either<Refusal, Charge> charge(ServiceId service, long priceMicros) {
             if (mRenewing) {
                 return Either.left(Refusal.didNotRun(RefusalCause.NOT_READY, "It is renewed."));
             }
-            if (mAway) {
+            if (mUnavailable) {
                 return Either.left(Refusal.didNotRun(RefusalCause.PLATFORM_AWAY, "It is spent."));
             }
             if (!mOpen) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/AnswerAssembler.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/AnswerAssembler.java
@@ -71,7 +71,7 @@
     }
 
     /** Tells whether an answer to another request was left out. */
-    boolean sawForeign() {
+    boolean hasMismatchedAnswer() {
         return mSawForeign;
     }
 
@@ -90,7 +90,7 @@
 
     /** Tells whether an answer has no body because of the request's method. */
     boolean answersWithoutBody(HttpResponse response) {
-        return mMatch.isForHead() && mMatch.of(response) == AnswerMatch.Result.OURS;
+        return mMatch.isForHead() && mMatch.of(response) == AnswerMatch.Result.MATCHING;
     }
 
     /**
@@ -144,8 +144,8 @@
             return;
         }
         switch (mMatch.of(head)) {
-            case OURS -> beginOurs(head);
-            case FOREIGN -> {
+            case MATCHING -> beginOurs(head);
+            case MISMATCHED -> {
                 mSawForeign = true;
                 mState = State.SKIPPING;
             }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/AnswerMatch.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/AnswerMatch.java
@@ -12,9 +12,9 @@
     /** Whose an answer is. */
     enum Result {
         /** It answers this request. */
-        OURS,
+        MATCHING,
         /** It answers another request. */
-        FOREIGN,
+        MISMATCHED,
         /** It does not say. */
         UNKNOWN
     }
@@ -35,11 +35,11 @@
         HttpHeaders headers = response.headers();
         List<String> ids = headers.getAll(mOptions.requestIdHeader());
         if (ids.isEmpty()) {
-            return mayOmitId(response) ? Result.OURS : Result.UNKNOWN;
+            return mayOmitId(response) ? Result.MATCHING : Result.UNKNOWN;
         }
         return ids.size() == 1 && ids.get(0).equals(mRequest.requestId())
-                ? Result.OURS
-                : Result.FOREIGN;
+                ? Result.MATCHING
+                : Result.MISMATCHED;
     }
 
     private boolean mayOmitId(HttpResponse response) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/BackendConnection.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/BackendConnection.java
@@ -28,7 +28,7 @@
     private final Channel mChannel;
     private State mState = State.OPENING;
     private PendingCall mCall;
-    private Consumer<ServerReach> mTried = reach -> {};
+    private Consumer<ServerReachability> mTried = reach -> {};
     private RequestWrite mWrite;
     private AnswerAssembler mAssembler;
     private String mLastRequestId = "";
@@ -81,13 +81,13 @@
     }
 
     /** Has a listener hear whether this connection opens. */
-    void whenTried(Consumer<ServerReach> listener) {
+    void whenTried(Consumer<ServerReachability> listener) {
         mTried = listener;
     }
 
     /** Hears that this connection cannot be opened. */
     void notOpened(Throwable cause) {
-        mTried.accept(ServerReach.of(cause));
+        mTried.accept(ServerReachability.of(cause));
         if (cause instanceof ConnectTimeoutException) {
             mPool.notOpened();
         }
@@ -96,7 +96,7 @@
 
     /** Hears that the connection is open. */
     void opened() {
-        mTried.accept(ServerReach.OPEN);
+        mTried.accept(ServerReachability.OPEN);
         if (mState == State.CLOSED) {
             return;
         }
@@ -241,7 +241,7 @@
         if (mState == State.IDLE && mOrderly && !mIdleStated) {
             mPool.closedWhenIdle(idleNanos());
         }
-        boolean isForeign = mState == State.BUSY && mAssembler.sawForeign();
+        boolean isForeign = mState == State.BUSY && mAssembler.hasMismatchedAnswer();
         fail(isForeign ? CallFailure.Kind.BAD_ANSWER : CallFailure.Kind.BROKEN_OFF);
     }
 
@@ -256,7 +256,7 @@
     private void finish() {
         PendingCall call = mCall;
         mCall = null;
-        mReusable &= mAssembler.keepsConnection() && !mAssembler.sawForeign();
+        mReusable &= mAssembler.keepsConnection() && !mAssembler.hasMismatchedAnswer();
         readIdleLimit();
         BackendAnswer answer = mAssembler.take();
         mState = State.FLUSHING;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/BackendConnections.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/BackendConnections.java
@@ -33,7 +33,7 @@
      * @param server the server
      * @param listener hears the result, never before this method returns
      */
-    void check(RegisteredServer server, Consumer<ServerReach> listener);
+    void check(RegisteredServer server, Consumer<ServerReachability> listener);
 
     /**
      * Closes idle connections to a server that has gone; calls under way go on.
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/CallFailure.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/CallFailure.java
@@ -44,7 +44,7 @@
          *
          * @return whether it does
          */
-        public boolean blamesServer() {
+        public boolean isServerFailure() {
             return mBlamesServer;
         }
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/IdleTrust.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/IdleReusePolicy.java
@@ -10,7 +10,7 @@
  * new connection unless one was used just now; so it does after a connection that did not open in
  * time.
  */
-final class IdleTrust {
+final class IdleReusePolicy {
 
     /** No limit is in force. */
     static final long NONE = Long.MAX_VALUE;
@@ -45,7 +45,7 @@
         long learnt = Math.max(LEAST_NANOS, idleNanos / LIMIT_DIVISOR);
         mLimitNanos = Math.min(learnt, limitNanos(nowNanos));
         mUntilNanos = nowNanos + KEPT_NANOS;
-        distrust(nowNanos);
+        restrictReuse(nowNanos);
     }
 
     /**
@@ -54,7 +54,7 @@
      * @param nowNanos the time
      */
     void notOpened(long nowNanos) {
-        distrust(nowNanos);
+        restrictReuse(nowNanos);
     }
 
     /** Gives the longest idle time of a connection that may be used again. */
@@ -68,7 +68,7 @@
         return isCareful && !repeatable ? LEAST_NANOS : limitNanos(nowNanos);
     }
 
-    private void distrust(long nowNanos) {
+    private void restrictReuse(long nowNanos) {
         mDistrusts = true;
         mDistrustsUntilNanos = nowNanos + KEPT_NANOS;
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/NettyBackendConnections.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/NettyBackendConnections.java
@@ -52,7 +52,7 @@
                         eventLoop,
                         timeSource,
                         mCounts,
-                        new IdleTrust(),
+                        new IdleReusePolicy(),
                         this::planSweep);
     }
 
@@ -76,9 +76,9 @@
     }
 
     @Override
-    public void check(RegisteredServer server, Consumer<ServerReach> listener) {
+    public void check(RegisteredServer server, Consumer<ServerReachability> listener) {
         if (mClosed) {
-            mEventLoop.execute(() -> listener.accept(ServerReach.UNKNOWN));
+            mEventLoop.execute(() -> listener.accept(ServerReachability.UNKNOWN));
             return;
         }
         ServerPool pool = mPools.get(server.id());
@@ -90,7 +90,7 @@
     }
 
     /** A server that has gone from the registry gets no pool again; the connection is closed. */
-    private void checkOnce(RegisteredServer server, Consumer<ServerReach> listener) {
+    private void checkOnce(RegisteredServer server, Consumer<ServerReachability> listener) {
         ServerPool pool = new ServerPool(server.address(), mContext);
         pool.check(
                 reach -> {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/PoolContext.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/PoolContext.java
@@ -10,5 +10,5 @@
         EventLoop eventLoop,
         TimeSource timeSource,
         ConnectionCounts counts,
-        IdleTrust idleTrust,
+        IdleReusePolicy idleTrust,
         Runnable whenIdle) {}
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/ServerPool.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/ServerPool.java
@@ -98,12 +98,12 @@
     }
 
     /** Opens a connection for nobody, to learn whether the server takes any. */
-    void check(Consumer<ServerReach> listener) {
+    void check(Consumer<ServerReachability> listener) {
         BackendConnection connection;
         try {
             connection = mContext.opener().open(this);
         } catch (ChannelException exception) {
-            mContext.eventLoop().execute(() -> listener.accept(ServerReach.UNKNOWN));
+            mContext.eventLoop().execute(() -> listener.accept(ServerReachability.UNKNOWN));
             return;
         }
         mConnections.add(connection);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/ServerReach.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/ServerReachability.java
@@ -8,7 +8,7 @@
  *
  * @since 0.2
  */
-public enum ServerReach {
+public enum ServerReachability {
     /** It takes connections. */
     OPEN,
     /** Its machine answers that nobody listens there: the server has ended. */
@@ -17,7 +17,7 @@
     UNKNOWN;
 
     /** Reads why a connection could not be opened. */
-    static ServerReach of(Throwable cause) {
+    static ServerReachability of(Throwable cause) {
         boolean isTimeout = cause instanceof ConnectTimeoutException;
         return cause instanceof ConnectException && !isTimeout ? REFUSED : UNKNOWN;
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlDocuments.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlDocuments.java
@@ -95,7 +95,7 @@
                     .put("ready", instance.ready())
                     .put("leaving", member.leaving())
                     .put("revision", StoreRevision.revision(instance.revision()))
-                    .put("silentMillis", member.silentMillis())
+                    .put("silentMillis", member.inactiveMillis())
                     .put("entry", instance.entry().toString())
                     .put("control", instance.internal().ip() + ":" + mSources.port());
         }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/Exchange.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/Exchange.java
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public void onClientGone(Runnable action) {
+    public void onClientDisconnected(Runnable action) {
         if (mIsGone) {
             run(action);
             return;
@@ -68,7 +68,7 @@
     }
 
     @Override
-    public boolean isClientGone() {
+    public boolean isClientDisconnected() {
         return mIsGone;
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/Responder.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/Responder.java
@@ -23,12 +23,12 @@
      *
      * @param action runs at most once, on the traffic thread; at once if the client has gone
      */
-    void onClientGone(Runnable action);
+    void onClientDisconnected(Runnable action);
 
     /**
      * Tells whether the client has closed its connection.
      *
      * @return whether it has
      */
-    boolean isClientGone();
+    boolean isClientDisconnected();
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/RequestRecord.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/RequestRecord.java
@@ -308,7 +308,7 @@
      *
      * @param nowNanos the monotonic time
      */
-    public void clientGone(long nowNanos) {
+    public void clientDisconnected(long nowNanos) {
         end(RequestOutcome.CLIENT_GONE, null, 0, nowNanos);
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/ViewChange.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/ViewChange.java
@@ -294,9 +294,9 @@
      * @param peer the instance
      * @param incarnation its run, or {@link RequestRecord#UNKNOWN}
      * @param alive whether it is heard
-     * @param silentMillis how long it had been silent
+     * @param inactiveMillis how long it had been silent
      */
-    record Peer(InstanceId peer, long incarnation, boolean alive, long silentMillis)
+    record Peer(InstanceId peer, long incarnation, boolean alive, long inactiveMillis)
             implements ViewChange {
 
         @Override
@@ -309,7 +309,7 @@
             line.writeStringField("peer", peer.value());
             RequestLine.writeKnown(line, "incarnation", incarnation);
             line.writeStringField("state", alive ? "regained" : "lost");
-            line.writeNumberField("silentMillis", silentMillis);
+            line.writeNumberField("silentMillis", inactiveMillis);
         }
     }
 
@@ -317,10 +317,10 @@
      * The platform's store is lost or answers again.
      *
      * @param reachable whether it answers
-     * @param silentMillis how long it had not answered
+     * @param unresponsiveMillis how long it had not answered
      * @param cause what failed last, from a fixed set of words; null if nothing did
      */
-    record Store(boolean reachable, long silentMillis, String cause) implements ViewChange {
+    record Store(boolean reachable, long unresponsiveMillis, String cause) implements ViewChange {
 
         @Override
         public String event() {
@@ -330,7 +330,7 @@
         @Override
         public void write(JsonGenerator line) throws IOException {
             line.writeStringField("state", reachable ? "regained" : "lost");
-            line.writeNumberField("silentMillis", silentMillis);
+            line.writeNumberField("silentMillis", unresponsiveMillis);
             if (cause != null) {
                 line.writeStringField("cause", LineText.of(cause));
             }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/HeartbeatSettings.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/HeartbeatSettings.java
@@ -13,8 +13,8 @@
  *     counts
  * @param cutOffFor how long a silent instance that did not leave is counted among those that may be
  *     sending requests
- * @param quietAfter the silence after which it gets fewer heartbeats
- * @param quietPeriod the time between these
+ * @param idleAfter the silence after which it gets fewer heartbeats
+ * @param idlePeriod the time between these
  * @param forgetAfter the silence after which it is forgotten
  * @since 0.2
  */
@@ -24,8 +24,8 @@
         Duration deadAfter,
         Duration claimTimeout,
         Duration cutOffFor,
-        Duration quietAfter,
-        Duration quietPeriod,
+        Duration idleAfter,
+        Duration idlePeriod,
         Duration forgetAfter) {
 
     /**
@@ -52,10 +52,10 @@
                 suspectAfter,
                 deadAfter);
         Assert.isTrue(
-                deadAfter.compareTo(quietAfter) < 0 && quietAfter.compareTo(forgetAfter) < 0,
+                deadAfter.compareTo(idleAfter) < 0 && idleAfter.compareTo(forgetAfter) < 0,
                 "An instance must be gone (%s) before it gets less (%s) and is forgotten (%s).",
                 deadAfter,
-                quietAfter,
+                idleAfter,
                 forgetAfter);
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/OwnStatus.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/OwnStatus.java
@@ -11,7 +11,7 @@
     private long mIncarnation;
     private long mSequence = 1;
     private long mRevision;
-    private long mRefuted;
+    private long mSuperseded;
     private PeerUpdate.State mState = PeerUpdate.State.STARTING;
 
     OwnStatus(InstanceId id, PeerPlace place, long incarnation) {
@@ -62,16 +62,16 @@
      *
      * @return whether others must hear this instance anew
      */
-    boolean outrank(PeerUpdate news) {
+    boolean supersede(PeerUpdate news) {
         if (news.isLaterThan(mIncarnation, mSequence)) {
             mIncarnation = news.incarnation() + 1;
             return true;
         }
         boolean silent = news.state() == PeerUpdate.State.SILENT;
-        if (!silent || news.incarnation() < mIncarnation || news.sequence() < mRefuted) {
+        if (!silent || news.incarnation() < mIncarnation || news.sequence() < mSuperseded) {
             return false;
         }
-        mRefuted = mSequence + 1;
+        mSuperseded = mSequence + 1;
         return true;
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerExchange.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerExchange.java
@@ -87,7 +87,7 @@
     /** Does what is due each period. */
     void tick(long now) {
         if (now - mLastTick > 2 * mSettings.period().toNanos()) {
-            mTable.excuse(now);
+            mTable.limitInactivity(now);
         }
         mLastTick = now;
         mTicks++;
@@ -198,7 +198,7 @@
     }
 
     private void receiveAboutSelf(PeerUpdate news, long now) {
-        if (mSelf.outrank(news)) {
+        if (mSelf.supersede(news)) {
             announce(now);
             if (!mTable.isFullMesh()) {
                 mSender.disseminate(mSelf.update(true), true);
@@ -213,7 +213,7 @@
         }
         PeerRecord record = mTable.get(news.id());
         if (record == null) {
-            hearOfStranger(news, now);
+            receiveAboutUnknown(news, now);
         } else if (news.state() == PeerUpdate.State.SILENT) {
             receiveClaim(record, news, from, now);
         } else if (record.isClaimed() && !news.isLaterThan(record.incarnation(), record.seen())) {
@@ -228,7 +228,7 @@
         }
     }
 
-    private void hearOfStranger(PeerUpdate news, long now) {
+    private void receiveAboutUnknown(PeerUpdate news, long now) {
         boolean unknown = news.place().isEmpty() || news.state() == PeerUpdate.State.SILENT;
         if (unknown || mTable.isTaken(news.place().get(), news.incarnation())) {
             return;
@@ -252,7 +252,7 @@
     }
 
     private void receiveClaim(PeerRecord record, PeerUpdate claim, ServerAddress from, long now) {
-        if (record.refutes(claim)) {
+        if (record.supersedes(claim)) {
             mSender.answer(from, false, List.of(record.update(true)));
         } else if (!mTable.isFullMesh() && record.claim(now)) {
             mTable.evaluate(record, now);
@@ -279,8 +279,8 @@
     }
 
     private void contactSeeds(long now) {
-        long quietTicks = ticksOf(mSettings.quietPeriod().toNanos());
-        boolean young = now - mStart < mSettings.quietAfter().toNanos();
+        long quietTicks = ticksOf(mSettings.idlePeriod().toNanos());
+        boolean young = now - mStart < mSettings.idleAfter().toNanos();
         if (young || mTicks % quietTicks == 0) {
             mSeeds.stream()
                     .filter(seed -> !mTable.knowsAddress(seed))
@@ -294,9 +294,9 @@
 
     /** Sends a neighbor its heartbeat, or asks it where it was never heard. */
     private void sendTo(PeerRecord record, long now) {
-        boolean quiet = record.sinceSign(now) >= mSettings.quietAfter().toNanos();
+        boolean quiet = record.sinceSign(now) >= mSettings.idleAfter().toNanos();
         long slack = mSettings.period().toNanos() / 2;
-        if (quiet && record.sinceSent(now) < mSettings.quietPeriod().toNanos() - slack) {
+        if (quiet && record.sinceSent(now) < mSettings.idlePeriod().toNanos() - slack) {
             return;
         }
         record.sent(now);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerFailureDetector.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerFailureDetector.java
@@ -18,7 +18,7 @@
     }
 
     Verdict evaluate(PeerRecord record, boolean cutOff, long now) {
-        long silence = record.silence(now);
+        long silence = record.inactivity(now);
         if (silence < mSettings.suspectAfter().toNanos()) {
             return Verdict.ALIVE;
         }
@@ -38,7 +38,7 @@
         }
         long next = Long.MAX_VALUE;
         if (record.hasReceived()) {
-            long silence = record.silence(now);
+            long silence = record.inactivity(now);
             next = earlier(next, mSettings.suspectAfter().toNanos() - silence);
             next = earlier(next, mSettings.deadAfter().toNanos() - silence);
         }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerMember.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerMember.java
@@ -6,10 +6,10 @@
  * @param instance what it told last
  * @param state what its silence makes of it
  * @param leaving whether it said that it stops
- * @param silentMillis the time since the last sign of it
+ * @param inactiveMillis the time since the last sign of it
  * @since 0.2
  */
-public record PeerMember(PeerInstance instance, State state, boolean leaving, long silentMillis) {
+public record PeerMember(PeerInstance instance, State state, boolean leaving, long inactiveMillis) {
 
     /** What silence makes of an instance. */
     public enum State {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerRecord.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerRecord.java
@@ -80,7 +80,7 @@
         return mSequence > 0;
     }
 
-    long silence(long now) {
+    long inactivity(long now) {
         return mHasReceived ? now - mReceivedAt : Long.MAX_VALUE;
     }
 
@@ -116,7 +116,7 @@
     }
 
     /** Counts a silence as no longer than this. */
-    void excuse(long most, long now) {
+    void limitInactivity(long most, long now) {
         mReceivedAt = Math.max(mReceivedAt, now - most);
     }
 
@@ -175,7 +175,7 @@
     }
 
     /** Tells whether a sign later than a claim of silence is known. */
-    boolean refutes(PeerUpdate claim) {
+    boolean supersedes(PeerUpdate claim) {
         return mIncarnation > claim.incarnation()
                 || (mIncarnation == claim.incarnation() && mSequence > claim.sequence());
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerTable.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerTable.java
@@ -148,12 +148,12 @@
      * Makes good for a pause of this instance, in which it could hear nobody: those who were alive
      * have time for one more heartbeat.
      */
-    void excuse(long now) {
+    void limitInactivity(long now) {
         long period = mSettings.period().toNanos();
         long most = mSettings.deadAfter().toNanos() - period - period / 2;
         for (PeerRecord record : mRecords.values()) {
             if (record.verdict() != Verdict.GONE) {
-                record.excuse(most, now);
+                record.limitInactivity(most, now);
             }
         }
     }
@@ -207,7 +207,7 @@
             boolean left = record.state() == PeerUpdate.State.LEAVING;
             if (record.isWatched() && record.isReported() && !left) {
                 watched++;
-                boolean isNear = record.silence(now) < mSettings.deadAfter().toNanos();
+                boolean isNear = record.inactivity(now) < mSettings.deadAfter().toNanos();
                 heard += isNear || record.verdict() != Verdict.GONE ? 1 : 0;
             }
         }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/CategoryCopy.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/CategoryCopy.java
@@ -18,7 +18,7 @@
  *
  * <p>A store that has come back from an older copy lists what was true then. Until its writers have
  * had time to write again, its list neither takes away what is known nor brings back what was
- * deleted; {@link #settle} and {@link #believeReturned} end that. What is written in the new era
+ * deleted; {@link #settle} and {@link #acceptRestored} end that. What is written in the new era
  * counts at once. For the control thread.
  */
 final class CategoryCopy {
@@ -29,9 +29,9 @@
     private final Map<String, Tombstone> mTombstones = new HashMap<>();
 
     /** Documents of a store that came back which had been deleted before. */
-    private final Map<String, TimestampedDocument> mReturned = new HashMap<>();
+    private final Map<String, TimestampedDocument> mRestored = new HashMap<>();
 
-    private boolean mReturning;
+    private boolean mRestoring;
     private boolean mUncertain;
     private boolean mListed;
     private long mRevision;
@@ -108,7 +108,7 @@
             return;
         }
         if (mListed && StoreRevision.isOfEarlierEra(mRevision, revision)) {
-            mReturning = true;
+            mRestoring = true;
             mUncertain = true;
         }
         Set<String> names = new HashSet<>();
@@ -116,19 +116,19 @@
             if (!told.document().deleted()) {
                 names.add(told.document().name());
             }
-            if (!isReturned(told.document())) {
+            if (!isRestored(told.document())) {
                 apply(told, revision, nowNanos);
-            } else if (mReturned.putIfAbsent(told.document().name(), told) != null) {
+            } else if (mRestored.putIfAbsent(told.document().name(), told) != null) {
                 takeIfWrittenAgain(told, revision, nowNanos);
             }
         }
-        mReturned.keySet().retainAll(names);
+        mRestored.keySet().retainAll(names);
         for (Held held : new ArrayList<>(mDocuments.values())) {
             StoredDocument document = held.document();
             boolean isKept =
-                    mReturning && StoreRevision.isOfEarlierEra(document.revision(), revision);
+                    mRestoring && StoreRevision.isOfEarlierEra(document.revision(), revision);
             if (!names.contains(document.name()) && document.revision() <= revision && !isKept) {
-                bury(document.name(), revision, revision, nowNanos);
+                markDeleted(document.name(), revision, revision, nowNanos);
             }
         }
         // What came and went unseen before this list has no tombstone.
@@ -138,7 +138,7 @@
     }
 
     /** Tells whether a document was deleted in an earlier era than that of which it is listed. */
-    private boolean isReturned(StoredDocument document) {
+    private boolean isRestored(StoredDocument document) {
         Tombstone tombstone = mTombstones.get(document.name());
         return mUncertain
                 && tombstone != null
@@ -147,19 +147,19 @@
     }
 
     private void takeIfWrittenAgain(TimestampedDocument told, long revision, long nowNanos) {
-        TimestampedDocument before = mReturned.get(told.document().name());
+        TimestampedDocument before = mRestored.get(told.document().name());
         if (told.document().revision() > before.document().revision()) {
             apply(told, revision, nowNanos);
         }
     }
 
     /** Tells whether the store has come back from a copy and its writers may not be done. */
-    boolean isReturning() {
-        return mReturning;
+    boolean isRestoring() {
+        return mRestoring;
     }
 
     /** Counts the documents that are known and that the store has not listed since its return. */
-    int keptOverReturn() {
+    int keptOverRestore() {
         return (int)
                 mDocuments.values().stream()
                         .filter(held -> isOfEarlierEra(held.document()))
@@ -176,11 +176,11 @@
      * @param nowNanos the monotonic time
      */
     void settle(long nowNanos) {
-        mReturning = false;
+        mRestoring = false;
         for (Held held : new ArrayList<>(mDocuments.values())) {
             StoredDocument document = held.document();
             if (isOfEarlierEra(document)) {
-                bury(document.name(), mRevision, mRevision, nowNanos);
+                markDeleted(document.name(), mRevision, mRevision, nowNanos);
             }
         }
     }
@@ -191,9 +191,9 @@
      *
      * @param nowNanos the monotonic time
      */
-    void believeReturned(long nowNanos) {
+    void acceptRestored(long nowNanos) {
         mUncertain = false;
-        List.copyOf(mReturned.values()).forEach(told -> apply(told, mRevision, nowNanos));
+        List.copyOf(mRestored.values()).forEach(told -> apply(told, mRevision, nowNanos));
     }
 
     /**
@@ -219,7 +219,7 @@
      */
     void applyPart(CopyPart part, long nowNanos) {
         if (part.whole()) {
-            part.documents().forEach(told -> takeOutranking(told, nowNanos));
+            part.documents().forEach(told -> applySuperseding(told, nowNanos));
             applyList(part.documents(), part.revision(), CopySource.PEER, nowNanos);
         } else if (mListed && part.revision() >= mRevision) {
             applyChanges(part.documents(), part.revision(), CopySource.PEER, nowNanos);
@@ -227,7 +227,7 @@
     }
 
     /** A peer may have kept a newer document than the copy that the store came back from has. */
-    private void takeOutranking(TimestampedDocument told, long nowNanos) {
+    private void applySuperseding(TimestampedDocument told, long nowNanos) {
         StoredDocument document = told.document();
         Held held = mDocuments.get(document.name());
         boolean isOutranking =
@@ -270,7 +270,7 @@
         }
         if (whole) {
             // The other may not know that they had been deleted, and decides by itself.
-            documents.addAll(mReturned.values());
+            documents.addAll(mRestored.values());
         }
         for (Map.Entry<String, Tombstone> entry : mTombstones.entrySet()) {
             Tombstone tombstone = entry.getValue();
@@ -303,16 +303,16 @@
 
     private void apply(TimestampedDocument told, long completeRevision, long nowNanos) {
         StoredDocument document = told.document();
-        mReturned.remove(document.name());
+        mRestored.remove(document.name());
         Held held = mDocuments.get(document.name());
         Tombstone tombstone = mTombstones.get(document.name());
         if (document.deleted()) {
             if (held != null && document.revision() >= held.document().revision()) {
-                bury(document.name(), document.revision(), completeRevision, nowNanos);
+                markDeleted(document.name(), document.revision(), completeRevision, nowNanos);
             } else if (held == null && isOlder(tombstone, document.revision())) {
                 // Unknown here, yet an old word of a peer must not bring it in.
                 mContentRevision = Math.max(mContentRevision, document.revision());
-                entomb(document.name(), document.revision(), completeRevision, nowNanos);
+                addTombstone(document.name(), document.revision(), completeRevision, nowNanos);
             }
             return;
         }
@@ -326,7 +326,7 @@
         if (held != null && isOlderCopy(document, held.document())) {
             StoredDocument kept = held.document().at(document.revision());
             mDocuments.put(document.name(), new Held(kept, held.stateNanos()));
-            mListener.stays(document.revision());
+            mListener.retained(document.revision());
             return;
         }
         mDocuments.put(document.name(), new Held(document, told.stateNanos()));
@@ -342,14 +342,14 @@
         return tombstone == null || tombstone.revision() < revision;
     }
 
-    private void bury(String name, long revision, long completeRevision, long nowNanos) {
+    private void markDeleted(String name, long revision, long completeRevision, long nowNanos) {
         mDocuments.remove(name);
         mContentRevision = Math.max(mContentRevision, revision);
-        entomb(name, revision, completeRevision, nowNanos);
+        addTombstone(name, revision, completeRevision, nowNanos);
         mListener.removed(name, revision);
     }
 
-    private void entomb(String name, long revision, long completeRevision, long nowNanos) {
+    private void addTombstone(String name, long revision, long completeRevision, long nowNanos) {
         long learnt = Math.max(revision, completeRevision);
         mTombstones.put(name, new Tombstone(revision, learnt, nowNanos));
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/CategoryFollower.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/CategoryFollower.java
@@ -33,7 +33,7 @@
     private int mCuts;
     private int mHistoriesGone;
     private boolean mHistoryGone;
-    private boolean mResting;
+    private boolean mPaused;
     private boolean mListing;
     private Runnable mCancelCall = () -> {};
     private Runnable mTimer = () -> {};
@@ -67,7 +67,7 @@
         mApplied = applied;
     }
 
-    /** Reads the category, then follows it until {@link #rest}. */
+    /** Reads the category, then follows it until {@link #pause}. */
     void start() {
         next(Duration.ZERO, this::list);
     }
@@ -76,8 +76,8 @@
      * Makes no further call until {@link #resume}. A wait is ended, since it may be dead; a list is
      * let through, since its answer is as good as any other.
      */
-    void rest() {
-        mResting = true;
+    void pause() {
+        mPaused = true;
         if (mListing) {
             return;
         }
@@ -87,7 +87,7 @@
 
     /** Goes on after a rest, from the revision seen last. */
     void resume() {
-        mResting = false;
+        mPaused = false;
         if (mListing) {
             return;
         }
@@ -101,7 +101,7 @@
      * @param revision the revision of a change that may be missing
      */
     void check(long revision) {
-        if (mResting || mHealth.isFailing()) {
+        if (mPaused || mHealth.isFailing()) {
             return;
         }
         // A watch from behind the change would not tell of it.
@@ -117,7 +117,7 @@
      * @param era the newest era that is known
      */
     void checkEra(long era) {
-        if (mCopy.wasListedBefore(era) && !mResting && !mListing) {
+        if (mCopy.wasListedBefore(era) && !mPaused && !mListing) {
             mHistoryGone = true;
             stopCall();
             list();
@@ -275,7 +275,7 @@
 
     private void next(Duration delay, Runnable step) {
         mTimer.run();
-        if (mResting) {
+        if (mPaused) {
             return;
         }
         mTimer = mScheduler.schedule(delay, step);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/CopyListener.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/CopyListener.java
@@ -28,7 +28,7 @@
      *
      * @param revision the revision of the older one
      */
-    default void stays(long revision) {}
+    default void retained(long revision) {}
 
     /**
      * Hears that a document is gone.
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/FleetReplica.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/FleetReplica.java
@@ -51,7 +51,7 @@
     private long mWatchingSinceNanos;
     private Runnable mGraceTimer = () -> {};
     private Runnable mWarmTimer = () -> {};
-    private final StoreReturn mReturn;
+    private final StoreRestoreTracker mRestoreTracker;
     private boolean mStopped;
     private volatile FleetSnapshot mSnapshot = FleetSnapshot.EMPTY;
     private volatile long mRevision;
@@ -84,8 +84,8 @@
         follow(context, Category.ROUTING, mRouting);
         follow(context, Category.EVACUATIONS, mEvacuations);
         follow(context, Category.BACKEND_SERVERS, mServers);
-        mReturn =
-                new StoreReturn(
+        mRestoreTracker =
+                new StoreRestoreTracker(
                         context, mCopies.values(), mFollowers, () -> publish(CopySource.NONE));
         mRelayService = new RelayService(context, mCopies, mServers, this::watches);
         mRoutingReader =
@@ -93,9 +93,9 @@
                         context,
                         mCopies.get(Category.ROUTING),
                         mRouting,
-                        mReturn::isSettled,
+                        mRestoreTracker::isSettled,
                         this::onStoreUpdate);
-        mReturn.whenSettled((era, hadBefore) -> mRoutingReader.settled(hadBefore));
+        mRestoreTracker.addSettledListener((era, hadBefore) -> mRoutingReader.settled(hadBefore));
         mRelayed = new RelayedCopies(mCopies.values(), mTime);
     }
 
@@ -195,19 +195,19 @@
 
     private boolean watches() {
         boolean wasAnswered = mHealth.succeededNanos() - mWatchingSinceNanos >= 0;
-        return mUsable && !mLeaving && !mStopped && !mHealth.isLost() && !relies() && wasAnswered;
+        return mUsable && !mLeaving && !mStopped && !mHealth.isLost() && !isFollowing() && wasAnswered;
     }
 
-    private boolean relies() {
-        return mRelay.map(RelayFollower::relies).orElse(false);
+    private boolean isFollowing() {
+        return mRelay.map(RelayFollower::isFollowing).orElse(false);
     }
 
     private void relayTurned() {
-        boolean relies = relies();
-        mScout.setQuiet(relies);
+        boolean relies = isFollowing();
+        mScout.setIdle(relies);
         mWatchingSinceNanos = mTime.monotonicNanos();
         if (relies) {
-            mFollowers.forEach(CategoryFollower::rest);
+            mFollowers.forEach(CategoryFollower::pause);
         } else if (!mStopped && !mHealth.isLost()) {
             mFollowers.forEach(CategoryFollower::resume);
         }
@@ -228,18 +228,18 @@
      *
      * @return it, for the control thread
      */
-    public StoreReturn storeReturn() {
-        return mReturn;
+    public StoreRestoreTracker restoreTracker() {
+        return mRestoreTracker;
     }
 
     private void checkLag() {
-        mReturn.look();
+        mRestoreTracker.look();
         long missed = mLag.map(lag -> lag.compare(mRevision)).orElse(0L);
         if (missed == 0) {
             return;
         }
         sLogger.info("STORE  a peer knows revision {}, checking from {}", missed, mRevision);
-        mRelay.filter(RelayFollower::relies).ifPresent(RelayFollower::distrust);
+        mRelay.filter(RelayFollower::isFollowing).ifPresent(RelayFollower::suspend);
         for (CategoryFollower follower : mFollowers) {
             follower.check(missed);
         }
@@ -248,13 +248,13 @@
     /** Stops all calls; the snapshot stays as it is. */
     public void stop() {
         mStopped = true;
-        mFollowers.forEach(CategoryFollower::rest);
+        mFollowers.forEach(CategoryFollower::pause);
         mScout.stop();
         mRelay.ifPresent(RelayFollower::stop);
         mRelayService.changed();
         mFallback.ifPresent(RelayFallback::stop);
         mGraceTimer.run();
-        mReturn.stop();
+        mRestoreTracker.stop();
     }
 
     /**
@@ -310,8 +310,8 @@
         if (mStopped) {
             return;
         }
-        mRelay.ifPresent(RelayFollower::distrust);
-        mFollowers.forEach(CategoryFollower::rest);
+        mRelay.ifPresent(RelayFollower::suspend);
+        mFollowers.forEach(CategoryFollower::pause);
         mRelayService.changed();
         mGraceTimer.run();
         mServers.keepVanished(false);
@@ -369,7 +369,7 @@
             notifyListener(source, nowNanos);
         }
         mRelayService.changed();
-        mReturn.look();
+        mRestoreTracker.look();
     }
 
     private void notifyListener(CopySource source, long nowNanos) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayFollower.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayFollower.java
@@ -28,11 +28,11 @@
     private final RelayedCopies mCopies;
     private final ReplicaContext mContext;
     private final ReplicaSettings.Watching mSettings;
-    private final BooleanSupplier mMayRely;
+    private final BooleanSupplier mMayFollow;
     private final Runnable mApplied;
     private final Runnable mTurned;
     private final Map<ServerAddress, WatcherPoller> mLines = new HashMap<>();
-    private boolean mRelies;
+    private boolean mFollowing;
     private long mOwnUntilNanos;
     private Runnable mTimer = () -> {};
 
@@ -61,15 +61,15 @@
         mLink = link;
         mCopies = copies;
         mSettings = context.settings().watching();
-        mMayRely = mayRely;
+        mMayFollow = mayRely;
         mApplied = applied;
         mTurned = turned;
         mOwnUntilNanos = context.time().monotonicNanos();
     }
 
     /** Tells whether this instance relies on the watchers and asks the store nothing. */
-    boolean relies() {
-        return mRelies;
+    boolean isFollowing() {
+        return mFollowing;
     }
 
     /** Looks at the zone now and then from now on. */
@@ -84,7 +84,7 @@
     }
 
     /** Watches by itself for a while, since what the watchers tell is in doubt. */
-    void distrust() {
+    void suspend() {
         mOwnUntilNanos = mContext.time().monotonicNanos() + mSettings.ownWatchFor().toNanos();
         turn(false);
     }
@@ -110,19 +110,19 @@
     private void settle() {
         boolean hasSound = mLines.values().stream().anyMatch(line -> line.mSound);
         boolean areSound = hasSound && mLines.values().stream().allMatch(line -> line.mSound);
-        if (mRelies && mLines.isEmpty()) {
+        if (mFollowing && mLines.isEmpty()) {
             turn(false);
-        } else if (mRelies && !hasSound) {
-            distrust();
-        } else if (!mRelies && areSound && mMayRely.getAsBoolean()) {
+        } else if (mFollowing && !hasSound) {
+            suspend();
+        } else if (!mFollowing && areSound && mMayFollow.getAsBoolean()) {
             boolean isOver = mContext.time().monotonicNanos() - mOwnUntilNanos >= 0;
             turn(isOver);
         }
     }
 
     private void turn(boolean relies) {
-        if (mRelies != relies) {
-            mRelies = relies;
+        if (mFollowing != relies) {
+            mFollowing = relies;
             sLogger.info("STORE  {}", relies ? "watched by others of the zone" : "watched here");
             mTurned.run();
         }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/ReplicaSettings.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/ReplicaSettings.java
@@ -130,7 +130,7 @@
      * @param expiryAfter how long an outage must last for entries to have expired meanwhile
      * @param confirmWithin how long after the store's return such entries may come back
      * @param checkEvery how often a silent store is checked, by a cheap probe and by peers
-     * @param returnedAfter how long after the store came back from an older copy an entry counts
+     * @param acceptRestoredAfter how long after the store came back from an older copy an entry counts
      *     again that had been deleted, longer than entries of silent servers last
      * @param tombstoneKept how long deletions are remembered for peers
      * @since 0.2
@@ -140,7 +140,7 @@
             Duration expiryAfter,
             Duration confirmWithin,
             Duration checkEvery,
-            Duration returnedAfter,
+            Duration acceptRestoredAfter,
             Duration tombstoneKept) {
 
         /** Checks that the times are positive. */
@@ -149,7 +149,7 @@
             Assert.positive(expiryAfter.toMillis(), "The time after which entries expire");
             Assert.positive(confirmWithin.toMillis(), "The time for entries to come back");
             Assert.positive(checkEvery.toMillis(), "The time between checks");
-            Assert.positive(returnedAfter.toMillis(), "The time until deleted entries count");
+            Assert.positive(acceptRestoredAfter.toMillis(), "The time until deleted entries count");
             Assert.positive(tombstoneKept.toMillis(), "The time that deletions are remembered");
         }
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RoutingTable.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RoutingTable.java
@@ -79,7 +79,7 @@
     }
 
     @Override
-    public void stays(long revision) {
+    public void retained(long revision) {
         mRevision = Math.max(mRevision, revision);
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/StoreReturn.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/StoreRestoreTracker.java
@@ -18,12 +18,12 @@
  *
  * @since 0.3
  */
-public final class StoreReturn {
+public final class StoreRestoreTracker {
 
     /** Stands for an era that no entry of an instance tells. */
-    public static final long UNTOLD = -1;
+    public static final long UNREPORTED = -1;
 
-    private static final Logger sLogger = LoggerFactory.getLogger(StoreReturn.class);
+    private static final Logger sLogger = LoggerFactory.getLogger(StoreRestoreTracker.class);
 
     private final ReplicaContext mContext;
     private final Collection<CategoryCopy> mCopies;
@@ -35,7 +35,7 @@
     private boolean mIsSettling;
     private long mEra;
     private Runnable mSettleTimer = () -> {};
-    private Runnable mBelieveTimer = () -> {};
+    private Runnable mAcceptTimer = () -> {};
 
     /**
      * Begins in the era of the first answer.
@@ -45,7 +45,7 @@
      * @param followers what follows them in the store
      * @param applied hears that the copies may have changed
      */
-    StoreReturn(
+    StoreRestoreTracker(
             ReplicaContext context,
             Collection<CategoryCopy> copies,
             List<CategoryFollower> followers,
@@ -61,7 +61,7 @@
      *
      * @param listener hears of each
      */
-    public void whenReturned(Runnable listener) {
+    public void addRestoreListener(Runnable listener) {
         mListeners.add(listener);
     }
 
@@ -70,19 +70,19 @@
      *
      * @param listener hears it at the start and after each return
      */
-    public void whenSettled(SettledListener listener) {
+    public void addSettledListener(SettledListener listener) {
         mSettledListeners.add(listener);
     }
 
     /**
      * Hears what the entries of all instances tell, which were read at the start.
      *
-     * @param newestEra the newest era in which an instance has settled, or {@link #UNTOLD}
+     * @param newestEra the newest era in which an instance has settled, or {@link #UNREPORTED}
      */
     public void instancesListed(long newestEra) {
         look();
-        boolean isSettledElsewhere = newestEra == UNTOLD || newestEra >= mEra;
-        boolean isReturning = mCopies.stream().anyMatch(CategoryCopy::isReturning);
+        boolean isSettledElsewhere = newestEra == UNREPORTED || newestEra >= mEra;
+        boolean isReturning = mCopies.stream().anyMatch(CategoryCopy::isRestoring);
         if (!mIsSettled && !isReturning && isSettledElsewhere) {
             stop();
             becomeSettled(true);
@@ -103,7 +103,7 @@
         if (era > mEra) {
             mEra = era;
             if (mCopies.stream().anyMatch(this::isOutdated)) {
-                returned();
+                onRestored();
             }
         }
         for (CategoryFollower follower : mFollowers) {
@@ -115,10 +115,10 @@
     }
 
     private boolean isOutdated(CategoryCopy copy) {
-        return copy.isReturning() || copy.wasListedBefore(mEra);
+        return copy.isRestoring() || copy.wasListedBefore(mEra);
     }
 
-    private void returned() {
+    private void onRestored() {
         sLogger.warn("STORE  era {}: what is in force stays until writers have written", mEra);
         stop();
         mIsSettled = false;
@@ -130,7 +130,7 @@
         mIsSettling = true;
         ReplicaSettings.Outage times = mContext.settings().outage();
         mSettleTimer = mContext.scheduler().schedule(times.confirmWithin(), this::settle);
-        mBelieveTimer = mContext.scheduler().schedule(times.returnedAfter(), this::believe);
+        mAcceptTimer = mContext.scheduler().schedule(times.acceptRestoredAfter(), this::acceptRestored);
     }
 
     private void becomeSettled(boolean hadBefore) {
@@ -141,18 +141,18 @@
 
     void stop() {
         mSettleTimer.run();
-        mBelieveTimer.run();
+        mAcceptTimer.run();
     }
 
     private void settle() {
         long nowNanos = mContext.time().monotonicNanos();
         int kept = 0;
         for (CategoryCopy copy : mCopies) {
-            kept += copy.keptOverReturn();
+            kept += copy.keptOverRestore();
             copy.settle(nowNanos);
             // Servers that have left do not write; their entries expire.
             if (copy.category() != Category.BACKEND_SERVERS) {
-                copy.believeReturned(nowNanos);
+                copy.acceptRestored(nowNanos);
             }
         }
         sLogger.info("STORE  era {}: settled, {} documents were not written again", mEra, kept);
@@ -160,9 +160,9 @@
         becomeSettled(false);
     }
 
-    private void believe() {
+    private void acceptRestored() {
         long nowNanos = mContext.time().monotonicNanos();
-        mCopies.forEach(copy -> copy.believeReturned(nowNanos));
+        mCopies.forEach(copy -> copy.acceptRestored(nowNanos));
         mApplied.run();
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/StoreScout.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/StoreScout.java
@@ -19,7 +19,7 @@
     private final Runnable mOnLook;
     private int mCall;
     private int mFailures;
-    private boolean mQuiet;
+    private boolean mIdle;
     private Runnable mTimer = () -> {};
 
     /**
@@ -57,8 +57,8 @@
      *
      * @param quiet whether to make no call while the store is not lost
      */
-    void setQuiet(boolean quiet) {
-        mQuiet = quiet;
+    void setIdle(boolean quiet) {
+        mIdle = quiet;
     }
 
     /** Looks at once, and often from now on, since the store is lost. */
@@ -73,7 +73,7 @@
         }
         Duration every = mSettings.outage().checkEvery();
         boolean wasHeard = mTime.monotonicNanos() - mHealth.succeededNanos() < every.toNanos();
-        boolean isNeeded = mHealth.isLost() || (mProbe.isCheap() && !wasHeard && !mQuiet);
+        boolean isNeeded = mHealth.isLost() || (mProbe.isCheap() && !wasHeard && !mIdle);
         if (!isNeeded) {
             schedule(every, this::look);
             return;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/BrokenOffRequests.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/BrokenOffRequests.java
@@ -5,7 +5,7 @@
 import io.masticpond.core.id.BackendServerId;
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.entry.backend.BackendConnections;
-import io.masticpond.entry.backend.ServerReach;
+import io.masticpond.entry.backend.ServerReachability;
 import io.masticpond.entry.log.ViewChange;
 import io.masticpond.entry.log.DecisionLog;
 import io.netty.channel.EventLoop;
@@ -71,22 +71,22 @@
         }
     }
 
-    private void check(RegisteredServer server, long afterMillis, Consumer<ServerReach> taker) {
+    private void check(RegisteredServer server, long afterMillis, Consumer<ServerReachability> taker) {
         mEventLoop.schedule(
                 () -> mConnections.check(server, taker), afterMillis, TimeUnit.MILLISECONDS);
     }
 
-    private void checkedOnce(RegisteredServer server, ServerReach reach, Listener listener) {
-        if (reach == ServerReach.UNKNOWN) {
+    private void checkedOnce(RegisteredServer server, ServerReachability reach, Listener listener) {
+        if (reach == ServerReachability.UNKNOWN) {
             check(server, CHECK_AGAIN_MILLIS, again -> checked(server, again, listener));
         } else {
             checked(server, reach, listener);
         }
     }
 
-    private void checked(RegisteredServer server, ServerReach reach, Listener listener) {
+    private void checked(RegisteredServer server, ServerReachability reach, Listener listener) {
         List<Request> requests = mUnderCheck.remove(server.id());
-        boolean ended = reach == ServerReach.REFUSED;
+        boolean ended = reach == ServerReachability.REFUSED;
         long sinceNanos = mTimeSource.monotonicNanos() - requests.get(0).endedNanos();
         mLog.viewChanged(
                 new ViewChange.ServerCheck(
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/HeldRequests.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/HeldRequests.java
@@ -65,7 +65,7 @@
         Held held = new Held(request, responder, facts);
         mHeld.add(held);
         mEventLoop.schedule(() -> leave(held, mGivenUp), LONGEST.toMillis(), TimeUnit.MILLISECONDS);
-        responder.onClientGone(() -> leave(held, mGone));
+        responder.onClientDisconnected(() -> leave(held, mGone));
     }
 
     /** Lets all go on, in the order in which they came. */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestFlow.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestFlow.java
@@ -206,7 +206,7 @@
     private void goneBeforeReady(
             IncomingRequest request, Responder responder, RequestRecord facts) {
         request.body().release();
-        facts.clientGone(nowNanos());
+        facts.clientDisconnected(nowNanos());
         mLog.requestEnded(facts);
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestRun.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestRun.java
@@ -101,7 +101,7 @@
             return;
         }
         mTimeout = mFlow.eventLoop().schedule(this::timeUp, left, TimeUnit.NANOSECONDS);
-        mResponder.onClientGone(this::clientGone);
+        mResponder.onClientDisconnected(this::clientDisconnected);
         if (!mDone) {
             attempt();
         }
@@ -220,7 +220,7 @@
         if (status == MISDIRECTED) {
             mFlow.placer().misdirected(server, now);
         } else if (!told.isWithdrawing()) {
-            mFlow.placer().turnedAway(server, told.load(), now);
+            mFlow.placer().rejectedByServer(server, told.load(), now);
         }
         tryAgainOrEnd("turned-away");
     }
@@ -232,7 +232,7 @@
         if (failure.kind() == CallFailure.Kind.NOT_CONNECTED) {
             mFlow.placer().unreachable(server, now);
         }
-        if (failure.kind().blamesServer()) {
+        if (failure.kind().isServerFailure()) {
             mFlow.placer().failed(server, now);
         }
         if (failure.verdict() == Verdict.DID_NOT_RUN) {
@@ -338,13 +338,13 @@
         end(cause);
     }
 
-    private void clientGone() {
+    private void clientDisconnected() {
         if (mDone) {
             return;
         }
         giveUpCall();
         finish();
-        mFacts.clientGone(mFlow.nowNanos());
+        mFacts.clientDisconnected(mFlow.nowNanos());
         mFlow.ended(this, mFacts);
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerLimitGate.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerLimitGate.java
@@ -146,7 +146,7 @@
     void answered(ServerLoad load, LimitHeader header, long sentNanos) {
         boolean isNothingNew =
                 header.kind() == LimitHeader.Kind.ABSENT && mLimits.isUnknown(load.server().id());
-        if (!isNothingNew && !load.isOver()) {
+        if (!isNothingNew && !load.isTerminated()) {
             mLimits.answered(load.server(), header, sentNanos, Moment.of(mTimeSource));
         }
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/SpendingCheck.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/SpendingCheck.java
@@ -39,7 +39,7 @@
     List<SpendingView> views();
 
     /** Hears that the platform's store has come back from an older copy. */
-    default void storeReturned() {}
+    default void storeRestored() {}
 
     /** Begins to take allotments; a second wish changes nothing. */
     void start();
--- a/masticpond-entry/src/main/java/io/masticpond/entry/spending/SpendingDesk.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/spending/SpendingDesk.java
@@ -108,8 +108,8 @@
     }
 
     @Override
-    public void storeReturned() {
-        mGate.platformReturned();
+    public void storeRestored() {
+        mGate.platformRestored();
     }
 
     @Override
--- a/masticpond-entry/src/main/java/io/masticpond/entry/spending/StoreLedgers.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/spending/StoreLedgers.java
@@ -68,7 +68,7 @@
     private static LedgerAnswer found(
             LedgerKey key, Either<FeedError, Optional<Versioned>> result) {
         if (result.isLeft()) {
-            return new LedgerAnswer.Away();
+            return new LedgerAnswer.Unavailable();
         }
         Optional<Versioned> found = result.get();
         if (found.isEmpty()) {
@@ -89,7 +89,7 @@
         }
         return switch (result.getLeft()) {
             case CONFLICT -> new LedgerAnswer.Conflicted(Optional.empty());
-            case TURNED_AWAY -> new LedgerAnswer.Away();
+            case TURNED_AWAY -> new LedgerAnswer.Unavailable();
             case UNREACHABLE, HISTORY_GONE, BAD_ANSWER, OUTDATED -> new LedgerAnswer.Uncertain();
         };
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlModule.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlModule.java
@@ -83,7 +83,7 @@
                 era -> InstanceDocuments.write(self, era),
                 listed -> {
                     heartbeats.known(InstanceDocuments.readAll(listed));
-                    replica.storeReturn().instancesListed(InstanceDocuments.newestEra(listed));
+                    replica.restoreTracker().instancesListed(InstanceDocuments.newestEra(listed));
                 });
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlSide.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlSide.java
@@ -49,7 +49,7 @@
 
     /** Starts the parts; to be called on the control thread. */
     void start() {
-        mReplica.storeReturn().whenSettled((era, hadBefore) -> mRegistration.enter(era));
+        mReplica.restoreTracker().addSettledListener((era, hadBefore) -> mRegistration.enter(era));
         mReplica.start();
         mHeartbeats.start();
         mRegistration.start();
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryFigures.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryFigures.java
@@ -185,7 +185,7 @@
     private double peersAge() {
         return mControl.heartbeats().members().stream()
                         .filter(member -> member.state() != PeerMember.State.GONE)
-                        .mapToLong(PeerMember::silentMillis)
+                        .mapToLong(PeerMember::inactiveMillis)
                         .max()
                         .orElse(0)
                 / MILLIS_PER_SECOND;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryInstance.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryInstance.java
@@ -80,8 +80,8 @@
             mTraffic.execute(spending::start);
             mControlSide
                     .replica()
-                    .storeReturn()
-                    .whenReturned(() -> mTraffic.execute(spending::storeReturned));
+                    .restoreTracker()
+                    .addRestoreListener(() -> mTraffic.execute(spending::storeRestored));
         }
         mControl.execute(
                 () -> {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/InstanceDocuments.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/InstanceDocuments.java
@@ -8,7 +8,7 @@
 import io.masticpond.core.id.RegionId;
 import io.masticpond.core.id.ZoneId;
 import io.masticpond.entry.peer.PeerInstance;
-import io.masticpond.entry.replica.StoreReturn;
+import io.masticpond.entry.replica.StoreRestoreTracker;
 import io.masticpond.entry.replica.StoredDocument;
 import java.util.List;
 import java.util.Optional;
@@ -40,9 +40,9 @@
     /** Gives the newest era of the store in which an instance has settled, if any tells one. */
     static long newestEra(List<StoredDocument> documents) {
         return documents.stream()
-                .mapToLong(each -> each.content().path(ERA).asLong(StoreReturn.UNTOLD))
+                .mapToLong(each -> each.content().path(ERA).asLong(StoreRestoreTracker.UNREPORTED))
                 .max()
-                .orElse(StoreReturn.UNTOLD);
+                .orElse(StoreRestoreTracker.UNREPORTED);
     }
 
     /** Reads all instances that can be read. */
--- a/masticpond-entry/src/test/java/io/masticpond/entry/backend/ServerCheckTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/backend/ServerCheckTest.java
@@ -10,9 +10,9 @@
 /** Whether a server has ended is told by a new connection. */
 class ServerCheckTest {
 
-    private final BlockingQueue<ServerReach> mHeard = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ServerReachability> mHeard = new LinkedBlockingQueue<>();
 
-    private ServerReach check(Backends backends) throws Exception {
+    private ServerReachability check(Backends backends) throws Exception {
         backends.onLoop(
                 () -> {
                     backends.mConnections.check(backends.mTarget, mHeard::add);
@@ -25,7 +25,7 @@
     void serverThatTakesConnectionsHasNotEndedAndItsConnectionIsUsed() throws Exception {
         try (Backends backends = new Backends()) {
             backends.keptConnection("Connection: close\r\n");
-            assertThat(check(backends)).isEqualTo(ServerReach.OPEN);
+            assertThat(check(backends)).isEqualTo(ServerReachability.OPEN);
             RawServer.Connection checked = backends.mServer.accept();
             Recorder next = backends.send("next");
             checked.readHead();
@@ -40,7 +40,7 @@
         try (Backends backends = new Backends()) {
             backends.keptConnection("Connection: close\r\n");
             backends.mServer.close();
-            assertThat(check(backends)).isEqualTo(ServerReach.REFUSED);
+            assertThat(check(backends)).isEqualTo(ServerReachability.REFUSED);
             assertThat(backends.open()).isZero();
         }
     }
@@ -48,7 +48,7 @@
     @Example
     void checkOfServerThatIsGoneFromTheRegistryLeavesNothing() throws Exception {
         try (Backends backends = new Backends()) {
-            assertThat(check(backends)).isEqualTo(ServerReach.OPEN);
+            assertThat(check(backends)).isEqualTo(ServerReachability.OPEN);
             assertThat(backends.mServer.accept().isEnded()).isTrue();
             assertThat(backends.open()).isZero();
         }
@@ -62,7 +62,7 @@
                         backends.mConnections.close();
                         return null;
                     });
-            assertThat(check(backends)).isEqualTo(ServerReach.UNKNOWN);
+            assertThat(check(backends)).isEqualTo(ServerReachability.UNKNOWN);
         }
     }
 }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/http/AnswerOrderTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/http/AnswerOrderTest.java
@@ -60,15 +60,15 @@
         EntryFixture fixture = new EntryFixture();
         List<String> gone = new ArrayList<>();
         fixture.send(get("/0") + get("/1"));
-        fixture.mResponders.get(0).onClientGone(() -> gone.add("0a"));
-        fixture.mResponders.get(0).onClientGone(() -> gone.add("0b"));
-        fixture.mResponders.get(1).onClientGone(() -> gone.add("1"));
+        fixture.mResponders.get(0).onClientDisconnected(() -> gone.add("0a"));
+        fixture.mResponders.get(0).onClientDisconnected(() -> gone.add("0b"));
+        fixture.mResponders.get(1).onClientDisconnected(() -> gone.add("1"));
 
         fixture.mChannel.close();
 
         assertThat(gone).containsExactly("0a", "0b", "1");
-        assertThat(fixture.mResponders.get(0).isClientGone()).isTrue();
-        fixture.mResponders.get(1).onClientGone(() -> gone.add("late"));
+        assertThat(fixture.mResponders.get(0).isClientDisconnected()).isTrue();
+        fixture.mResponders.get(1).onClientDisconnected(() -> gone.add("late"));
         assertThat(gone).endsWith("late");
         fixture.answer(0, 200, "too late");
         assertThat(fixture.mConnections.budget().used()).isZero();
@@ -81,7 +81,7 @@
         EntryFixture fixture = new EntryFixture();
         List<String> gone = new ArrayList<>();
         fixture.send(get("/0") + get("/1") + get("/2"));
-        fixture.mResponders.get(2).onClientGone(() -> gone.add("2"));
+        fixture.mResponders.get(2).onClientDisconnected(() -> gone.add("2"));
         fixture.answer(2, 200, "two");
         fixture.mResponders.get(1).abort();
         assertThat(fixture.mChannel.isOpen()).isTrue();
--- a/masticpond-entry/src/test/java/io/masticpond/entry/http/HttpEntryServerTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/http/HttpEntryServerTest.java
@@ -53,7 +53,7 @@
 
     private void handle(IncomingRequest request, Responder responder) {
         request.body().release();
-        responder.onClientGone(mGone::countDown);
+        responder.onClientDisconnected(mGone::countDown);
         mResponders.add(responder);
     }
 
--- a/masticpond-entry/src/test/java/io/masticpond/entry/log/RequestLineTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/log/RequestLineTest.java
@@ -153,7 +153,7 @@
         RequestRecord retried = retried();
         retried.answered(200, 0);
         RequestRecord gone = new RequestRecord("r1", 0);
-        gone.clientGone(0);
+        gone.clientDisconnected(0);
         assertThat(answered("r1").isPlain()).isTrue();
         assertThat(failed.isPlain()).isFalse();
         assertThat(retried.isPlain()).isFalse();
--- a/masticpond-entry/src/test/java/io/masticpond/entry/replica/FakeStore.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/replica/FakeStore.java
@@ -48,7 +48,7 @@
     }
 
     /** Comes back from the copy in a new era; all waits are cut, or left dead. */
-    void comeBack(boolean cuts) {
+    void restoreCopy(boolean cuts) {
         mEra++;
         mRevision = mCopyRevision;
         mDocuments.clear();
--- a/masticpond-entry/src/test/java/io/masticpond/entry/replica/StoreReturnTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/replica/StoreRestoreTrackerTest.java
@@ -18,7 +18,7 @@
 import net.jqwik.api.lifecycle.BeforeTry;
 
 /** Guards against changes that are missed or taken back when the store comes from an older copy. */
-class StoreReturnTest {
+class StoreRestoreTrackerTest {
 
     /** Within this all writers have written again. */
     private static final long WRITTEN_AGAIN_MILLIS = 1_500;
@@ -50,7 +50,7 @@
         mStore.routing(5);
         mFixture.pass(500);
         for (boolean cuts : List.of(true, false)) {
-            mStore.comeBack(cuts);
+            mStore.restoreCopy(cuts);
             mFixture.pass(3_000);
             assertThat(instance.version()).as("is not taken back").isEqualTo(cuts ? 5 : 6);
             mStore.routing(cuts ? 6 : 7);
@@ -71,7 +71,7 @@
         evacuate("lost");
         mStore.server("new", "ready");
         mFixture.pass(500);
-        mStore.comeBack(true);
+        mStore.restoreCopy(true);
         mFixture.pass(1_000);
         assertThat(evacuated(instance)).containsExactly("lost");
         assertThat(instance.servers()).contains("new").doesNotContain("left");
@@ -94,7 +94,7 @@
         mStore.delete(Category.BACKEND_SERVERS, "left");
         mStore.server("new", "ready");
         mFixture.pass(500);
-        mStore.comeBack(true);
+        mStore.restoreCopy(true);
         mFixture.pass(4_000);
         assertThat(evacuated(instance)).as("nobody ended it again").containsExactly("ended");
         assertThat(instance.servers())
@@ -112,7 +112,7 @@
         mFixture.pass(500);
         mStore.delete(Category.EVACUATIONS, "again");
         mFixture.pass(500);
-        mStore.comeBack(true);
+        mStore.restoreCopy(true);
         mFixture.pass(1_000);
         evacuate("again");
         mFixture.pass(300);
@@ -131,7 +131,7 @@
         mFixture.pass(500);
         cut.mFeed.fault(FakeStore.Fault.SILENT);
         mFixture.pass(2_000);
-        mStore.comeBack(true);
+        mStore.restoreCopy(true);
         mStore.routing(6);
         mFixture.pass(6_000);
         assertThat(other.version()).isEqualTo(6);
@@ -150,7 +150,7 @@
         mStore.keepCopy();
         mStore.routing(5);
         mFixture.pass(1_000);
-        mStore.comeBack(true);
+        mStore.restoreCopy(true);
         mFixture.pass(500);
         Instance started = mFixture.startSharing(1, 2).get(0);
         mFixture.pass(800);
@@ -166,7 +166,7 @@
         mStore.keepCopy();
         mStore.routing(5);
         mFixture.pass(500);
-        mStore.comeBack(true);
+        mStore.restoreCopy(true);
         mFixture.pass(300);
         proofs.clear();
         instance.mReplica.routingReader().read(isRead -> {});
@@ -186,7 +186,7 @@
         List<FreshnessProof> proofs = new ArrayList<>();
         started.mReplica.routingReader().whenProven(proofs::add);
         mFixture.pass(20);
-        started.mReplica.storeReturn().instancesListed(newestEraOfOthers);
+        started.mReplica.restoreTracker().instancesListed(newestEraOfOthers);
         if (millis > 0) {
             mFixture.pass(millis);
             started.mReplica.routingReader().read(isRead -> {});
@@ -197,23 +197,23 @@
 
     @Example
     void instanceThatStartsTakesNoReadForProofUntilWritersHaveWritten() {
-        mStore.comeBack(true);
+        mStore.restoreCopy(true);
         assertThat(proofsAtStart(0, 1_000)).as("others have settled before the return").isEmpty();
         assertThat(proofsAtStart(0, 3_000)).as("after its own time").isNotEmpty();
         assertThat(proofsAtStart(1, 0)).as("others have settled since").isNotEmpty();
-        assertThat(proofsAtStart(StoreReturn.UNTOLD, 0)).as("the first of all").isNotEmpty();
+        assertThat(proofsAtStart(StoreRestoreTracker.UNREPORTED, 0)).as("the first of all").isNotEmpty();
     }
 
     @Example
     void entryOfAnInstanceIsWrittenWhenItHasSettled() {
         Instance instance = mFixture.start(FakeStore.Fault.NONE, false);
         List<Long> eras = new ArrayList<>();
-        instance.mReplica.storeReturn().whenSettled((era, hadBefore) -> eras.add(era));
+        instance.mReplica.restoreTracker().addSettledListener((era, hadBefore) -> eras.add(era));
         mFixture.pass(20);
-        instance.mReplica.storeReturn().instancesListed(StoreReturn.UNTOLD);
+        instance.mReplica.restoreTracker().instancesListed(StoreRestoreTracker.UNREPORTED);
         assertThat(eras).containsExactly(0L);
         mStore.keepCopy();
-        mStore.comeBack(true);
+        mStore.restoreCopy(true);
         mFixture.pass(1_500);
         assertThat(eras).hasSize(1);
         mFixture.pass(3_000);
@@ -266,7 +266,7 @@
                 }
                 case KEEP_COPY -> mStore.keepCopy();
                 case RETURN, RETURN_SILENTLY -> {
-                    mStore.comeBack(step == Step.RETURN);
+                    mStore.restoreCopy(step == Step.RETURN);
                     mHasReturned = true;
                 }
                 case FORGET_HISTORY -> mStore.compact();
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/CrashingRequestFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/CrashingRequestFlowTest.java
@@ -8,7 +8,7 @@
 import io.masticpond.core.crash.RequestFingerprint;
 import io.masticpond.core.request.Verdict;
 import io.masticpond.entry.backend.CallFailure;
-import io.masticpond.entry.backend.ServerReach;
+import io.masticpond.entry.backend.ServerReachability;
 import io.masticpond.entry.http.IncomingRequest;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
@@ -43,7 +43,7 @@
     }
 
     /** The newest call is broken off; whether its server has ended is found out. */
-    private void breakOff(ServerReach reach) {
+    private void breakOff(ServerReachability reach) {
         mConnections.last().fail(Verdict.MAY_HAVE_RUN, CallFailure.Kind.BROKEN_OFF);
         passTime(CHECKED);
         mConnections.mChecks.forEach(check -> check.listener().accept(reach));
@@ -58,7 +58,7 @@
             ask(flow);
             for (int sent = before; sent < mConnections.mCalls.size(); sent++) {
                 passTime(Duration.ofMillis(10));
-                breakOff(ServerReach.REFUSED);
+                breakOff(ServerReachability.REFUSED);
             }
             passTime(BACK_AFTER);
         }
@@ -85,7 +85,7 @@
     void onceOnlyRequestIsSentOnceForEachAttemptAndNeverPromisedNotToHaveRun() {
         RequestFlow flow = flow(false, 2);
         ask(flow);
-        breakOff(ServerReach.REFUSED);
+        breakOff(ServerReachability.REFUSED);
         assertThat(mConnections.mCalls).hasSize(1);
         assertThat(mLast.status()).isEqualTo(502);
         crash(flow, 4);
@@ -105,7 +105,7 @@
 
     @Example
     void connectionsThatWereOnlyCutAreNoEnds() {
-        for (ServerReach reach : List.of(ServerReach.OPEN, ServerReach.UNKNOWN)) {
+        for (ServerReachability reach : List.of(ServerReachability.OPEN, ServerReachability.UNKNOWN)) {
             RequestFlow flow = flow(true, 2);
             for (int time = 0; time < 6; time++) {
                 ask(flow);
@@ -129,7 +129,7 @@
         long servers =
                 mConnections.mCalls.stream().map(call -> call.mServer.id()).distinct().count();
         assertThat(mConnections.mChecks).hasSize((int) servers);
-        mConnections.mChecks.forEach(check -> check.listener().accept(ServerReach.REFUSED));
+        mConnections.mChecks.forEach(check -> check.listener().accept(ServerReachability.REFUSED));
         assertThat(flow.crashes().ends()).isEqualTo(5);
     }
 
@@ -137,19 +137,19 @@
     void checkWithoutResultIsMadeOnceMore() {
         RequestFlow flow = flow(false, 1);
         ask(flow);
-        breakOff(ServerReach.UNKNOWN);
+        breakOff(ServerReachability.UNKNOWN);
         passTime(Duration.ofMillis(100));
         assertThat(mConnections.mChecks).hasSize(1);
-        mConnections.mChecks.remove(0).listener().accept(ServerReach.REFUSED);
+        mConnections.mChecks.remove(0).listener().accept(ServerReachability.REFUSED);
         assertThat(flow.crashes().ends()).isEqualTo(1);
         ask(flow);
-        breakOff(ServerReach.UNKNOWN);
-        breakOffChecks(ServerReach.UNKNOWN);
+        breakOff(ServerReachability.UNKNOWN);
+        breakOffChecks(ServerReachability.UNKNOWN);
         assertThat(mConnections.mChecks).isEmpty();
         assertThat(flow.crashes().ends()).isEqualTo(1);
     }
 
-    private void breakOffChecks(ServerReach reach) {
+    private void breakOffChecks(ServerReachability reach) {
         passTime(Duration.ofMillis(100));
         mConnections.mChecks.remove(0).listener().accept(reach);
         passTime(Duration.ofSeconds(1));
@@ -193,7 +193,7 @@
         crash(flow, 1);
         int sends = mConnections.mCalls.size();
         ask(flow);
-        breakOff(ServerReach.REFUSED);
+        breakOff(ServerReachability.REFUSED);
         assertThat(mConnections.mCalls).hasSize(sends + 1);
         assertThat(mLast.status()).isEqualTo(502);
     }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/FakeConnections.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/FakeConnections.java
@@ -8,7 +8,7 @@
 import io.masticpond.entry.backend.BackendConnections;
 import io.masticpond.entry.backend.BackendRequest;
 import io.masticpond.entry.backend.CallFailure;
-import io.masticpond.entry.backend.ServerReach;
+import io.masticpond.entry.backend.ServerReachability;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.HttpHeaders;
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public void check(RegisteredServer server, Consumer<ServerReach> listener) {
+    public void check(RegisteredServer server, Consumer<ServerReachability> listener) {
         mChecks.add(new Check(server, listener));
     }
 
@@ -53,7 +53,7 @@
     }
 
     /** One attempt to learn whether a server takes connections. */
-    record Check(RegisteredServer server, Consumer<ServerReach> listener) {}
+    record Check(RegisteredServer server, Consumer<ServerReachability> listener) {}
 
     /** One call. */
     static final class Call implements BackendCall {
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/FakeResponder.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/FakeResponder.java
@@ -20,12 +20,12 @@
     public void abort() {}
 
     @Override
-    public void onClientGone(Runnable action) {
+    public void onClientDisconnected(Runnable action) {
         mGone = action;
     }
 
     @Override
-    public boolean isClientGone() {
+    public boolean isClientDisconnected() {
         return false;
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/configuration/ConfigurationMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/configuration/ConfigurationMeasure.java
@@ -267,7 +267,7 @@
                                                 format(operator.accepted().size()),
                                                 format(operator.refused().size()),
                                                 format(operator.unsettled()),
-                                                format(operator.away())))
+                                                format(operator.unavailable())))
                         .toList());
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/configuration/RacingOperator.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/configuration/RacingOperator.java
@@ -67,7 +67,7 @@
         return mUnsettled;
     }
 
-    int away() {
+    int unavailable() {
         return mAway;
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/control/ControlCostMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/control/ControlCostMeasure.java
@@ -76,7 +76,7 @@
     }
 
     private ControlCost costAt(int peers, long seed) {
-        SilentStore store = new SilentStore();
+        ListOnlyStore store = new ListOnlyStore();
         List<ControlNode> nodes = new ArrayList<>();
         long heapBefore = usedHeap();
         try {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/control/SilentStore.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/control/ListOnlyStore.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /** A platform that answers with its list of instances and is away for all else. */
-final class SilentStore implements ObjectStore {
+final class ListOnlyStore implements ObjectStore {
 
     private volatile List<ListedInstance> mList = List.of();
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionMeasure.java
@@ -107,7 +107,7 @@
                 number(tally.share(DecisionTally.End.FAILED)),
                 number(tally.farShare()),
                 number(tally.farByteShare()),
-                String.valueOf(tally.turnedAwayCount()));
+                String.valueOf(tally.rejectedByServerCount()));
     }
 
     private static String words(Enum<?> constant) {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionTally.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionTally.java
@@ -76,11 +76,11 @@
         mFarBytes += far ? bytes : 0;
     }
 
-    void turnedAway() {
+    void rejectedByServer() {
         mTurnedAway++;
     }
 
-    long turnedAwayCount() {
+    long rejectedByServerCount() {
         return mTurnedAway;
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionWorld.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionWorld.java
@@ -151,15 +151,15 @@
     }
 
     void kill(double part) {
-        mShape.servers().forEach(s -> chosen(s.service(), part).forEach(ModelServer::die));
+        mShape.servers().forEach(s -> chosen(s.service(), part).forEach(ModelServer::terminate));
     }
 
     void kill(int shape, double part) {
-        chosen(mShape.servers().get(shape).service(), part).forEach(ModelServer::die);
+        chosen(mShape.servers().get(shape).service(), part).forEach(ModelServer::terminate);
     }
 
-    void forgetDead() {
-        mServers.values().removeIf(ModelServer::isDead);
+    void removeTerminated() {
+        mServers.values().removeIf(ModelServer::isTerminated);
         tellSnapshot();
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/LoadPattern.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/LoadPattern.java
@@ -46,7 +46,7 @@
         @Override
         void schedule(DecisionWorld world) {
             world.at(8, () -> world.kill(0.12));
-            world.at(11, world::forgetDead);
+            world.at(11, world::removeTerminated);
         }
     },
     /** What is left of a service is just too little for its requests. */
@@ -54,7 +54,7 @@
         @Override
         void schedule(DecisionWorld world) {
             world.at(8, () -> world.kill(0, 0.55));
-            world.at(11, world::forgetDead);
+            world.at(11, world::removeTerminated);
         }
     },
     /** All instances lose what they know, and all clients come back. */
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelRequest.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelRequest.java
@@ -183,8 +183,8 @@
                 return;
             }
             if (!answer.executed()) {
-                mWorld.tally().turnedAway();
-                mInstance.placer().turnedAway(load, Optional.of(answer.load()), now());
+                mWorld.tally().rejectedByServer();
+                mInstance.placer().rejectedByServer(load, Optional.of(answer.load()), now());
                 if (mSends < mRoute.maximumAttempts() && mInstance.mayRetry(service(), now())) {
                     place();
                 } else {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelServer.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelServer.java
@@ -69,11 +69,11 @@
     }
 
     /** Answers nothing any more. */
-    void die() {
+    void terminate() {
         mDead = true;
     }
 
-    boolean isDead() {
+    boolean isTerminated() {
         return mDead;
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/lookup/DeathCost.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/lookup/InstanceFailureCost.java
@@ -25,12 +25,12 @@
  * Counts what the death of one instance costs the callers, by which instance the look-up names
  * first: a spread one, or the admitter of the service in the client's region.
  */
-final class DeathCost {
+final class InstanceFailureCost {
 
     private static final int CLIENTS_PER_ZONE = 500;
     private static final int HOSTS = 250;
 
-    private DeathCost() {}
+    private InstanceFailureCost() {}
 
     static MeasureTable table() {
         List<List<String>> rows = new ArrayList<>();
--- a/masticpond-measure/src/main/java/io/masticpond/measure/lookup/LookupsMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/lookup/LookupsMeasure.java
@@ -60,7 +60,7 @@
         HttpLookups.Result http = new HttpLookups().run();
         report.figure("httpLookupsPerSecond", http.perSecond());
         report.figure("httpServerMicrosPerLookup", http.serverMicros());
-        report.table(DeathCost.table());
+        report.table(InstanceFailureCost.table());
         return report;
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/AdmitterHost.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/AdmitterHost.java
@@ -72,7 +72,7 @@
     }
 
     /** Dies with its instance; servers go on with what they have. */
-    void die() {
+    void terminate() {
         mAlive = false;
         List<HeldRequest> held = new ArrayList<>(mRequests.values());
         mRequests.clear();
@@ -123,7 +123,7 @@
                                 switch (end) {
                                     case DONE -> AttemptOutcome.ANSWERED;
                                     case TOO_LATE -> AttemptOutcome.TIMED_OUT;
-                                    case DIED -> AttemptOutcome.BROKEN;
+                                    case SERVER_TERMINATED -> AttemptOutcome.BROKEN;
                                 }));
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/FakeInstance.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/FakeInstance.java
@@ -106,9 +106,9 @@
         mFlows.remove(flow);
     }
 
-    void die() {
+    void terminate() {
         mAlive = false;
-        mHosts.values().forEach(AdmitterHost::die);
+        mHosts.values().forEach(AdmitterHost::terminate);
         new ArrayList<>(mFlows).forEach(flow -> flow.end(Outcome.BROKEN));
     }
 
@@ -131,7 +131,7 @@
         for (ServiceId service : mWorld.services()) {
             Set<RegionId> reachable = mDirectory.reachableRegions(service);
             for (RegionSpecification region : mConfiguration.content().regions()) {
-                mSelector.reachable(service, region.id(), reachable.contains(region.id()));
+                mSelector.setReachable(service, region.id(), reachable.contains(region.id()));
             }
         }
         mDecider =
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/FakeServer.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/FakeServer.java
@@ -84,12 +84,12 @@
                 });
     }
 
-    void die() {
+    void terminate() {
         mAlive = false;
         List<Work> broken = new ArrayList<>(mWork);
         mWork.clear();
         mServed.clear();
-        broken.forEach(work -> work.mEnd.ended(WorkEnd.DIED));
+        broken.forEach(work -> work.mEnd.ended(WorkEnd.SERVER_TERMINATED));
     }
 
     void startCold() {
@@ -100,7 +100,7 @@
     enum WorkEnd {
         DONE,
         TOO_LATE,
-        DIED
+        SERVER_TERMINATED
     }
 
     /** Takes the end of work. */
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/Network.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/Network.java
@@ -13,7 +13,7 @@
 final class Network {
 
     /** How long silence lasts until a cut is noticed. */
-    static final Duration CUT_NOTICED = Duration.ofSeconds(2);
+    static final Duration PARTITION_DETECTION_DELAY = Duration.ofSeconds(2);
 
     private static final Duration WITHIN_ZONE = Duration.ofNanos(100_000);
 
@@ -75,6 +75,6 @@
     }
 
     private long noticedNanos() {
-        return mCutNanos + CUT_NOTICED.toNanos();
+        return mCutNanos + PARTITION_DETECTION_DELAY.toNanos();
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/RegionFailoverMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/RegionFailoverMeasure.java
@@ -59,7 +59,7 @@
             double brokenShare,
             double unavoidableShare,
             long secondsToSteady,
-            long secondsToCalm,
+            long secondsToStable,
             MeasurePlot.Series answered) {
 
         List<String> row() {
@@ -72,7 +72,7 @@
                     String.format(Locale.ROOT, "%.4f", brokenShare),
                     String.format(Locale.ROOT, "%.4f", unavoidableShare),
                     Long.toString(secondsToSteady),
-                    Long.toString(secondsToCalm));
+                    Long.toString(secondsToStable));
         }
     }
 
@@ -224,7 +224,7 @@
                 MeasureTarget.atMost(10));
         report.figure(
                 "secondsToSteadyEachSecond",
-                ours.stream().mapToLong(Run::secondsToCalm).max().orElse(0));
+                ours.stream().mapToLong(Run::secondsToStable).max().orElse(0));
         return report;
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/RegionWorld.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/RegionWorld.java
@@ -165,9 +165,9 @@
     }
 
     void killInstance(InstanceId id) {
-        mInstances.get(id).die();
-        mSightings.died(id);
-        mEvents.after(Sightings.DEATH_NOTICED.toNanos(), this::lookAround);
+        mInstances.get(id).terminate();
+        mSightings.terminated(id);
+        mEvents.after(Sightings.TERMINATION_DETECTION_DELAY.toNanos(), this::lookAround);
     }
 
     void startInstance(InstanceId id) {
@@ -175,11 +175,11 @@
         mInstances.put(id, new FakeInstance(this, member, mConfiguration));
         mSightings.started(id, mEvents.nanos());
         lookAround();
-        mEvents.after(Sightings.START_NOTICED.toNanos(), this::lookAround);
+        mEvents.after(Sightings.START_DETECTION_DELAY.toNanos(), this::lookAround);
     }
 
     void killRegion(RegionId region) {
-        servers(zone -> regionOf(zone).equals(region)).forEach(FakeServer::die);
+        servers(zone -> regionOf(zone).equals(region)).forEach(FakeServer::terminate);
         instancesIn(region).forEach(this::killInstance);
     }
 
@@ -201,12 +201,12 @@
     void cutOff(ZoneId zone) {
         mNetwork.cutOff(zone);
         mSightings.cut(mEvents.nanos());
-        mEvents.after(Network.CUT_NOTICED.toNanos(), this::lookAround);
+        mEvents.after(Network.PARTITION_DETECTION_DELAY.toNanos(), this::lookAround);
     }
 
     void heal() {
         mNetwork.heal();
-        mEvents.after(Sightings.START_NOTICED.toNanos(), this::lookAround);
+        mEvents.after(Sightings.START_DETECTION_DELAY.toNanos(), this::lookAround);
     }
 
     /** Gives every instance the members as it sees them now. */
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/Sightings.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/Sightings.java
@@ -17,10 +17,10 @@
 final class Sightings {
 
     /** How long until a broken connection shows that a process died. */
-    static final Duration DEATH_NOTICED = Duration.ofMillis(300);
+    static final Duration TERMINATION_DETECTION_DELAY = Duration.ofMillis(300);
 
     /** How long until the heartbeat of an instance that started or came back is heard. */
-    static final Duration START_NOTICED = Duration.ofSeconds(1);
+    static final Duration START_DETECTION_DELAY = Duration.ofSeconds(1);
 
     private final Network mNetwork;
     private final Configuration mConfiguration;
@@ -33,7 +33,7 @@
         mConfiguration = configuration;
     }
 
-    void died(InstanceId id) {
+    void terminated(InstanceId id) {
         mDead.add(id);
     }
 
@@ -53,7 +53,7 @@
         for (Member member : members) {
             boolean cut =
                     mNetwork.isCut(self.zone(), member.zone())
-                            && nowNanos - mCutNanos >= Network.CUT_NOTICED.toNanos();
+                            && nowNanos - mCutNanos >= Network.PARTITION_DETECTION_DELAY.toNanos();
             if (cut) {
                 missing.add(member.id());
             }
@@ -70,7 +70,7 @@
         Long started = mStarted.get(member.id());
         return started == null
                 || member.id().equals(self.id())
-                || nowNanos - started >= START_NOTICED.toNanos();
+                || nowNanos - started >= START_DETECTION_DELAY.toNanos();
     }
 
     private static Member dead(Member member) {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/spending/CutOffRun.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/spending/CutOffRun.java
@@ -50,7 +50,7 @@
         return mSecondsSum / mEnded;
     }
 
-    double leastSeconds() {
+    double minimumSeconds() {
         return mLeastSeconds;
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/spending/FakeLedgerPlatform.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/spending/FakeLedgerPlatform.java
@@ -43,7 +43,7 @@
         mLostShare = lostShare;
     }
 
-    void away(boolean away) {
+    void setUnavailable(boolean away) {
         mAway = away;
     }
 
@@ -116,7 +116,7 @@
 
     private boolean refuses(Consumer<LedgerAnswer> answer) {
         if (mAway) {
-            mEvents.after(REFUSED_NANOS, () -> answer.accept(new LedgerAnswer.Away()));
+            mEvents.after(REFUSED_NANOS, () -> answer.accept(new LedgerAnswer.Unavailable()));
         }
         return mAway;
     }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/spending/SpendingCapMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/spending/SpendingCapMeasure.java
@@ -174,13 +174,13 @@
             rows.add(
                     List.of(
                             Integer.toString(cover),
-                            number(run.leastSeconds()),
+                            number(run.minimumSeconds()),
                             number(run.meanSeconds()),
                             number(PERCENT * run.strandedShare()),
                             number(run.writesPerSecond())));
             if (cover == AllotmentPolicy.DEFAULT.cover().toSeconds()) {
                 report.figure("cutOffSeconds", run.meanSeconds());
-                report.figure("cutOffSecondsLeast", run.leastSeconds());
+                report.figure("cutOffSecondsLeast", run.minimumSeconds());
             }
         }
         report.table(
--- a/masticpond-measure/src/main/java/io/masticpond/measure/spending/SpendingNode.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/spending/SpendingNode.java
@@ -69,7 +69,7 @@
         return !mDead && !mPaused;
     }
 
-    void die() {
+    void terminate() {
         mDead = true;
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/spending/SpendingSimulation.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/spending/SpendingSimulation.java
@@ -204,8 +204,8 @@
     }
 
     private void scheduleOutage(long from, long length) {
-        mEvents.schedule(from, () -> mPlatform.away(true));
-        mEvents.schedule(from + length, () -> mPlatform.away(false));
+        mEvents.schedule(from, () -> mPlatform.setUnavailable(true));
+        mEvents.schedule(from + length, () -> mPlatform.setUnavailable(false));
     }
 
     private void advance(int index, long period) {
@@ -256,7 +256,7 @@
         int index = mRandom.nextInt(mNodes.size());
         SpendingNode node = mNodes.get(index);
         mStranded += node.availableMicros(FIRST);
-        node.die();
+        node.terminate();
         mEvents.after(RESTART.toNanos(), () -> mNodes.set(index, start(index)));
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/FaultyForwardPolicy.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/FaultyForwardPolicy.java
@@ -69,7 +69,7 @@
     }
 
     private void enter(int request, int entry) {
-        if (mProcesses.get(entry).isDead()) {
+        if (mProcesses.get(entry).isTerminated()) {
             int next = (entry + 1) % TailPlaces.INSTANCES;
             mEvents.after(TailPlaces.FAR_NANOS, () -> send(request, next));
             return;
@@ -137,7 +137,7 @@
             if (each.getValue().admitter() != before) {
                 continue;
             }
-            if (mProcesses.get(entry).isDead()) {
+            if (mProcesses.get(entry).isTerminated()) {
                 mPending.remove(each.getKey());
                 send(each.getKey(), (entry + 1) % TailPlaces.INSTANCES);
             } else if (entry != before) {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/ReportBoard.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/ReportBoard.java
@@ -10,7 +10,7 @@
 final class ReportBoard {
 
     /** How old a report may be when it is used. */
-    static final Duration GREATEST_AGE = Duration.ofMillis(600);
+    static final Duration MAXIMUM_AGE = Duration.ofMillis(600);
 
     private static final long LAG_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
     private static final long INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailProcess.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailProcess.java
@@ -42,7 +42,7 @@
         }
     }
 
-    boolean isDead() {
+    boolean isTerminated() {
         return mDead;
     }
 }
--- a/masticpond-measure/src/test/java/io/masticpond/measure/decision/LoadPatternTest.java
+++ b/masticpond-measure/src/test/java/io/masticpond/measure/decision/LoadPatternTest.java
@@ -15,7 +15,7 @@
         DecisionTally one = play(LoadPattern.SERVERS_SLOW, DecisionVariant.AS_IT_IS, 3);
         DecisionTally other = play(LoadPattern.SERVERS_SLOW, DecisionVariant.AS_IT_IS, 3);
         assertThat(one.worth()).isEqualTo(other.worth()).isBetween(0.5, 1.0);
-        assertThat(one.turnedAwayCount()).isEqualTo(other.turnedAwayCount());
+        assertThat(one.rejectedByServerCount()).isEqualTo(other.rejectedByServerCount());
     }
 
     /**
@@ -31,7 +31,7 @@
     @Example
     void serversThatShedAloneAreAvoided() {
         DecisionTally tally = play(LoadPattern.SERVERS_SHED, DecisionVariant.AS_IT_IS, 1);
-        assertThat(tally.turnedAwayCount()).isLessThan(390);
+        assertThat(tally.rejectedByServerCount()).isLessThan(390);
     }
 
     /** A third of all bytes when distance weighed the same for all answers, now 0.04. */
