--- a/masticpond-core/src/main/java/io/masticpond/core/limit/CallOutlierDetector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/CallOutlierDetector.java
@@ -50,7 +50,7 @@
      * @param nowNanos the monotonic time
      */
     public void sent(ServiceId service, BackendServerId server, long nowNanos) {
-        tally(service, server, nowNanos).sent(nowNanos);
+        statistics(service, server, nowNanos).sent(nowNanos);
     }
 
     /**
@@ -63,7 +63,7 @@
      */
     public void succeeded(
             ServiceId service, BackendServerId server, long latencyNanos, long nowNanos) {
-        tally(service, server, nowNanos).succeeded(latencyNanos, nowNanos);
+        statistics(service, server, nowNanos).succeeded(latencyNanos, nowNanos);
     }
 
     /**
@@ -75,7 +75,7 @@
      * @param nowNanos the monotonic time
      */
     public void failed(ServiceId service, BackendServerId server, long nowNanos) {
-        tally(service, server, nowNanos).failed(nowNanos);
+        statistics(service, server, nowNanos).failed(nowNanos);
     }
 
     /**
@@ -89,7 +89,7 @@
      */
     public double penalty(ServiceId service, BackendServerId server, long nowNanos) {
         Peers peers = mServices.get(service);
-        CallTally tally = peers == null ? null : peers.mTallies.get(server);
+        CallStatistics tally = peers == null ? null : peers.mTallies.get(server);
         if (tally == null) {
             return 0;
         }
@@ -135,7 +135,7 @@
             ServiceId service, BackendServerId server, long nowNanos) {
         double penalty = penalty(service, server, nowNanos);
         Peers peers = mServices.get(service);
-        CallTally tally = peers == null ? null : peers.mTallies.get(server);
+        CallStatistics tally = peers == null ? null : peers.mTallies.get(server);
         if (tally == null) {
             return Optional.empty();
         }
@@ -144,36 +144,36 @@
                 new ServerEvaluation(penalty, tally.calls(), tally.failureShare(), (long) mean));
     }
 
-    private CallTally tally(ServiceId service, BackendServerId server, long nowNanos) {
+    private CallStatistics statistics(ServiceId service, BackendServerId server, long nowNanos) {
         return mServices
                 .computeIfAbsent(service, ignored -> new Peers(nowNanos - VERDICT_NANOS))
                 .mTallies
                 .computeIfAbsent(
-                        server, ignored -> new CallTally(mSettings.halfLife().toNanos(), nowNanos));
+                        server, ignored -> new CallStatistics(mSettings.halfLife().toNanos(), nowNanos));
     }
 
     private void evaluate(Peers peers, long nowNanos) {
         peers.mJudgedNanos = nowNanos;
-        Collection<CallTally> tallies = peers.mTallies.values();
+        Collection<CallStatistics> tallies = peers.mTallies.values();
         tallies.forEach(each -> each.decay(nowNanos));
-        PeerMedians failures = new PeerMedians(tallies, CallTally::calls, CallTally::failureShare);
-        PeerMedians means = new PeerMedians(tallies, CallTally::successes, CallTally::meanNanos);
+        PeerMedians failures = new PeerMedians(tallies, CallStatistics::calls, CallStatistics::failureShare);
+        PeerMedians means = new PeerMedians(tallies, CallStatistics::successes, CallStatistics::meanNanos);
         tallies.forEach(each -> each.setPenalty(penaltyOf(each, failures, means)));
-        List<CallTally> worstFirst =
+        List<CallStatistics> worstFirst =
                 tallies.stream()
                         .filter(each -> each.penalty() > 0)
-                        .sorted(Comparator.comparingDouble(CallTally::penalty).reversed())
+                        .sorted(Comparator.comparingDouble(CallStatistics::penalty).reversed())
                         .toList();
         worstFirst.stream().skip(tallies.size() / 2).forEach(each -> each.setPenalty(0));
     }
 
-    private double penaltyOf(CallTally tally, PeerMedians failures, PeerMedians means) {
+    private double penaltyOf(CallStatistics tally, PeerMedians failures, PeerMedians means) {
         double failure = failurePenalty(tally, failures) * confidence(tally.calls());
         double slowness = slownessPenalty(tally, means) * confidence(tally.successes());
         return Math.max(failure, slowness);
     }
 
-    private double failurePenalty(CallTally tally, PeerMedians failures) {
+    private double failurePenalty(CallStatistics tally, PeerMedians failures) {
         if (tally.failureShare() <= mSettings.failureFrom()) {
             return 0;
         }
@@ -182,7 +182,7 @@
         return part(above, mSettings.failureFrom(), mSettings.failureFull());
     }
 
-    private double slownessPenalty(CallTally tally, PeerMedians means) {
+    private double slownessPenalty(CallStatistics tally, PeerMedians means) {
         if (confidence(tally.successes()) < LEAST_BELIEF) {
             return 0;
         }
@@ -205,7 +205,7 @@
     /** The servers of one service. */
     private static final class Peers {
 
-        private final Map<BackendServerId, CallTally> mTallies = new HashMap<>();
+        private final Map<BackendServerId, CallStatistics> mTallies = new HashMap<>();
         private long mJudgedNanos;
 
         Peers(long judgedNanos) {
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/CallTally.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/CallStatistics.java
@@ -1,7 +1,7 @@
 package io.masticpond.core.limit;
 
 /** Counts the calls of one backend server, with older ones counting less and less. */
-final class CallTally {
+final class CallStatistics {
 
     /** Makes a single failure count less when there are few calls. */
     private static final double PRIOR_CALLS = 1;
@@ -20,7 +20,7 @@
      * @param halfLifeNanos after which time a call counts half
      * @param nowNanos the monotonic time
      */
-    CallTally(long halfLifeNanos, long nowNanos) {
+    CallStatistics(long halfLifeNanos, long nowNanos) {
         mHalfLifeNanos = halfLifeNanos;
         mNowNanos = nowNanos;
         mLastSentNanos = nowNanos;
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/PeerMedians.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/PeerMedians.java
@@ -9,8 +9,8 @@
 
     private static final double FEWEST_CALLS = 1;
 
-    private final ToDoubleFunction<CallTally> mCalls;
-    private final ToDoubleFunction<CallTally> mValue;
+    private final ToDoubleFunction<CallStatistics> mCalls;
+    private final ToDoubleFunction<CallStatistics> mValue;
     private final double[] mSorted;
 
     /**
@@ -21,14 +21,14 @@
      * @param value gives the figure
      */
     PeerMedians(
-            Collection<CallTally> all,
-            ToDoubleFunction<CallTally> calls,
-            ToDoubleFunction<CallTally> value) {
+            Collection<CallStatistics> all,
+            ToDoubleFunction<CallStatistics> calls,
+            ToDoubleFunction<CallStatistics> value) {
         mCalls = calls;
         mValue = value;
         double[] values = new double[all.size()];
         int count = 0;
-        for (CallTally each : all) {
+        for (CallStatistics each : all) {
             if (isCounted(each)) {
                 values[count++] = value.applyAsDouble(each);
             }
@@ -38,7 +38,7 @@
     }
 
     /** Gives the lower median of all but one, or not a number without any. */
-    double without(CallTally tally) {
+    double without(CallStatistics tally) {
         boolean isCounted = isCounted(tally);
         int others = mSorted.length - (isCounted ? 1 : 0);
         if (others == 0) {
@@ -50,7 +50,7 @@
         return mSorted[isBelow ? middle + 1 : middle];
     }
 
-    private boolean isCounted(CallTally tally) {
+    private boolean isCounted(CallStatistics tally) {
         return mCalls.applyAsDouble(tally) >= FEWEST_CALLS;
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/RateTotals.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/RateTotals.java
@@ -29,7 +29,7 @@
      * @param uses the use by the hash of the workspace
      * @param instances how many instances
      */
-    public record Sum(Map<Integer, RateUse> uses, int instances) {}
+    public record Sum(Map<Integer, RateUsage> uses, int instances) {}
 
     private record ReceivedSum(Sum sum, long nanos) {}
 
@@ -60,7 +60,7 @@
      * @param uses its use by the hash of the workspace
      * @param nowNanos the monotonic time
      */
-    public void received(InstanceId instance, int part, Map<Integer, RateUse> uses, long nowNanos) {
+    public void received(InstanceId instance, int part, Map<Integer, RateUsage> uses, long nowNanos) {
         mInstances.put(new Part<>(instance, part), new ReceivedSum(new Sum(uses, 1), nowNanos));
     }
 
@@ -102,7 +102,7 @@
         if (own == null) {
             return all;
         }
-        Map<Integer, RateUse> uses = new HashMap<>(all.uses());
+        Map<Integer, RateUsage> uses = new HashMap<>(all.uses());
         own.sum()
                 .uses()
                 .forEach((hash, use) -> uses.computeIfPresent(hash, (same, sum) -> sum.minus(use)));
@@ -137,7 +137,7 @@
     /** Adds up sums, and counts the instances of those that tell of one part. */
     private static final class Adder {
 
-        private final Map<Integer, RateUse> mUses = new HashMap<>();
+        private final Map<Integer, RateUsage> mUses = new HashMap<>();
         private final int mPart;
         private int mInstances;
 
@@ -146,7 +146,7 @@
         }
 
         void add(int part, Sum sum) {
-            sum.uses().forEach((hash, use) -> mUses.merge(hash, use, RateUse::plus));
+            sum.uses().forEach((hash, use) -> mUses.merge(hash, use, RateUsage::plus));
             mInstances += part == mPart ? sum.instances() : 0;
         }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/RateUse.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/RateUsage.java
@@ -9,13 +9,13 @@
  * @param demand the requests that came to them in the last second
  * @since 0.2
  */
-public record RateUse(double used, double demand) {
+public record RateUsage(double used, double demand) {
 
     /** Nothing comes and nothing is sent. */
-    public static final RateUse NONE = new RateUse(0, 0);
+    public static final RateUsage NONE = new RateUsage(0, 0);
 
     /** Checks that both are numbers from 0. */
-    public RateUse {
+    public RateUsage {
         Assert.isTrue(used >= 0 && demand >= 0, "The use of a rate must not be negative.");
     }
 
@@ -25,13 +25,13 @@
      * @param other theirs
      * @return the sum
      */
-    public RateUse plus(RateUse other) {
-        return new RateUse(used + other.used, demand + other.demand);
+    public RateUsage plus(RateUsage other) {
+        return new RateUsage(used + other.used, demand + other.demand);
     }
 
     /** Takes a part away from this sum. */
-    RateUse minus(RateUse part) {
-        return new RateUse(Math.max(0, used - part.used), Math.max(0, demand - part.demand));
+    RateUsage minus(RateUsage part) {
+        return new RateUsage(Math.max(0, used - part.used), Math.max(0, demand - part.demand));
     }
 
     boolean isNone() {
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/RetryBudgetUse.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/RetryBudgetUsage.java
@@ -10,4 +10,4 @@
  *     sends that have not quite left the window bind
  * @since 0.2
  */
-public record RetryBudgetUse(int requests, int used, double bound, double left) {}
+public record RetryBudgetUsage(int requests, int used, double bound, double left) {}
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRate.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRate.java
@@ -75,7 +75,7 @@
     private double mTokens;
     private long mUpdatedNanos;
     private long mHeardNanos;
-    private RateUse mOthers = RateUse.NONE;
+    private RateUsage mOthers = RateUsage.NONE;
     private int mHeardOf;
     private int mMostHeardOf;
     private double mReported;
@@ -83,8 +83,8 @@
     private double mUsual;
     private double mOwn = LEAST_DEMAND;
     private int mInstances;
-    private final RecentCount mUsed;
-    private final RecentCount mAsked;
+    private final SlidingWindowCounter mUsed;
+    private final SlidingWindowCounter mAsked;
 
     /**
      * Starts with what may be given out at once; this instance takes no more of it than its part
@@ -100,8 +100,8 @@
         mSettings = settings;
         mInstances = Math.max(1, instances);
         mUpdatedNanos = nowNanos;
-        mUsed = new RecentCount(USED_STEPS, nowNanos);
-        mAsked = new RecentCount(ASKED_STEPS, nowNanos);
+        mUsed = new SlidingWindowCounter(USED_STEPS, nowNanos);
+        mAsked = new SlidingWindowCounter(ASKED_STEPS, nowNanos);
         mCredit = BURST_PART * most() + FIRST_SLACK_PART * mSettings.slack();
         mTokens = 1;
     }
@@ -138,7 +138,7 @@
      * @param heardOf how many of them are in that sum
      * @param nowNanos the monotonic time
      */
-    public void received(RateUse others, int heardOf, long nowNanos) {
+    public void received(RateUsage others, int heardOf, long nowNanos) {
         boolean isIdle = others.isNone() && mOthers.isNone() && mHeardOf == heardOf;
         if (!isIdle) {
             update(nowNanos);
@@ -156,8 +156,8 @@
      * @param nowNanos the monotonic time
      * @return its use
      */
-    public RateUse report(long nowNanos) {
-        RateUse own = new RateUse(mUsed.perSecond(nowNanos), mAsked.perSecond(nowNanos));
+    public RateUsage report(long nowNanos) {
+        RateUsage own = new RateUsage(mUsed.perSecond(nowNanos), mAsked.perSecond(nowNanos));
         mReportedBefore = mReported;
         mReported = own.demand();
         mUsual += NEWEST_WEIGHT * (mReported - mUsual);
@@ -240,7 +240,7 @@
         mUpdatedNanos = nowNanos;
         double age = (nowNanos - mHeardNanos) / NANOS;
         if (age > NEWS_SECONDS) {
-            mOthers = RateUse.NONE;
+            mOthers = RateUsage.NONE;
             mHeardOf = 0;
         }
         boolean isLate = mHeardOf > 0 && age > LATE_SECONDS;
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRates.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRates.java
@@ -94,12 +94,12 @@
      * @param nowNanos the monotonic time
      */
     public void received(
-            Map<Integer, RateUse> others, IntPredicate covered, int heardOf, long nowNanos) {
+            Map<Integer, RateUsage> others, IntPredicate covered, int heardOf, long nowNanos) {
         mRates.forEach(
                 (id, rate) -> {
                     int hash = hash(id);
                     if (covered.test(hash)) {
-                        rate.received(others.getOrDefault(hash, RateUse.NONE), heardOf, nowNanos);
+                        rate.received(others.getOrDefault(hash, RateUsage.NONE), heardOf, nowNanos);
                     }
                 });
     }
@@ -119,11 +119,11 @@
      * @param nowNanos the monotonic time
      * @return its use by the hash of the workspace, of those that are in use
      */
-    public Map<Integer, RateUse> report(long nowNanos) {
-        Map<Integer, RateUse> uses = new HashMap<>();
+    public Map<Integer, RateUsage> report(long nowNanos) {
+        Map<Integer, RateUsage> uses = new HashMap<>();
         mRates.forEach(
                 (id, rate) -> {
-                    RateUse use = rate.report(nowNanos);
+                    RateUsage use = rate.report(nowNanos);
                     if (!use.isNone()) {
                         uses.put(hash(id), use);
                     }
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRetryBudget.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRetryBudget.java
@@ -114,7 +114,7 @@
      * @param shareholders how many instances may be sending now, this one included
      * @return the figures of the window that ends now
      */
-    public RetryBudgetUse use(long nowNanos, int shareholders) {
+    public RetryBudgetUsage usage(long nowNanos, int shareholders) {
         double left = left(nowNanos, shareholders);
         int first = 0;
         int extra = 0;
@@ -124,7 +124,7 @@
         }
         double slack = mSettings.slack() * slackPart(nowNanos) / mShareholders;
         double bound = mSettings.safety() * (slack + mSettings.ratio() * first);
-        return new RetryBudgetUse(first, extra, bound, left);
+        return new RetryBudgetUsage(first, extra, bound, left);
     }
 
     /**
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/RecentCount.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/SlidingWindowCounter.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Counts what happened lately, in steps of a tenth of a second. For one thread. */
-final class RecentCount {
+final class SlidingWindowCounter {
 
     private static final int STEPS_PER_SECOND = 10;
     private static final long STEP_NANOS = TimeUnit.SECONDS.toNanos(1) / STEPS_PER_SECOND;
@@ -13,7 +13,7 @@
     private int mSum;
 
     /** Counts over so many steps, the one that runs included. */
-    RecentCount(int steps, long nowNanos) {
+    SlidingWindowCounter(int steps, long nowNanos) {
         mCounts = new int[steps];
         mStep = nowNanos / STEP_NANOS;
     }
--- a/masticpond-core/src/test/java/io/masticpond/core/limit/PeerMediansTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/limit/PeerMediansTest.java
@@ -18,25 +18,25 @@
     @Property(seed = "12", tries = 300)
     void eachIsTheMedianOfTheOthers(@ForAll @IntRange(min = 1, max = 40) int size) {
         Random random = new Random(size);
-        List<CallTally> all = new ArrayList<>();
+        List<CallStatistics> all = new ArrayList<>();
         for (int server = 0; server < size; server++) {
-            CallTally tally = new CallTally(SECOND, 0);
+            CallStatistics tally = new CallStatistics(SECOND, 0);
             for (int call = random.nextInt(3); call > 0; call--) {
                 tally.succeeded((1 + random.nextInt(3)) * SECOND, 0);
             }
             all.add(tally);
         }
-        PeerMedians medians = new PeerMedians(all, CallTally::successes, CallTally::meanNanos);
-        for (CallTally tally : all) {
+        PeerMedians medians = new PeerMedians(all, CallStatistics::successes, CallStatistics::meanNanos);
+        for (CallStatistics tally : all) {
             assertThat(Double.valueOf(medians.without(tally))).isEqualTo(sorted(tally, all));
         }
     }
 
-    private static Double sorted(CallTally tally, List<CallTally> all) {
+    private static Double sorted(CallStatistics tally, List<CallStatistics> all) {
         double[] others =
                 all.stream()
                         .filter(each -> each != tally && each.successes() >= 1)
-                        .mapToDouble(CallTally::meanNanos)
+                        .mapToDouble(CallStatistics::meanNanos)
                         .toArray();
         Arrays.sort(others);
         return others.length == 0 ? Double.NaN : others[(others.length - 1) / 2];
--- a/masticpond-core/src/test/java/io/masticpond/core/limit/SharedRetryBudgetTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/limit/SharedRetryBudgetTest.java
@@ -50,12 +50,12 @@
             budget.firstSent(30_000 * MILLI);
         }
         assertThat(budget.tryExtra(30_001 * MILLI, 2)).isTrue();
-        RetryBudgetUse use = budget.use(30_002 * MILLI, 2);
+        RetryBudgetUsage use = budget.usage(30_002 * MILLI, 2);
         assertThat(use.requests()).isEqualTo(100);
         assertThat(use.used()).isEqualTo(1);
         assertThat(use.bound()).isCloseTo(24 + 16, within(1e-9));
         assertThat(use.left()).isCloseTo(24 + 16 - 1, within(1e-9));
-        assertThat(budget.use(45_000 * MILLI, 2).requests()).isZero();
+        assertThat(budget.usage(45_000 * MILLI, 2).requests()).isZero();
     }
 
     @Example
--- a/masticpond-core/src/test/java/io/masticpond/core/region/DefaultRegionSelectorTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/region/DefaultRegionSelectorTest.java
@@ -74,7 +74,7 @@
     @Example
     void takesTheNearestOnPriceTieEveryTime() {
         RegionScene scene = new RegionScene(Map.of(CASA, 7L, FES, 7L, AGADIR, 7L), 0);
-        Tally tally = scene.run(Duration.ofSeconds(5), 200, WORK, () -> scene.reportAll(8));
+        RegionChoiceStatistics tally = scene.run(Duration.ofSeconds(5), 200, WORK, () -> scene.reportAll(8));
         assertThat(tally.changes()).isEqualTo(0);
         assertThat(tally.count(CASA)).isEqualTo(1000);
     }
@@ -84,7 +84,7 @@
         RegionScene scene = new RegionScene(Map.of(), 90);
         scene.mSelector.setReachable(SERVICE, CASA, false);
         scene.mSelector.setReachable(SERVICE, AGADIR, false);
-        Tally tally =
+        RegionChoiceStatistics tally =
                 scene.run(
                         Duration.ofSeconds(10),
                         200,
@@ -136,7 +136,7 @@
         scene.mTime.advance(Duration.ofSeconds(4));
         assertThat(scene.mSelector.step(SERVICE, FES)).isEqualTo(DegradationStep.FAIR_SHARE);
         scene.mSelector.setReachable(SERVICE, CASA, false);
-        Tally tally = scene.run(Duration.ofSeconds(20), 400, WORK, () -> {});
+        RegionChoiceStatistics tally = scene.run(Duration.ofSeconds(20), 400, WORK, () -> {});
         int fairShare = SLOTS / 9;
         long most = Duration.ofSeconds(20).dividedBy(WORK) * fairShare;
         assertThat(tally.count(FES) <= most).as(tally.count(FES) + " of at most " + most).isTrue();
--- a/masticpond-core/src/test/java/io/masticpond/core/region/Tally.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/region/RegionChoiceStatistics.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /** Counts where requests went, and how often the region changed from one to the next. */
-final class Tally {
+final class RegionChoiceStatistics {
 
     private final Map<RegionId, Integer> mCounts = new HashMap<>();
     private RegionId mLast;
--- a/masticpond-core/src/test/java/io/masticpond/core/region/RegionReturnTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/region/RegionReturnTest.java
@@ -26,9 +26,9 @@
         scene.reportAll(8);
         scene.mSelector.setReachable(SERVICE, CASA, false);
         scene.mSelector.setReachable(SERVICE, AGADIR, false);
-        Tally first = scene.run(SECOND, 400, WORK, () -> scene.reportAll(8));
-        Tally second = scene.run(SECOND, 400, WORK, () -> scene.reportAll(8));
-        Tally fifth = scene.run(Duration.ofSeconds(5), 400, WORK, () -> scene.reportAll(8));
+        RegionChoiceStatistics first = scene.run(SECOND, 400, WORK, () -> scene.reportAll(8));
+        RegionChoiceStatistics second = scene.run(SECOND, 400, WORK, () -> scene.reportAll(8));
+        RegionChoiceStatistics fifth = scene.run(Duration.ofSeconds(5), 400, WORK, () -> scene.reportAll(8));
         assertThat(first.count(FES) < 100).as("first second: " + first.count(FES)).isTrue();
         assertThat(second.count(FES) > first.count(FES))
                 .as("second: " + second.count(FES))
@@ -48,15 +48,15 @@
         scene.mSelector.setReachable(SERVICE, CASA, false);
         scene.run(Duration.ofSeconds(10), 200, WORK, () -> scene.reportAll(8));
         scene.mSelector.setReachable(SERVICE, CASA, true);
-        Tally held = scene.run(Duration.ofMillis(900), 200, WORK, () -> scene.reportAll(8));
+        RegionChoiceStatistics held = scene.run(Duration.ofMillis(900), 200, WORK, () -> scene.reportAll(8));
         assertThat(held.count(CASA)).as("a region that just came back is used last").isLessThan(4);
-        Tally first = scene.run(SECOND, 200, WORK, () -> scene.reportAll(8));
+        RegionChoiceStatistics first = scene.run(SECOND, 200, WORK, () -> scene.reportAll(8));
         assertThat(first.count(CASA) > 0 && first.count(CASA) < 150)
                 .as("" + first.count(CASA))
                 .isTrue();
         assertThat(first.refused()).as("the rest goes where it went before").isEqualTo(0);
         scene.run(Duration.ofSeconds(10), 200, WORK, () -> scene.reportAll(8));
-        Tally later = scene.run(SECOND, 200, WORK, () -> scene.reportAll(8));
+        RegionChoiceStatistics later = scene.run(SECOND, 200, WORK, () -> scene.reportAll(8));
         assertThat(later.count(CASA)).isEqualTo(200);
     }
 
@@ -73,7 +73,7 @@
                     scene.reportAll(8);
                 };
         scene.run(Duration.ofSeconds(20), 200, WORK, flap);
-        Tally tally = scene.run(Duration.ofSeconds(40), 200, WORK, flap);
+        RegionChoiceStatistics tally = scene.run(Duration.ofSeconds(40), 200, WORK, flap);
         assertThat(tally.changes() <= 8).as("changes: " + tally.changes()).isTrue();
         assertThat(tally.refused()).isEqualTo(0);
     }
--- a/masticpond-core/src/test/java/io/masticpond/core/region/RegionScene.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/region/RegionScene.java
@@ -126,8 +126,8 @@
     }
 
     /** Offers work of a fixed duration at a steady rate; counts where it goes. */
-    Tally run(Duration duration, int perSecond, Duration work, Runnable eachTick) {
-        Tally tally = new Tally();
+    RegionChoiceStatistics run(Duration duration, int perSecond, Duration work, Runnable eachTick) {
+        RegionChoiceStatistics tally = new RegionChoiceStatistics();
         Duration tick = Duration.ofSeconds(1).dividedBy(perSecond);
         long end = mTime.monotonicNanos() + duration.toNanos();
         while (mTime.monotonicNanos() < end) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/MeteredCallerService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/MeteredCallerService.java
@@ -51,7 +51,7 @@
     @Override
     public LookupDecision lookup(ServiceId service, String clientAddress, long seenVersion) {
         LookupDecision decision = mDelegate.lookup(service, clientAddress, seenVersion);
-        mMetrics.lookup(service);
+        mMetrics.recordLookup(service);
         return decision;
     }
 
@@ -80,9 +80,9 @@
 
     private void measure(ServiceId service, long start, RequestEnd end) {
         if (end instanceof RequestEnd.Refused refused) {
-            mMetrics.refused(service, refused.refusal());
+            mMetrics.recordRefusal(service, refused.refusal());
         } else {
-            mMetrics.answered(service, mTimeSource.monotonicNanos() - start);
+            mMetrics.recordAnswer(service, mTimeSource.monotonicNanos() - start);
         }
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/CapacityMetrics.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/CapacityMetrics.java
@@ -55,7 +55,7 @@
      * @param region the region
      * @param headroom the counts, over all shards
      */
-    public void headroom(ServiceId service, RegionId region, Headroom headroom) {
+    public void updateHeadroom(ServiceId service, RegionId region, Headroom headroom) {
         String[] labels = labels(service, region);
         mUsableSlots.labelValues(labels).set(headroom.usableSlots());
         mInFlight.labelValues(labels).set(headroom.inFlight());
@@ -71,7 +71,7 @@
      * @param service the service
      * @param region the region
      */
-    public void forget(ServiceId service, RegionId region) {
+    public void remove(ServiceId service, RegionId region) {
         String[] labels = labels(service, region);
         for (Gauge gauge :
                 List.of(mUsableSlots, mInFlight, mWaiting, mSlotUse, mExpectedWait, mDegradation)) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/ConfigurationMetrics.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/ConfigurationMetrics.java
@@ -47,14 +47,14 @@
      *
      * @param version the version
      */
-    public void inForce(ConfigurationVersion version) {
+    public void updateVersion(ConfigurationVersion version) {
         mVersion.set((double) version.number());
         mInForceNanos = mTimeSource.monotonicNanos();
         mCheckedNanos = mInForceNanos;
     }
 
     /** Notes that the platform or a peer has just said which version is the newest. */
-    public void checked() {
+    public void recordCheck() {
         mCheckedNanos = mTimeSource.monotonicNanos();
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/ControlMetrics.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/ControlMetrics.java
@@ -46,7 +46,7 @@
      *
      * @param count the count, without this instance
      */
-    public void peers(int count) {
+    public void updatePeerCount(int count) {
         mPeers.set(count);
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/RequestMetrics.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/RequestMetrics.java
@@ -72,7 +72,7 @@
      *
      * @param service the service asked for
      */
-    public void lookup(ServiceId service) {
+    public void recordLookup(ServiceId service) {
         mLookups.labelValues(mLabels.service(service)).inc();
     }
 
@@ -82,7 +82,7 @@
      * @param service the service
      * @param nanos from the whole request to the whole answer, in nanoseconds
      */
-    public void answered(ServiceId service, long nanos) {
+    public void recordAnswer(ServiceId service, long nanos) {
         mLatency.labelValues(mLabels.service(service)).observe(nanos / NANOS_PER_SECOND);
     }
 
@@ -92,7 +92,7 @@
      * @param service the service
      * @param nanos from the attempt sent to its whole answer, in nanoseconds
      */
-    public void attemptAnswered(ServiceId service, long nanos) {
+    public void recordAttemptAnswer(ServiceId service, long nanos) {
         mAttemptLatency.labelValues(mLabels.service(service)).observe(nanos / NANOS_PER_SECOND);
     }
 
@@ -102,7 +102,7 @@
      * @param service the service
      * @param nanos from its offer to its slot, in nanoseconds
      */
-    public void waited(ServiceId service, long nanos) {
+    public void recordQueueWait(ServiceId service, long nanos) {
         mQueueWait.labelValues(mLabels.service(service)).observe(nanos / NANOS_PER_SECOND);
     }
 
@@ -112,7 +112,7 @@
      * @param service the service
      * @param refusal the refusal as the caller gets it
      */
-    public void refused(ServiceId service, Refusal refusal) {
+    public void recordRefusal(ServiceId service, Refusal refusal) {
         mRefusals
                 .labelValues(
                         mLabels.service(service), refusal.cause().text(), refusal.verdict().text())
@@ -125,7 +125,7 @@
      * @param service the service
      * @param kind why it was made
      */
-    public void attemptedAgain(ServiceId service, AttemptKind kind) {
+    public void recordFurtherAttempt(ServiceId service, AttemptKind kind) {
         mAttempts.labelValues(mLabels.service(service), kind.label()).inc();
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/SpendingMetrics.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/SpendingMetrics.java
@@ -56,7 +56,7 @@
      * @param allottedMicros the sum of the allotments, likewise
      * @param forecastMicros what is expected at the end of the shift, likewise
      */
-    public void ledger(
+    public void updateLedger(
             ServiceId service, long capMicros, long allottedMicros, long forecastMicros) {
         String label = mLabels.service(service);
         mCap.labelValues(label).set(capMicros / MICROS_PER_UNIT);
@@ -70,7 +70,7 @@
      * @param service the service
      * @param heldMicros the remainder in millionths of the unit of money
      */
-    public void held(ServiceId service, long heldMicros) {
+    public void updateHeld(ServiceId service, long heldMicros) {
         mHeld.labelValues(mLabels.service(service)).set(heldMicros / MICROS_PER_UNIT);
     }
 
@@ -80,7 +80,7 @@
      * @param service the service
      * @param micros the amount in millionths of the unit of money, not negative
      */
-    public void charged(ServiceId service, long micros) {
+    public void recordCharge(ServiceId service, long micros) {
         mCharged.labelValues(mLabels.service(service)).inc(micros / MICROS_PER_UNIT);
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingDuty.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingDuty.java
@@ -99,7 +99,7 @@
      * @param metrics the metrics
      * @param timeSource the clocks
      */
-    public void show(SpendingMetrics metrics, TimeSource timeSource) {
+    public void bindTo(SpendingMetrics metrics, TimeSource timeSource) {
         SpendingObserver observer = new SpendingObserver(metrics, timeSource);
         mSteering.every(OBSERVE_PERIOD, () -> observer.accept(mViews));
     }
@@ -123,7 +123,7 @@
      *
      * @param holders the live instances, this one included
      */
-    public void holders(int holders) {
+    public void updateHolderCount(int holders) {
         mSteering.put(() -> mGate.holders(Math.max(1, holders)));
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingObserver.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingObserver.java
@@ -38,14 +38,14 @@
     private void count(SpendingView view) {
         long counted = mCounted.getOrDefault(view.key(), 0L);
         if (view.spentMicros() > counted) {
-            mMetrics.charged(view.key().service(), view.spentMicros() - counted);
+            mMetrics.recordCharge(view.key().service(), view.spentMicros() - counted);
             mCounted.put(view.key(), view.spentMicros());
         }
     }
 
     private void show(SpendingView view, Instant now) {
-        mMetrics.held(view.key().service(), view.availableMicros());
-        mMetrics.ledger(
+        mMetrics.updateHeld(view.key().service(), view.availableMicros());
+        mMetrics.updateLedger(
                 view.key().service(),
                 view.capMicros(),
                 view.allottedMicros(),
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/MeteredDispatcher.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/MeteredDispatcher.java
@@ -44,7 +44,7 @@
                 server,
                 result -> {
                     if (result.end() instanceof RequestEnd.Answered) {
-                        mMetrics.attemptAnswered(
+                        mMetrics.recordAttemptAnswer(
                                 request.head().service(),
                                 mTimeSource.monotonicNanos() - startNanos);
                     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/Daemon.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/Daemon.java
@@ -157,15 +157,15 @@
         mLookups.configure(configuration);
         mMembers.configure(configuration);
         mMetrics.allowNamesOf(configuration.content());
-        mMetrics.configuration().inForce(configuration.version());
+        mMetrics.configuration().updateVersion(configuration.version());
         sLogger.info("CONFIG  Version {} is in force.", configuration.version());
     }
 
     private void membersChanged(MembershipView view) {
         mSteeringKeeper.members(view);
         mLookups.members(view.members());
-        mSpending.holders(view.live().size());
-        mMetrics.control().peers(view.live().size() - 1);
+        mSpending.updateHolderCount(view.live().size());
+        mMetrics.control().updatePeerCount(view.live().size() - 1);
     }
 
     private List<HeadroomEntry> headroom() {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/HeadroomScrape.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/HeadroomScrape.java
@@ -26,12 +26,12 @@
         Map<RegionKey, Headroom> known = mSteering.regionHeadrooms();
         for (RegionKey key : mShown) {
             if (!known.containsKey(key)) {
-                mMetrics.capacity().forget(key.service(), key.region());
+                mMetrics.capacity().remove(key.service(), key.region());
             }
         }
         known.forEach(
                 (key, headroom) ->
-                        mMetrics.capacity().headroom(key.service(), key.region(), headroom));
+                        mMetrics.capacity().updateHeadroom(key.service(), key.region(), headroom));
         mShown = Set.copyOf(known.keySet());
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/SpendingModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/SpendingModule.java
@@ -44,7 +44,7 @@
                         AllotmentPolicy.DEFAULT,
                         timeSource,
                         timeline);
-        spending.show(metrics.spending(), timeSource);
+        spending.bindTo(metrics.spending(), timeSource);
         return spending;
     }
 
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/metrics/DaemonMetricsTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/metrics/DaemonMetricsTest.java
@@ -39,7 +39,7 @@
     void madeUpServicesUseUpNoLabels() throws IOException {
         allow(List.of("perth"), List.of());
         for (int service = 0; service < 10_000; service++) {
-            mMetrics.requests().lookup(new ServiceId("made-up-" + service));
+            mMetrics.requests().recordLookup(new ServiceId("made-up-" + service));
         }
         assertThat(scrape()).contains("masticpond_lookups_total{service=\"other\"} 10000.0");
     }
@@ -68,14 +68,14 @@
         allow(List.of("perth"), List.of());
         ServiceId booking = new ServiceId("booking");
         Headroom headroom = new Headroom(36, 27, 2, Long.MAX_VALUE, DegradationStep.STALE);
-        mMetrics.capacity().headroom(booking, PERTH, headroom);
+        mMetrics.capacity().updateHeadroom(booking, PERTH, headroom);
         assertThat(scrape())
                 .contains("masticpond_slot_use_ratio{region=\"perth\",service=\"other\"} 0.75")
                 .contains("masticpond_degradation_step{region=\"perth\",service=\"other\"} 2.0")
                 .contains(
                         "masticpond_expected_wait_seconds{region=\"perth\",service=\"other\"}"
                                 + " +Inf");
-        mMetrics.capacity().forget(booking, PERTH);
+        mMetrics.capacity().remove(booking, PERTH);
         assertThat(scrape()).doesNotContain("masticpond_slot_use_ratio{");
     }
 
@@ -84,7 +84,7 @@
         mTime.advance(Duration.ofSeconds(90));
         mTime.stepWallClock(Duration.ofDays(3));
         assertThat(scrape()).contains("masticpond_configuration_age_seconds 90.0");
-        mMetrics.configuration().checked();
+        mMetrics.configuration().recordCheck();
         assertThat(scrape()).contains("masticpond_configuration_age_seconds 0.0");
     }
 
@@ -103,23 +103,23 @@
 
     private void touchAll(ServiceId service) {
         RequestMetrics requests = mMetrics.requests();
-        requests.lookup(service);
-        requests.answered(service, 1_000_000);
-        requests.attemptAnswered(service, 1_000_000);
-        requests.waited(service, 1_000_000);
+        requests.recordLookup(service);
+        requests.recordAnswer(service, 1_000_000);
+        requests.recordAttemptAnswer(service, 1_000_000);
+        requests.recordQueueWait(service, 1_000_000);
         for (RefusalCause cause : RefusalCause.values()) {
-            requests.refused(service, Refusal.didNotRun(cause, "A test."));
-            requests.refused(service, Refusal.mayHaveRun(cause, "A test."));
+            requests.recordRefusal(service, Refusal.didNotRun(cause, "A test."));
+            requests.recordRefusal(service, Refusal.mayHaveRun(cause, "A test."));
         }
         for (AttemptKind kind : AttemptKind.values()) {
-            requests.attemptedAgain(service, kind);
+            requests.recordFurtherAttempt(service, kind);
         }
         for (int region = 0; region < 100; region++) {
-            mMetrics.capacity().headroom(service, new RegionId("region-" + region), Headroom.NONE);
+            mMetrics.capacity().updateHeadroom(service, new RegionId("region-" + region), Headroom.NONE);
         }
-        mMetrics.spending().ledger(service, 1, 1, 1);
-        mMetrics.spending().held(service, 1);
-        mMetrics.spending().charged(service, 1);
+        mMetrics.spending().updateLedger(service, 1, 1, 1);
+        mMetrics.spending().updateHeld(service, 1);
+        mMetrics.spending().recordCharge(service, 1);
     }
 
     private void allow(List<String> regionNames, List<String> serviceNames) {
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/timeline/ObservationRoutesTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/timeline/ObservationRoutesTest.java
@@ -53,7 +53,7 @@
         List<OperatorRoutes> routes =
                 List.of(
                         new TimelineRoutes(new Incarnation(INSTANCE, 7), mClock, mRing),
-                        new MetricsRoutes(metrics, () -> metrics.control().peers(8)),
+                        new MetricsRoutes(metrics, () -> metrics.control().updatePeerCount(8)),
                         new LoggingRoutes(mLogging));
         mServer = Javalin.create(config -> routes.forEach(each -> each.addTo(config)));
         mServer.start("127.0.0.1", 0);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlDocuments.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlDocuments.java
@@ -5,7 +5,7 @@
 import io.masticpond.core.crash.CrashView;
 import io.masticpond.core.fleet.StoreRevision;
 import io.masticpond.core.id.ServiceId;
-import io.masticpond.core.limit.RetryBudgetUse;
+import io.masticpond.core.limit.RetryBudgetUsage;
 import io.masticpond.core.routing.RoutingConfiguration;
 import io.masticpond.entry.log.RecentDecisions;
 import io.masticpond.entry.peer.PeerInstance;
@@ -130,9 +130,9 @@
         ObjectNode document = beginTraffic();
         document.put("shareholders", mSources.heartbeats().shareholders());
         ArrayNode budgets = document.putArray("budgets");
-        TreeMap<String, RetryBudgetUse> sorted = new TreeMap<>();
+        TreeMap<String, RetryBudgetUsage> sorted = new TreeMap<>();
         mTraffic.budgets()
-                .forEach((ServiceId id, RetryBudgetUse use) -> sorted.put(id.value(), use));
+                .forEach((ServiceId id, RetryBudgetUsage use) -> sorted.put(id.value(), use));
         sorted.forEach(
                 (service, use) ->
                         budgets.addObject()
@@ -205,7 +205,7 @@
 
     private ObjectNode timeline(Optional<String> request, int beliefs) {
         ObjectNode document = begin();
-        document.put("forgottenLines", mSources.decisions().forgotten());
+        document.put("forgottenLines", mSources.decisions().evicted());
         request.ifPresent(
                 id -> {
                     document.put("request", id);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlSources.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlSources.java
@@ -35,7 +35,7 @@
         Executor traffic,
         ScheduledExecutorService control,
         RequestFlow flow,
-        LimitFigures limits,
+        SharedLimitStatus limits,
         FleetReplica replica,
         HeartbeatDuty heartbeats,
         BooleanSupplier ready,
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/LimitFigures.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/SharedLimitStatus.java
@@ -3,7 +3,7 @@
 import io.masticpond.core.fleet.RegisteredServer;
 import io.masticpond.core.id.InstanceId;
 import io.masticpond.core.id.ServiceId;
-import io.masticpond.core.limit.RetryBudgetUse;
+import io.masticpond.core.limit.RetryBudgetUsage;
 import io.masticpond.core.routing.ServiceRules;
 import java.util.List;
 import java.util.Map;
@@ -13,7 +13,7 @@
  *
  * @since 0.2
  */
-public interface LimitFigures {
+public interface SharedLimitStatus {
 
     /**
      * Tells how the retry budgets stand.
@@ -21,7 +21,7 @@
      * @param nowNanos the monotonic time
      * @return the budget of each service that had a request
      */
-    Map<ServiceId, RetryBudgetUse> budgets(long nowNanos);
+    Map<ServiceId, RetryBudgetUsage> budgets(long nowNanos);
 
     /**
      * Names the instances that keep the pace of a cold backend server, as this one sees it.
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/TrafficSnapshot.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/TrafficSnapshot.java
@@ -6,7 +6,7 @@
 import io.masticpond.core.id.BackendServerId;
 import io.masticpond.core.id.InstanceId;
 import io.masticpond.core.id.ServiceId;
-import io.masticpond.core.limit.RetryBudgetUse;
+import io.masticpond.core.limit.RetryBudgetUsage;
 import io.masticpond.core.placement.ServerLoad;
 import io.masticpond.core.routing.ServiceRules;
 import io.masticpond.core.serverlimit.LimitView;
@@ -35,7 +35,7 @@
 record TrafficSnapshot(
         long takenNanos,
         List<ServerSnapshot> servers,
-        Map<ServiceId, RetryBudgetUse> budgets,
+        Map<ServiceId, RetryBudgetUsage> budgets,
         List<SpendingView> spendings,
         List<CrashView> crashes,
         WorkspaceSnapshot workspaces) {
@@ -52,7 +52,7 @@
     }
 
     /** Takes the snapshot, on the traffic thread. */
-    static TrafficSnapshot take(RequestFlow flow, LimitFigures limits, long nowNanos) {
+    static TrafficSnapshot take(RequestFlow flow, SharedLimitStatus limits, long nowNanos) {
         FleetSnapshot fleet = flow.state().snapshot();
         TreeSet<ServiceId> services =
                 new TreeSet<>(Comparator.comparing((ServiceId service) -> service.value()));
@@ -85,7 +85,7 @@
 
     private static ServerSnapshot snapshot(
             RequestFlow flow,
-            LimitFigures limits,
+            SharedLimitStatus limits,
             ServerLoad load,
             WithdrawalView withdrawal,
             LimitView limit,
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/RecentDecisions.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/RecentDecisions.java
@@ -33,9 +33,9 @@
 
     private final DecisionLog mNext;
     private final TimeSource mTimeSource;
-    private final LineKeeper mPlain = new LineKeeper(KEPT_REQUESTS);
-    private final LineKeeper mNoteworthy = new LineKeeper(KEPT_REQUESTS);
-    private final LineKeeper mViewChanges = new LineKeeper(MAXIMUM_VIEW_CHANGES);
+    private final LineRingBuffer mPlain = new LineRingBuffer(KEPT_REQUESTS);
+    private final LineRingBuffer mNoteworthy = new LineRingBuffer(KEPT_REQUESTS);
+    private final LineRingBuffer mViewChanges = new LineRingBuffer(MAXIMUM_VIEW_CHANGES);
 
     /**
      * Starts with nothing kept.
@@ -105,11 +105,11 @@
      *
      * @return the count since the start
      */
-    public long forgotten() {
+    public long evicted() {
         return mPlain.forgotten() + mNoteworthy.forgotten();
     }
 
-    private void keep(LineKeeper keeper, LineContent content) {
+    private void keep(LineRingBuffer keeper, LineContent content) {
         keeper.keep(new TimedLine(mTimeSource.instant().toEpochMilli(), content));
     }
 
@@ -140,12 +140,12 @@
     }
 
     /** A ring that the newest lines stay in. */
-    private static final class LineKeeper {
+    private static final class LineRingBuffer {
 
         private final AtomicReferenceArray<TimedLine> mLines;
         private final AtomicLong mNext = new AtomicLong();
 
-        LineKeeper(int capacity) {
+        LineRingBuffer(int capacity) {
             mLines = new AtomicReferenceArray<>(capacity);
         }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerExchange.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerExchange.java
@@ -216,9 +216,9 @@
             receiveAboutUnknown(news, now);
         } else if (news.state() == PeerUpdate.State.SILENT) {
             receiveClaim(record, news, from, now);
-        } else if (record.isClaimed() && !news.isLaterThan(record.incarnation(), record.seen())) {
+        } else if (record.isClaimed() && !news.isLaterThan(record.incarnation(), record.lastSequence())) {
             mSender.answer(from, false, List.of(record.claimUpdate()));
-        } else if (news.isLaterThan(record.incarnation(), record.seen())) {
+        } else if (news.isLaterThan(record.incarnation(), record.lastSequence())) {
             boolean wasClaimed = record.isClaimed();
             if (record.applyUpdate(news, now)) {
                 mTable.evaluate(record, now);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerRecord.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerRecord.java
@@ -207,7 +207,7 @@
     }
 
     /** Gives the last moment of it that is known. */
-    long seen() {
+    long lastSequence() {
         return mSequence;
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/RateCodec.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/RateCodec.java
@@ -1,6 +1,6 @@
 package io.masticpond.entry.peer;
 
-import io.masticpond.core.limit.RateUse;
+import io.masticpond.core.limit.RateUsage;
 import io.netty.buffer.ByteBuf;
 import java.util.HashMap;
 import java.util.Map;
@@ -50,7 +50,7 @@
      * @param instances over how many instances the uses go
      * @param uses the use by the hash of the workspace
      */
-    public record Part(Kind kind, int part, int parts, int instances, Map<Integer, RateUse> uses) {
+    public record Part(Kind kind, int part, int parts, int instances, Map<Integer, RateUsage> uses) {
 
         /**
          * Tells whether a workspace belongs to this part.
@@ -76,7 +76,7 @@
         out.writeShort(part.parts());
         out.writeShort(part.instances());
         int left = MOST_ENTRIES;
-        for (Map.Entry<Integer, RateUse> each : part.uses().entrySet()) {
+        for (Map.Entry<Integer, RateUsage> each : part.uses().entrySet()) {
             if (part.covers(each.getKey()) && left-- > 0) {
                 out.writeInt(each.getKey());
                 out.writeShort(steps(each.getValue().used()));
@@ -106,12 +106,12 @@
         if (kind >= Kind.values().length || parts == 0 || part >= parts) {
             return Optional.empty();
         }
-        Map<Integer, RateUse> uses = new HashMap<>();
+        Map<Integer, RateUsage> uses = new HashMap<>();
         while (in.readableBytes() >= ENTRY_BYTES) {
             int hash = in.readInt();
             double used = in.readUnsignedShort() / STEPS;
             double demand = in.readUnsignedShort() / STEPS;
-            uses.put(hash, new RateUse(used, demand));
+            uses.put(hash, new RateUsage(used, demand));
         }
         return Optional.of(new Part(Kind.values()[kind], part, parts, instances, uses));
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/ServerDocuments.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/ServerDocuments.java
@@ -233,7 +233,7 @@
     private void put(StoredDocument document, RegisteredServer read, long stateNanos) {
         String name = document.name();
         RegisteredServer before = mServers.get(name);
-        RegisteredServer server = read.withRun(mRuns.number(name));
+        RegisteredServer server = read.withRun(mRuns.restartCount(name));
         if (mTranslator.hasReported(document.content())) {
             mChanged |= mUnreportedSince.remove(name) != null;
         } else {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/ServerRuns.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/ServerRuns.java
@@ -75,7 +75,7 @@
     }
 
     /** Counts the runs of a server that were seen before the current one. */
-    int number(String name) {
+    int restartCount(String name) {
         Run run = mRuns.get(name);
         return run == null ? 0 : run.mNumber;
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryFigures.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryMetricsCollector.java
@@ -4,7 +4,7 @@
 import io.masticpond.core.fleet.FleetSnapshot;
 import io.masticpond.core.fleet.RegisteredServer;
 import io.masticpond.core.fleet.StoreRevision;
-import io.masticpond.core.limit.RetryBudgetUse;
+import io.masticpond.core.limit.RetryBudgetUsage;
 import io.masticpond.core.routing.RoutingConfiguration;
 import io.masticpond.core.serverlimit.LimitView;
 import io.masticpond.core.spending.SpendingView;
@@ -37,7 +37,7 @@
 
 /** Collects what the parts know for a page of metrics. */
 @Singleton
-final class EntryFigures {
+final class EntryMetricsCollector {
 
     private static final double MILLIS_PER_SECOND = TimeUnit.SECONDS.toMillis(1);
     private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
@@ -119,19 +119,19 @@
             long serverEnds,
             int followed,
             long rejected,
-            List<RetryBudgetUse> retries,
+            List<RetryBudgetUsage> retries,
             Optional<List<SpendingView>> spendings,
             Keys keys,
             Limits limits,
             Withdrawals withdrawals) {
 
-        double sum(ToDoubleFunction<RetryBudgetUse> figure) {
+        double sum(ToDoubleFunction<RetryBudgetUsage> figure) {
             return retries.stream().mapToDouble(figure).sum();
         }
     }
 
     @Inject
-    EntryFigures(
+    EntryMetricsCollector(
             TimeSource timeSource,
             ControlSide control,
             RequestFlow flow,
@@ -209,9 +209,9 @@
         values.set(EntryValue.PAUSED_SERVERS, traffic.withdrawals().paused());
         values.set(EntryValue.MALFORMED_WITHDRAWALS, traffic.withdrawals().malformed());
         values.set(EntryValue.REJECTED_REQUESTS, traffic.rejected());
-        values.set(EntryValue.RETRY_BUDGET, traffic.sum(RetryBudgetUse::left));
-        values.set(EntryValue.RETRY_BUDGET_BOUND, traffic.sum(RetryBudgetUse::bound));
-        values.set(EntryValue.RETRY_BUDGET_USED, traffic.sum(RetryBudgetUse::used));
+        values.set(EntryValue.RETRY_BUDGET, traffic.sum(RetryBudgetUsage::left));
+        values.set(EntryValue.RETRY_BUDGET_BOUND, traffic.sum(RetryBudgetUsage::bound));
+        values.set(EntryValue.RETRY_BUDGET_USED, traffic.sum(RetryBudgetUsage::used));
         setKeys(values, traffic.keys());
         traffic.spendings().ifPresent(spendings -> setSpending(values, spendings));
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/MetricsHandler.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/MetricsHandler.java
@@ -28,14 +28,14 @@
     private static final int NOT_FOUND = 404;
 
     private final EntryMetrics mMetrics;
-    private final EntryFigures mFigures;
+    private final EntryMetricsCollector mFigures;
     private final EventLoop mTraffic;
     private final EventLoop mControl;
 
     @Inject
     MetricsHandler(
             EntryMetrics metrics,
-            EntryFigures figures,
+            EntryMetricsCollector figures,
             @TrafficThread EventLoop traffic,
             @ControlThread EventLoop control) {
         mMetrics = metrics;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ProcessModule.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ProcessModule.java
@@ -69,7 +69,7 @@
     /** The figures are joined when somebody asks for them first. */
     @Provides
     @Singleton
-    static EntryMetrics metrics(LineCounts lines, Lazy<EntryFigures> figures) {
+    static EntryMetrics metrics(LineCounts lines, Lazy<EntryMetricsCollector> figures) {
         return new EntryMetrics(lines, values -> figures.get().set(values));
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/RateSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/RateSharing.java
@@ -3,7 +3,7 @@
 import io.masticpond.core.fleet.ServerAddress;
 import io.masticpond.core.id.ZoneId;
 import io.masticpond.core.limit.RateTotals;
-import io.masticpond.core.limit.RateUse;
+import io.masticpond.core.limit.RateUsage;
 import io.masticpond.core.limit.SharedRates;
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.entry.peer.HeartbeatDuty;
@@ -83,12 +83,12 @@
         }
         long now = mTimeSource.monotonicNanos();
         rates.instances(mPeers.shareholders(), now);
-        Map<Integer, RateUse> uses = rates.report(now);
+        Map<Integer, RateUsage> uses = rates.report(now);
         int parts = 1 + rates.size() / RateCodec.MOST_ENTRIES;
         mControl.execute(() -> reportToAggregators(uses, parts));
     }
 
-    private void reportToAggregators(Map<Integer, RateUse> uses, int parts) {
+    private void reportToAggregators(Map<Integer, RateUsage> uses, int parts) {
         mParts = parts;
         look();
         List<PeerInstance> adders = aggregators(mSelf.zone());
@@ -105,7 +105,7 @@
         }
     }
 
-    private void receiveOwn(Map<Integer, RateUse> uses) {
+    private void receiveOwn(Map<Integer, RateUsage> uses) {
         long now = mTimeSource.monotonicNanos();
         mTotals.received(mSelf.id(), 0, uses, now);
         RateTotals.Sum others = mTotals.forInstance(mSelf.id(), 0, now);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SharedLimits.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SharedLimits.java
@@ -10,10 +10,10 @@
 import io.masticpond.core.limit.ColdPacerSettings;
 import io.masticpond.core.limit.OwnerCandidate;
 import io.masticpond.core.limit.RetryBudgetSettings;
-import io.masticpond.core.limit.RetryBudgetUse;
+import io.masticpond.core.limit.RetryBudgetUsage;
 import io.masticpond.core.limit.SharedRetryBudget;
 import io.masticpond.core.routing.ServiceRules;
-import io.masticpond.entry.control.LimitFigures;
+import io.masticpond.entry.control.SharedLimitStatus;
 import io.masticpond.entry.peer.PeerInstance;
 import io.masticpond.entry.peer.PeerView;
 import io.masticpond.entry.request.ColdGate;
@@ -26,7 +26,7 @@
 import java.util.Optional;
 
 /** The limits that all instances share, each keeping its part. Traffic thread only. */
-final class SharedLimits implements ColdGate, RetryAllowance, LimitFigures {
+final class SharedLimits implements ColdGate, RetryAllowance, SharedLimitStatus {
 
     private static final double RETRY_SAFETY = 0.8;
 
@@ -103,11 +103,11 @@
     }
 
     @Override
-    public Map<ServiceId, RetryBudgetUse> budgets(long nowNanos) {
-        Map<ServiceId, RetryBudgetUse> uses = new HashMap<>();
+    public Map<ServiceId, RetryBudgetUsage> budgets(long nowNanos) {
+        Map<ServiceId, RetryBudgetUsage> uses = new HashMap<>();
         mBudgets.forEach(
                 (service, budget) ->
-                        uses.put(service, budget.use(nowNanos, mPeers.shareholders())));
+                        uses.put(service, budget.usage(nowNanos, mPeers.shareholders())));
         return uses;
     }
 
--- a/masticpond-entry/src/test/java/io/masticpond/entry/log/RecentDecisionsTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/log/RecentDecisionsTest.java
@@ -52,7 +52,7 @@
         assertThat(mDecisions.ofRequest("refused")).hasSize(1);
         assertThat(mDecisions.ofRequest("plain" + (MANY - 1))).hasSize(1);
         assertThat(mDecisions.ofRequest("plain0")).isEmpty();
-        assertThat(mDecisions.forgotten()).isPositive();
+        assertThat(mDecisions.evicted()).isPositive();
         assertThat(mDecisions.recentViewChanges(1))
                 .singleElement()
                 .matches(line -> line.path("event").asText().equals("store"));
--- a/masticpond-entry/src/test/java/io/masticpond/entry/peer/WorkspaceCodecTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/peer/WorkspaceCodecTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.masticpond.core.limit.RateUse;
+import io.masticpond.core.limit.RateUsage;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.util.HashMap;
@@ -28,18 +28,18 @@
                         0,
                         1,
                         11,
-                        Map.of(7, new RateUse(2.5, 10), -3, new RateUse(0, 0.1)));
+                        Map.of(7, new RateUsage(2.5, 10), -3, new RateUsage(0, 0.1)));
         assertThat(RateCodec.read(written(part).skipBytes(1))).contains(part);
     }
 
     @Example
     void partsTogetherHoldAllWorkspacesAndEachFitsLinks() {
-        Map<Integer, RateUse> uses = new HashMap<>();
+        Map<Integer, RateUsage> uses = new HashMap<>();
         for (int hash = -500; hash < 500; hash++) {
-            uses.put(hash * 7_919, new RateUse(1, 2));
+            uses.put(hash * 7_919, new RateUsage(1, 2));
         }
         int parts = 1 + 2 * uses.size() / RateCodec.MOST_ENTRIES;
-        Map<Integer, RateUse> read = new HashMap<>();
+        Map<Integer, RateUsage> read = new HashMap<>();
         for (int number = 0; number < parts; number++) {
             RateCodec.Part part = new RateCodec.Part(RateCodec.Kind.OTHERS, number, parts, 1, uses);
             ByteBuf buffer = written(part);
@@ -52,8 +52,8 @@
     @Example
     void ratesBeyondWhatIsToldAreCutAndNotWrapped() {
         RateCodec.Part part =
-                new RateCodec.Part(RateCodec.Kind.ZONE, 0, 1, 1, Map.of(1, new RateUse(1e6, 1e9)));
-        RateUse read = RateCodec.read(written(part).skipBytes(1)).orElseThrow().uses().get(1);
+                new RateCodec.Part(RateCodec.Kind.ZONE, 0, 1, 1, Map.of(1, new RateUsage(1e6, 1e9)));
+        RateUsage read = RateCodec.read(written(part).skipBytes(1)).orElseThrow().uses().get(1);
         assertThat(read.used()).isEqualTo(6_553.5);
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionMeasure.java
@@ -62,10 +62,10 @@
         List<List<String>> rows = new ArrayList<>();
         for (LoadPattern pattern : LoadPattern.values()) {
             for (DecisionVariant variant : DecisionVariant.values()) {
-                DecisionTally tally = play(WorldShape.TEN_INSTANCES, variant, pattern, seed);
+                DecisionStatistics tally = play(WorldShape.TEN_INSTANCES, variant, pattern, seed);
                 rows.add(row(pattern, variant, tally));
                 if (variant == DecisionVariant.AS_IT_IS) {
-                    report.figure("worth" + capitalized(pattern), tally.worth());
+                    report.figure("worth" + capitalized(pattern), tally.utility());
                 }
             }
         }
@@ -78,33 +78,33 @@
         List<List<String>> rows = new ArrayList<>();
         for (LoadPattern pattern : FLEET_PATTERNS) {
             for (DecisionVariant variant : FLEET_VARIANTS) {
-                DecisionTally tally = play(WorldShape.FLEET, variant, pattern, seed);
+                DecisionStatistics tally = play(WorldShape.FLEET, variant, pattern, seed);
                 rows.add(row(pattern, variant, tally));
                 if (variant == DecisionVariant.AS_IT_IS) {
-                    report.figure("worthFleet" + capitalized(pattern), tally.worth());
+                    report.figure("worthFleet" + capitalized(pattern), tally.utility());
                 }
             }
         }
         return rows;
     }
 
-    private static DecisionTally play(
+    private static DecisionStatistics play(
             WorldShape shape, DecisionVariant variant, LoadPattern pattern, long seed) {
         return new DecisionWorld(shape, variant, pattern, seed).play();
     }
 
     private static List<String> row(
-            LoadPattern pattern, DecisionVariant variant, DecisionTally tally) {
+            LoadPattern pattern, DecisionVariant variant, DecisionStatistics tally) {
         return List.of(
                 words(pattern),
                 words(variant),
-                number(tally.worth()),
+                number(tally.utility()),
                 number(tally.worstRegion()),
                 number(tally.worstKind()),
                 number(tally.worstWindow()),
-                number(tally.share(DecisionTally.End.LATE)),
-                number(tally.share(DecisionTally.End.REFUSED)),
-                number(tally.share(DecisionTally.End.FAILED)),
+                number(tally.share(DecisionStatistics.End.LATE)),
+                number(tally.share(DecisionStatistics.End.REFUSED)),
+                number(tally.share(DecisionStatistics.End.FAILED)),
                 number(tally.farShare()),
                 number(tally.farByteShare()),
                 String.valueOf(tally.rejectedByServerCount()));
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionTally.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionStatistics.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Counts what became of the clients' requests. */
-final class DecisionTally {
+final class DecisionStatistics {
 
     /** An answer after the target is worth this part of one in time. */
     private static final double LATE_WORTH = 0.2;
@@ -88,7 +88,7 @@
         return mAll.share(end);
     }
 
-    double worth() {
+    double utility() {
         return mAll.worth();
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionWorld.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionWorld.java
@@ -41,7 +41,7 @@
     private final UniformRandomProvider mRandom;
     private final WorldShape mShape;
     private final DecisionVariant mVariant;
-    private final DecisionTally mTally = new DecisionTally();
+    private final DecisionStatistics mTally = new DecisionStatistics();
     private final List<RequestKind> mKinds;
     private final List<ZoneId> mZones = new ArrayList<>();
     private final Map<ZoneId, RegionId> mRegions = new LinkedHashMap<>();
@@ -128,7 +128,7 @@
         mInstances.values().forEach(zone -> zone.forEach(i -> i.update(snapshot, now())));
     }
 
-    DecisionTally play() {
+    DecisionStatistics play() {
         mClock.runUntil(LENGTH_NANOS + 4 * SECOND);
         return mTally;
     }
@@ -224,7 +224,7 @@
         return mClock;
     }
 
-    DecisionTally tally() {
+    DecisionStatistics statistics() {
         return mTally;
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelRequest.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelRequest.java
@@ -53,7 +53,7 @@
     }
 
     void begin() {
-        mWorld.clock().after(mDeadlineNanos - now(), () -> end(DecisionTally.End.FAILED));
+        mWorld.clock().after(mDeadlineNanos - now(), () -> end(DecisionStatistics.End.FAILED));
         attempt();
     }
 
@@ -62,10 +62,10 @@
         mWorld.instance(mZone)
                 .ifPresentOrElse(
                         instance -> after(CLIENT_NANOS, () -> new Attempt(instance).arrive()),
-                        () -> again(NO_INSTANCE_NANOS, DecisionTally.End.FAILED));
+                        () -> again(NO_INSTANCE_NANOS, DecisionStatistics.End.FAILED));
     }
 
-    private void again(long pauseNanos, DecisionTally.End otherwise) {
+    private void again(long pauseNanos, DecisionStatistics.End otherwise) {
         long pause = Math.min(pauseNanos, (mDeadlineNanos - now()) / 3);
         if (mAttempts == CLIENT_ATTEMPTS) {
             end(otherwise);
@@ -78,14 +78,14 @@
         long took = now() - mBeganNanos;
         end(
                 took <= mKind.targetMillis() * MILLI
-                        ? DecisionTally.End.IN_TIME
-                        : DecisionTally.End.LATE);
+                        ? DecisionStatistics.End.IN_TIME
+                        : DecisionStatistics.End.LATE);
     }
 
-    private void end(DecisionTally.End end) {
+    private void end(DecisionStatistics.End end) {
         if (!mDone) {
             mDone = true;
-            mWorld.tally().ended(mWorld.region(mZone), mKind, mBeganNanos, end);
+            mWorld.statistics().ended(mWorld.region(mZone), mKind, mBeganNanos, end);
         }
     }
 
@@ -117,7 +117,7 @@
 
         void arrive() {
             if (!mWorld.isAlive(mInstance)) {
-                again(NO_INSTANCE_NANOS, DecisionTally.End.FAILED);
+                again(NO_INSTANCE_NANOS, DecisionStatistics.End.FAILED);
                 return;
             }
             mInstance.counted(service(), now());
@@ -151,7 +151,7 @@
         }
 
         private void refuse(long pauseNanos) {
-            after(CLIENT_NANOS, () -> again(pauseNanos, DecisionTally.End.REFUSED));
+            after(CLIENT_NANOS, () -> again(pauseNanos, DecisionStatistics.End.REFUSED));
         }
 
         private void send(ServerLoad load) {
@@ -159,7 +159,7 @@
             mSends++;
             mTried.add(load.server().id());
             mInstance.placer().sent(load, sentNanos);
-            mWorld.tally().sent(load.distance() == Distance.OTHER_REGION);
+            mWorld.statistics().sent(load.distance() == Distance.OTHER_REGION);
             long delay = mWorld.delayNanos(mInstance.zone(), load.server().zone());
             ModelServer server = mWorld.server(load.server().id());
             after(mDeadlineNanos - sentNanos, () -> mInstance.placer().failed(load, now()));
@@ -183,7 +183,7 @@
                 return;
             }
             if (!answer.executed()) {
-                mWorld.tally().rejectedByServer();
+                mWorld.statistics().rejectedByServer();
                 mInstance.placer().rejectedByServer(load, Optional.of(answer.load()), now());
                 if (mSends < mRoute.maximumAttempts() && mInstance.mayRetry(service(), now())) {
                     place();
@@ -192,7 +192,7 @@
                 }
                 return;
             }
-            mWorld.tally().answered(load.distance() == Distance.OTHER_REGION, mKind.answerBytes());
+            mWorld.statistics().answered(load.distance() == Distance.OTHER_REGION, mKind.answerBytes());
             mInstance.placer().chooser().answered(mRoute.id(), mKind.answerBytes());
             boolean waited = answer.load().waiting() > 0;
             mInstance.placer().succeeded(load, now() - sentNanos, waited, now());
--- a/masticpond-measure/src/main/java/io/masticpond/measure/fleet/CallerLoad.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/fleet/CallerLoad.java
@@ -32,7 +32,7 @@
 
     private final HttpCalls mCalls = new HttpCalls();
     private final List<FleetInstance> mInstances;
-    private final LoadTally mTally;
+    private final LoadStatistics mTally;
     private final long mSeed;
     private final Consumer<EndedRequest> mListener;
     private final AtomicInteger mNumber = new AtomicInteger();
@@ -44,7 +44,7 @@
      * @param tally takes how each request ended
      * @param seed the seed of the mix
      */
-    public CallerLoad(List<FleetInstance> instances, LoadTally tally, long seed) {
+    public CallerLoad(List<FleetInstance> instances, LoadStatistics tally, long seed) {
         this(instances, tally, seed, request -> {});
     }
 
@@ -58,7 +58,7 @@
      */
     public CallerLoad(
             List<FleetInstance> instances,
-            LoadTally tally,
+            LoadStatistics tally,
             long seed,
             Consumer<EndedRequest> listener) {
         mInstances = List.copyOf(instances);
@@ -189,7 +189,7 @@
             return mTally.ended(
                     reply,
                     System.nanoTime() - start,
-                    new LoadTally.SentRequest(target, sha256(body), mAttempts));
+                    new LoadStatistics.SentRequest(target, sha256(body), mAttempts));
         }
 
         private HttpCalls.HttpReply send(
--- a/masticpond-measure/src/main/java/io/masticpond/measure/fleet/EndedRequest.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/fleet/EndedRequest.java
@@ -10,7 +10,7 @@
  * @param address the instance that was asked last, as "ip:port"; empty if no look-up was answered
  * @param startNanos when it was begun, before its look-up, on the clock of {@code System.nanoTime}
  * @param endNanos when it ended, on the same clock
- * @param end {@link LoadTally#ANSWERED}, or why it was not answered
+ * @param end {@link LoadStatistics#ANSWERED}, or why it was not answered
  * @since 0.1
  */
 public record EndedRequest(
@@ -35,6 +35,6 @@
      * @return whether it was answered
      */
     public boolean isAnswered() {
-        return end.equals(LoadTally.ANSWERED);
+        return end.equals(LoadStatistics.ANSWERED);
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/fleet/LoadTally.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/fleet/LoadStatistics.java
@@ -18,7 +18,7 @@
  *
  * @since 0.1
  */
-public final class LoadTally {
+public final class LoadStatistics {
 
     /** How a request ended that a backend server answered. */
     public static final String ANSWERED = "answered";
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/AnswerTally.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/AnswerCounters.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /** What became of requests with unique bodies; safe for all threads. */
-final class AnswerTally {
+final class AnswerCounters {
 
     final LongAdder mWhole = new LongAdder();
     final LongAdder mFailed = new LongAdder();
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/AnswersMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/AnswersMeasure.java
@@ -36,10 +36,10 @@
     @Override
     public MeasureReport run(long seed) {
         try (MeasuredFleet fleet = new MeasuredFleet(seed, 0)) {
-            AnswerTally backends =
+            AnswerCounters backends =
                     new BackendAnswerRun(fleet.backends(), fleet.servers(), seed).run(TO_BACKENDS);
             LinkAnswerRun links = new LinkAnswerRun(seed);
-            AnswerTally instances = links.run(BETWEEN_INSTANCES);
+            AnswerCounters instances = links.run(BETWEEN_INSTANCES);
             return report(backends, instances, links.resets());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -47,7 +47,7 @@
         }
     }
 
-    private static MeasureReport report(AnswerTally backends, AnswerTally instances, int resets) {
+    private static MeasureReport report(AnswerCounters backends, AnswerCounters instances, int resets) {
         long requests = backends.requests() + instances.requests();
         return new MeasureReport()
                 .table(
@@ -79,11 +79,11 @@
         return (double) (first + second);
     }
 
-    private static double share(AnswerTally tally) {
+    private static double share(AnswerCounters tally) {
         return (double) tally.mWhole.sum() / tally.requests();
     }
 
-    private static List<String> row(String where, AnswerTally tally, String broken) {
+    private static List<String> row(String where, AnswerCounters tally, String broken) {
         return List.of(
                 where,
                 Long.toString(tally.requests()),
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/BackendAnswerRun.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/BackendAnswerRun.java
@@ -39,7 +39,7 @@
     private final BackendFleet mBackends;
     private final List<BackendServerSpecification> mServers;
     private final SplittableRandom mRandom;
-    private final AnswerTally mTally = new AnswerTally();
+    private final AnswerCounters mTally = new AnswerCounters();
     private final Semaphore mRoom = new Semaphore(CONCURRENT);
 
     BackendAnswerRun(BackendFleet backends, List<BackendServerSpecification> servers, long seed) {
@@ -48,7 +48,7 @@
         mRandom = new SplittableRandom(seed);
     }
 
-    AnswerTally run(int requests) throws InterruptedException {
+    AnswerCounters run(int requests) throws InterruptedException {
         int index = 0;
         for (BackendServerStandIn server : mBackends.servers()) {
             double slow = index++ % SLOW_EVERY == 0 ? SLOW_FACTOR : 1;
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/LinkAnswerRun.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/LinkAnswerRun.java
@@ -41,7 +41,7 @@
 
     private final SplittableRandom mRandom;
     private final SplittableRandom mServerRandom;
-    private final AnswerTally mTally = new AnswerTally();
+    private final AnswerCounters mTally = new AnswerCounters();
     private final Semaphore mRoom = new Semaphore(CONCURRENT);
     private final TaskThread mThread = new TaskThread(1);
     private int mResets;
@@ -51,7 +51,7 @@
         mServerRandom = mRandom.split();
     }
 
-    AnswerTally run(int requests) throws InterruptedException {
+    AnswerCounters run(int requests) throws InterruptedException {
         try (NettyInstanceLinks server = links("casa-1");
                 NettyInstanceLinks client = links("fes-1")) {
             server.handle(
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyCaller.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyCaller.java
@@ -38,7 +38,7 @@
     private static final double HOME_SHARE = 0.7;
 
     private final MeasuredFleet mFleet;
-    private final OnceOnlyTally mTally;
+    private final OnceOnlyCounters mTally;
     private final TaskThread mScheduler;
     private final SplittableRandom mRandom;
     private final Runnable mDone;
@@ -53,7 +53,7 @@
 
     OnceOnlyCaller(
             MeasuredFleet fleet,
-            OnceOnlyTally tally,
+            OnceOnlyCounters tally,
             TaskThread scheduler,
             SplittableRandom random,
             int number,
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyTally.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyCounters.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /** What the callers of once-only operations saw, set against what ran; safe for all threads. */
-final class OnceOnlyTally {
+final class OnceOnlyCounters {
 
     final LongAdder mAnswered = new LongAdder();
     final LongAdder mDidNotRun = new LongAdder();
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyMeasure.java
@@ -97,7 +97,7 @@
             throws InterruptedException {
         long writesBefore = fleet.platform().counts().of(PlatformCall.WRITE);
         OnceOnlyStorm storm = new OnceOnlyStorm(fleet, seed);
-        OnceOnlyTally tally = storm.run();
+        OnceOnlyCounters tally = storm.run();
         long writes = fleet.platform().counts().of(PlatformCall.WRITE) - writesBefore;
         List<List<String>> rows =
                 new ArrayList<>(
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyStorm.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyStorm.java
@@ -37,7 +37,7 @@
 
     private final MeasuredFleet mFleet;
     private final SplittableRandom mRandom;
-    private final OnceOnlyTally mTally = new OnceOnlyTally();
+    private final OnceOnlyCounters mTally = new OnceOnlyCounters();
     private final TaskThread mCallers = new TaskThread(1);
     private final TaskThread mFaults = new TaskThread(3);
     private final CountDownLatch mOpen = new CountDownLatch(OPERATIONS);
@@ -52,7 +52,7 @@
         mRandom = new SplittableRandom(seed);
     }
 
-    OnceOnlyTally run() throws InterruptedException {
+    OnceOnlyCounters run() throws InterruptedException {
         backendFaults();
         mFleet.platform().setFaults(lossyPlatform());
         scheduleFaults();
--- a/masticpond-measure/src/main/java/io/masticpond/measure/quickstart/QuickstartCommand.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/quickstart/QuickstartCommand.java
@@ -4,7 +4,7 @@
 import io.masticpond.measure.fleet.CallerLoad;
 import io.masticpond.measure.fleet.FleetInstance;
 import io.masticpond.measure.fleet.FleetSettings;
-import io.masticpond.measure.fleet.LoadTally;
+import io.masticpond.measure.fleet.LoadStatistics;
 import io.masticpond.measure.fleet.LocalFleet;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -99,7 +99,7 @@
         for (FleetInstance instance : fleet.instances()) {
             fleet.awaitInstance(instance, "/ready");
         }
-        LoadTally tally = new LoadTally();
+        LoadStatistics tally = new LoadStatistics();
         AtomicInteger left = new AtomicInteger(mRequests);
         progress("Sending " + mRequests + " requests.");
         new CallerLoad(fleet.instances(), tally, mSeed)
@@ -160,7 +160,7 @@
         }
     }
 
-    private static Map<String, Object> json(QuickstartReport report, LoadTally tally) {
+    private static Map<String, Object> json(QuickstartReport report, LoadStatistics tally) {
         Map<String, Object> json = new LinkedHashMap<>();
         json.put("requests", tally.requests());
         json.put("answered", tally.answered());
--- a/masticpond-measure/src/main/java/io/masticpond/measure/quickstart/QuickstartReport.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/quickstart/QuickstartReport.java
@@ -1,7 +1,7 @@
 package io.masticpond.measure.quickstart;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.masticpond.measure.fleet.LoadTally;
+import io.masticpond.measure.fleet.LoadStatistics;
 import java.io.PrintStream;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -19,7 +19,7 @@
  * @param caps the lowest cap of a shift, by service
  * @param slotUse the highest slot use of a backend server, by region
  * @param executions the executions, by region
- * @param tally how the requests ended
+ * @param statistics how the requests ended
  */
 record QuickstartReport(
         long duplicates,
@@ -28,7 +28,7 @@
         Map<String, Long> caps,
         Map<String, Double> slotUse,
         Map<String, Long> executions,
-        LoadTally tally) {
+        LoadStatistics statistics) {
 
     /**
      * Evaluates a run.
@@ -38,7 +38,7 @@
      * @param tally how the requests ended
      * @return the report
      */
-    static QuickstartReport of(JsonNode content, JsonNode counts, LoadTally tally) {
+    static QuickstartReport of(JsonNode content, JsonNode counts, LoadStatistics tally) {
         Map<String, String> regions = regionsByZone(content);
         Map<String, Long> spending = new TreeMap<>();
         Map<String, Long> caps = new TreeMap<>();
@@ -82,8 +82,8 @@
 
     private List<String> broken() {
         List<String> broken = new ArrayList<>();
-        if (tally.mismatched() > 0) {
-            broken.add(tally.mismatched() + " answers were to another request.");
+        if (statistics.mismatched() > 0) {
+            broken.add(statistics.mismatched() + " answers were to another request.");
         }
         if (duplicates > 0) {
             broken.add(duplicates + " once-only operations ran more than once.");
@@ -97,7 +97,7 @@
                         broken.add("A backend server in " + region + " was over its slots.");
                     }
                 });
-        if (tally.answered() == 0) {
+        if (statistics.answered() == 0) {
             broken.add("No request was answered.");
         }
         return broken;
@@ -110,17 +110,17 @@
      */
     void print(PrintStream output) {
         output.println();
-        line(output, "requests", tally.requests());
-        line(output, "answered", tally.answered());
-        tally.refusals().forEach((kind, count) -> line(output, "  " + kind, count));
-        line(output, "mismatched", tally.mismatched());
+        line(output, "requests", statistics.requests());
+        line(output, "answered", statistics.answered());
+        statistics.refusals().forEach((kind, count) -> line(output, "  " + kind, count));
+        line(output, "mismatched", statistics.mismatched());
         line(output, "duplicates", duplicates);
         output.printf(
                 Locale.ROOT,
                 "%-34s p50 %.1f ms, p99 %.1f ms%n",
                 "latency",
-                tally.latencyMillis(50),
-                tally.latencyMillis(99));
+                statistics.latencyMillis(50),
+                statistics.latencyMillis(99));
         output.println();
         spending.forEach(
                 (service, spent) ->
--- a/masticpond-measure/src/main/java/io/masticpond/measure/rate/RateTally.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/rate/RateStatistics.java
@@ -6,7 +6,7 @@
 import java.util.Deque;
 
 /** Holds what was let through against the bound, and against one exact bucket. */
-final class RateTally {
+final class RateStatistics {
 
     private static final double SECOND = 1e9;
     private static final double UNUSED = 0.9;
@@ -27,7 +27,7 @@
     private long mMessages;
     private long mFarMessages;
 
-    RateTally(SharedRateSettings settings) {
+    RateStatistics(SharedRateSettings settings) {
         mSettings = settings;
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/rate/RateWay.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/rate/RateWay.java
@@ -1,6 +1,6 @@
 package io.masticpond.measure.rate;
 
-import io.masticpond.core.limit.RateUse;
+import io.masticpond.core.limit.RateUsage;
 import io.masticpond.core.limit.SharedRate;
 import io.masticpond.core.limit.SharedRateSettings;
 import io.masticpond.core.workspace.RateLimit;
@@ -43,9 +43,9 @@
 
         boolean tryAdmit(double draw, long nowNanos);
 
-        RateUse report(long nowNanos);
+        RateUsage report(long nowNanos);
 
-        void received(RateUse others, int heardOf, long nowNanos);
+        void received(RateUsage others, int heardOf, long nowNanos);
 
         void instances(int all, long nowNanos);
 
@@ -64,12 +64,12 @@
         }
 
         @Override
-        public RateUse report(long nowNanos) {
+        public RateUsage report(long nowNanos) {
             return rate.report(nowNanos);
         }
 
         @Override
-        public void received(RateUse others, int heardOf, long nowNanos) {
+        public void received(RateUsage others, int heardOf, long nowNanos) {
             rate.received(others, heardOf, nowNanos);
         }
 
@@ -111,12 +111,12 @@
         }
 
         @Override
-        public RateUse report(long nowNanos) {
-            return RateUse.NONE;
+        public RateUsage report(long nowNanos) {
+            return RateUsage.NONE;
         }
 
         @Override
-        public void received(RateUse others, int heardOf, long nowNanos) {}
+        public void received(RateUsage others, int heardOf, long nowNanos) {}
 
         @Override
         public void instances(int all, long nowNanos) {
@@ -149,12 +149,12 @@
         }
 
         @Override
-        public RateUse report(long nowNanos) {
+        public RateUsage report(long nowNanos) {
             return mCounts.report(nowNanos);
         }
 
         @Override
-        public void received(RateUse others, int heardOf, long nowNanos) {
+        public void received(RateUsage others, int heardOf, long nowNanos) {
             mOthers = others.demand();
         }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/rate/RateWorld.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/rate/RateWorld.java
@@ -3,7 +3,7 @@
 import io.masticpond.core.id.InstanceId;
 import io.masticpond.core.id.ZoneId;
 import io.masticpond.core.limit.RateTotals;
-import io.masticpond.core.limit.RateUse;
+import io.masticpond.core.limit.RateUsage;
 import io.masticpond.core.workspace.RateLimit;
 import java.util.ArrayList;
 import java.util.List;
@@ -86,7 +86,7 @@
                                     ? Long.compare(one.nanos(), other.nanos())
                                     : Long.compare(one.order(), other.order()));
     private final List<Instance> mInstances = new ArrayList<>();
-    private final RateTally mTally;
+    private final RateStatistics mTally;
     private long mNow;
     private long mOrder;
     private double mRateFactor = 1;
@@ -96,13 +96,13 @@
         mWay = way;
         mPattern = pattern;
         mRandom = new SplittableRandom(seed);
-        mTally = new RateTally(RateWay.SETTINGS);
+        mTally = new RateStatistics(RateWay.SETTINGS);
         for (int number = 0; number < shape.instances(); number++) {
             mInstances.add(new Instance(number));
         }
     }
 
-    RateTally play() {
+    RateStatistics play() {
         for (Instance each : mInstances) {
             long phase = (long) (mRandom.nextDouble() * TELL_NANOS);
             at(phase, () -> tell(each));
@@ -197,7 +197,7 @@
         if (instance.mDown || !hasHeard(instance)) {
             return;
         }
-        RateUse use = instance.mRate.report(mNow);
+        RateUsage use = instance.mRate.report(mNow);
         List<Instance> adders = adders(instance.mZone);
         if (adders.isEmpty()) {
             return;
@@ -210,10 +210,10 @@
         }
     }
 
-    private void hear(Instance adder, Instance from, RateUse use) {
+    private void hear(Instance adder, Instance from, RateUsage use) {
         adder.mTotals.received(from.mId, 0, Map.of(HASH, use), mNow);
         RateTotals.Sum sum = adder.mTotals.forInstance(from.mId, 0, mNow);
-        RateUse others = sum.uses().getOrDefault(HASH, RateUse.NONE);
+        RateUsage others = sum.uses().getOrDefault(HASH, RateUsage.NONE);
         if (adder == from) {
             from.mRate.received(others, sum.instances(), mNow);
         } else {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/rate/WorkspaceRatesMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/rate/WorkspaceRatesMeasure.java
@@ -56,7 +56,7 @@
         for (RateShape shape : shapes()) {
             for (RatePattern pattern : RatePattern.values()) {
                 for (RateWay way : ways(shape)) {
-                    RateTally tally = new RateWorld(shape, way, pattern, seed).play();
+                    RateStatistics tally = new RateWorld(shape, way, pattern, seed).play();
                     rows.add(row(shape, pattern, way, tally));
                     if (way == RateWay.SHARED_CREDIT) {
                         worst = Math.max(worst, tally.worst());
@@ -90,7 +90,7 @@
     }
 
     private static List<String> row(
-            RateShape shape, RatePattern pattern, RateWay way, RateTally tally) {
+            RateShape shape, RatePattern pattern, RateWay way, RateStatistics tally) {
         double instanceSeconds = shape.instances() * SECONDS;
         return List.of(
                 String.valueOf(shape.instances()),
--- a/masticpond-measure/src/main/java/io/masticpond/measure/replacement/CrashStormMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/replacement/CrashStormMeasure.java
@@ -6,7 +6,7 @@
 import io.masticpond.measure.MeasureTable;
 import io.masticpond.measure.MeasureTarget;
 import io.masticpond.measure.fleet.FleetInstance;
-import io.masticpond.measure.fleet.LoadTally;
+import io.masticpond.measure.fleet.LoadStatistics;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.time.Duration;
@@ -62,14 +62,14 @@
             load.stopCallers();
             StormTrace trace =
                     new StormTrace(load.fleet().instances(), victims, load.ended(), killed, ended);
-            return report(load.tally(), load.fleet().backendCounts(), trace, recovery);
+            return report(load.statistics(), load.fleet().backendCounts(), trace, recovery);
         } catch (IOException e) {
             throw new UncheckedIOException("The fleet could not be run.", e);
         }
     }
 
     private static MeasureReport report(
-            LoadTally tally, JsonNode counts, StormTrace trace, double recovery) {
+            LoadStatistics tally, JsonNode counts, StormTrace trace, double recovery) {
         MeasureReport report =
                 new MeasureReport()
                         .table(trace.causes())
--- a/masticpond-measure/src/main/java/io/masticpond/measure/replacement/FleetUnderLoad.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/replacement/FleetUnderLoad.java
@@ -4,7 +4,7 @@
 import io.masticpond.measure.fleet.EndedRequest;
 import io.masticpond.measure.fleet.FleetInstance;
 import io.masticpond.measure.fleet.FleetSettings;
-import io.masticpond.measure.fleet.LoadTally;
+import io.masticpond.measure.fleet.LoadStatistics;
 import io.masticpond.measure.fleet.LocalFleet;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -22,7 +22,7 @@
     private static final double SERVICE_MILLIS = 15;
 
     private final LocalFleet mFleet;
-    private final LoadTally mTally = new LoadTally();
+    private final LoadStatistics mTally = new LoadStatistics();
     private final AtomicBoolean mRunning = new AtomicBoolean(true);
     private final Queue<EndedRequest> mEnded = new ConcurrentLinkedQueue<>();
     private final Thread mCallers;
@@ -73,7 +73,7 @@
         return mFleet;
     }
 
-    LoadTally tally() {
+    LoadStatistics statistics() {
         return mTally;
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/replacement/RollingRestartMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/replacement/RollingRestartMeasure.java
@@ -5,7 +5,7 @@
 import io.masticpond.measure.MeasureTable;
 import io.masticpond.measure.MeasureTarget;
 import io.masticpond.measure.fleet.FleetInstance;
-import io.masticpond.measure.fleet.LoadTally;
+import io.masticpond.measure.fleet.LoadStatistics;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.ArrayList;
@@ -61,14 +61,14 @@
                                 Integer.toString(exitCode)));
             }
             load.stopCallers();
-            return report(load.tally(), drains, rows, badExits);
+            return report(load.statistics(), drains, rows, badExits);
         } catch (IOException e) {
             throw new UncheckedIOException("The fleet could not be run.", e);
         }
     }
 
     private static MeasureReport report(
-            LoadTally tally, Histogram drains, List<List<String>> rows, int badExits) {
+            LoadStatistics tally, Histogram drains, List<List<String>> rows, int badExits) {
         MeasureReport report =
                 new MeasureReport()
                         .table(
@@ -90,7 +90,7 @@
         return report;
     }
 
-    private static MeasureTable refusals(LoadTally tally) {
+    private static MeasureTable refusals(LoadStatistics tally) {
         List<List<String>> rows = new ArrayList<>();
         tally.refusals().forEach((kind, count) -> rows.add(List.of(kind, count.toString())));
         return new MeasureTable("Not answered", List.of("verdict and cause", "count"), rows);
--- a/masticpond-measure/src/test/java/io/masticpond/measure/decision/LoadPatternTest.java
+++ b/masticpond-measure/src/test/java/io/masticpond/measure/decision/LoadPatternTest.java
@@ -12,9 +12,9 @@
 
     @Example
     void theSameSeedGivesTheSameFigures() {
-        DecisionTally one = play(LoadPattern.SERVERS_SLOW, DecisionVariant.AS_IT_IS, 3);
-        DecisionTally other = play(LoadPattern.SERVERS_SLOW, DecisionVariant.AS_IT_IS, 3);
-        assertThat(one.worth()).isEqualTo(other.worth()).isBetween(0.5, 1.0);
+        DecisionStatistics one = play(LoadPattern.SERVERS_SLOW, DecisionVariant.AS_IT_IS, 3);
+        DecisionStatistics other = play(LoadPattern.SERVERS_SLOW, DecisionVariant.AS_IT_IS, 3);
+        assertThat(one.utility()).isEqualTo(other.utility()).isBetween(0.5, 1.0);
         assertThat(one.rejectedByServerCount()).isEqualTo(other.rejectedByServerCount());
     }
 
@@ -23,21 +23,21 @@
      */
     @Example
     void sheddingServiceDrivesNoKeysToOtherRegions() {
-        DecisionTally tally = play(LoadPattern.SERVICE_SHEDS, DecisionVariant.AS_IT_IS, 1);
+        DecisionStatistics tally = play(LoadPattern.SERVICE_SHEDS, DecisionVariant.AS_IT_IS, 1);
         assertThat(tally.farShare()).isLessThan(0.293);
     }
 
     /** 545 sends turned away when each was left out for a moment only, 229 since it is judged. */
     @Example
     void serversThatShedAloneAreAvoided() {
-        DecisionTally tally = play(LoadPattern.SERVERS_SHED, DecisionVariant.AS_IT_IS, 1);
+        DecisionStatistics tally = play(LoadPattern.SERVERS_SHED, DecisionVariant.AS_IT_IS, 1);
         assertThat(tally.rejectedByServerCount()).isLessThan(390);
     }
 
     /** A third of all bytes when distance weighed the same for all answers, now 0.04. */
     @Example
     void largeAnswersHardlyCrossRegions() {
-        DecisionTally tally = play(LoadPattern.COLD_START, DecisionVariant.AS_IT_IS, 1);
+        DecisionStatistics tally = play(LoadPattern.COLD_START, DecisionVariant.AS_IT_IS, 1);
         assertThat(tally.farShare()).isGreaterThan(0.2);
         assertThat(tally.farByteShare()).isLessThan(0.15);
     }
@@ -45,8 +45,8 @@
     /** The bench showed the same order: 0.547 and 0.470 instead of 0.613 and 0.573. */
     @Example
     void spreadingKeysByConstantsIsWorseWhereServersAreFew() {
-        double spread = play(LoadPattern.ZONE_EVACUATED, DecisionVariant.FOUR_HOMES, 1).worth();
-        double now = play(LoadPattern.ZONE_EVACUATED, DecisionVariant.NO_SHARED_LOADS, 1).worth();
+        double spread = play(LoadPattern.ZONE_EVACUATED, DecisionVariant.FOUR_HOMES, 1).utility();
+        double now = play(LoadPattern.ZONE_EVACUATED, DecisionVariant.NO_SHARED_LOADS, 1).utility();
         assertThat(spread).isLessThan(now - 0.03);
     }
 
@@ -67,12 +67,12 @@
             late +=
                     new DecisionWorld(WorldShape.FLEET, variant, LoadPattern.BURST, seed)
                             .play()
-                            .share(DecisionTally.End.LATE);
+                            .share(DecisionStatistics.End.LATE);
         }
         return late / 2;
     }
 
-    private static DecisionTally play(LoadPattern pattern, DecisionVariant variant, long seed) {
+    private static DecisionStatistics play(LoadPattern pattern, DecisionVariant variant, long seed) {
         return new DecisionWorld(WorldShape.TEN_INSTANCES, variant, pattern, seed).play();
     }
 }
--- a/masticpond-measure/src/test/java/io/masticpond/measure/fleet/LoadTallyTest.java
+++ b/masticpond-measure/src/test/java/io/masticpond/measure/fleet/LoadStatisticsTest.java
@@ -7,12 +7,12 @@
 import okhttp3.Headers;
 
 /** Arranges echoes and asserts which are answers to the caller's own request. */
-class LoadTallyTest {
+class LoadStatisticsTest {
 
     private static final String TARGET = "/reservations/1-288";
     private static final String DIGEST = "0f9c";
 
-    private final LoadTally mTally = new LoadTally();
+    private final LoadStatistics mTally = new LoadStatistics();
 
     @Example
     void theEchoOfTheRequestItselfMatches() {
@@ -52,7 +52,7 @@
                         200,
                         Headers.of("Masticpond-Request-Id", "own"),
                         body.getBytes(StandardCharsets.UTF_8));
-        mTally.ended(reply, 1_000, new LoadTally.SentRequest(TARGET, DIGEST, attempts));
+        mTally.ended(reply, 1_000, new LoadStatistics.SentRequest(TARGET, DIGEST, attempts));
     }
 
     private static String echo(String id, String operationId, String target, String digest) {
--- a/masticpond-measure/src/test/java/io/masticpond/measure/rate/RatePatternTest.java
+++ b/masticpond-measure/src/test/java/io/masticpond/measure/rate/RatePatternTest.java
@@ -11,7 +11,7 @@
 /** The rate of a workspace over all instances, whatever comes and whatever fails. */
 class RatePatternTest {
 
-    private static RateTally play(int instances, double usual, RatePattern pattern, long seed) {
+    private static RateStatistics play(int instances, double usual, RatePattern pattern, long seed) {
         RateShape shape = new RateShape(instances, 3, usual);
         return new RateWorld(shape, RateWay.SHARED_CREDIT, pattern, seed).play();
     }
@@ -39,7 +39,7 @@
 
     @Example
     void smallWorkspaceIsNotRefusedThoughItsPartOfAnInstanceIsLessThanOneRequest() {
-        RateTally tally = play(67, 2, RatePattern.CALM, 1);
+        RateStatistics tally = play(67, 2, RatePattern.CALM, 1);
         assertThat(tally.refusedBelow()).isZero();
         assertThat(tally.served()).isGreaterThanOrEqualTo(0.98);
     }
--- a/masticpond-measure/src/test/java/io/masticpond/measure/replacement/StormTraceTest.java
+++ b/masticpond-measure/src/test/java/io/masticpond/measure/replacement/StormTraceTest.java
@@ -4,7 +4,7 @@
 
 import io.masticpond.measure.fleet.EndedRequest;
 import io.masticpond.measure.fleet.FleetInstance;
-import io.masticpond.measure.fleet.LoadTally;
+import io.masticpond.measure.fleet.LoadStatistics;
 import java.util.ArrayList;
 import java.util.List;
 import net.jqwik.api.Example;
@@ -23,7 +23,7 @@
     @Example
     void requestsThatNeedNothingThatWasKilledAreAvoidable() {
         add(false, DEAD, KILL + 10, REFUSED);
-        add(false, DEAD, KILL + 10, LoadTally.ANSWERED);
+        add(false, DEAD, KILL + 10, LoadStatistics.ANSWERED);
         assertThat(trace().avoidable()).isEqualTo(1);
         assertThat(trace().needPlatform() + trace().underWay()).isZero();
     }
@@ -31,7 +31,7 @@
     @Example
     void requestsWithOwnKeysNeedThePlatformFromTheKillOn() {
         add(true, KILL + 1, KILL + 10, REFUSED);
-        add(true, KILL - 20, KILL + 1, LoadTally.ANSWERED);
+        add(true, KILL - 20, KILL + 1, LoadStatistics.ANSWERED);
         add(true, KILL - 20, KILL - 10, REFUSED);
         assertThat(trace().needPlatform()).isEqualTo(2);
         assertThat(trace().avoidable()).isEqualTo(1);
