--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendHealthDuty.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendHealthChecker.java
@@ -5,7 +5,7 @@
 import io.masticpond.core.id.BackendServerId;
 import io.masticpond.core.support.Assert;
 import io.masticpond.core.time.TimeSource;
-import io.masticpond.daemon.duty.Duty;
+import io.masticpond.daemon.duty.EventLoop;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.List;
@@ -22,7 +22,7 @@
  *
  * @since 0.1
  */
-public final class BackendHealthDuty implements AutoCloseable {
+public final class BackendHealthChecker implements AutoCloseable {
 
     private static final int RING_CAPACITY = 1_024;
     private static final Duration CHECK_PERIOD = Duration.ofMillis(20);
@@ -34,7 +34,7 @@
     private final UniformRandomProvider mRandom;
     private final BackendSignalListener mListener;
     private final ProbeClient mClient;
-    private final Duty mDuty;
+    private final EventLoop mDuty;
     private final Map<BackendServerId, WatchedServer> mServers = new HashMap<>();
 
     /**
@@ -45,7 +45,7 @@
      * @param random the source of the jitter, for this object alone
      * @param listener takes what servers say
      */
-    public BackendHealthDuty(
+    public BackendHealthChecker(
             BackendHealthSettings settings,
             TimeSource timeSource,
             UniformRandomProvider random,
@@ -55,7 +55,7 @@
         mRandom = Assert.notNull(random, "A source of random numbers");
         mListener = Assert.notNull(listener, "A listener");
         mClient = new ProbeClient(settings.timeout());
-        mDuty = new Duty("health", RING_CAPACITY, timeSource);
+        mDuty = new EventLoop("health", RING_CAPACITY, timeSource);
         mDuty.every(CHECK_PERIOD, this::probeDue);
         mDuty.start();
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ChainStore.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ChainStore.java
@@ -32,9 +32,9 @@
     private final ObjectStore mStore;
     private final PartedObjects mParts;
     private final ConfigurationCodec mCodec;
-    private final DutyExecutor mExecutor;
+    private final EventLoopExecutor mExecutor;
 
-    ChainStore(ObjectStore store, ConfigurationCodec codec, DutyExecutor executor) {
+    ChainStore(ObjectStore store, ConfigurationCodec codec, EventLoopExecutor executor) {
         mStore = Assert.notNull(store, "An object store");
         mCodec = Assert.notNull(codec, "A codec");
         mExecutor = Assert.notNull(executor, "An executor");
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationDuty.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationService.java
@@ -13,7 +13,7 @@
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.core.timeline.Timeline;
 import io.masticpond.core.timeline.TimelinePart;
-import io.masticpond.daemon.duty.Duty;
+import io.masticpond.daemon.duty.EventLoop;
 import io.masticpond.daemon.platform.ObjectStore;
 import io.masticpond.protocol.generated.ConfigurationFetch;
 import io.masticpond.protocol.generated.ConfigurationPush;
@@ -37,9 +37,9 @@
  *
  * @since 0.1
  */
-public final class ConfigurationDuty implements AutoCloseable {
+public final class ConfigurationService implements AutoCloseable {
 
-    private static final Logger sLogger = LoggerFactory.getLogger(ConfigurationDuty.class);
+    private static final Logger sLogger = LoggerFactory.getLogger(ConfigurationService.class);
     private static final int RING_CAPACITY = 4_096;
     private static final Duration TICK = Duration.ofMillis(100);
     private static final long LOG_BYTES = 64 << 10;
@@ -48,8 +48,8 @@
     private static final long DROP_LOG_PAUSE_NANOS = Duration.ofSeconds(10).toNanos();
     private static final long SEEN_PAUSE_NANOS = Duration.ofSeconds(1).toNanos();
 
-    private final Duty mDuty;
-    private final DutyExecutor mExecutor;
+    private final EventLoop mDuty;
+    private final EventLoopExecutor mExecutor;
     private final ConfigurationPeers mPeers;
     private final ConfigurationHolder mHolder;
     private final ConfigurationReplica mReplica;
@@ -80,7 +80,7 @@
      * @param timeSource the clocks
      * @param timeline takes the events
      */
-    public ConfigurationDuty(
+    public ConfigurationService(
             InstanceId self,
             ZoneId zone,
             ObjectStore store,
@@ -95,8 +95,8 @@
         mSeenNotBeforeNanos = timeSource.monotonicNanos();
         mDropLogNotBeforeNanos = mSeenNotBeforeNanos;
         mTimeline = Assert.notNull(timeline, "A time line");
-        mDuty = new Duty("configuration", RING_CAPACITY, timeSource);
-        mExecutor = new DutyExecutor(mDuty);
+        mDuty = new EventLoop("configuration", RING_CAPACITY, timeSource);
+        mExecutor = new EventLoopExecutor(mDuty);
         mAudience = new ConfigurationDistribution(self, zone);
         mLimits = new ConfigurationLogLimits(LOG_BYTES, change -> codec.encode(change).length);
         mReplica = new ConfigurationReplica(mLimits);
@@ -147,7 +147,7 @@
         mDuty.close();
     }
 
-    DutyExecutor executor() {
+    EventLoopExecutor executor() {
         return mExecutor;
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/DefaultConfigurationCommands.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/DefaultConfigurationCommands.java
@@ -48,13 +48,13 @@
     private static final Logger sLogger =
             LoggerFactory.getLogger(DefaultConfigurationCommands.class);
 
-    private final ConfigurationDuty mDuty;
+    private final ConfigurationService mDuty;
     private final ConfigurationHolder mHolder;
     private final ConfigurationPlanner mPlanner;
     private final PlanStore mPlans;
     private final ChainStore mChain;
     private final ConfirmationRunner mRunner;
-    private final DutyExecutor mExecutor;
+    private final EventLoopExecutor mExecutor;
     private final TimeSource mTimeSource;
     private final Timeline mTimeline;
     private Instant mNextDeletion = Instant.EPOCH;
@@ -71,7 +71,7 @@
      * @param timeline takes the events
      */
     public DefaultConfigurationCommands(
-            ConfigurationDuty duty,
+            ConfigurationService duty,
             ConfigurationHolder holder,
             ConfigurationPlanner planner,
             ObjectStore store,
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/DutyExecutor.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/EventLoopExecutor.java
@@ -1,7 +1,7 @@
 package io.masticpond.daemon.configuration;
 
 import io.masticpond.core.support.Assert;
-import io.masticpond.daemon.duty.Duty;
+import io.masticpond.daemon.duty.EventLoop;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Executor;
 import java.util.concurrent.RejectedExecutionException;
@@ -10,13 +10,13 @@
 import org.slf4j.LoggerFactory;
 
 /** Runs the steps of futures on a duty; a step that finds the ring full fails its future. */
-final class DutyExecutor implements Executor {
+final class EventLoopExecutor implements Executor {
 
-    private static final Logger sLogger = LoggerFactory.getLogger(DutyExecutor.class);
+    private static final Logger sLogger = LoggerFactory.getLogger(EventLoopExecutor.class);
 
-    private final Duty mDuty;
+    private final EventLoop mDuty;
 
-    DutyExecutor(Duty duty) {
+    EventLoopExecutor(EventLoop duty) {
         mDuty = Assert.notNull(duty, "A duty");
     }
 
@@ -32,7 +32,7 @@
      * for it without a limit.
      */
     <T> void whenDone(CompletableFuture<T> future, Consumer<T> step) {
-        var unused = future.thenAcceptAsync(step, this).exceptionally(DutyExecutor::logDropped);
+        var unused = future.thenAcceptAsync(step, this).exceptionally(EventLoopExecutor::logDropped);
     }
 
     private static Void logDropped(Throwable error) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PartedObjects.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PartedObjects.java
@@ -31,9 +31,9 @@
     private static final int MAXIMUM_ATTEMPTS = 3;
 
     private final ObjectStore mStore;
-    private final DutyExecutor mExecutor;
+    private final EventLoopExecutor mExecutor;
 
-    PartedObjects(ObjectStore store, DutyExecutor executor) {
+    PartedObjects(ObjectStore store, EventLoopExecutor executor) {
         mStore = Assert.notNull(store, "An object store");
         mExecutor = Assert.notNull(executor, "An executor");
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PeerFollower.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PeerFollower.java
@@ -35,7 +35,7 @@
     private final ConfigurationReplica mReplica;
     private final ZoneId mZone;
     private final BiConsumer<InstanceId, ConfigurationPush> mTake;
-    private final DutyExecutor mExecutor;
+    private final EventLoopExecutor mExecutor;
     private final TimeSource mTimeSource;
     private final Map<InstanceId, Long> mAvoided = new HashMap<>();
     private final Set<InstanceId> mAnswered = new HashSet<>();
@@ -46,7 +46,7 @@
             ConfigurationReplica replica,
             ZoneId zone,
             BiConsumer<InstanceId, ConfigurationPush> take,
-            DutyExecutor executor,
+            EventLoopExecutor executor,
             TimeSource timeSource) {
         mPeers = peers;
         mReplica = replica;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PlatformFollower.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PlatformFollower.java
@@ -28,7 +28,7 @@
     private final ChainStore mChain;
     private final ConfigurationReplica mReplica;
     private final Consumer<ConfigurationUpdate> mTake;
-    private final DutyExecutor mExecutor;
+    private final EventLoopExecutor mExecutor;
     private final TimeSource mTimeSource;
     private final Backoff mBackoff;
     private final CallLimit mCall = new CallLimit(WATCH_TIMEOUT.multipliedBy(2));
@@ -39,7 +39,7 @@
             ChainStore chain,
             ConfigurationReplica replica,
             Consumer<ConfigurationUpdate> take,
-            DutyExecutor executor,
+            EventLoopExecutor executor,
             TimeSource timeSource,
             DoubleSupplier random) {
         mChain = chain;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/duty/Duty.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/duty/EventLoop.java
@@ -21,9 +21,9 @@
  *
  * @since 0.1
  */
-public final class Duty implements AutoCloseable {
+public final class EventLoop implements AutoCloseable {
 
-    private static final Logger sLogger = LoggerFactory.getLogger(Duty.class);
+    private static final Logger sLogger = LoggerFactory.getLogger(EventLoop.class);
     private static final long STOP_TIMEOUT_MILLIS = 5_000;
     private static final long LONGEST_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
@@ -44,7 +44,7 @@
      * @param ringCapacity how many tasks may wait, positive
      * @param timeSource the clock of the periodic tasks
      */
-    public Duty(String name, int ringCapacity, TimeSource timeSource) {
+    public EventLoop(String name, int ringCapacity, TimeSource timeSource) {
         mName = Assert.hasText(name, "The name of a duty");
         Assert.positive(ringCapacity, "The capacity of a ring");
         mTimeSource = Assert.notNull(timeSource, "A time source");
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/ForwardReceiver.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/ForwardReceiver.java
@@ -4,7 +4,7 @@
 import io.masticpond.core.id.RequestId;
 import io.masticpond.core.id.Shard;
 import io.masticpond.core.time.TimeSource;
-import io.masticpond.daemon.duty.Duty;
+import io.masticpond.daemon.duty.EventLoop;
 import io.masticpond.daemon.instance.InstanceLinks;
 import io.masticpond.daemon.instance.Responder;
 import io.masticpond.daemon.steering.AdmitterSteering;
@@ -28,7 +28,7 @@
  */
 public final class ForwardReceiver {
 
-    private final Duty mDuty;
+    private final EventLoop mDuty;
     private final AdmitterSteering mAdmitter;
     private final EntrySteering mEntry;
     private final TimeSource mTimeSource;
@@ -45,7 +45,7 @@
      * @param timeSource the clocks
      */
     public ForwardReceiver(
-            Duty duty, AdmitterSteering admitter, EntrySteering entry, TimeSource timeSource) {
+            EventLoop duty, AdmitterSteering admitter, EntrySteering entry, TimeSource timeSource) {
         mDuty = duty;
         mAdmitter = admitter;
         mEntry = entry;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/RequestGateway.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/RequestGateway.java
@@ -9,7 +9,7 @@
 import io.masticpond.core.request.Refusal;
 import io.masticpond.core.request.RefusalCause;
 import io.masticpond.daemon.caller.CallerService;
-import io.masticpond.daemon.duty.Duty;
+import io.masticpond.daemon.duty.EventLoop;
 import io.masticpond.daemon.operation.OnceOnlyGuard;
 import io.masticpond.daemon.operation.OnceOnlyKeys;
 import io.masticpond.daemon.steering.PayingEntry;
@@ -27,7 +27,7 @@
  */
 public final class RequestGateway implements CallerService {
 
-    private final Duty mSteering;
+    private final EventLoop mSteering;
     private final ZoneId mZone;
     private final Supplier<Configuration> mConfiguration;
     private final LookupTable mLookups;
@@ -48,7 +48,7 @@
      * @param seenVersion takes configuration versions that callers have seen
      */
     public RequestGateway(
-            Duty steering,
+            EventLoop steering,
             ZoneId zone,
             Supplier<Configuration> configuration,
             LookupTable lookups,
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipDuty.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipService.java
@@ -14,7 +14,7 @@
 import io.masticpond.core.timeline.HybridLogicalClock;
 import io.masticpond.core.timeline.HybridTime;
 import io.masticpond.core.timeline.Timeline;
-import io.masticpond.daemon.duty.Duty;
+import io.masticpond.daemon.duty.EventLoop;
 import io.masticpond.daemon.instance.InstanceLinks;
 import io.masticpond.daemon.instance.LinkListener;
 import io.masticpond.daemon.instance.Responder;
@@ -47,9 +47,9 @@
  *
  * @since 0.1
  */
-public final class MembershipDuty implements AutoCloseable {
+public final class MembershipService implements AutoCloseable {
 
-    private static final Logger sLogger = LoggerFactory.getLogger(MembershipDuty.class);
+    private static final Logger sLogger = LoggerFactory.getLogger(MembershipService.class);
     private static final int RING_CAPACITY = 4_096;
     private static final Duration TICK = Duration.ofMillis(100);
     private static final long LIST_PERIOD_NANOS = Duration.ofSeconds(30).toNanos();
@@ -64,7 +64,7 @@
     private final MembershipTimings mTimings;
     private final List<String> mSeeds;
     private final UniformRandomProvider mRandom;
-    private final Duty mDuty;
+    private final EventLoop mDuty;
     private final List<MembershipListener> mListeners = new CopyOnWriteArrayList<>();
     private final List<HeadroomListener> mHeadroomListeners = new CopyOnWriteArrayList<>();
     private final LongAdder mRejected = new LongAdder();
@@ -88,7 +88,7 @@
      * @param timeSource the clock of silences
      * @param seed the seed of the jitter
      */
-    public MembershipDuty(
+    public MembershipService(
             OwnState self,
             List<String> seeds,
             MembershipTimings timings,
@@ -115,7 +115,7 @@
                         () -> mChanged = true);
         mTable = new MembershipTable(self, timings, timeSource, sink);
         mView = mTable.view();
-        mDuty = new Duty("membership", RING_CAPACITY, timeSource);
+        mDuty = new EventLoop("membership", RING_CAPACITY, timeSource);
         mDuty.every(TICK, this::tick);
         long now = timeSource.monotonicNanos();
         mNextBeatNanos = now;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationHandover.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationHandover.java
@@ -3,7 +3,7 @@
 import io.masticpond.core.id.Incarnation;
 import io.masticpond.core.operation.KeptOutcome;
 import io.masticpond.core.support.Assert;
-import io.masticpond.daemon.duty.Duty;
+import io.masticpond.daemon.duty.EventLoop;
 import io.masticpond.daemon.steering.RequestEnd;
 import java.time.Duration;
 import java.util.List;
@@ -19,9 +19,9 @@
 public final class OperationHandover {
 
     private final Incarnation mHome;
-    private final Duty mSteering;
+    private final EventLoop mSteering;
     private final OnceOnlyGuard mGuard;
-    private final OperationDuty mOperations;
+    private final PlatformOperationArchive mOperations;
     private final OperationPeers mPeers;
 
     /**
@@ -35,9 +35,9 @@
      */
     public OperationHandover(
             Incarnation home,
-            Duty steering,
+            EventLoop steering,
             OnceOnlyGuard guard,
-            OperationDuty operations,
+            PlatformOperationArchive operations,
             OperationPeers peers) {
         mHome = Assert.notNull(home, "A home");
         mSteering = Assert.notNull(steering, "A duty");
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationReceiver.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationReceiver.java
@@ -6,7 +6,7 @@
 import io.masticpond.core.operation.OperationKey;
 import io.masticpond.core.support.Assert;
 import io.masticpond.core.time.TimeSource;
-import io.masticpond.daemon.duty.Duty;
+import io.masticpond.daemon.duty.EventLoop;
 import io.masticpond.daemon.forwarding.ForwardCodec;
 import io.masticpond.daemon.instance.InstanceLinks;
 import io.masticpond.daemon.instance.Responder;
@@ -29,7 +29,7 @@
 
     private static final Duration SWEEP = Duration.ofMillis(20);
 
-    private final Duty mSteering;
+    private final EventLoop mSteering;
     private final OnceOnlyGuard mGuard;
     private final TimeSource mTimeSource;
 
@@ -40,7 +40,7 @@
      * @param guard the guard, which belongs to that duty
      * @param timeSource the clocks
      */
-    public OperationReceiver(Duty steering, OnceOnlyGuard guard, TimeSource timeSource) {
+    public OperationReceiver(EventLoop steering, OnceOnlyGuard guard, TimeSource timeSource) {
         mSteering = Assert.notNull(steering, "A duty");
         mGuard = Assert.notNull(guard, "A guard");
         mTimeSource = Assert.notNull(timeSource, "A time source");
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationDuty.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/PlatformOperationArchive.java
@@ -12,7 +12,7 @@
 import io.masticpond.core.operation.OutcomeCall;
 import io.masticpond.core.operation.StoreAnswer;
 import io.masticpond.core.support.Assert;
-import io.masticpond.daemon.duty.Duty;
+import io.masticpond.daemon.duty.EventLoop;
 import io.masticpond.daemon.platform.ObjectKey;
 import io.masticpond.daemon.platform.ObjectStore;
 import io.masticpond.daemon.platform.PlatformError;
@@ -39,13 +39,13 @@
  *
  * @since 0.1
  */
-public final class OperationDuty implements OperationArchive {
+public final class PlatformOperationArchive implements OperationArchive {
 
-    private static final Logger sLogger = LoggerFactory.getLogger(OperationDuty.class);
+    private static final Logger sLogger = LoggerFactory.getLogger(PlatformOperationArchive.class);
     private static final Duration CALL_PERIOD = Duration.ofMillis(5);
     private static final Duration IDLE_PERIOD = Duration.ofSeconds(30);
 
-    private final Duty mDuty;
+    private final EventLoop mDuty;
     private final ObjectStore mStore;
     private final Incarnation mHome;
     private final ClaimBatcher mClaims;
@@ -63,8 +63,8 @@
      * @param outcomes groups outcomes
      * @param steering runs tasks on the steering duty, and may wait for room there
      */
-    public OperationDuty(
-            Duty duty,
+    public PlatformOperationArchive(
+            EventLoop duty,
             ObjectStore store,
             Incarnation home,
             ClaimBatcher claims,
@@ -151,9 +151,9 @@
             byte[] bytes = OperationObjects.toBytes(write.contents());
             answer =
                     mStore.write(key, write.contents().version(), bytes)
-                            .thenApply(result -> written(result, OperationDuty::claims));
+                            .thenApply(result -> written(result, PlatformOperationArchive::claims));
         } else {
-            answer = mStore.read(key).thenApply(OperationDuty::claims);
+            answer = mStore.read(key).thenApply(PlatformOperationArchive::claims);
         }
         CompletableFuture<Void> unused =
                 answer.thenAccept(
@@ -172,7 +172,7 @@
             byte[] bytes = OutcomeCodec.toBytes(write.outcomes());
             answer =
                     mStore.write(key, write.expectedVersion(), bytes)
-                            .thenApply(result -> written(result, OperationDuty::version));
+                            .thenApply(result -> written(result, PlatformOperationArchive::version));
         } else if (call instanceof OutcomeCall.Delete<RequestEnd.Answered> delete) {
             answer =
                     mStore.delete(key, delete.expectedVersion())
@@ -180,9 +180,9 @@
                                     result ->
                                             written(
                                                     result.map(nothing -> ObjectStore.ABSENT),
-                                                    OperationDuty::version));
+                                                    PlatformOperationArchive::version));
         } else {
-            answer = mStore.read(key).thenApply(OperationDuty::version);
+            answer = mStore.read(key).thenApply(PlatformOperationArchive::version);
         }
         CompletableFuture<Void> unused =
                 answer.thenAccept(result -> mDuty.put(() -> mOutcomes.answered(call, result)));
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/CallRunner.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/CallRunner.java
@@ -2,7 +2,7 @@
 
 import io.masticpond.core.support.Assert;
 import io.masticpond.core.time.TimeSource;
-import io.masticpond.daemon.duty.Duty;
+import io.masticpond.daemon.duty.EventLoop;
 import io.masticpond.daemon.platform.Endpoints.Endpoint;
 import io.masticpond.daemon.platform.TransportEnd.Answered;
 import io.masticpond.daemon.platform.TransportEnd.Broken;
@@ -46,7 +46,7 @@
     private final CallBudget mBudget;
     private final Endpoints mEndpoints;
     private final Backoff mRetryBackoff;
-    private final Duty mDuty;
+    private final EventLoop mDuty;
     private final PriorityQueue<Retry> mRetries = new PriorityQueue<>();
     private final Set<PendingCall<?>> mOpen = new LinkedHashSet<>();
     private boolean mClosed;
@@ -67,7 +67,7 @@
                 new Endpoints(
                         settings.addresses(),
                         () -> new Breaker(timeSource, settings.breakerThreshold(), open));
-        mDuty = new Duty("platform", RING_CAPACITY, timeSource);
+        mDuty = new EventLoop("platform", RING_CAPACITY, timeSource);
         mDuty.every(RETRY_CHECK, this::retryDue);
         mDuty.start();
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingPlanObservations.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingPlanObservations.java
@@ -17,7 +17,7 @@
  */
 public final class SpendingPlanObservations implements PlanObservations {
 
-    private final SpendingDuty mSpending;
+    private final SpendingService mSpending;
     private final TimeSource mTimeSource;
     private final PlanObservations mLoad;
 
@@ -29,7 +29,7 @@
      * @param load knows the load
      */
     public SpendingPlanObservations(
-            SpendingDuty spending, TimeSource timeSource, PlanObservations load) {
+            SpendingService spending, TimeSource timeSource, PlanObservations load) {
         mSpending = spending;
         mTimeSource = timeSource;
         mLoad = load;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingRoutes.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingRoutes.java
@@ -15,7 +15,7 @@
  */
 public final class SpendingRoutes implements OperatorRoutes {
 
-    private final SpendingDuty mSpending;
+    private final SpendingService mSpending;
     private final TimeSource mTimeSource;
     private final ObjectMapper mMapper = new ObjectMapper();
 
@@ -25,7 +25,7 @@
      * @param spending knows the accounts of this instance
      * @param timeSource the clocks
      */
-    public SpendingRoutes(SpendingDuty spending, TimeSource timeSource) {
+    public SpendingRoutes(SpendingService spending, TimeSource timeSource) {
         mSpending = Assert.notNull(spending, "A spending duty");
         mTimeSource = Assert.notNull(timeSource, "A time source");
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingDuty.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingService.java
@@ -13,7 +13,7 @@
 import io.masticpond.core.support.Assert;
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.core.timeline.Timeline;
-import io.masticpond.daemon.duty.Duty;
+import io.masticpond.daemon.duty.EventLoop;
 import io.masticpond.daemon.metrics.SpendingMetrics;
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -34,18 +34,18 @@
  *
  * @since 0.1
  */
-public final class SpendingDuty implements AutoCloseable {
+public final class SpendingService implements AutoCloseable {
 
     /** The bound of the error of the instances' clocks. */
     public static final Duration CLOCK_ERROR = Duration.ofMillis(500);
 
-    private static final Logger sLogger = LoggerFactory.getLogger(SpendingDuty.class);
+    private static final Logger sLogger = LoggerFactory.getLogger(SpendingService.class);
     private static final int RING_CAPACITY = 1_024;
     private static final Duration OBSERVE_PERIOD = Duration.ofSeconds(1);
     private static final Duration ADVANCE_PERIOD = Duration.ofMillis(100);
 
-    private final Duty mSteering;
-    private final Duty mDuty;
+    private final EventLoop mSteering;
+    private final EventLoop mDuty;
     private final PlatformLedgers mLedgers;
     private final DefaultSpendingGate mGate;
     private final Queue<LedgerKey> mNotTaken = new ArrayDeque<>();
@@ -62,8 +62,8 @@
      * @param timeSource the clocks
      * @param timeline takes events
      */
-    public SpendingDuty(
-            Duty steering,
+    public SpendingService(
+            EventLoop steering,
             PlatformLedgers ledgers,
             Incarnation self,
             AllotmentPolicy policy,
@@ -71,7 +71,7 @@
             Timeline timeline) {
         mSteering = steering;
         mLedgers = ledgers;
-        mDuty = new Duty("spending", RING_CAPACITY, timeSource);
+        mDuty = new EventLoop("spending", RING_CAPACITY, timeSource);
         mGate =
                 new DefaultSpendingGate(
                         self,
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/SteeringDuty.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/SteeringService.java
@@ -8,7 +8,7 @@
 import io.masticpond.core.id.ServiceId;
 import io.masticpond.core.id.Shard;
 import io.masticpond.core.membership.MembershipView;
-import io.masticpond.daemon.duty.Duty;
+import io.masticpond.daemon.duty.EventLoop;
 import java.time.Duration;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -22,12 +22,12 @@
  *
  * @since 0.1
  */
-public final class SteeringDuty {
+public final class SteeringService {
 
     private static final Duration ADVANCE_PERIOD = Duration.ofMillis(5);
     private static final Duration RECONFIGURE_PERIOD = Duration.ofMillis(250);
 
-    private final Duty mDuty;
+    private final EventLoop mDuty;
     private final DefaultShardDirectory mDirectory;
     private final ConfiguredRegionSelector mSelector;
     private final AdmitterSteering mAdmitter;
@@ -45,8 +45,8 @@
      * @param selector chooses regions
      * @param admitter the admitter side
      */
-    public SteeringDuty(
-            Duty duty,
+    public SteeringService(
+            EventLoop duty,
             DefaultShardDirectory directory,
             ConfiguredRegionSelector selector,
             AdmitterSteering admitter) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/BackendWatch.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/BackendWatch.java
@@ -2,8 +2,8 @@
 
 import io.masticpond.core.configuration.BackendServerSpecification;
 import io.masticpond.core.id.Shard;
-import io.masticpond.daemon.backend.BackendHealthDuty;
-import io.masticpond.daemon.duty.Duty;
+import io.masticpond.daemon.backend.BackendHealthChecker;
+import io.masticpond.daemon.duty.EventLoop;
 import io.masticpond.daemon.steering.ShardDirectory;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -21,7 +21,7 @@
     private static final Duration PERIOD = Duration.ofMillis(250);
 
     private final ShardDirectory mDirectory;
-    private final BackendHealthDuty mHealth;
+    private final BackendHealthChecker mHealth;
     private List<BackendServerSpecification> mWatched = List.of();
 
     /**
@@ -30,7 +30,7 @@
      * @param directory tells which shards are admitted here
      * @param health asks the backend servers
      */
-    public BackendWatch(ShardDirectory directory, BackendHealthDuty health) {
+    public BackendWatch(ShardDirectory directory, BackendHealthChecker health) {
         mDirectory = directory;
         mHealth = health;
     }
@@ -40,7 +40,7 @@
      *
      * @param steering the steering duty, which must not be started yet
      */
-    public void follow(Duty steering) {
+    public void follow(EventLoop steering) {
         steering.every(PERIOD, this::watch);
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/CallerModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/CallerModule.java
@@ -6,9 +6,9 @@
 import io.masticpond.daemon.caller.CallerServer;
 import io.masticpond.daemon.caller.CallerService;
 import io.masticpond.daemon.caller.RequestIdSource;
-import io.masticpond.daemon.configuration.ConfigurationDuty;
+import io.masticpond.daemon.configuration.ConfigurationService;
 import io.masticpond.daemon.configuration.ConfigurationHolder;
-import io.masticpond.daemon.duty.Duty;
+import io.masticpond.daemon.duty.EventLoop;
 import io.masticpond.daemon.gateway.LookupTable;
 import io.masticpond.daemon.gateway.MeteredCallerService;
 import io.masticpond.daemon.gateway.RequestGateway;
@@ -40,10 +40,10 @@
     @Provides
     @Singleton
     static RequestGateway requestGateway(
-            @SteeringThread Duty duty,
+            @SteeringThread EventLoop duty,
             DaemonSettings settings,
             ConfigurationHolder configuration,
-            ConfigurationDuty configurationDuty,
+            ConfigurationService configurationDuty,
             LookupTable lookups,
             PayingEntry entry,
             OnceOnlyGuard guard) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/ConfigurationModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/ConfigurationModule.java
@@ -8,7 +8,7 @@
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.core.timeline.Timeline;
 import io.masticpond.daemon.configuration.ConfigurationCodec;
-import io.masticpond.daemon.configuration.ConfigurationDuty;
+import io.masticpond.daemon.configuration.ConfigurationService;
 import io.masticpond.daemon.configuration.ConfigurationHolder;
 import io.masticpond.daemon.configuration.ConfigurationPeers;
 import io.masticpond.daemon.configuration.DefaultConfigurationCommands;
@@ -19,7 +19,7 @@
 import io.masticpond.daemon.operator.OperatorToken;
 import io.masticpond.daemon.platform.ObjectStore;
 import io.masticpond.daemon.settings.DaemonSettings;
-import io.masticpond.daemon.spending.SpendingDuty;
+import io.masticpond.daemon.spending.SpendingService;
 import io.masticpond.daemon.spending.SpendingPlanObservations;
 import java.util.List;
 import java.util.Set;
@@ -49,7 +49,7 @@
 
     @Provides
     @Singleton
-    static ConfigurationDuty configurationDuty(
+    static ConfigurationService configurationService(
             DaemonSettings settings,
             ObjectStore store,
             ConfigurationPeers peers,
@@ -57,7 +57,7 @@
             ConfigurationCodec codec,
             TimeSource timeSource,
             Timeline timeline) {
-        return new ConfigurationDuty(
+        return new ConfigurationService(
                 settings.instance().id(),
                 settings.instance().zone(),
                 store,
@@ -71,13 +71,13 @@
     @Provides
     @Singleton
     static DefaultConfigurationCommands configurationCommands(
-            ConfigurationDuty duty,
+            ConfigurationService duty,
             ConfigurationHolder holder,
             ObjectStore store,
             ConfigurationCodec codec,
             TimeSource timeSource,
             Timeline timeline,
-            SpendingDuty spending) {
+            SpendingService spending) {
         PlanObservations observations =
                 new SpendingPlanObservations(spending, timeSource, PlanObservations.NONE);
         return new DefaultConfigurationCommands(
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/Daemon.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/Daemon.java
@@ -7,21 +7,21 @@
 import io.masticpond.core.id.Shard;
 import io.masticpond.core.membership.MembershipView;
 import io.masticpond.daemon.caller.CallerServer;
-import io.masticpond.daemon.configuration.ConfigurationDuty;
+import io.masticpond.daemon.configuration.ConfigurationService;
 import io.masticpond.daemon.configuration.ConfigurationHolder;
-import io.masticpond.daemon.duty.Duty;
+import io.masticpond.daemon.duty.EventLoop;
 import io.masticpond.daemon.forwarding.ForwardCodec;
 import io.masticpond.daemon.forwarding.ForwardReceiver;
 import io.masticpond.daemon.gateway.LookupTable;
 import io.masticpond.daemon.instance.NettyInstanceLinks;
 import io.masticpond.daemon.lifecycle.PlannedStop;
 import io.masticpond.daemon.logging.Logging;
-import io.masticpond.daemon.membership.MembershipDuty;
+import io.masticpond.daemon.membership.MembershipService;
 import io.masticpond.daemon.metrics.DaemonMetrics;
 import io.masticpond.daemon.operation.OperationReceiver;
 import io.masticpond.daemon.operator.OperatorServer;
-import io.masticpond.daemon.spending.SpendingDuty;
-import io.masticpond.daemon.steering.SteeringDuty;
+import io.masticpond.daemon.spending.SpendingService;
+import io.masticpond.daemon.steering.SteeringService;
 import io.masticpond.daemon.wiring.OperationModule.OperationThread;
 import io.masticpond.protocol.generated.HeadroomEntry;
 import java.util.List;
@@ -44,18 +44,18 @@
     private static final Logger sLogger = LoggerFactory.getLogger(Daemon.class);
 
     private final Incarnation mIncarnation;
-    private final Duty mSteering;
-    private final Duty mOperations;
-    private final SteeringDuty mSteeringKeeper;
+    private final EventLoop mSteering;
+    private final EventLoop mOperations;
+    private final SteeringService mSteeringKeeper;
     private final BackendWatch mBackendWatch;
     private final NettyInstanceLinks mLinks;
     private final ForwardReceiver mForwards;
     private final OperationReceiver mAsks;
     private final ConfigurationHolder mConfiguration;
-    private final ConfigurationDuty mConfigurationDuty;
-    private final SpendingDuty mSpending;
+    private final ConfigurationService mConfigurationDuty;
+    private final SpendingService mSpending;
     private final LookupTable mLookups;
-    private final MembershipDuty mMembers;
+    private final MembershipService mMembers;
     private final DaemonMetrics mMetrics;
     private final CallerServer mCallers;
     private final OperatorServer mOperators;
@@ -65,18 +65,18 @@
     @Inject
     Daemon(
             Incarnation incarnation,
-            @SteeringThread Duty steering,
-            @OperationThread Duty operations,
-            SteeringDuty steeringKeeper,
+            @SteeringThread EventLoop steering,
+            @OperationThread EventLoop operations,
+            SteeringService steeringKeeper,
             BackendWatch backendWatch,
             NettyInstanceLinks links,
             ForwardReceiver forwards,
             OperationReceiver asks,
             ConfigurationHolder configuration,
-            ConfigurationDuty configurationDuty,
-            SpendingDuty spending,
+            ConfigurationService configurationDuty,
+            SpendingService spending,
             LookupTable lookups,
-            MembershipDuty members,
+            MembershipService members,
             DaemonMetrics metrics,
             CallerServer callers,
             OperatorServer operators,
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/DaemonParts.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/DaemonParts.java
@@ -2,17 +2,17 @@
 
 import io.masticpond.core.id.Incarnation;
 import io.masticpond.daemon.caller.CallerServer;
-import io.masticpond.daemon.duty.Duty;
+import io.masticpond.daemon.duty.EventLoop;
 import io.masticpond.daemon.forwarding.ForwardReceiver;
 import io.masticpond.daemon.gateway.RequestGateway;
 import io.masticpond.daemon.lifecycle.StoppableParts;
-import io.masticpond.daemon.membership.MembershipDuty;
+import io.masticpond.daemon.membership.MembershipService;
 import io.masticpond.daemon.operation.LinkOperationPeers;
 import io.masticpond.daemon.operation.OnceOnlyGuard;
-import io.masticpond.daemon.operation.OperationDuty;
+import io.masticpond.daemon.operation.PlatformOperationArchive;
 import io.masticpond.daemon.operation.OperationHandover;
-import io.masticpond.daemon.spending.SpendingDuty;
-import io.masticpond.daemon.steering.SteeringDuty;
+import io.masticpond.daemon.spending.SpendingService;
+import io.masticpond.daemon.steering.SteeringService;
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
@@ -24,30 +24,30 @@
 final class DaemonParts implements StoppableParts {
 
     private final Incarnation mIncarnation;
-    private final Duty mSteering;
-    private final SteeringDuty mSteeringKeeper;
+    private final EventLoop mSteering;
+    private final SteeringService mSteeringKeeper;
     private final ForwardReceiver mForwards;
-    private final MembershipDuty mMembers;
+    private final MembershipService mMembers;
     private final CallerServer mCallers;
     private final RequestGateway mGateway;
     private final OnceOnlyGuard mGuard;
     private final LinkOperationPeers mPeers;
-    private final OperationDuty mOperations;
-    private final SpendingDuty mSpending;
+    private final PlatformOperationArchive mOperations;
+    private final SpendingService mSpending;
 
     @Inject
     DaemonParts(
             Incarnation incarnation,
-            @SteeringThread Duty steering,
-            SteeringDuty steeringKeeper,
+            @SteeringThread EventLoop steering,
+            SteeringService steeringKeeper,
             ForwardReceiver forwards,
-            MembershipDuty members,
+            MembershipService members,
             CallerServer callers,
             RequestGateway gateway,
             OnceOnlyGuard guard,
             LinkOperationPeers peers,
-            OperationDuty operations,
-            SpendingDuty spending) {
+            PlatformOperationArchive operations,
+            SpendingService spending) {
         mIncarnation = incarnation;
         mSteering = steering;
         mSteeringKeeper = steeringKeeper;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/DaemonStatus.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/DaemonStatus.java
@@ -5,11 +5,11 @@
 import io.masticpond.daemon.configuration.ConfigurationHolder;
 import io.masticpond.daemon.gateway.RequestGateway;
 import io.masticpond.daemon.lifecycle.PlannedStop;
-import io.masticpond.daemon.membership.MembershipDuty;
+import io.masticpond.daemon.membership.MembershipService;
 import io.masticpond.daemon.operator.StatusAnswer;
 import io.masticpond.daemon.operator.StatusSource;
 import io.masticpond.daemon.settings.DaemonSettings;
-import io.masticpond.daemon.steering.SteeringDuty;
+import io.masticpond.daemon.steering.SteeringService;
 import java.util.List;
 import java.util.Locale;
 import javax.inject.Inject;
@@ -23,8 +23,8 @@
     private final RequestGateway mGateway;
     private final ConfigurationHolder mConfiguration;
     private final CallerServer mCallers;
-    private final MembershipDuty mMembers;
-    private final SteeringDuty mSteering;
+    private final MembershipService mMembers;
+    private final SteeringService mSteering;
 
     @Inject
     DaemonStatus(
@@ -34,8 +34,8 @@
             RequestGateway gateway,
             ConfigurationHolder configuration,
             CallerServer callers,
-            MembershipDuty members,
-            SteeringDuty steering) {
+            MembershipService members,
+            SteeringService steering) {
         mSettings = settings;
         mIncarnation = incarnation;
         mStop = stop;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/FoundationModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/FoundationModule.java
@@ -6,7 +6,7 @@
 import io.masticpond.core.time.SystemTimeSource;
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.daemon.caller.RequestIdSource;
-import io.masticpond.daemon.duty.Duty;
+import io.masticpond.daemon.duty.EventLoop;
 import io.masticpond.daemon.metrics.DaemonMetrics;
 import io.masticpond.daemon.platform.PlatformObserver;
 import io.masticpond.daemon.settings.DaemonSettings;
@@ -56,9 +56,9 @@
     @Provides
     @Singleton
     @SteeringThread
-    static Duty steeringDuty(
+    static EventLoop steeringEventLoop(
             DaemonSettings settings, TimeSource timeSource, DaemonMetrics metrics) {
-        Duty duty = new Duty("steering", settings.steering().ringCapacity(), timeSource);
+        EventLoop duty = new EventLoop("steering", settings.steering().ringCapacity(), timeSource);
         metrics.control().watchRing("steering", duty::refused, duty::waiting);
         return duty;
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/HeadroomScrape.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/HeadroomScrape.java
@@ -2,8 +2,8 @@
 
 import io.masticpond.core.admission.Headroom;
 import io.masticpond.daemon.metrics.DaemonMetrics;
-import io.masticpond.daemon.steering.SteeringDuty;
-import io.masticpond.daemon.steering.SteeringDuty.RegionKey;
+import io.masticpond.daemon.steering.SteeringService;
+import io.masticpond.daemon.steering.SteeringService.RegionKey;
 import java.util.Map;
 import java.util.Set;
 import javax.inject.Inject;
@@ -11,12 +11,12 @@
 /** Brings the metrics of headroom up to date before each scrape; safe for all threads. */
 final class HeadroomScrape implements Runnable {
 
-    private final SteeringDuty mSteering;
+    private final SteeringService mSteering;
     private final DaemonMetrics mMetrics;
     private Set<RegionKey> mShown = Set.of();
 
     @Inject
-    HeadroomScrape(SteeringDuty steering, DaemonMetrics metrics) {
+    HeadroomScrape(SteeringService steering, DaemonMetrics metrics) {
         mSteering = steering;
         mMetrics = metrics;
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/MembershipModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/MembershipModule.java
@@ -10,7 +10,7 @@
 import io.masticpond.core.timeline.Timeline;
 import io.masticpond.daemon.configuration.ConfigurationPeers;
 import io.masticpond.daemon.instance.InstanceLinks;
-import io.masticpond.daemon.membership.MembershipDuty;
+import io.masticpond.daemon.membership.MembershipService;
 import io.masticpond.daemon.platform.ObjectStore;
 import io.masticpond.daemon.settings.DaemonSettings;
 import java.util.random.RandomGenerator;
@@ -28,7 +28,7 @@
 
     @Provides
     @Singleton
-    static MembershipDuty membershipDuty(
+    static MembershipService membershipService(
             DaemonSettings settings,
             Incarnation incarnation,
             InstanceLinks links,
@@ -37,7 +37,7 @@
             Timeline timeline,
             TimeSource timeSource,
             RandomGenerator random) {
-        return new MembershipDuty(
+        return new MembershipService(
                 new OwnState(
                         incarnation,
                         settings.instance().zone(),
@@ -57,7 +57,7 @@
     @Provides
     @Singleton
     static ConfigurationPeers configurationPeers(
-            DaemonSettings settings, InstanceLinks links, MembershipDuty members) {
+            DaemonSettings settings, InstanceLinks links, MembershipService members) {
         return new LinkConfigurationPeers(
                 settings.instance().id(), links, () -> members.view().members());
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/OperationModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/OperationModule.java
@@ -13,14 +13,14 @@
 import io.masticpond.core.operation.OutcomeBatcher;
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.core.timeline.Timeline;
-import io.masticpond.daemon.duty.Duty;
+import io.masticpond.daemon.duty.EventLoop;
 import io.masticpond.daemon.instance.InstanceLinks;
-import io.masticpond.daemon.membership.MembershipDuty;
+import io.masticpond.daemon.membership.MembershipService;
 import io.masticpond.daemon.operation.AnswerSize;
 import io.masticpond.daemon.operation.LinkOperationPeers;
 import io.masticpond.daemon.operation.MemberHomes;
 import io.masticpond.daemon.operation.OnceOnlyGuard;
-import io.masticpond.daemon.operation.OperationDuty;
+import io.masticpond.daemon.operation.PlatformOperationArchive;
 import io.masticpond.daemon.operation.OperationHome;
 import io.masticpond.daemon.operation.OperationReceiver;
 import io.masticpond.daemon.platform.ObjectStore;
@@ -54,26 +54,26 @@
     @Provides
     @Singleton
     @OperationThread
-    static Duty operationThread(TimeSource timeSource) {
-        return new Duty("operations", RING_CAPACITY, timeSource);
+    static EventLoop operationThread(TimeSource timeSource) {
+        return new EventLoop("operations", RING_CAPACITY, timeSource);
     }
 
     @Provides
     @Singleton
-    static MemberHomes memberHomes(Incarnation incarnation, MembershipDuty members) {
+    static MemberHomes memberHomes(Incarnation incarnation, MembershipService members) {
         return new MemberHomes(incarnation, () -> members.view().members());
     }
 
     @Provides
     @Singleton
-    static OperationDuty operationDuty(
-            @OperationThread Duty thread,
-            @SteeringThread Duty steering,
+    static PlatformOperationArchive platformOperationArchive(
+            @OperationThread EventLoop thread,
+            @SteeringThread EventLoop steering,
             ObjectStore store,
             Incarnation incarnation,
             TimeSource timeSource,
             RandomGenerator random) {
-        return new OperationDuty(
+        return new PlatformOperationArchive(
                 thread,
                 store,
                 incarnation,
@@ -100,11 +100,11 @@
     @Singleton
     static OnceOnlyGuard onceOnlyGuard(
             Incarnation incarnation,
-            @SteeringThread Duty steering,
+            @SteeringThread EventLoop steering,
             PayingEntry entry,
             MemberHomes homes,
             LinkOperationPeers peers,
-            OperationDuty operations,
+            PlatformOperationArchive operations,
             TimeSource timeSource,
             RandomGenerator random,
             Timeline timeline) {
@@ -129,7 +129,7 @@
     @Provides
     @Singleton
     static OperationReceiver operationReceiver(
-            @SteeringThread Duty steering, OnceOnlyGuard guard, TimeSource timeSource) {
+            @SteeringThread EventLoop steering, OnceOnlyGuard guard, TimeSource timeSource) {
         return new OperationReceiver(steering, guard, timeSource);
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/SpendingModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/SpendingModule.java
@@ -7,13 +7,13 @@
 import io.masticpond.core.spending.AllotmentPolicy;
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.core.timeline.Timeline;
-import io.masticpond.daemon.duty.Duty;
+import io.masticpond.daemon.duty.EventLoop;
 import io.masticpond.daemon.metrics.DaemonMetrics;
 import io.masticpond.daemon.operator.OperatorRoutes;
 import io.masticpond.daemon.platform.ObjectStore;
 import io.masticpond.daemon.spending.LedgerCodec;
 import io.masticpond.daemon.spending.PlatformLedgers;
-import io.masticpond.daemon.spending.SpendingDuty;
+import io.masticpond.daemon.spending.SpendingService;
 import io.masticpond.daemon.spending.SpendingRoutes;
 import javax.inject.Singleton;
 
@@ -29,15 +29,15 @@
 
     @Provides
     @Singleton
-    static SpendingDuty spendingDuty(
-            @SteeringThread Duty duty,
+    static SpendingService spendingService(
+            @SteeringThread EventLoop duty,
             ObjectStore store,
             Incarnation incarnation,
             TimeSource timeSource,
             Timeline timeline,
             DaemonMetrics metrics) {
-        SpendingDuty spending =
-                new SpendingDuty(
+        SpendingService spending =
+                new SpendingService(
                         duty,
                         new PlatformLedgers(store, new LedgerCodec()),
                         incarnation,
@@ -50,7 +50,7 @@
 
     @Provides
     @IntoSet
-    static OperatorRoutes spendingRoutes(SpendingDuty spending, TimeSource timeSource) {
+    static OperatorRoutes spendingRoutes(SpendingService spending, TimeSource timeSource) {
         return new SpendingRoutes(spending, timeSource);
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/SteeringModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/SteeringModule.java
@@ -13,16 +13,16 @@
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.core.timeline.Timeline;
 import io.masticpond.daemon.backend.BackendClient;
-import io.masticpond.daemon.backend.BackendHealthDuty;
+import io.masticpond.daemon.backend.BackendHealthChecker;
 import io.masticpond.daemon.backend.BackendHealthSettings;
 import io.masticpond.daemon.configuration.ConfigurationHolder;
-import io.masticpond.daemon.duty.Duty;
+import io.masticpond.daemon.duty.EventLoop;
 import io.masticpond.daemon.forwarding.ForwardReceiver;
 import io.masticpond.daemon.forwarding.LinkRemoteAdmitter;
 import io.masticpond.daemon.instance.InstanceLinks;
 import io.masticpond.daemon.metrics.DaemonMetrics;
 import io.masticpond.daemon.settings.DaemonSettings;
-import io.masticpond.daemon.spending.SpendingDuty;
+import io.masticpond.daemon.spending.SpendingService;
 import io.masticpond.daemon.steering.AdmitterSteering;
 import io.masticpond.daemon.steering.ConfiguredRegionSelector;
 import io.masticpond.daemon.steering.DefaultShardDirectory;
@@ -30,7 +30,7 @@
 import io.masticpond.daemon.steering.MeteredAdmission;
 import io.masticpond.daemon.steering.MeteredDispatcher;
 import io.masticpond.daemon.steering.PayingEntry;
-import io.masticpond.daemon.steering.SteeringDuty;
+import io.masticpond.daemon.steering.SteeringService;
 import java.time.Duration;
 import java.util.concurrent.Executors;
 import javax.inject.Singleton;
@@ -75,7 +75,7 @@
     @Provides
     @Singleton
     static AdmitterSteering admitterSteering(
-            @SteeringThread Duty duty,
+            @SteeringThread EventLoop duty,
             DefaultShardDirectory directory,
             BackendClient client,
             DaemonMetrics metrics,
@@ -101,9 +101,9 @@
 
     @Provides
     @Singleton
-    static BackendHealthDuty backendHealthDuty(
-            @SteeringThread Duty duty, AdmitterSteering admitter, TimeSource timeSource) {
-        return new BackendHealthDuty(
+    static BackendHealthChecker backendHealthChecker(
+            @SteeringThread EventLoop duty, AdmitterSteering admitter, TimeSource timeSource) {
+        return new BackendHealthChecker(
                 BackendHealthSettings.DEFAULTS,
                 timeSource,
                 RandomSource.XO_RO_SHI_RO_128_PP.create(),
@@ -112,18 +112,18 @@
 
     @Provides
     @Singleton
-    static BackendWatch backendWatch(DefaultShardDirectory directory, BackendHealthDuty health) {
+    static BackendWatch backendWatch(DefaultShardDirectory directory, BackendHealthChecker health) {
         return new BackendWatch(directory, health);
     }
 
     @Provides
     @Singleton
-    static SteeringDuty steeringKeeper(
-            @SteeringThread Duty duty,
+    static SteeringService steeringService(
+            @SteeringThread EventLoop duty,
             DefaultShardDirectory directory,
             ConfiguredRegionSelector selector,
             AdmitterSteering admitter) {
-        return new SteeringDuty(duty, directory, selector, admitter);
+        return new SteeringService(duty, directory, selector, admitter);
     }
 
     @Provides
@@ -135,7 +135,7 @@
     @Provides
     @Singleton
     static ForwardReceiver forwardReceiver(
-            @SteeringThread Duty duty,
+            @SteeringThread EventLoop duty,
             AdmitterSteering admitter,
             EntrySteering entry,
             TimeSource timeSource) {
@@ -146,7 +146,7 @@
     @Singleton
     static PayingEntry payingEntry(
             EntrySteering entry,
-            @SteeringThread Duty duty,
+            @SteeringThread EventLoop duty,
             TimeSource timeSource,
             DefaultShardDirectory directory,
             LinkRemoteAdmitter remote,
@@ -163,12 +163,12 @@
     @Provides
     @Singleton
     static EntrySteering entrySteering(
-            @SteeringThread Duty duty,
+            @SteeringThread EventLoop duty,
             TimeSource timeSource,
             DaemonSettings settings,
             ConfigurationHolder configuration,
             ConfiguredRegionSelector selector,
-            SpendingDuty spending,
+            SpendingService spending,
             DefaultShardDirectory directory,
             AdmitterSteering admitter,
             LinkRemoteAdmitter remote,
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/backend/BackendHealthDutyTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/backend/BackendHealthCheckerTest.java
@@ -24,7 +24,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /** Watches stand-in backend servers that leave, fail and mislead. */
-class BackendHealthDutyTest {
+class BackendHealthCheckerTest {
 
     private static final long WAIT_SECONDS = 60;
     private static final Duration LONG = Duration.ofSeconds(WAIT_SECONDS);
@@ -40,11 +40,11 @@
     private final BackendServerStandIn mOther = mFleet.server("view-2").orElseThrow();
     private final BlockingQueue<BackendServerSignal> mSigns = new LinkedBlockingQueue<>();
     private final BlockingQueue<BackendServerSignal> mOtherSigns = new LinkedBlockingQueue<>();
-    private BackendHealthDuty mDuty = duty(LONG);
+    private BackendHealthChecker mDuty = duty(LONG);
 
-    private BackendHealthDuty duty(Duration timeout) {
-        BackendHealthDuty duty =
-                new BackendHealthDuty(
+    private BackendHealthChecker duty(Duration timeout) {
+        BackendHealthChecker duty =
+                new BackendHealthChecker(
                         new BackendHealthSettings(Duration.ofMillis(30), 4, timeout),
                         new SystemTimeSource(),
                         RandomSource.XO_RO_SHI_RO_128_PP.create(5),
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/ConfigurationDutyTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/ConfigurationServiceTest.java
@@ -24,7 +24,7 @@
 import net.jqwik.api.lifecycle.AfterTry;
 
 /** Checks the spread and the confirmation of configurations under failures, with real duties. */
-class ConfigurationDutyTest {
+class ConfigurationServiceTest {
 
     private final FakeObjectStore mStore = new FakeObjectStore();
     private final FakeFleet mFleet = new FakeFleet(mStore);
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/FakeFleet.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/FakeFleet.java
@@ -70,7 +70,7 @@
         private final InstanceId mId;
         private final ZoneId mZone;
         private final ConfigurationHolder mHolder = new ConfigurationHolder();
-        private final ConfigurationDuty mDuty;
+        private final ConfigurationService mDuty;
         private final ConfigurationCommands mCommands;
         private Handler mHandler;
 
@@ -83,7 +83,7 @@
             FakeObjectStore store = mZonesWithoutPlatform.contains(zone) ? none : mStore;
             SystemTimeSource time = new SystemTimeSource();
             mDuty =
-                    new ConfigurationDuty(
+                    new ConfigurationService(
                             id, zone, store, this, mHolder, codec, time, Timeline.NONE);
             mCommands =
                     new DefaultConfigurationCommands(
@@ -100,7 +100,7 @@
             return mCommands;
         }
 
-        ConfigurationDuty duty() {
+        ConfigurationService duty() {
             return mDuty;
         }
 
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/membership/MembershipDutyTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/membership/MembershipServiceTest.java
@@ -33,7 +33,7 @@
 import net.jqwik.api.lifecycle.AfterTry;
 
 /** Duties that talk over real links on loopback. */
-class MembershipDutyTest {
+class MembershipServiceTest {
 
     private static final InstanceId A = new InstanceId("a");
     private static final InstanceId B = new InstanceId("b");
@@ -58,7 +58,7 @@
             InstanceId id,
             String address,
             NettyInstanceLinks links,
-            MembershipDuty duty,
+            MembershipService duty,
             Map<InstanceId, Long> heardNanos) {
 
         MemberState stateOf(InstanceId other) {
@@ -84,8 +84,8 @@
         NettyInstanceLinks links = new NettyInstanceLinks(incarnation, patient(keys), mTime, run);
         InetSocketAddress bound = links.start();
         String address = "127.0.0.1:" + bound.getPort();
-        MembershipDuty duty =
-                new MembershipDuty(
+        MembershipService duty =
+                new MembershipService(
                         new OwnState(incarnation, new ZoneId("z1"), address, "", ""),
                         seeds,
                         MembershipTimings.DEFAULT,
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/operation/OperationDutyTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/operation/PlatformOperationArchiveTest.java
@@ -21,7 +21,7 @@
 import io.masticpond.core.time.ManualTimeSource;
 import io.masticpond.core.time.SystemTimeSource;
 import io.masticpond.core.time.TimeSource;
-import io.masticpond.daemon.duty.Duty;
+import io.masticpond.daemon.duty.EventLoop;
 import io.masticpond.daemon.platform.HttpObjectStore;
 import io.masticpond.daemon.platform.PlatformClientSettings;
 import io.masticpond.daemon.platform.PlatformObserver;
@@ -48,7 +48,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /** Two homes against a stand-in platform over HTTP. */
-class OperationDutyTest {
+class PlatformOperationArchiveTest {
 
     private static final TimeSource TIME = new SystemTimeSource();
 
@@ -192,8 +192,8 @@
         private final Map<Integer, OperationKey> mKeys = new HashMap<>();
         private final OperationKeyIssuer mIssuer;
         private final HttpObjectStore mStore;
-        private final Duty mThread;
-        private final OperationDuty mDuty;
+        private final EventLoop mThread;
+        private final PlatformOperationArchive mDuty;
 
         Home(String name) {
             Incarnation home = new Incarnation(new InstanceId(name), 1);
@@ -209,9 +209,9 @@
                             TIME,
                             RandomSource.SPLIT_MIX_64.create(SEED),
                             PlatformObserver.NONE);
-            mThread = new Duty("operations-" + name, 4_096, mTime);
+            mThread = new EventLoop("operations-" + name, 4_096, mTime);
             mDuty =
-                    new OperationDuty(
+                    new PlatformOperationArchive(
                             mThread,
                             mStore,
                             home,
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/spending/SpendingDutyTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/spending/SpendingServiceTest.java
@@ -17,7 +17,7 @@
 import io.masticpond.core.spending.SpendingView;
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.core.timeline.Timeline;
-import io.masticpond.daemon.duty.Duty;
+import io.masticpond.daemon.duty.EventLoop;
 import io.masticpond.daemon.platform.ObjectKey;
 import io.masticpond.daemon.platform.ObjectKind;
 import io.masticpond.daemon.platform.StoredObject;
@@ -34,7 +34,7 @@
 import net.jqwik.api.lifecycle.AfterTry;
 
 /** The duty with a store in memory: lost answers, an outage, a corrupted ledger, a planned stop. */
-class SpendingDutyTest {
+class SpendingServiceTest {
 
     private static final ServiceId SERVICE = new ServiceId("booking");
     private static final long CAP = 1_000_000;
@@ -43,9 +43,9 @@
 
     private final FakeObjectStore mStore = new FakeObjectStore();
     private final TimeSource mTimeSource = new NoonTimeSource();
-    private final Duty mSteering = new Duty("steering", 64, mTimeSource);
-    private final SpendingDuty mSpending =
-            new SpendingDuty(
+    private final EventLoop mSteering = new EventLoop("steering", 64, mTimeSource);
+    private final SpendingService mSpending =
+            new SpendingService(
                     mSteering,
                     new PlatformLedgers(mStore, new LedgerCodec()),
                     Incarnation.parse("perth-1@1700000000000"),
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/PaidForwardTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/PaidForwardTest.java
@@ -15,7 +15,7 @@
 import io.masticpond.core.request.RequestHead;
 import io.masticpond.core.request.Verdict;
 import io.masticpond.core.time.ManualTimeSource;
-import io.masticpond.daemon.duty.Duty;
+import io.masticpond.daemon.duty.EventLoop;
 import io.masticpond.daemon.forwarding.ForwardCodec;
 import io.masticpond.daemon.forwarding.ForwardReceiver;
 import io.masticpond.daemon.instance.EnvelopeHandler;
@@ -45,7 +45,7 @@
 
     private final ManualTimeSource mTime =
             new ManualTimeSource(Instant.parse("2026-12-02T08:00:00Z"));
-    private final Duty mDuty = new Duty("steering", 16, mTime);
+    private final EventLoop mDuty = new EventLoop("steering", 16, mTime);
     private final Deque<ForwardResult> mResults = new ArrayDeque<>();
     private final List<InstanceId> mForwardedTo = new ArrayList<>();
     private final List<Envelope> mAnswers = new ArrayList<>();
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlSources.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlSources.java
@@ -3,7 +3,7 @@
 import io.masticpond.core.support.Assert;
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.entry.log.RecentDecisions;
-import io.masticpond.entry.peer.HeartbeatDuty;
+import io.masticpond.entry.peer.HeartbeatService;
 import io.masticpond.entry.peer.PeerInstance;
 import io.masticpond.entry.replica.FleetReplica;
 import io.masticpond.entry.request.RequestFlow;
@@ -37,7 +37,7 @@
         RequestFlow flow,
         SharedLimitStatus limits,
         FleetReplica replica,
-        HeartbeatDuty heartbeats,
+        HeartbeatService heartbeats,
         BooleanSupplier ready,
         BooleanSupplier stopping,
         RecentDecisions decisions) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/HeartbeatDuty.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/HeartbeatService.java
@@ -36,9 +36,9 @@
  *
  * @since 0.2
  */
-public final class HeartbeatDuty implements PeerView {
+public final class HeartbeatService implements PeerView {
 
-    private static final Logger sLogger = LoggerFactory.getLogger(HeartbeatDuty.class);
+    private static final Logger sLogger = LoggerFactory.getLogger(HeartbeatService.class);
     private static final int LEAVING_REPEATS = 3;
     private static final long LEAVING_GAP_MILLIS = 100;
     private static final long SPREAD_GAP_MILLIS = 100;
@@ -69,7 +69,7 @@
      * @param eventLoop the control thread
      * @param listener hears of those that come and go
      */
-    public HeartbeatDuty(
+    public HeartbeatService(
             PeerInstance self,
             List<ServerAddress> seeds,
             HeartbeatSettings settings,
@@ -115,7 +115,7 @@
      *
      * @param seeds internal addresses where others may be, perhaps stale
      */
-    public void seeds(List<ServerAddress> seeds) {
+    public void setSeeds(List<ServerAddress> seeds) {
         run(() -> mExchange.seeds(seeds));
     }
 
@@ -124,7 +124,7 @@
      *
      * @param instances the instances, this one perhaps among them
      */
-    public void known(List<PeerInstance> instances) {
+    public void addKnown(List<PeerInstance> instances) {
         run(() -> mExchange.known(instances, now()));
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlModule.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlModule.java
@@ -7,7 +7,7 @@
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.entry.log.DecisionLog;
 import io.masticpond.entry.metrics.EntryMetrics;
-import io.masticpond.entry.peer.HeartbeatDuty;
+import io.masticpond.entry.peer.HeartbeatService;
 import io.masticpond.entry.peer.HeartbeatSettings;
 import io.masticpond.entry.peer.PeerInstance;
 import io.masticpond.entry.peer.PeerView;
@@ -31,17 +31,17 @@
 abstract class ControlModule {
 
     @Binds
-    abstract PeerView peers(HeartbeatDuty heartbeats);
+    abstract PeerView peers(HeartbeatService heartbeats);
 
     @Provides
     @Singleton
-    static HeartbeatDuty heartbeats(
+    static HeartbeatService heartbeats(
             PeerInstance self,
             EntrySettings settings,
             TimeSource timeSource,
             @ControlThread EventLoop control,
             DecisionLog log) {
-        return new HeartbeatDuty(
+        return new HeartbeatService(
                 self,
                 Seeds.internal(settings, self),
                 HeartbeatSettings.DEFAULT,
@@ -75,14 +75,14 @@
     static InstanceRegistration registration(
             ReplicaContext context,
             PeerInstance self,
-            HeartbeatDuty heartbeats,
+            HeartbeatService heartbeats,
             FleetReplica replica) {
         return new InstanceRegistration(
                 context,
                 self.id().value(),
                 era -> InstanceDocuments.write(self, era),
                 listed -> {
-                    heartbeats.known(InstanceDocuments.readAll(listed));
+                    heartbeats.addKnown(InstanceDocuments.readAll(listed));
                     replica.restoreTracker().instancesListed(InstanceDocuments.newestEra(listed));
                 });
     }
@@ -96,7 +96,7 @@
             @ControlThread EventLoop control,
             EntrySettings settings,
             PeerInstance self,
-            HeartbeatDuty heartbeats,
+            HeartbeatService heartbeats,
             DecisionLog log,
             Lazy<SnapshotUpdates> updates) {
         FleetReplica replica =
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlSide.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlSide.java
@@ -2,7 +2,7 @@
 
 import io.masticpond.core.fleet.ServerAddress;
 import io.masticpond.core.time.TimeSource;
-import io.masticpond.entry.peer.HeartbeatDuty;
+import io.masticpond.entry.peer.HeartbeatService;
 import io.masticpond.entry.peer.PeerInstance;
 import io.masticpond.entry.replica.Category;
 import io.masticpond.entry.replica.CategoryStatus;
@@ -26,7 +26,7 @@
 
     private final TimeSource mTimeSource;
     private final PeerInstance mSelf;
-    private final HeartbeatDuty mHeartbeats;
+    private final HeartbeatService mHeartbeats;
     private final FleetReplica mReplica;
     private final InstanceRegistration mRegistration;
     private final RelayServer mRelayServer;
@@ -35,7 +35,7 @@
     ControlSide(
             TimeSource timeSource,
             PeerInstance self,
-            HeartbeatDuty heartbeats,
+            HeartbeatService heartbeats,
             FleetReplica replica,
             InstanceRegistration registration,
             RelayServer relayServer) {
@@ -85,7 +85,7 @@
         return 0;
     }
 
-    HeartbeatDuty heartbeats() {
+    HeartbeatService heartbeats() {
         return mHeartbeats;
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/CrashSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/CrashSharing.java
@@ -3,7 +3,7 @@
 import io.masticpond.core.crash.CrashMessage;
 import io.masticpond.core.crash.RequestFingerprint;
 import io.masticpond.entry.peer.CrashMessageCodec;
-import io.masticpond.entry.peer.HeartbeatDuty;
+import io.masticpond.entry.peer.HeartbeatService;
 import io.masticpond.entry.peer.PeerInstance;
 import io.masticpond.entry.request.CrashGuard;
 import io.masticpond.entry.request.RequestFlow;
@@ -43,7 +43,7 @@
     private final EventLoop mTraffic;
     private final EventLoop mControl;
     private final CrashGuard mGuard;
-    private final HeartbeatDuty mPeers;
+    private final HeartbeatService mPeers;
     private final Map<PeerInstance, List<CrashMessage>> mWaiting = new HashMap<>();
     private final AntiEntropyTargets mTargets;
 
@@ -52,7 +52,7 @@
             @TrafficThread EventLoop traffic,
             @ControlThread EventLoop control,
             RequestFlow flow,
-            HeartbeatDuty peers,
+            HeartbeatService peers,
             PeerInstance self) {
         mTraffic = traffic;
         mControl = control;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryStop.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryStop.java
@@ -3,7 +3,7 @@
 import io.masticpond.entry.lifecycle.OpenWork;
 import io.masticpond.entry.lifecycle.StopActions;
 import io.masticpond.entry.log.ProcessChange;
-import io.masticpond.entry.peer.HeartbeatDuty;
+import io.masticpond.entry.peer.HeartbeatService;
 import io.masticpond.entry.replica.FleetReplica;
 import io.masticpond.entry.replica.InstanceRegistration;
 import io.masticpond.entry.request.RequestFlow;
@@ -17,7 +17,7 @@
 final class EntryStop implements StopActions, OpenWork {
 
     private final EventLoop mTraffic;
-    private final HeartbeatDuty mHeartbeats;
+    private final HeartbeatService mHeartbeats;
     private final FleetReplica mReplica;
     private final InstanceRegistration mRegistration;
     private final EntryListeners mListeners;
@@ -29,7 +29,7 @@
     @Inject
     EntryStop(
             @TrafficThread EventLoop traffic,
-            HeartbeatDuty heartbeats,
+            HeartbeatService heartbeats,
             FleetReplica replica,
             InstanceRegistration registration,
             EntryListeners listeners,
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LimitSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LimitSharing.java
@@ -2,7 +2,7 @@
 
 import io.masticpond.core.id.ZoneId;
 import io.masticpond.core.serverlimit.LimitReport;
-import io.masticpond.entry.peer.HeartbeatDuty;
+import io.masticpond.entry.peer.HeartbeatService;
 import io.masticpond.entry.peer.LimitReportCodec;
 import io.masticpond.entry.peer.PeerInstance;
 import io.masticpond.entry.request.RequestFlow;
@@ -39,7 +39,7 @@
     private final EventLoop mControl;
     private final RequestFlow mFlow;
     private final ServerLimitGate mLimits;
-    private final HeartbeatDuty mPeers;
+    private final HeartbeatService mPeers;
     private final PeerInstance mSelf;
     private final AntiEntropyTargets mTargets;
     private final Map<Long, LimitReport> mWaiting = new HashMap<>();
@@ -50,7 +50,7 @@
             @TrafficThread EventLoop traffic,
             @ControlThread EventLoop control,
             RequestFlow flow,
-            HeartbeatDuty peers,
+            HeartbeatService peers,
             PeerInstance self) {
         mTraffic = traffic;
         mControl = control;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoadSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoadSharing.java
@@ -3,7 +3,7 @@
 import io.masticpond.core.placement.LoadReport;
 import io.masticpond.core.placement.SharedLoads;
 import io.masticpond.core.time.TimeSource;
-import io.masticpond.entry.peer.HeartbeatDuty;
+import io.masticpond.entry.peer.HeartbeatService;
 import io.masticpond.entry.peer.LoadReportCodec;
 import io.masticpond.entry.request.RequestFlow;
 import io.netty.channel.EventLoop;
@@ -31,7 +31,7 @@
     private final EventLoop mTraffic;
     private final EventLoop mControl;
     private final RequestFlow mFlow;
-    private final HeartbeatDuty mPeers;
+    private final HeartbeatService mPeers;
     private final TimeSource mTimeSource;
 
     @Inject
@@ -39,7 +39,7 @@
             @TrafficThread EventLoop traffic,
             @ControlThread EventLoop control,
             RequestFlow flow,
-            HeartbeatDuty peers,
+            HeartbeatService peers,
             TimeSource timeSource) {
         mTraffic = traffic;
         mControl = control;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ProofSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ProofSharing.java
@@ -7,7 +7,7 @@
 import io.masticpond.entry.log.ViewChange;
 import io.masticpond.entry.log.DecisionLog;
 import io.masticpond.entry.log.RequestRecord;
-import io.masticpond.entry.peer.HeartbeatDuty;
+import io.masticpond.entry.peer.HeartbeatService;
 import io.masticpond.entry.peer.PeerInstance;
 import io.masticpond.entry.peer.ProofCodec;
 import io.masticpond.entry.replica.FleetReplica;
@@ -46,7 +46,7 @@
     private final EventLoop mControl;
     private final TimeSource mTimeSource;
     private final RequestFlow mFlow;
-    private final HeartbeatDuty mPeers;
+    private final HeartbeatService mPeers;
     private final FleetReplica mReplica;
     private final RoutingReader mReader;
     private final PeerInstance mSelf;
@@ -68,7 +68,7 @@
             @ControlThread EventLoop control,
             TimeSource timeSource,
             RequestFlow flow,
-            HeartbeatDuty peers,
+            HeartbeatService peers,
             FleetReplica replica,
             PeerInstance self,
             EntrySettings settings,
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/RateSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/RateSharing.java
@@ -6,7 +6,7 @@
 import io.masticpond.core.limit.RateUsage;
 import io.masticpond.core.limit.SharedRates;
 import io.masticpond.core.time.TimeSource;
-import io.masticpond.entry.peer.HeartbeatDuty;
+import io.masticpond.entry.peer.HeartbeatService;
 import io.masticpond.entry.peer.PeerInstance;
 import io.masticpond.entry.peer.RateCodec;
 import io.masticpond.entry.request.RequestFlow;
@@ -39,7 +39,7 @@
     private final EventLoop mControl;
     private final TimeSource mTimeSource;
     private final RequestFlow mFlow;
-    private final HeartbeatDuty mPeers;
+    private final HeartbeatService mPeers;
     private final PeerInstance mSelf;
     private final RateTotals mTotals = new RateTotals();
     private List<PeerInstance> mAlive = List.of();
@@ -54,7 +54,7 @@
             @ControlThread EventLoop control,
             TimeSource timeSource,
             RequestFlow flow,
-            HeartbeatDuty peers,
+            HeartbeatService peers,
             PeerInstance self) {
         mTraffic = traffic;
         mControl = control;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SettingsInForce.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SettingsInForce.java
@@ -2,7 +2,7 @@
 
 import io.masticpond.core.placement.ServerChooser;
 import io.masticpond.entry.log.ProcessChange;
-import io.masticpond.entry.peer.HeartbeatDuty;
+import io.masticpond.entry.peer.HeartbeatService;
 import io.masticpond.entry.peer.PeerInstance;
 import io.masticpond.entry.request.RequestFlow;
 import io.masticpond.entry.settings.EntrySettings;
@@ -20,7 +20,7 @@
 
     private final EventLoop mTraffic;
     private final PeerInstance mSelf;
-    private final HeartbeatDuty mHeartbeats;
+    private final HeartbeatService mHeartbeats;
     private final DirectoryHandler mDirectory;
     private final SharedLimits mLimits;
     private final ServerChooser mChooser;
@@ -34,7 +34,7 @@
             EntrySettings settings,
             @TrafficThread EventLoop traffic,
             PeerInstance self,
-            HeartbeatDuty heartbeats,
+            HeartbeatService heartbeats,
             DirectoryHandler directory,
             SharedLimits limits,
             ServerChooser chooser,
@@ -57,7 +57,7 @@
     synchronized void change(EntrySettings settings) {
         mDirectory.apply(settings.bounds());
         mStop.apply(settings.bounds());
-        mHeartbeats.seeds(Seeds.internal(settings, mSelf));
+        mHeartbeats.setSeeds(Seeds.internal(settings, mSelf));
         mTraffic.execute(
                 () -> {
                     mLimits.apply(settings.bounds());
--- a/masticpond-entry/src/test/java/io/masticpond/entry/peer/HeartbeatDutyTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/peer/HeartbeatServiceTest.java
@@ -25,7 +25,7 @@
 import net.jqwik.api.lifecycle.AfterTry;
 
 /** Two instances that exchange datagrams on this machine. */
-class HeartbeatDutyTest {
+class HeartbeatServiceTest {
 
     private static final int OCTETS = 250;
     private static final Duration STEP = Duration.ofMillis(10);
@@ -55,7 +55,7 @@
         }
     }
 
-    private HeartbeatDuty duty(String name, ServerAddress internal, ServerAddress seed) {
+    private HeartbeatService duty(String name, ServerAddress internal, ServerAddress seed) {
         PeerListener listener =
                 new PeerListener() {
                     @Override
@@ -68,8 +68,8 @@
                         mEvents.add(name + " lost " + id + " " + planned);
                     }
                 };
-        HeartbeatDuty duty =
-                new HeartbeatDuty(
+        HeartbeatService duty =
+                new HeartbeatService(
                         instance(name, internal),
                         List.of(seed),
                         HeartbeatSettings.DEFAULT,
@@ -96,8 +96,8 @@
     void instancesHearEachOtherAndThatOneLeaves() throws Exception {
         ServerAddress first = freeAddress();
         ServerAddress second = freeAddress();
-        HeartbeatDuty one = duty("one", first, second);
-        HeartbeatDuty two = duty("two", second, first);
+        HeartbeatService one = duty("one", first, second);
+        HeartbeatService two = duty("two", second, first);
         one.start().syncUninterruptibly();
         two.start().syncUninterruptibly();
         two.update(true, 7);
@@ -115,8 +115,8 @@
     void loadsReachTheOthersOfTheZoneBetweenHeartbeats() throws Exception {
         ServerAddress first = freeAddress();
         ServerAddress second = freeAddress();
-        HeartbeatDuty one = duty("one", first, second);
-        HeartbeatDuty two = duty("two", second, first);
+        HeartbeatService one = duty("one", first, second);
+        HeartbeatService two = duty("two", second, first);
         BlockingQueue<LoadReport> heard = new LinkedBlockingQueue<>();
         two.registerReceiver(
                 LoadReportCodec.VERSION,
@@ -159,7 +159,7 @@
         InetAddress loopback = InetAddress.getByName(HOST);
         try (DatagramSocket socket = new DatagramSocket(address.port(), loopback)) {
             assertThat(socket.isBound()).isTrue();
-            HeartbeatDuty one = duty("one", address, address);
+            HeartbeatService one = duty("one", address, address);
             assertThat(one.start().awaitUninterruptibly().isSuccess()).isFalse();
             assertThat(mEvents).isEmpty();
         }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/configuration/MeasuredInstance.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/configuration/MeasuredInstance.java
@@ -12,7 +12,7 @@
 import io.masticpond.core.timeline.Timeline;
 import io.masticpond.daemon.configuration.ConfigurationCodec;
 import io.masticpond.daemon.configuration.ConfigurationCommands;
-import io.masticpond.daemon.configuration.ConfigurationDuty;
+import io.masticpond.daemon.configuration.ConfigurationService;
 import io.masticpond.daemon.configuration.ConfigurationHolder;
 import io.masticpond.daemon.configuration.ConfigurationPeers;
 import io.masticpond.daemon.configuration.DefaultConfigurationCommands;
@@ -45,7 +45,7 @@
     private final NettyInstanceLinks mLinks;
     private final HttpObjectStore mStore;
     private final ConfigurationHolder mHolder = new ConfigurationHolder();
-    private final ConfigurationDuty mDuty;
+    private final ConfigurationService mDuty;
     private final ConfigurationCommands mCommands;
     private final String mLinkAddress;
     private final long mStartNanos = System.nanoTime();
@@ -73,7 +73,7 @@
         ConfigurationCodec codec = new ConfigurationCodec();
         ConfigurationPeers peers = fleet.peersOf(this);
         mDuty =
-                new ConfigurationDuty(
+                new ConfigurationService(
                         incarnation.instance(),
                         zone,
                         mStore,
--- a/masticpond-measure/src/main/java/io/masticpond/measure/control/ControlNode.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/control/ControlNode.java
@@ -12,7 +12,7 @@
 import io.masticpond.daemon.instance.LinkSettings;
 import io.masticpond.daemon.instance.LinkStatistics;
 import io.masticpond.daemon.instance.NettyInstanceLinks;
-import io.masticpond.daemon.membership.MembershipDuty;
+import io.masticpond.daemon.membership.MembershipService;
 import io.masticpond.daemon.platform.ListedInstance;
 import io.masticpond.daemon.platform.ObjectStore;
 import io.masticpond.protocol.generated.HeadroomEntry;
@@ -39,7 +39,7 @@
                     .build();
 
     private final NettyInstanceLinks mLinks;
-    private final MembershipDuty mDuty;
+    private final MembershipService mDuty;
     private final ListedInstance mListed;
 
     ControlNode(int number, ZoneId zone, ObjectStore store, long seed) {
@@ -51,7 +51,7 @@
         String address = "127.0.0.1:" + mLinks.start().getPort();
         mListed = new ListedInstance(id, zone, address, false);
         mDuty =
-                new MembershipDuty(
+                new MembershipService(
                         new OwnState(run, zone, address, "127.0.0.1:8080", "127.0.0.1:8081"),
                         List.of(),
                         MembershipTimings.DEFAULT,
--- a/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainArrivals.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainArrivals.java
@@ -5,7 +5,7 @@
 import io.masticpond.core.request.RequestHead;
 import io.masticpond.core.request.Verdict;
 import io.masticpond.core.time.TimeSource;
-import io.masticpond.daemon.duty.Duty;
+import io.masticpond.daemon.duty.EventLoop;
 import io.masticpond.daemon.steering.AdmitterSteering;
 import io.masticpond.daemon.steering.RequestEnd;
 import io.masticpond.daemon.steering.SteeredRequest;
@@ -26,7 +26,7 @@
     private static final int PRIORITY = 5;
 
     private final AdmitterSteering mSteering;
-    private final Duty mDuty;
+    private final EventLoop mDuty;
     private final TimeSource mTimeSource;
     private final SharedStateContinuousSampler mGaps;
     private final Thread mThread = new Thread(this::run, "arrivals");
@@ -37,7 +37,7 @@
 
     DrainArrivals(
             AdmitterSteering steering,
-            Duty duty,
+            EventLoop duty,
             TimeSource timeSource,
             double requestsPerSecond,
             UniformRandomProvider random) {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainBench.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainBench.java
@@ -6,9 +6,9 @@
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.core.timeline.Timeline;
 import io.masticpond.daemon.backend.BackendClient;
-import io.masticpond.daemon.backend.BackendHealthDuty;
+import io.masticpond.daemon.backend.BackendHealthChecker;
 import io.masticpond.daemon.backend.BackendHealthSettings;
-import io.masticpond.daemon.duty.Duty;
+import io.masticpond.daemon.duty.EventLoop;
 import io.masticpond.daemon.http.HttpClients;
 import io.masticpond.daemon.steering.AdmitterSteering;
 import io.masticpond.testing.backend.BackendFleet;
@@ -44,10 +44,10 @@
     private final List<BackendServerStandIn> mServers;
     private final Map<DrainKind, Integer> mLeaving = new EnumMap<>(DrainKind.class);
     private final DrainDirectory mDirectory;
-    private final Duty mDuty;
+    private final EventLoop mDuty;
     private final BackendClient mClient;
     private final AdmitterSteering mSteering;
-    private final BackendHealthDuty mHealth;
+    private final BackendHealthChecker mHealth;
     private final DrainArrivals mArrivals;
 
     DrainBench(long seed, boolean probes) {
@@ -57,7 +57,7 @@
             mLeaving.put(kind, mLeaving.size());
         }
         mDirectory = new DrainDirectory(mFleet);
-        mDuty = new Duty("steering", RING_CAPACITY, mTimeSource);
+        mDuty = new EventLoop("steering", RING_CAPACITY, mTimeSource);
         mClient = new BackendClient(mTimeSource, HttpClients.executor("backend-call"));
         mSteering =
                 new AdmitterSteering(
@@ -73,7 +73,7 @@
                                         Timeline.NONE),
                         Timeline.NONE);
         mHealth =
-                new BackendHealthDuty(
+                new BackendHealthChecker(
                         BackendHealthSettings.DEFAULTS,
                         mTimeSource,
                         RandomSource.XO_RO_SHI_RO_128_PP.create(seed),
--- a/masticpond-measure/src/main/java/io/masticpond/measure/hostile/ConfigurationUpdateTarget.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/hostile/ConfigurationUpdateTarget.java
@@ -11,7 +11,7 @@
 import io.masticpond.core.time.SystemTimeSource;
 import io.masticpond.core.timeline.Timeline;
 import io.masticpond.daemon.configuration.ConfigurationCodec;
-import io.masticpond.daemon.configuration.ConfigurationDuty;
+import io.masticpond.daemon.configuration.ConfigurationService;
 import io.masticpond.daemon.configuration.ConfigurationHolder;
 import io.masticpond.daemon.configuration.ConfigurationPeers;
 import io.masticpond.daemon.platform.ObjectStore;
@@ -36,8 +36,8 @@
 
     private final ConfigurationCodec mCodec = new ConfigurationCodec();
     private final ConfigurationHolder mHolder = new ConfigurationHolder();
-    private final ConfigurationDuty mDuty =
-            new ConfigurationDuty(
+    private final ConfigurationService mDuty =
+            new ConfigurationService(
                     new InstanceId("entry-1"),
                     new ZoneId("casa-1"),
                     platformAway(),
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/MeasuredInstance.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/MeasuredInstance.java
@@ -19,7 +19,7 @@
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.core.timeline.Timeline;
 import io.masticpond.daemon.backend.BackendClient;
-import io.masticpond.daemon.duty.Duty;
+import io.masticpond.daemon.duty.EventLoop;
 import io.masticpond.daemon.instance.KeyRing;
 import io.masticpond.daemon.instance.LinkSettings;
 import io.masticpond.daemon.instance.NettyInstanceLinks;
@@ -28,7 +28,7 @@
 import io.masticpond.daemon.operation.MemberHomes;
 import io.masticpond.daemon.operation.OnceOnlyGuard;
 import io.masticpond.daemon.operation.OnceOnlyKeys;
-import io.masticpond.daemon.operation.OperationDuty;
+import io.masticpond.daemon.operation.PlatformOperationArchive;
 import io.masticpond.daemon.operation.OperationHandover;
 import io.masticpond.daemon.operation.OperationHome;
 import io.masticpond.daemon.operation.OperationReceiver;
@@ -75,13 +75,13 @@
     private final List<BackendServerSpecification> mBackends;
     private final RunLog mRuns;
     private final SplittableRandom mRandom;
-    private final Duty mSteering;
-    private final Duty mOperations;
+    private final EventLoop mSteering;
+    private final EventLoop mOperations;
     private final NettyInstanceLinks mLinks;
     private final HttpObjectStore mStore;
     private final ExecutorService mExecutor = Executors.newCachedThreadPool();
     private final BackendClient mClient;
-    private final OperationDuty mOperationDuty;
+    private final PlatformOperationArchive mOperationDuty;
     private final LinkOperationPeers mPeers;
     private final OnceOnlyGuard mGuard;
     private final Member mMember;
@@ -98,8 +98,8 @@
         mRuns = runs;
         mBackends = backends;
         mRandom = new SplittableRandom(seed);
-        mSteering = new Duty("steering-" + self, RING_CAPACITY, TIME);
-        mOperations = new Duty("operations-" + self, RING_CAPACITY, TIME);
+        mSteering = new EventLoop("steering-" + self, RING_CAPACITY, TIME);
+        mOperations = new EventLoop("operations-" + self, RING_CAPACITY, TIME);
         mLinks = new NettyInstanceLinks(self, LinkSettings.of("127.0.0.1:0", KEYS), TIME, seed);
         mStore =
                 new HttpObjectStore(
@@ -111,7 +111,7 @@
         MemberHomes homes = new MemberHomes(self, members);
         mPeers = new LinkOperationPeers(mLinks, homes, self.instance(), TIME);
         mOperationDuty =
-                new OperationDuty(
+                new PlatformOperationArchive(
                         mOperations,
                         mStore,
                         self,
