--- a/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRate.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRate.java
@@ -200,7 +200,7 @@
      * @param nowNanos the monotonic time
      * @return the pause
      */
-    public Duration comeBack(long nowNanos) {
+    public Duration retryAfter(long nowNanos) {
         update(nowNanos);
         double debt = Math.max(0, 1 - mCredit) / mLimit.perSecond();
         double crowd = Math.max(0, demand(nowNanos) / mLimit.perSecond() - 1);
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRates.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRates.java
@@ -164,9 +164,9 @@
      * @param nowNanos the monotonic time
      * @return the pause
      */
-    public Duration comeBack(WorkspaceId id, long nowNanos) {
+    public Duration retryAfter(WorkspaceId id, long nowNanos) {
         SharedRate rate = mRates.get(id);
-        return rate == null ? Duration.ZERO : rate.comeBack(nowNanos);
+        return rate == null ? Duration.ZERO : rate.retryAfter(nowNanos);
     }
 
     /**
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRetryBudget.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRetryBudget.java
@@ -73,7 +73,7 @@
      *
      * @param nowNanos the monotonic time
      */
-    public void firstSent(long nowNanos) {
+    public void firstAttempt(long nowNanos) {
         advance(nowNanos);
         mFirst[slot(mBucket)]++;
     }
@@ -85,7 +85,7 @@
      * @param shareholders how many instances may be sending now, this one included
      * @return whether there was one
      */
-    public boolean tryExtra(long nowNanos, int shareholders) {
+    public boolean tryRetry(long nowNanos, int shareholders) {
         if (left(nowNanos, shareholders) < 1) {
             return false;
         }
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerExchange.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerExchange.java
@@ -142,9 +142,9 @@
     }
 
     /** Returns part of an allotment, which must not be spent any more, whatever the outcome. */
-    void giveBack(long micros) {
+    void returnAllotment(long micros) {
         long sequence = nextSequence();
-        change(-micros, sequence, ledger -> ledger.takeBack(mHolder, sequence, micros));
+        change(-micros, sequence, ledger -> ledger.returnAllotment(mHolder, sequence, micros));
     }
 
     /** Puts a lowered cap on record. */
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingAccount.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingAccount.java
@@ -183,7 +183,7 @@
         }
         if (excess > 0) {
             mAvailableMicros -= excess;
-            mExchange.giveBack(excess);
+            mExchange.returnAllotment(excess);
         } else if (mExchange.isCapToBeLowered()) {
             mExchange.restate();
         } else if (wanted > 0) {
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingLedger.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingLedger.java
@@ -139,7 +139,7 @@
      * @return the next revision
      * @throws IllegalArgumentException if more is returned than was allotted
      */
-    public SpendingLedger takeBack(Incarnation holder, long sequence, long micros) {
+    public SpendingLedger returnAllotment(Incarnation holder, long sequence, long micros) {
         Assert.positive(micros, "A returned allotment");
         long held = holding(holder).map(Holding::allottedMicros).orElse(0L);
         long fromHolding = Math.min(held, micros);
--- a/masticpond-core/src/test/java/io/masticpond/core/limit/SharedRetryBudgetTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/limit/SharedRetryBudgetTest.java
@@ -38,7 +38,7 @@
         assertThat(budget.left(90_000 * MILLI, 2)).isEqualTo(24);
         SharedRetryBudget busy = new SharedRetryBudget(SETTINGS, 0);
         for (int request = 0; request < 100; request++) {
-            busy.firstSent(request * MILLI);
+            busy.firstAttempt(request * MILLI);
         }
         assertThat(busy.left(100 * MILLI, 2)).isCloseTo(16, within(1e-9));
     }
@@ -47,9 +47,9 @@
     void theUseOfTheWindowIsTold() {
         SharedRetryBudget budget = new SharedRetryBudget(SETTINGS, 0);
         for (int request = 0; request < 100; request++) {
-            budget.firstSent(30_000 * MILLI);
+            budget.firstAttempt(30_000 * MILLI);
         }
-        assertThat(budget.tryExtra(30_001 * MILLI, 2)).isTrue();
+        assertThat(budget.tryRetry(30_001 * MILLI, 2)).isTrue();
         RetryBudgetUsage use = budget.usage(30_002 * MILLI, 2);
         assertThat(use.requests()).isEqualTo(100);
         assertThat(use.used()).isEqualTo(1);
@@ -62,7 +62,7 @@
     void whatIsSpentStaysCountedWhenTheBoundChanges() {
         SharedRetryBudget budget = new SharedRetryBudget(SETTINGS, 0);
         for (int extra = 0; extra < 48; extra++) {
-            assertThat(budget.tryExtra(30_000 * MILLI, 1)).isTrue();
+            assertThat(budget.tryRetry(30_000 * MILLI, 1)).isTrue();
         }
         budget.tune(new RetryBudgetSettings(RATIO, 70, Duration.ofSeconds(10), 0.8));
         assertThat(budget.left(30_000 * MILLI, 1)).isEqualTo(8);
@@ -74,10 +74,10 @@
     void whatIsSpentStaysCountedWhenTheFleetGrows() {
         SharedRetryBudget budget = new SharedRetryBudget(SETTINGS, 0);
         for (int extra = 0; extra < 48; extra++) {
-            assertThat(budget.tryExtra(30_000 * MILLI, 1)).isTrue();
+            assertThat(budget.tryRetry(30_000 * MILLI, 1)).isTrue();
         }
-        assertThat(budget.tryExtra(30_000 * MILLI, 1)).isFalse();
-        assertThat(budget.tryExtra(39_000 * MILLI, 4)).isFalse();
+        assertThat(budget.tryRetry(30_000 * MILLI, 1)).isFalse();
+        assertThat(budget.tryRetry(39_000 * MILLI, 4)).isFalse();
         assertThat(budget.left(41_000 * MILLI, 4)).isEqualTo(12);
     }
 
@@ -94,7 +94,7 @@
     void crowdOfHalfTheWindowAgoAllowsNoExtraSendsNow() {
         SharedRetryBudget budget = new SharedRetryBudget(SETTINGS, 0);
         for (int request = 0; request < 1_000; request++) {
-            budget.firstSent(1_000 * MILLI);
+            budget.firstAttempt(1_000 * MILLI);
         }
         assertThat(budget.left(5_000 * MILLI, 1)).isCloseTo(160, within(1e-9));
         assertThat(budget.left(7_000 * MILLI, 1)).isEqualTo(0);
@@ -188,12 +188,12 @@
             long nanos = MILLI * CELL * cell;
             int requests = (int) (mLoad * mRandom.nextDouble() * 2);
             for (int request = 0; request < requests; request++) {
-                budget.firstSent(nanos);
+                budget.firstAttempt(nanos);
                 mFirst[cell]++;
             }
             int tries = mIsFailing ? 4 + requests : 0;
             for (int extra = 0; extra < tries; extra++) {
-                if (budget.tryExtra(nanos, shareholders)) {
+                if (budget.tryRetry(nanos, shareholders)) {
                     mExtra[cell]++;
                 }
             }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/ForwardCodec.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/ForwardCodec.java
@@ -83,7 +83,7 @@
      * @param remainingNanos the time that remains, in nanoseconds
      * @return the message
      */
-    public static Forward toUnpaidForward(SteeredRequest request, long remainingNanos) {
+    public static Forward toUnchargedForward(SteeredRequest request, long remainingNanos) {
         Shard any = new Shard(request.head().service(), ANY_REGION, 0);
         return toForward(request, any, remainingNanos).toBuilder().setShard(ANY_SHARD).build();
     }
@@ -94,7 +94,7 @@
      * @param forward the message
      * @return whether it is; else it is asked to admit to a shard, and the sender has paid
      */
-    public static boolean isUnpaid(Forward forward) {
+    public static boolean isUncharged(Forward forward) {
         return forward.getShard() == ANY_SHARD;
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/ForwardReceiver.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/ForwardReceiver.java
@@ -86,7 +86,7 @@
 
     private Runnable task(Forward forward, Responder responder) {
         SteeredRequest request = ForwardCodec.toRequest(forward, mTimeSource.monotonicNanos());
-        if (ForwardCodec.isUnpaid(forward)) {
+        if (ForwardCodec.isUncharged(forward)) {
             return () -> steer(request, responder);
         }
         Shard shard = ForwardCodec.toShard(forward);
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/LinkRemoteAdmitter.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/LinkRemoteAdmitter.java
@@ -57,7 +57,7 @@
     @Override
     public void steer(InstanceId to, SteeredRequest request, Consumer<ForwardResult> listener) {
         long remaining = remainingNanos(request);
-        call(to, request, ForwardCodec.toUnpaidForward(request, remaining), remaining, listener);
+        call(to, request, ForwardCodec.toUnchargedForward(request, remaining), remaining, listener);
     }
 
     private long remainingNanos(SteeredRequest request) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/RequestGateway.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/RequestGateway.java
@@ -12,7 +12,7 @@
 import io.masticpond.daemon.duty.EventLoop;
 import io.masticpond.daemon.operation.OnceOnlyGuard;
 import io.masticpond.daemon.operation.OnceOnlyKeys;
-import io.masticpond.daemon.steering.PayingEntry;
+import io.masticpond.daemon.steering.PeerFallbackEntry;
 import io.masticpond.daemon.steering.RequestEnd;
 import io.masticpond.daemon.steering.SteeredRequest;
 import java.util.Optional;
@@ -31,7 +31,7 @@
     private final ZoneId mZone;
     private final Supplier<Configuration> mConfiguration;
     private final LookupTable mLookups;
-    private final PayingEntry mEntry;
+    private final PeerFallbackEntry mEntry;
     private final OnceOnlyGuard mGuard;
     private final LongConsumer mSeenVersion;
     private volatile boolean mStopping;
@@ -52,7 +52,7 @@
             ZoneId zone,
             Supplier<Configuration> configuration,
             LookupTable lookups,
-            PayingEntry entry,
+            PeerFallbackEntry entry,
             OnceOnlyGuard guard,
             LongConsumer seenVersion) {
         mSteering = steering;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/PayingEntry.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/PeerFallbackEntry.java
@@ -34,7 +34,7 @@
  *
  * @since 0.1
  */
-public final class PayingEntry {
+public final class PeerFallbackEntry {
 
     private static final Set<RefusalCause> NO_ALLOTMENT =
             EnumSet.of(RefusalCause.PLATFORM_AWAY, RefusalCause.NOT_READY);
@@ -47,7 +47,7 @@
     private final RemoteAdmitter mRemote;
     private final RetryBudget mRetries;
     private final Map<RequestId, Search> mSearches = new HashMap<>();
-    private final Map<Purse, Long> mEmptySince = new HashMap<>();
+    private final Map<AllotmentKey, Long> mEmptySince = new HashMap<>();
 
     /**
      * Makes an entry side.
@@ -59,7 +59,7 @@
      * @param remote passes requests on
      * @param retries the budget of retries, which the entry side shares
      */
-    public PayingEntry(
+    public PeerFallbackEntry(
             EntrySteering entry,
             Executor duty,
             TimeSource timeSource,
@@ -116,7 +116,7 @@
     }
 
     /** The allotment of an instance for a service. */
-    private record Purse(InstanceId instance, ServiceId service) {}
+    private record AllotmentKey(InstanceId instance, ServiceId service) {}
 
     /** The search for an instance that pays for one request. */
     private final class Search {
@@ -178,13 +178,13 @@
             finish(new RequestEnd.Refused(Refusal.mayHaveRun(lost.cause(), lost.reason())));
         }
 
-        private boolean isEmpty(Purse purse) {
+        private boolean isEmpty(AllotmentKey purse) {
             Long since = mEmptySince.get(purse);
             return since != null && mTimeSource.monotonicNanos() - since < FORGET_NANOS;
         }
 
-        private Purse purse(InstanceId instance) {
-            return new Purse(instance, mRequest.head().service());
+        private AllotmentKey purse(InstanceId instance) {
+            return new AllotmentKey(instance, mRequest.head().service());
         }
 
         private void finish(RequestEnd end) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/CallerModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/CallerModule.java
@@ -15,7 +15,7 @@
 import io.masticpond.daemon.metrics.DaemonMetrics;
 import io.masticpond.daemon.operation.OnceOnlyGuard;
 import io.masticpond.daemon.settings.DaemonSettings;
-import io.masticpond.daemon.steering.PayingEntry;
+import io.masticpond.daemon.steering.PeerFallbackEntry;
 import java.time.Duration;
 import javax.inject.Singleton;
 
@@ -45,7 +45,7 @@
             ConfigurationHolder configuration,
             ConfigurationService configurationDuty,
             LookupTable lookups,
-            PayingEntry entry,
+            PeerFallbackEntry entry,
             OnceOnlyGuard guard) {
         return new RequestGateway(
                 duty,
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/OperationModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/OperationModule.java
@@ -25,7 +25,7 @@
 import io.masticpond.daemon.operation.OperationReceiver;
 import io.masticpond.daemon.platform.ObjectStore;
 import io.masticpond.daemon.settings.DaemonSettings;
-import io.masticpond.daemon.steering.PayingEntry;
+import io.masticpond.daemon.steering.PeerFallbackEntry;
 import java.time.Duration;
 import java.util.random.RandomGenerator;
 import javax.inject.Qualifier;
@@ -101,7 +101,7 @@
     static OnceOnlyGuard onceOnlyGuard(
             Incarnation incarnation,
             @SteeringThread EventLoop steering,
-            PayingEntry entry,
+            PeerFallbackEntry entry,
             MemberHomes homes,
             LinkOperationPeers peers,
             PlatformOperationArchive operations,
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/SteeringModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/SteeringModule.java
@@ -29,7 +29,7 @@
 import io.masticpond.daemon.steering.EntrySteering;
 import io.masticpond.daemon.steering.MeteredAdmission;
 import io.masticpond.daemon.steering.MeteredDispatcher;
-import io.masticpond.daemon.steering.PayingEntry;
+import io.masticpond.daemon.steering.PeerFallbackEntry;
 import io.masticpond.daemon.steering.SteeringService;
 import java.time.Duration;
 import java.util.concurrent.Executors;
@@ -144,14 +144,14 @@
 
     @Provides
     @Singleton
-    static PayingEntry payingEntry(
+    static PeerFallbackEntry peerFallbackEntry(
             EntrySteering entry,
             @SteeringThread EventLoop duty,
             TimeSource timeSource,
             DefaultShardDirectory directory,
             LinkRemoteAdmitter remote,
             RetryBudget retries) {
-        return new PayingEntry(entry, duty::put, timeSource, directory, remote, retries);
+        return new PeerFallbackEntry(entry, duty::put, timeSource, directory, remote, retries);
     }
 
     @Provides
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/spending/LedgerCodecTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/spending/LedgerCodecTest.java
@@ -25,7 +25,7 @@
             SpendingLedger.empty(KEY, new SpendingCap(7_000, new ConfigurationVersion(3)))
                     .allot(Incarnation.parse("casa-1@1700000000000"), 1, 4_500)
                     .allot(Incarnation.parse("fes-1@1700000000001"), 9, 1_250)
-                    .takeBack(Incarnation.parse("casa-1@1700000000000"), 2, 100);
+                    .returnAllotment(Incarnation.parse("casa-1@1700000000000"), 2, 100);
 
     private final LedgerCodec mCodec = new LedgerCodec();
 
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/PaidForwardTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/ChargedForwardTest.java
@@ -37,7 +37,7 @@
 import net.jqwik.api.Example;
 
 /** Passes requests on to an instance that is asked to pay, and asserts what it does with them. */
-class PaidForwardTest {
+class ChargedForwardTest {
 
     private static final InstanceId ASKER = new InstanceId("asker");
     private static final ServiceId SERVICE = new ServiceId("plate-ledger");
@@ -111,17 +111,17 @@
 
     @Example
     void anInstanceOfAnEarlierBuildDeclinesSinceItFindsNoShard() {
-        assertThatThrownBy(() -> ForwardCodec.toShard(ForwardCodec.toUnpaidForward(request(), 1)))
+        assertThatThrownBy(() -> ForwardCodec.toShard(ForwardCodec.toUnchargedForward(request(), 1)))
                 .isInstanceOf(IllegalArgumentException.class);
         Shard shard = new Shard(SERVICE, new RegionId("any"), 0);
-        assertThat(ForwardCodec.isUnpaid(ForwardCodec.toForward(request(), shard, 1))).isFalse();
+        assertThat(ForwardCodec.isUncharged(ForwardCodec.toForward(request(), shard, 1))).isFalse();
     }
 
     private void passOn() {
         Envelope envelope =
                 Envelope.newBuilder()
                         .setForward(
-                                ForwardCodec.toUnpaidForward(
+                                ForwardCodec.toUnchargedForward(
                                         request(), Duration.ofSeconds(1).toNanos()))
                         .build();
         mHandlers.get(Envelope.BodyCase.FORWARD).handle(ASKER, envelope, new Answers());
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/PayingEntryTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/PeerFallbackEntryTest.java
@@ -26,7 +26,7 @@
 import net.jqwik.api.Example;
 
 /** Arranges instances without an allotment and asserts who is asked to pay, and how often. */
-class PayingEntryTest {
+class PeerFallbackEntryTest {
 
     private static final ServiceId SERVICE = new ServiceId("plate-ledger");
     private static final InstanceId FIRST = new InstanceId("first");
@@ -43,7 +43,7 @@
     private final List<RequestEnd> mEnds = new ArrayList<>();
     private final SteeringFakes.CountingGate mGate = new SteeringFakes.CountingGate();
     private final Remote mRemote = new Remote();
-    private final PayingEntry mEntry = entry();
+    private final PeerFallbackEntry mEntry = entry();
 
     @Example
     void anotherInstancePaysWhileThisOneHasNoAllotmentAndThePlatformIsAway() {
@@ -154,13 +154,13 @@
                 mEnds::add);
     }
 
-    private PayingEntry entry() {
+    private PeerFallbackEntry entry() {
         ShardDirectory directory =
                 new SteeringFakes.FixedDirectory(
                         List.of(new Shard(SERVICE, new RegionId("casa"), 0)),
                         List.of(FIRST, SECOND));
         EntrySteering entry = SteeringFakes.entry(mTime, mGate, directory, mRemote);
-        return new PayingEntry(
+        return new PeerFallbackEntry(
                 entry, Runnable::run, mTime, directory, mRemote, new RetryBudget(0.1, 10));
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/RequestRecord.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/RequestRecord.java
@@ -223,7 +223,7 @@
      *
      * @param inputs what decided it
      */
-    public void notPaid(SpendingInputs inputs) {
+    public void chargeRefused(SpendingInputs inputs) {
         mSpending = inputs;
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/AttemptPayment.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/AttemptCharge.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 
 /** Pays for the attempts of one request, one after the other. */
-final class AttemptPayment {
+final class AttemptCharge {
 
     private final SpendingCheck mSpending;
     private final RequestRecord mFacts;
@@ -16,30 +16,30 @@
     private Charge mCharge;
 
     /** Makes what pays for the attempts of a request; null where spending has no cap. */
-    static AttemptPayment of(
+    static AttemptCharge of(
             Optional<SpendingCheck> spending, RequestRecord facts, ServiceId service) {
-        return spending.map(check -> new AttemptPayment(check, facts, service)).orElse(null);
+        return spending.map(check -> new AttemptCharge(check, facts, service)).orElse(null);
     }
 
-    private AttemptPayment(SpendingCheck spending, RequestRecord facts, ServiceId service) {
+    private AttemptCharge(SpendingCheck spending, RequestRecord facts, ServiceId service) {
         mSpending = spending;
         mFacts = facts;
         mService = service;
     }
 
     /** Pays for an attempt, or tells why it must not be made. */
-    Optional<SpendingRefusal> pay(ZoneId zone) {
+    Optional<SpendingRefusal> charge(ZoneId zone) {
         Either<SpendingRefusal, Charge> charge = mSpending.charge(mService, zone);
         if (charge.isRight()) {
             mCharge = charge.get();
             return Optional.empty();
         }
-        mFacts.notPaid(charge.getLeft().inputs());
+        mFacts.chargeRefused(charge.getLeft().inputs());
         return Optional.of(charge.getLeft());
     }
 
     /** Takes back the price of the attempt, which did not run. */
-    void takeBack() {
+    void refund() {
         mSpending.refund(mCharge);
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/Rejection.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/Rejection.java
@@ -9,10 +9,10 @@
  *
  * @param cause the cause, from a fixed set of words
  * @param status the status of the answer if the request has not run before
- * @param comeBack when the client may come back; empty if that would change nothing
+ * @param retryAfter when the client may come back; empty if that would change nothing
  * @since 0.2
  */
-record Rejection(String cause, int status, Optional<Duration> comeBack) {
+record Rejection(String cause, int status, Optional<Duration> retryAfter) {
 
     private static final int UNAUTHORIZED = 401;
     private static final int TOO_MANY = 429;
@@ -21,7 +21,7 @@
     /** Checks the parts. */
     Rejection {
         Assert.hasText(cause, "A cause");
-        Assert.notNull(comeBack, "A time to come back");
+        Assert.notNull(retryAfter, "A time to come back");
     }
 
     /** The request did not run, and may later. */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestCompletion.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestCompletion.java
@@ -31,11 +31,11 @@
     OutgoingAnswer notRun(Rejection rejection, long nowNanos) {
         String text = "The request did not run: " + rejection.cause() + ".";
         int status = rejection.status();
-        if (rejection.comeBack().isEmpty()) {
+        if (rejection.retryAfter().isEmpty()) {
             mFacts.refused(rejection.cause(), status, RequestRecord.UNKNOWN, nowNanos);
             return mAnswers.plain(status, mRequestId, text);
         }
-        Duration comeBack = rejection.comeBack().get();
+        Duration comeBack = rejection.retryAfter().get();
         mFacts.refused(rejection.cause(), status, comeBack.toMillis(), nowNanos);
         return mAnswers.refusal(status, mRequestId, text, comeBack);
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestRun.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestRun.java
@@ -51,7 +51,7 @@
     private final CrashCheck mCrashCheck;
 
     /** Null where spending has no cap. */
-    private final AttemptPayment mPayment;
+    private final AttemptCharge mPayment;
 
     private Future<?> mTimeout;
     private BackendCall mCall;
@@ -88,12 +88,12 @@
         mSearch = new ServerSearch(flow, facts, mRoute, service, key);
         mCrashCheck = new CrashCheck(flow.crashes(), request, facts);
         mEnd = new RequestCompletion(flow.answers(), facts, mRequestId);
-        mPayment = AttemptPayment.of(flow.spending(), facts, service);
+        mPayment = AttemptCharge.of(flow.spending(), facts, service);
     }
 
     void begin() {
         long now = mFlow.nowNanos();
-        mFlow.retries().firstSent(mService, now);
+        mFlow.retries().firstAttempt(mService, now);
         mFlow.placer().arrived(mRoute, mService, now);
         long left = mTimes.leftNanos(now);
         if (left <= 0) {
@@ -143,8 +143,8 @@
     /** Pays for the next attempt, or ends the request with what is true of it. */
     private boolean payOrEnd(ServerLoad chosen) {
         if (mPayment != null) {
-            mPayment.pay(chosen.server().zone())
-                    .map(each -> Rejection.unavailable(each.cause(), each.comeBack()))
+            mPayment.charge(chosen.server().zone())
+                    .map(each -> Rejection.unavailable(each.cause(), each.retryAfter()))
                     .ifPresent(this::endRejected);
         }
         return !mDone;
@@ -184,7 +184,7 @@
         boolean notExecuted = answer.headers().contains(mFlow.names().notExecuted());
         if (answer.status() == MISDIRECTED || notExecuted) {
             answer.body().release();
-            takeBack();
+            refundCharge();
             mFacts.attemptEnded(AttemptResult.TURNED_AWAY, answer.status(), now);
             rejectedByServer(server, answer.status(), statement, now);
             return;
@@ -236,7 +236,7 @@
             mFlow.placer().failed(server, now);
         }
         if (failure.verdict() == Verdict.DID_NOT_RUN) {
-            takeBack();
+            refundCharge();
             connectAgain();
             return;
         }
@@ -299,7 +299,7 @@
     private boolean mayTryAgain(long now) {
         return mSends < mRoute.maximumAttempts()
                 && mTimes.leftNanos(now) > 0
-                && mFlow.retries().tryExtra(mService, now);
+                && mFlow.retries().tryRetry(mService, now);
     }
 
     private void retry() {
@@ -307,9 +307,9 @@
         attempt();
     }
 
-    private void takeBack() {
+    private void refundCharge() {
         if (mPayment != null) {
-            mPayment.takeBack();
+            mPayment.refund();
         }
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/RetryAllowance.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/RetryAllowance.java
@@ -15,7 +15,7 @@
      * @param service the service
      * @param nowNanos the monotonic time
      */
-    void firstSent(ServiceId service, long nowNanos);
+    void firstAttempt(ServiceId service, long nowNanos);
 
     /**
      * Takes one more send of a request out of the budget.
@@ -24,7 +24,7 @@
      * @param nowNanos the monotonic time
      * @return whether there was enough left
      */
-    boolean tryExtra(ServiceId service, long nowNanos);
+    boolean tryRetry(ServiceId service, long nowNanos);
 
     /**
      * Tells what is left.
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/WorkspaceAuthenticator.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/WorkspaceAuthenticator.java
@@ -171,7 +171,7 @@
         }
         long now = mTimeSource.monotonicNanos();
         if (!mRates.tryAdmit(workspace.id(), mDraws.getAsDouble(), now)) {
-            Duration pause = mRates.comeBack(workspace.id(), now);
+            Duration pause = mRates.retryAfter(workspace.id(), now);
             return Either.left(Rejection.tooMany("over-rate", pause));
         }
         return Either.right(new Known(narrowed.get(), workspace.id(), key));
--- a/masticpond-entry/src/main/java/io/masticpond/entry/spending/SpendingDesk.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/spending/SpendingService.java
@@ -44,12 +44,12 @@
  *
  * @since 0.3
  */
-public final class SpendingDesk implements SpendingCheck {
+public final class SpendingService implements SpendingCheck {
 
     /** How often time acts on the accounts. */
     public static final Duration PERIOD = Duration.ofMillis(100);
 
-    private static final Logger sLogger = LoggerFactory.getLogger(SpendingDesk.class);
+    private static final Logger sLogger = LoggerFactory.getLogger(SpendingService.class);
     private static final long DEFAULT_DEADLINE_MILLIS = 1_000;
     private static final Duration SOON = Duration.ofSeconds(1);
 
@@ -79,7 +79,7 @@
      * @param control runs tasks on the control thread
      * @param timeSource the clocks
      */
-    public SpendingDesk(
+    public SpendingService(
             SpendingSettings settings,
             Map<ZoneId, RegionId> regions,
             Incarnation self,
@@ -102,7 +102,7 @@
                         settings.clockError(),
                         new StoreLedgers(store, settings.ledgers(), control, this::answered),
                         timeSource,
-                        SpendingDesk::log,
+                        SpendingService::log,
                         self.hashCode());
         mCaps = configuration(settings);
     }
@@ -116,7 +116,7 @@
     public void start() {
         if (!mStarted) {
             mStarted = true;
-            tellHolders();
+            reportHolders();
             mGate.configure(mCaps);
             mTraffic.schedule(PERIOD, this::tick);
         }
@@ -152,13 +152,13 @@
     }
 
     private void tick() {
-        tellHolders();
+        reportHolders();
         mGate.advance();
         mStopped = mGate.isStopped();
         mTraffic.schedule(PERIOD, this::tick);
     }
 
-    private void tellHolders() {
+    private void reportHolders() {
         int holders = Math.max(1, mHolders.getAsInt());
         if (holders != mToldHolders) {
             mToldHolders = holders;
@@ -212,7 +212,7 @@
     /** States the caps as the core takes them, whose other parts have no say here. */
     private static Configuration configuration(SpendingSettings settings) {
         List<ServiceSpecification> services =
-                settings.services().stream().map(SpendingDesk::specification).toList();
+                settings.services().stream().map(SpendingService::specification).toList();
         return new Configuration(
                 new ConfigurationVersion(settings.version()),
                 Optional.empty(),
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SharedLimits.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SharedLimits.java
@@ -88,13 +88,13 @@
     }
 
     @Override
-    public void firstSent(ServiceId service, long nowNanos) {
-        budget(service, nowNanos).firstSent(nowNanos);
+    public void firstAttempt(ServiceId service, long nowNanos) {
+        budget(service, nowNanos).firstAttempt(nowNanos);
     }
 
     @Override
-    public boolean tryExtra(ServiceId service, long nowNanos) {
-        return budget(service, nowNanos).tryExtra(nowNanos, mPeers.shareholders());
+    public boolean tryRetry(ServiceId service, long nowNanos) {
+        return budget(service, nowNanos).tryRetry(nowNanos, mPeers.shareholders());
     }
 
     @Override
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SpendingWiring.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SpendingWiring.java
@@ -9,7 +9,7 @@
 import io.masticpond.entry.replica.EventLoopScheduler;
 import io.masticpond.entry.request.SpendingCheck;
 import io.masticpond.entry.settings.EntrySettings;
-import io.masticpond.entry.spending.SpendingDesk;
+import io.masticpond.entry.spending.SpendingService;
 import io.netty.channel.EventLoop;
 
 /** Joins what pays for attempts; loaded only where spending has a cap. */
@@ -30,7 +30,7 @@
             TimeSource timeSource) {
         int part = settings.store().writesPerSecond() / PART_OF_WRITES;
         int usual = AllotmentPolicy.DEFAULT.writesPerSecond();
-        return new SpendingDesk(
+        return new SpendingService(
                 settings.spending().orElseThrow(),
                 settings.zones(),
                 new Incarnation(self.id(), self.incarnation()),
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/Purse.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/FakeSpendingCheck.java
@@ -11,11 +11,11 @@
 import java.util.List;
 
 /** Pays for so many attempts. */
-final class Purse implements SpendingCheck {
+final class FakeSpendingCheck implements SpendingCheck {
 
     int mLeft;
 
-    Purse(int attempts) {
+    FakeSpendingCheck(int attempts) {
         mLeft = attempts;
     }
 
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/FixedBudget.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/FixedBudget.java
@@ -13,10 +13,10 @@
     }
 
     @Override
-    public void firstSent(ServiceId service, long nowNanos) {}
+    public void firstAttempt(ServiceId service, long nowNanos) {}
 
     @Override
-    public boolean tryExtra(ServiceId service, long nowNanos) {
+    public boolean tryRetry(ServiceId service, long nowNanos) {
         return mThere.getAsBoolean();
     }
 
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/RequestFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/RequestFlowTest.java
@@ -259,7 +259,7 @@
 
     @Example
     void attemptThatWouldPassTheCapIsRefusedBeforeAnythingIsSent() {
-        mSpending = Optional.of(new Purse(0));
+        mSpending = Optional.of(new FakeSpendingCheck(0));
         handle(flow(true, 2));
         assertThat(mConnections.mCalls).isEmpty();
         assertThat(mResponder.status()).isEqualTo(503);
@@ -274,7 +274,7 @@
 
     @Example
     void eachRetryIsPaidForAndNotPromisedToHaveNotRun() {
-        Purse purse = new Purse(1);
+        FakeSpendingCheck purse = new FakeSpendingCheck(1);
         mSpending = Optional.of(purse);
         handle(flow(true, 2));
         mConnections.last().fail(Verdict.MAY_HAVE_RUN, CallFailure.Kind.BROKEN_OFF);
@@ -287,7 +287,7 @@
 
     @Example
     void whatDidNotRunIsTakenBackAndPaysForTheNextServer() {
-        Purse purse = new Purse(1);
+        FakeSpendingCheck purse = new FakeSpendingCheck(1);
         mSpending = Optional.of(purse);
         handle(flow(false, 2));
         mConnections.last().fail(Verdict.DID_NOT_RUN, CallFailure.Kind.NOT_CONNECTED);
--- a/masticpond-entry/src/test/java/io/masticpond/entry/spending/SpendingFleet.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/spending/SpendingFleet.java
@@ -59,13 +59,13 @@
     Node start(String name, Duration clockError) {
         Node node = new Node(name, ++mIncarnation, clockError);
         mNodes.add(node);
-        node.mDesk.start();
+        node.mService.start();
         return node;
     }
 
     /** Ends a process at once, with all that it holds in memory. */
     void kill(Node node) {
-        node.mDead = true;
+        node.mIsTerminated = true;
         mNodes.remove(node);
     }
 
@@ -84,7 +84,7 @@
             mLoop.pass(SECOND);
             for (Node node : nodes()) {
                 for (int attempt = 0; attempt < perSecond; attempt++) {
-                    node.pay();
+                    node.charge();
                 }
             }
         }
@@ -125,9 +125,9 @@
     final class Node {
 
         final StandInStore.Access mAccess = mStore.new Access();
-        final SpendingDesk mDesk;
-        boolean mDead;
-        long mPaid;
+        final SpendingService mService;
+        boolean mIsTerminated;
+        long mCharged;
 
         Node(String name, long incarnation, Duration clockError) {
             Scheduler own =
@@ -135,12 +135,12 @@
                             mLoop.schedule(
                                     delay,
                                     () -> {
-                                        if (!mDead) {
+                                        if (!mIsTerminated) {
                                             task.run();
                                         }
                                     });
-            mDesk =
-                    new SpendingDesk(
+            mService =
+                    new SpendingService(
                             settings(),
                             Map.of(ZONE, REGION),
                             new Incarnation(new InstanceId(name), incarnation),
@@ -152,10 +152,10 @@
                             new WrongClock(mTime, clockError));
         }
 
-        Either<SpendingRefusal, Charge> pay() {
-            Either<SpendingRefusal, Charge> charge = mDesk.charge(SERVICE, ZONE);
+        Either<SpendingRefusal, Charge> charge() {
+            Either<SpendingRefusal, Charge> charge = mService.charge(SERVICE, ZONE);
             if (charge.isRight()) {
-                mPaid += PRICE;
+                mCharged += PRICE;
                 Instant shift = mTime.instant().isBefore(EVENING) ? MORNING : EVENING;
                 mSpent.merge(shift, PRICE, Long::sum);
             }
@@ -163,7 +163,7 @@
         }
 
         long held() {
-            return mDesk.views().stream()
+            return mService.views().stream()
                     .filter(view -> view.shift().contains(mTime.instant()))
                     .mapToLong(SpendingView::availableMicros)
                     .sum();
--- a/masticpond-entry/src/test/java/io/masticpond/entry/spending/SpendingDeskTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/spending/SpendingServiceTest.java
@@ -20,7 +20,7 @@
 import net.jqwik.api.constraints.IntRange;
 
 /** The sum of all instances never passes the cap, whatever fails; and what fails wastes little. */
-class SpendingDeskTest {
+class SpendingServiceTest {
 
     private static final long CAP = 288_000;
 
@@ -88,14 +88,14 @@
         mFleet.demand(LONG, MUCH);
         assertThat(mFleet.spent(MORNING)).isGreaterThan(held - 2 * PRICE).isLessThanOrEqualTo(held);
         for (Node each : mFleet.nodes()) {
-            SpendingRefusal refusal = each.pay().getLeft();
+            SpendingRefusal refusal = each.charge().getLeft();
             assertThat(refusal.cause()).isEqualTo("no-allotment");
             assertThat(refusal.inputs().state()).isEqualTo("platform-away");
-            assertThat(refusal.comeBack()).isEqualTo(Duration.ofSeconds(1));
+            assertThat(refusal.retryAfter()).isEqualTo(Duration.ofSeconds(1));
         }
         node.mAccess.serve();
         mFleet.settle();
-        assertThat(node.pay().isRight()).as("the store is back").isTrue();
+        assertThat(node.charge().isRight()).as("the store is back").isTrue();
     }
 
     @Example
@@ -108,7 +108,7 @@
         assertThat(mFleet.spent(MORNING)).as("the cap is reached").isGreaterThan(CAP * 98 / 100);
         for (int step = 0; step < 400; step++) {
             mFleet.mLoop.pass(Duration.ofMillis(10));
-            mFleet.nodes().forEach(Node::pay);
+            mFleet.nodes().forEach(Node::charge);
         }
         assertThat(mFleet.spent(MORNING)).isLessThanOrEqualTo(CAP);
         assertThat(mFleet.spent(EVENING)).as("the next shift is open").isPositive();
@@ -141,7 +141,7 @@
         mFleet.demand(LONG, 2 * MUCH);
         assertThat(mFleet.spent(MORNING)).isLessThanOrEqualTo(CAP);
         assertThat(mFleet.spent(MORNING)).isGreaterThan(CAP * 99 / 100);
-        mFleet.nodes().forEach(node -> assertThat(node.mPaid).isPositive());
+        mFleet.nodes().forEach(node -> assertThat(node.mCharged).isPositive());
     }
 
     @Example
@@ -153,33 +153,33 @@
         long held = parted.held();
         parted.mAccess.refuse(FeedError.UNREACHABLE);
         mFleet.demand(LONG, MUCH);
-        assertThat(parted.mPaid).isGreaterThan(held - PRICE).isLessThanOrEqualTo(held);
+        assertThat(parted.mCharged).isGreaterThan(held - PRICE).isLessThanOrEqualTo(held);
         assertThat(mFleet.spent(MORNING)).isLessThanOrEqualTo(CAP);
         assertThat(mFleet.spent(MORNING)).isGreaterThan(CAP * 99 / 100);
         parted.mAccess.serve();
         mFleet.settle();
-        assertThat(parted.pay().getLeft().cause()).isEqualTo("spending-cap");
+        assertThat(parted.charge().getLeft().cause()).isEqualTo("spending-cap");
     }
 
     @Example
     void refusalAtTheCapTellsItsInputsAndWhenTheNextShiftBegins() {
         Node node = mFleet.start("a");
         mFleet.demand(LONG, 3 * MUCH);
-        SpendingRefusal refusal = node.pay().getLeft();
+        SpendingRefusal refusal = node.charge().getLeft();
         assertThat(refusal.cause()).isEqualTo("spending-cap");
-        assertThat(refusal.comeBack())
+        assertThat(refusal.retryAfter())
                 .isEqualTo(Duration.between(mFleet.mTime.instant(), EVENING).plus(CLOCK_ERROR));
         assertThat(refusal.inputs().shift()).isEqualTo("2026-12-02-morning");
         assertThat(refusal.inputs().state()).isEqualTo("exhausted");
         assertThat(refusal.inputs().priceMicros()).isEqualTo(PRICE);
         assertThat(refusal.inputs().capMicros()).isEqualTo(CAP);
-        assertThat(refusal.inputs().spentMicros()).isEqualTo(node.mPaid);
+        assertThat(refusal.inputs().spentMicros()).isEqualTo(node.mCharged);
     }
 
     @Example
     void betweenShiftsNothingIsPaidFor() {
         mFleet.mTime.advance(Duration.between(mFleet.mTime.instant(), EVENING.plusSeconds(30_000)));
-        SpendingRefusal refusal = mFleet.start("a").pay().getLeft();
+        SpendingRefusal refusal = mFleet.start("a").charge().getLeft();
         assertThat(refusal.cause()).isEqualTo("spending-cap");
         assertThat(refusal.inputs().shift()).isEqualTo("none");
     }
@@ -188,12 +188,12 @@
     void plannedStopReturnsWhatIsLeftAndPaysForNothingMore() {
         Node node = mFleet.start("a");
         mFleet.settle();
-        node.pay();
-        node.mDesk.stop();
-        assertThat(node.pay().isLeft()).isTrue();
-        assertThat(node.mDesk.isStopped()).isFalse();
+        node.charge();
+        node.mService.stop();
+        assertThat(node.charge().isLeft()).isTrue();
+        assertThat(node.mService.isStopped()).isFalse();
         mFleet.settle();
-        assertThat(node.mDesk.isStopped()).isTrue();
+        assertThat(node.mService.isStopped()).isTrue();
         assertThat(mFleet.allotted()).isEqualTo(PRICE);
     }
 
@@ -202,7 +202,7 @@
         Node node = mFleet.start("a");
         mFleet.settle();
         long held = node.held();
-        node.mDesk.refund(node.pay().get());
+        node.mService.refund(node.charge().get());
         assertThat(node.held()).isEqualTo(held);
     }
 
@@ -210,7 +210,7 @@
     void serviceWithoutCapIsNeverRefused() {
         Node node = mFleet.start("a");
         node.mAccess.refuse(FeedError.UNREACHABLE);
-        assertThat(node.mDesk.charge(new ServiceId("other"), SpendingFleet.ZONE).isRight())
+        assertThat(node.mService.charge(new ServiceId("other"), SpendingFleet.ZONE).isRight())
                 .isTrue();
     }
 }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/wiring/SharedLimitsTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/wiring/SharedLimitsTest.java
@@ -59,7 +59,7 @@
 
     private static int spend(SharedLimits limits, long nowNanos) {
         int spent = 0;
-        while (limits.tryExtra(NEW, nowNanos)) {
+        while (limits.tryRetry(NEW, nowNanos)) {
             spent++;
         }
         return spent;
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelInstance.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelInstance.java
@@ -78,11 +78,11 @@
     }
 
     void counted(ServiceId service, long nowNanos) {
-        retries(service).firstSent(nowNanos);
+        retries(service).firstAttempt(nowNanos);
     }
 
     boolean mayRetry(ServiceId service, long nowNanos) {
-        return retries(service).tryExtra(nowNanos, mInstances);
+        return retries(service).tryRetry(nowNanos, mInstances);
     }
 
     private SharedRetryBudget retries(ServiceId service) {
