--- a/masticpond-core/src/main/java/io/masticpond/core/admission/AdmissionSettings.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/AdmissionSettings.java
@@ -27,15 +27,15 @@
         RampInSettings rampIn) {
 
     /** Suits services of a few hundred slots with deadlines of a few seconds. */
-    public static final AdmissionSettings DEFAULTS =
+    public static final AdmissionSettings DEFAULT =
             new AdmissionSettings(
                     1_024,
                     Duration.ofMillis(100),
                     Duration.ofMillis(500),
                     Duration.ofSeconds(5),
                     Duration.ofSeconds(1),
-                    OutlierSettings.DEFAULTS,
-                    RampInSettings.DEFAULTS);
+                    OutlierSettings.DEFAULT,
+                    RampInSettings.DEFAULT);
 
     /** Checks the parts. */
     public AdmissionSettings {
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/OutlierSettings.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/OutlierSettings.java
@@ -33,7 +33,7 @@
         Duration unreachableBackoff) {
 
     /** Suits services with answers of 10 to 1,000 milliseconds. */
-    public static final OutlierSettings DEFAULTS =
+    public static final OutlierSettings DEFAULT =
             new OutlierSettings(
                     5,
                     0.5,
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/RampInSettings.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/RampInSettings.java
@@ -15,7 +15,7 @@
 public record RampInSettings(int initialSlots, Duration step, int answersPerSlot, double growth) {
 
     /** Doubles the usable slots after two good answers on each and a quarter of a second. */
-    public static final RampInSettings DEFAULTS =
+    public static final RampInSettings DEFAULT =
             new RampInSettings(1, Duration.ofMillis(250), 2, 2);
 
     /** Checks the parts. */
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashSettings.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashSettings.java
@@ -15,7 +15,7 @@
 public record CrashSettings(int ends, Duration hold, Duration memory) {
 
     /** Two ends in a row happen by chance when servers fail in turn; that is no proof. */
-    private static final int FEWEST_ENDS = 2;
+    private static final int MINIMUM_ENDS = 2;
 
     /**
      * Three servers, as users bear no more of a few sends after that. With 2 hours, then 4 and 8, a
@@ -26,7 +26,7 @@
 
     /** Checks that the values are usable. */
     public CrashSettings {
-        Assert.isTrue(ends >= FEWEST_ENDS, "A proof takes 2 ends or more, but was %d.", ends);
+        Assert.isTrue(ends >= MINIMUM_ENDS, "A proof takes 2 ends or more, but was %d.", ends);
         Assert.isTrue(hold.toMillis() > 0, "A time of rejection must be positive.");
         Assert.isTrue(memory.toMillis() > 0, "A time for which an end counts must be positive.");
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashSuspect.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashSuspect.java
@@ -14,7 +14,7 @@
     private static final long SUSPICION_NANOS = TimeUnit.SECONDS.toNanos(10);
 
     /** Conclusions of more instances than this add nothing. */
-    private static final int MOST_TELLERS = 8;
+    private static final int MAXIMUM_VERDICTS = 8;
 
     /**
      * So many other instances must say what this one saw nothing of; one is enough for a request
@@ -62,7 +62,7 @@
 
     /** Takes what another instance concluded; only its newest word counts. */
     void addVerdict(String teller, CrashMessage.Verdict verdict, long nowNanos) {
-        if (mVerdicts.size() < MOST_TELLERS || mVerdicts.containsKey(teller)) {
+        if (mVerdicts.size() < MAXIMUM_VERDICTS || mVerdicts.containsKey(teller)) {
             mVerdicts.put(teller, new ReceivedVerdict(verdict, nowNanos));
         }
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashSuspects.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashSuspects.java
@@ -11,7 +11,7 @@
 final class CrashSuspects {
 
     /** Requests that are followed at most; about 300 bytes each. */
-    static final int MOST = 1_024;
+    static final int MAXIMUM_SUSPECTS = 1_024;
 
     private final Map<RequestFingerprint, CrashSuspect> mSuspects = new LinkedHashMap<>();
 
@@ -51,7 +51,7 @@
     }
 
     CrashSuspect add(RequestFingerprint request, long nowNanos) {
-        if (mSuspects.size() >= MOST) {
+        if (mSuspects.size() >= MAXIMUM_SUSPECTS) {
             makeRoom(nowNanos);
         }
         CrashSuspect suspect = new CrashSuspect(request);
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashingRequests.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashingRequests.java
@@ -24,7 +24,7 @@
 public final class CrashingRequests {
 
     /** Rejected requests told in one message of {@link #rejections}, which fits into a datagram. */
-    static final int MOST_TOLD = 36;
+    static final int MAXIMUM_REJECTIONS_PER_MESSAGE = 36;
 
     private static final int ENDS_ON_TRIAL = 1;
 
@@ -35,7 +35,7 @@
     private static final long ANSWERED_WITHIN_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     /** Ten doublings of two hours are beyond any process's life. */
-    private static final int MOST_DOUBLINGS = 10;
+    private static final int MAXIMUM_DOUBLINGS = 10;
 
     /** Who still tells of a request that was cleared is answered so often at most. */
     private static final long CLEAR_AGAIN_NANOS = TimeUnit.SECONDS.toNanos(1);
@@ -197,7 +197,7 @@
         for (CrashSuspect suspect : mSuspects.all()) {
             if (current(suspect.request(), nowNanos) == suspect
                     && suspect.mIsRejected
-                    && told.size() < MOST_TOLD) {
+                    && told.size() < MAXIMUM_REJECTIONS_PER_MESSAGE) {
                 told.add(verdict(suspect, nowNanos));
                 again.add(suspect);
             }
@@ -307,7 +307,7 @@
     }
 
     private long holdNanos(CrashSuspect suspect) {
-        int doublings = Math.min(MOST_DOUBLINGS, suspect.mRejections - 1);
+        int doublings = Math.min(MAXIMUM_DOUBLINGS, suspect.mRejections - 1);
         return mSettings.hold().toNanos() << doublings;
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/ServerEndHistory.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/ServerEndHistory.java
@@ -27,7 +27,7 @@
     private static final long SAME_END_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     /** More tell nothing new. */
-    private static final int MOST = 16;
+    private static final int MAXIMUM_ENDS = 16;
 
     /** An end, with the instance that saw it; no reporter is this instance. */
     private record ObservedEnd(String reporter, long serverHash, long sentNanos, long endedNanos) {}
@@ -48,7 +48,7 @@
         }
         mEnds.add(new ObservedEnd(reporter, serverHash, sentNanos, endedNanos));
         mEnds.sort(Comparator.comparingLong(mark -> mark.endedNanos - endedNanos));
-        if (mEnds.size() > MOST) {
+        if (mEnds.size() > MAXIMUM_ENDS) {
             mEnds.remove(0);
         }
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/lookup/LookupDecider.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/lookup/LookupDecider.java
@@ -33,7 +33,7 @@
     private final Configuration mConfiguration;
     private final ClientBlockTable mBlocks;
     private final ZoneId mOwnZone;
-    private final LookupKnobs mKnobs;
+    private final LookupParameters mKnobs;
     private final Map<ZoneId, ClientSpread> mMembers = new HashMap<>();
     private final Map<SiteId, ZoneId> mSites = new HashMap<>();
     private final Map<ZoneId, List<List<ZoneQuota>>> mQuotas = new HashMap<>();
@@ -52,7 +52,7 @@
             ClientBlockTable blocks,
             Collection<Member> members,
             ZoneId ownZone,
-            LookupKnobs knobs) {
+            LookupParameters knobs) {
         mConfiguration = Assert.notNull(configuration, "A configuration");
         mBlocks = Assert.notNull(blocks, "A table of client blocks");
         mOwnZone = Assert.notNull(ownZone, "An availability zone id");
--- a/masticpond-core/src/main/java/io/masticpond/core/lookup/LookupKnobs.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/lookup/LookupParameters.java
@@ -12,13 +12,13 @@
  * @param cacheFor how long an answer may be cached
  * @since 0.1
  */
-public record LookupKnobs(int maximumInstances, int nearestZoneInstances, Duration cacheFor) {
+public record LookupParameters(int maximumInstances, int nearestZoneInstances, Duration cacheFor) {
 
     /** The values that are used unless operators say otherwise. */
-    public static final LookupKnobs DEFAULT = new LookupKnobs(4, 2, Duration.ofSeconds(5));
+    public static final LookupParameters DEFAULT = new LookupParameters(4, 2, Duration.ofSeconds(5));
 
     /** Checks the ranges. */
-    public LookupKnobs {
+    public LookupParameters {
         Assert.isTrue(
                 maximumInstances >= 2,
                 "An answer must name at least 2 instances, but %d were allowed.",
--- a/masticpond-core/src/main/java/io/masticpond/core/lookup/ZoneQuotas.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/lookup/ZoneQuotas.java
@@ -19,7 +19,7 @@
  */
 final class ZoneQuotas {
 
-    private final LookupKnobs mKnobs;
+    private final LookupParameters mKnobs;
     private final Configuration mConfiguration;
     private final List<ZoneId> mZones;
     private final ToIntFunction<ZoneId> mSizes;
@@ -35,7 +35,7 @@
      * @param sizes tells how many live instances a zone has
      */
     ZoneQuotas(
-            LookupKnobs knobs,
+            LookupParameters knobs,
             Configuration configuration,
             List<ZoneId> zones,
             ToIntFunction<ZoneId> sizes) {
--- a/masticpond-core/src/main/java/io/masticpond/core/region/DefaultRegionSelector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/DefaultRegionSelector.java
@@ -36,7 +36,7 @@
 
     private final RegionId mOwnRegion;
     private final TimeSource mTimeSource;
-    private final RegionSelectorKnobs mKnobs;
+    private final RegionSelectorParameters mKnobs;
     private final Map<RegionId, LinkShare> mLinks = new LinkedHashMap<>();
     private Map<ServiceId, Map<RegionId, RegionView>> mServices = new LinkedHashMap<>();
     private int mInstancesInRegion = 1;
@@ -54,7 +54,7 @@
             RegionId ownRegion,
             Configuration configuration,
             TimeSource timeSource,
-            RegionSelectorKnobs knobs) {
+            RegionSelectorParameters knobs) {
         mOwnRegion = Assert.notNull(ownRegion, "A region id");
         mTimeSource = Assert.notNull(timeSource, "A time source");
         mKnobs = Assert.notNull(knobs, "The knobs of a region selector");
--- a/masticpond-core/src/main/java/io/masticpond/core/region/HeadroomSnapshot.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/HeadroomSnapshot.java
@@ -6,12 +6,12 @@
 /** The counts that an admitter last reported, with their age and what was sent since. */
 final class HeadroomSnapshot {
 
-    private final RegionSelectorKnobs mKnobs;
+    private final RegionSelectorParameters mKnobs;
     private Headroom mHeadroom;
     private long mObservedNanos;
     private int mSentSince;
 
-    HeadroomSnapshot(RegionSelectorKnobs knobs) {
+    HeadroomSnapshot(RegionSelectorParameters knobs) {
         mKnobs = knobs;
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/region/RegionAvailability.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/RegionAvailability.java
@@ -8,7 +8,7 @@
     /** A region that stayed for this many longest hold-downs is forgiven its earlier losses. */
     private static final int FORGIVING_FACTOR = 2;
 
-    private final RegionSelectorKnobs mKnobs;
+    private final RegionSelectorParameters mKnobs;
     private boolean mReachable = true;
     private boolean mHeld;
     private long mHeldUntilNanos;
@@ -19,7 +19,7 @@
     private long mBackoffUntilNanos;
     private long mBackoffNanos;
 
-    RegionAvailability(RegionSelectorKnobs knobs) {
+    RegionAvailability(RegionSelectorParameters knobs) {
         mKnobs = knobs;
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/region/RegionRamp.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/RegionRamp.java
@@ -12,7 +12,7 @@
     private static final double LONGEST_STEP_SECONDS = 0.25;
     private static final double PRESSING_SHARE = 0.75;
 
-    private final RegionSelectorKnobs mKnobs;
+    private final RegionSelectorParameters mKnobs;
     private double mCeiling;
     private double mColdLimit;
     private double mLimit;
@@ -27,7 +27,7 @@
      * @param open whether there is no limit until the region is lost
      * @param nowNanos the elapsed time
      */
-    RegionRamp(RegionSelectorKnobs knobs, double ceiling, boolean open, long nowNanos) {
+    RegionRamp(RegionSelectorParameters knobs, double ceiling, boolean open, long nowNanos) {
         mKnobs = knobs;
         mCeiling = ceiling;
         mOpen = open;
--- a/masticpond-core/src/main/java/io/masticpond/core/region/RegionSelectorKnobs.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/RegionSelectorParameters.java
@@ -22,7 +22,7 @@
  * @param defaultOneWay the one-way delay of a link that operators did not state
  * @since 0.1
  */
-public record RegionSelectorKnobs(
+public record RegionSelectorParameters(
         Duration freshFor,
         Duration staleFor,
         double fastEnoughShare,
@@ -37,8 +37,8 @@
         Duration defaultOneWay) {
 
     /** The values that are used unless operators say otherwise. */
-    public static final RegionSelectorKnobs DEFAULT =
-            new RegionSelectorKnobs(
+    public static final RegionSelectorParameters DEFAULT =
+            new RegionSelectorParameters(
                     Duration.ofMillis(1500),
                     Duration.ofSeconds(5),
                     0.5,
@@ -53,7 +53,7 @@
                     Duration.ofMillis(20));
 
     /** Checks the ranges. */
-    public RegionSelectorKnobs {
+    public RegionSelectorParameters {
         Assert.isTrue(
                 staleFor.compareTo(freshFor) >= 0,
                 "Headroom must not be unusable before it is stale, but %s is less than %s.",
--- a/masticpond-core/src/main/java/io/masticpond/core/region/RegionView.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/RegionView.java
@@ -16,7 +16,7 @@
     private static final double ANSWER_WEIGHT = 0.05;
     private static final double WORST_WAIT_SHARE = 0.5;
 
-    private final RegionSelectorKnobs mKnobs;
+    private final RegionSelectorParameters mKnobs;
     private final HeadroomSnapshot mSnapshot;
     private final RegionRamp mRamp;
     private final RegionAvailability mAvailability;
@@ -28,7 +28,7 @@
     private int mLastTaken;
     private double mWorkNanos;
 
-    RegionView(RegionPlace place, RegionSelectorKnobs knobs, LinkShare link, long nowNanos) {
+    RegionView(RegionPlace place, RegionSelectorParameters knobs, LinkShare link, long nowNanos) {
         mPlace = place;
         mKnobs = knobs;
         mLink = link;
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/AllotmentPolicy.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/AllotmentPolicy.java
@@ -21,7 +21,7 @@
     public static final AllotmentPolicy DEFAULT =
             new AllotmentPolicy(Duration.ofMinutes(15), 2, 20);
 
-    private static final long LEAST_PRICES = 2;
+    private static final long MINIMUM_PRICES = 2;
     private static final double NANOS_PER_SECOND = 1e9;
 
     /** Checks the parts. */
@@ -57,6 +57,6 @@
      */
     public long floor(double ratePerSecond, int holders, long priceMicros) {
         double seconds = (double) holders / writesPerSecond;
-        return Math.max(LEAST_PRICES * priceMicros, (long) (ratePerSecond * seconds));
+        return Math.max(MINIMUM_PRICES * priceMicros, (long) (ratePerSecond * seconds));
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/DefaultSpendingGate.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/DefaultSpendingGate.java
@@ -42,7 +42,7 @@
     private static final Duration AFTER_SHIFT = Duration.ofSeconds(60);
     private static final Duration KEPT_AFTER_SHIFT = Duration.ofMinutes(15);
     private static final Duration REVIEW_PERIOD = Duration.ofSeconds(1);
-    private static final Duration SOON = Duration.ofSeconds(1);
+    private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
 
     private final SpendingContext mContext;
     private final Duration mClockError;
@@ -295,7 +295,7 @@
     private Refusal refusal(AccountState state, ServiceShifts shifts, Instant now) {
         Refusal refusal = Refusal.didNotRun(state.cause(), state.detail());
         if (state != AccountState.EXHAUSTED) {
-            return refusal.retryAfter(SOON);
+            return refusal.retryAfter(RETRY_DELAY);
         }
         return shifts.next(now)
                 .map(next -> Duration.between(now, next.start()).plus(mClockError))
--- a/masticpond-core/src/test/java/io/masticpond/core/admission/AdmissionHarness.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/admission/AdmissionHarness.java
@@ -42,7 +42,7 @@
     }
 
     static AdmissionHarness whole(int servers, int slots) {
-        AdmissionHarness harness = new AdmissionHarness(AdmissionSettings.DEFAULTS);
+        AdmissionHarness harness = new AdmissionHarness(AdmissionSettings.DEFAULT);
         harness.mAdmission.configure(servers(servers, slots), SlotShare.whole(SELF));
         return harness;
     }
--- a/masticpond-core/src/test/java/io/masticpond/core/admission/AdmissionProperties.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/admission/AdmissionProperties.java
@@ -104,7 +104,7 @@
 
         private record Seen(long nanos, int inFlight) {}
 
-        private final AdmissionHarness mHarness = new AdmissionHarness(AdmissionSettings.DEFAULTS);
+        private final AdmissionHarness mHarness = new AdmissionHarness(AdmissionSettings.DEFAULT);
         private final Map<RequestId, BackendServerId> mOpen = new HashMap<>();
         private final Map<RequestId, BackendServerId> mRunning = new HashMap<>();
         private final Map<BackendServerId, Deque<Seen>> mHistory = new HashMap<>();
@@ -238,14 +238,14 @@
                         }
                     });
             long nanos = mHarness.mTimeSource.monotonicNanos();
-            long grace = AdmissionSettings.DEFAULTS.grace().toNanos();
+            long grace = AdmissionSettings.DEFAULT.grace().toNanos();
             mRunning.keySet()
                     .removeIf(
                             request ->
                                     !mOpen.containsKey(request)
                                             && mHarness.mOffered.get(request).deadlineNanos()
                                                     <= nanos - grace);
-            long lag = AdmissionSettings.DEFAULTS.reportLag().toNanos();
+            long lag = AdmissionSettings.DEFAULT.reportLag().toNanos();
             for (int i = 0; i < SERVERS; i++) {
                 BackendServerId server = AdmissionHarness.id(i);
                 Deque<Seen> history = mHistory.computeIfAbsent(server, key -> new ArrayDeque<>());
--- a/masticpond-core/src/test/java/io/masticpond/core/admission/DefaultAdmissionTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/admission/DefaultAdmissionTest.java
@@ -50,7 +50,7 @@
 
     @Example
     void fullQueueRefusesTheLowestPriority() {
-        AdmissionSettings defaults = AdmissionSettings.DEFAULTS;
+        AdmissionSettings defaults = AdmissionSettings.DEFAULT;
         AdmissionHarness harness =
                 new AdmissionHarness(
                         new AdmissionSettings(
@@ -177,7 +177,7 @@
     void twoAdmittersTogetherKeepToTheSlots() {
         int dispatched = 0;
         for (var self : AdmissionHarness.ADMITTERS) {
-            AdmissionHarness harness = new AdmissionHarness(AdmissionSettings.DEFAULTS);
+            AdmissionHarness harness = new AdmissionHarness(AdmissionSettings.DEFAULT);
             harness.mAdmission.configure(
                     AdmissionHarness.servers(4, 3),
                     new SlotShare(AdmissionShare.FAIR_SHARE, self, AdmissionHarness.ADMITTERS));
@@ -191,7 +191,7 @@
 
     @Example
     void newAdmitterWidensByReportsAndAtTheLatestByTime() {
-        AdmissionHarness harness = new AdmissionHarness(AdmissionSettings.DEFAULTS);
+        AdmissionHarness harness = new AdmissionHarness(AdmissionSettings.DEFAULT);
         harness.mAdmission.configure(
                 AdmissionHarness.servers(4, 3), share(AdmissionShare.WIDENING));
         Headroom start = harness.mAdmission.headroom();
@@ -213,7 +213,7 @@
 
     @Example
     void newAdmitterThatIsBusyKnowsItsOwnWorkInReports() {
-        AdmissionHarness harness = new AdmissionHarness(AdmissionSettings.DEFAULTS);
+        AdmissionHarness harness = new AdmissionHarness(AdmissionSettings.DEFAULT);
         harness.mAdmission.configure(
                 AdmissionHarness.servers(4, 3), share(AdmissionShare.WIDENING));
         for (int i = 0; i < 60; i++) {
--- a/masticpond-core/src/test/java/io/masticpond/core/crash/CrashingRequestsTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/crash/CrashingRequestsTest.java
@@ -15,7 +15,7 @@
     private static final RequestFingerprint INNOCENT = new RequestFingerprint(3, 4);
     private static final Duration WORK = Duration.ofMillis(80);
     private static final Duration KNOWN_AFTER = Duration.ofSeconds(3);
-    private static final int MOST_SENDS = 3;
+    private static final int MAXIMUM_SENDS = 3;
     private static final long SEED = 7;
 
     /** A message of the greatest kind with the headers of its datagram. */
@@ -78,7 +78,7 @@
         fleet.pass(KNOWN_AFTER);
         mSends = 0;
         repeat(fleet, 200, Duration.ofMillis(100));
-        assertThat(mSends).isLessThanOrEqualTo(MOST_SENDS);
+        assertThat(mSends).isLessThanOrEqualTo(MAXIMUM_SENDS);
     }
 
     @Example
@@ -118,7 +118,7 @@
             crash(fleet, fleet.any());
             fleet.pass(Duration.ofMinutes(1));
         }
-        assertThat(mSends).isBetween(1, MOST_SENDS);
+        assertThat(mSends).isBetween(1, MAXIMUM_SENDS);
     }
 
     @Example
@@ -188,7 +188,7 @@
                     "flooding", new CrashMessage.ServerEnd(other, number, 5, 5), fleet.nowNanos());
         }
         assertThat(instance.mRequests.views(fleet.nowNanos()))
-                .hasSizeLessThanOrEqualTo(CrashSuspects.MOST);
+                .hasSizeLessThanOrEqualTo(CrashSuspects.MAXIMUM_SUSPECTS);
         assertThat(instance.rejects(CRASHING)).isTrue();
     }
 
--- a/masticpond-core/src/test/java/io/masticpond/core/lookup/LookupDeciderTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/lookup/LookupDeciderTest.java
@@ -132,7 +132,7 @@
         Configuration configuration = configuration();
         ClientBlockTable table = ClientBlockTable.of(configuration.content().clientBlocks()).get();
         return new LookupDecider(
-                configuration, table, members, new ZoneId("agadir-1"), LookupKnobs.DEFAULT);
+                configuration, table, members, new ZoneId("agadir-1"), LookupParameters.DEFAULT);
     }
 
     private static List<String> zones(LookupDecision decision) {
--- a/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipFleetTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipFleetTest.java
@@ -13,7 +13,7 @@
 
     private static final int ZONES = 16;
     private static final int INSTANCES = 410;
-    private static final int MOST_NEIGHBORS = 16;
+    private static final int MAXIMUM_NEIGHBORS = 16;
     private static final InstanceId OBSERVER = id("region01", 3);
     private static final Duration NOTICED = Duration.ofSeconds(3);
 
@@ -48,7 +48,7 @@
                 mFixture.mTables.values().stream()
                         .mapToInt(table -> table.neighbors().size())
                         .summaryStatistics();
-        assertThat(neighbors.getMax()).isLessThanOrEqualTo(MOST_NEIGHBORS);
+        assertThat(neighbors.getMax()).isLessThanOrEqualTo(MAXIMUM_NEIGHBORS);
         assertThat(mFixture.view(OBSERVER).live()).hasSize(INSTANCES);
     }
 
--- a/masticpond-core/src/test/java/io/masticpond/core/region/RegionScene.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/region/RegionScene.java
@@ -52,7 +52,7 @@
                         CASA,
                         configuration(prices, linkPerSecond),
                         mTime,
-                        RegionSelectorKnobs.DEFAULT);
+                        RegionSelectorParameters.DEFAULT);
         mSelector.instances(INSTANCES_PER_REGION, 3 * INSTANCES_PER_REGION);
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/LookupTable.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/LookupTable.java
@@ -8,7 +8,7 @@
 import io.masticpond.core.lookup.LookupDecider;
 import io.masticpond.core.lookup.LookupDecision;
 import io.masticpond.core.lookup.LookupError;
-import io.masticpond.core.lookup.LookupKnobs;
+import io.masticpond.core.lookup.LookupParameters;
 import io.masticpond.core.membership.Member;
 import java.time.Duration;
 import java.util.List;
@@ -25,7 +25,7 @@
     private static final Logger sLogger = LoggerFactory.getLogger(LookupTable.class);
 
     private final ZoneId mZone;
-    private final LookupKnobs mKnobs;
+    private final LookupParameters mKnobs;
     private Configuration mConfiguration = Configuration.EMPTY;
     private ClientBlockTable mBlocks = ClientBlockTable.EMPTY;
     private List<Member> mMembers = List.of();
@@ -40,9 +40,9 @@
     public LookupTable(ZoneId zone, Duration cacheFor) {
         mZone = zone;
         mKnobs =
-                new LookupKnobs(
-                        LookupKnobs.DEFAULT.maximumInstances(),
-                        LookupKnobs.DEFAULT.nearestZoneInstances(),
+                new LookupParameters(
+                        LookupParameters.DEFAULT.maximumInstances(),
+                        LookupParameters.DEFAULT.nearestZoneInstances(),
                         cacheFor);
         refresh();
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/ConfiguredRegionSelector.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/ConfiguredRegionSelector.java
@@ -8,7 +8,7 @@
 import io.masticpond.core.region.DefaultRegionSelector;
 import io.masticpond.core.region.RegionAttemptEnd;
 import io.masticpond.core.region.RegionSelector;
-import io.masticpond.core.region.RegionSelectorKnobs;
+import io.masticpond.core.region.RegionSelectorParameters;
 import io.masticpond.core.region.RegionStatus;
 import io.masticpond.core.request.Refusal;
 import io.masticpond.core.request.RefusalCause;
@@ -30,7 +30,7 @@
 
     private final ZoneId mZone;
     private final TimeSource mTimeSource;
-    private final RegionSelectorKnobs mKnobs;
+    private final RegionSelectorParameters mKnobs;
     private Optional<RegionId> mRegion = Optional.empty();
     private DefaultRegionSelector mSelector;
 
@@ -41,7 +41,7 @@
      * @param timeSource the clocks
      * @param knobs the adjustable numbers
      */
-    public ConfiguredRegionSelector(ZoneId zone, TimeSource timeSource, RegionSelectorKnobs knobs) {
+    public ConfiguredRegionSelector(ZoneId zone, TimeSource timeSource, RegionSelectorParameters knobs) {
         mZone = zone;
         mTimeSource = timeSource;
         mKnobs = knobs;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/DefaultShardDirectory.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/DefaultShardDirectory.java
@@ -15,7 +15,7 @@
 import io.masticpond.core.membership.Member;
 import io.masticpond.core.membership.MembershipView;
 import io.masticpond.core.membership.Rendezvous;
-import io.masticpond.core.region.RegionSelectorKnobs;
+import io.masticpond.core.region.RegionSelectorParameters;
 import io.masticpond.core.region.ShardChooser;
 import io.masticpond.core.region.ShardHeadrooms;
 import io.masticpond.core.region.ShardScope;
@@ -67,7 +67,7 @@
         mZone = zone;
         mScope = scope;
         mTimeSource = timeSource;
-        mHeadrooms = new ShardHeadrooms(timeSource, RegionSelectorKnobs.DEFAULT.freshFor());
+        mHeadrooms = new ShardHeadrooms(timeSource, RegionSelectorParameters.DEFAULT.freshFor());
     }
 
     /**
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/SteeringModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/SteeringModule.java
@@ -7,7 +7,7 @@
 import io.masticpond.core.admission.AdmissionSink;
 import io.masticpond.core.admission.DefaultAdmission;
 import io.masticpond.core.id.Shard;
-import io.masticpond.core.region.RegionSelectorKnobs;
+import io.masticpond.core.region.RegionSelectorParameters;
 import io.masticpond.core.region.RetryBudget;
 import io.masticpond.core.region.ShardScope;
 import io.masticpond.core.time.TimeSource;
@@ -63,7 +63,7 @@
     @Singleton
     static ConfiguredRegionSelector regionSelector(DaemonSettings settings, TimeSource timeSource) {
         return new ConfiguredRegionSelector(
-                settings.instance().zone(), timeSource, RegionSelectorKnobs.DEFAULT);
+                settings.instance().zone(), timeSource, RegionSelectorParameters.DEFAULT);
     }
 
     @Provides
@@ -96,7 +96,7 @@
 
     private static Admission admission(
             Shard shard, TimeSource timeSource, AdmissionSink sink, Timeline timeline) {
-        return new DefaultAdmission(shard, AdmissionSettings.DEFAULTS, timeSource, sink, timeline);
+        return new DefaultAdmission(shard, AdmissionSettings.DEFAULT, timeSource, sink, timeline);
     }
 
     @Provides
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/metrics/AttemptMetricsTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/metrics/AttemptMetricsTest.java
@@ -89,7 +89,7 @@
                         sink ->
                                 new DefaultAdmission(
                                         SHARD,
-                                        AdmissionSettings.DEFAULTS,
+                                        AdmissionSettings.DEFAULT,
                                         mTime,
                                         sink,
                                         Timeline.NONE),
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/AdmitterSteeringTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/AdmitterSteeringTest.java
@@ -53,7 +53,7 @@
                     this::dispatch,
                     (shard, sink) ->
                             new DefaultAdmission(
-                                    shard, AdmissionSettings.DEFAULTS, mTime, sink, Timeline.NONE),
+                                    shard, AdmissionSettings.DEFAULT, mTime, sink, Timeline.NONE),
                     Timeline.NONE);
 
     @Example
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/ConnectionOptions.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/ConnectionOptions.java
@@ -21,7 +21,7 @@
         long maximumAnswerBytes) {
 
     /** The usual name of the header with the id of a request. */
-    public static final String USUAL_REQUEST_ID_HEADER = "X-Request-Id";
+    public static final String DEFAULT_REQUEST_ID_HEADER = "X-Request-Id";
 
     private static final long USUAL_CONNECT_TIMEOUT_NANOS = 1_000_000_000L;
     private static final long USUAL_UNSTATED_IDLE_NANOS = 4_000_000_000L;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlDocuments.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlDocuments.java
@@ -21,7 +21,7 @@
 /** Makes the documents of one moment. Control thread only. */
 final class ControlDocuments {
 
-    private static final int USUAL_BELIEFS = 50;
+    private static final int DEFAULT_VIEW_CHANGES = 50;
 
     private final ControlSources mSources;
     private final TrafficSnapshot mTraffic;
@@ -199,7 +199,7 @@
     }
 
     Either<ControlProblem, ObjectNode> timeline(ControlRequest question) {
-        return question.number(ControlView.BELIEFS, USUAL_BELIEFS, RecentDecisions.MAXIMUM_VIEW_CHANGES)
+        return question.number(ControlView.BELIEFS, DEFAULT_VIEW_CHANGES, RecentDecisions.MAXIMUM_VIEW_CHANGES)
                 .map(beliefs -> timeline(question.parameter(ControlView.REQUEST), beliefs));
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/TrafficReader.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/TrafficReader.java
@@ -22,13 +22,13 @@
 final class TrafficReader {
 
     /** For how long a snapshot serves all who ask. */
-    static final Duration FRESH = Duration.ofMillis(200);
+    static final Duration MAXIMUM_AGE = Duration.ofMillis(200);
 
     /** How long an answer waits for the traffic thread. */
     static final Duration TIMEOUT = Duration.ofSeconds(1);
 
     /** How many answers may wait; the next is refused at once. */
-    static final int MOST_WAITING = 32;
+    static final int MAXIMUM_WAITING = 32;
 
     private static final Logger sLogger = LoggerFactory.getLogger(TrafficReader.class);
 
@@ -54,11 +54,11 @@
     /** Gives a snapshot to an answer, now or later, or why there is none. */
     void read(Consumer<Either<ControlProblem, TrafficSnapshot>> answer) {
         long now = mTimeSource.monotonicNanos();
-        if (mSnapshot != null && now - mSnapshot.takenNanos() < FRESH.toNanos()) {
+        if (mSnapshot != null && now - mSnapshot.takenNanos() < MAXIMUM_AGE.toNanos()) {
             answer.accept(Either.right(mSnapshot));
             return;
         }
-        if (mWaiters.size() >= MOST_WAITING) {
+        if (mWaiters.size() >= MAXIMUM_WAITING) {
             answer.accept(
                     Either.left(
                             ControlProblem.unavailable(
--- a/masticpond-entry/src/main/java/io/masticpond/entry/directory/DirectoryDecider.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/directory/DirectoryDecider.java
@@ -81,7 +81,7 @@
             return doubtful;
         }
         List<PeerInstance> own = near.stream().filter(i -> i.zone().equals(zone)).toList();
-        boolean suffices = own.size() >= mSettings.leastInZone();
+        boolean suffices = own.size() >= mSettings.minimumInZone();
         return suffices && !mSettings.isRegionWide() ? own : near;
     }
 
@@ -90,7 +90,7 @@
     }
 
     private DirectoryAnswer answer(List<PeerInstance> named) {
-        List<PeerInstance> kept = named.size() > mSettings.mostNamed() ? cut(named) : named;
+        List<PeerInstance> kept = named.size() > mSettings.maximumAddresses() ? cut(named) : named;
         return new DirectoryAnswer(
                 kept.stream().map(PeerInstance::entry).toList(), mSettings.timeToLive());
     }
@@ -100,7 +100,7 @@
         Map<InstanceId, PeerInstance> byId = new HashMap<>();
         named.forEach(instance -> byId.put(instance.id(), instance));
         return Rendezvous.order(mSelf.value(), byId.keySet()).stream()
-                .limit(mSettings.mostNamed())
+                .limit(mSettings.maximumAddresses())
                 .map(byId::get)
                 .toList();
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/directory/DirectorySettings.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/directory/DirectorySettings.java
@@ -7,16 +7,16 @@
  * How clients are spread over instances.
  *
  * @param timeToLive how long a client may keep an answer
- * @param leastInZone with fewer ready instances than this in the client's availability zone, those
+ * @param minimumInZone with fewer ready instances than this in the client's availability zone, those
  *     of its region are named too
  * @param isRegionWide whether all ready instances of the region are always named: the load is even
  *     where zones have unlike numbers of clients for each instance, and most bytes of clients and
  *     answers cross zones
- * @param mostNamed the most addresses of one answer
+ * @param maximumAddresses the most addresses of one answer
  * @since 0.2
  */
 public record DirectorySettings(
-        Duration timeToLive, int leastInZone, boolean isRegionWide, int mostNamed) {
+        Duration timeToLive, int minimumInZone, boolean isRegionWide, int maximumAddresses) {
 
     /** Short-lived answers, the own zone first. */
     public static final DirectorySettings DEFAULT =
@@ -25,8 +25,8 @@
     /** Checks the settings. */
     public DirectorySettings {
         Assert.isTrue(timeToLive.toNanos() > 0, "An answer must last a while, not %s.", timeToLive);
-        Assert.positive(leastInZone, "The least number in a zone");
-        Assert.positive(mostNamed, "The most addresses of an answer");
+        Assert.positive(minimumInZone, "The least number in a zone");
+        Assert.positive(maximumAddresses, "The most addresses of an answer");
     }
 
     /**
@@ -37,6 +37,6 @@
      */
     public DirectorySettings within(Duration bound) {
         Duration least = timeToLive.compareTo(bound) < 0 ? timeToLive : bound;
-        return new DirectorySettings(least, leastInZone, isRegionWide, mostNamed);
+        return new DirectorySettings(least, minimumInZone, isRegionWide, maximumAddresses);
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/json/JsonTree.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/json/JsonTree.java
@@ -45,7 +45,7 @@
     private static final int DEEPEST_SKIPPED = 100_000;
 
     /** More digits than a number of use has; longer ones take time that grows with their square. */
-    private static final int MOST_DIGITS = 400;
+    private static final int MAXIMUM_DIGITS = 400;
 
     private static final JsonFactory FACTORY = JsonFactory.builder().build();
     private static final JsonFactory TOLERANT =
@@ -136,7 +136,7 @@
             case VALUE_NUMBER_INT:
                 return whole(parser);
             case VALUE_NUMBER_FLOAT:
-                return parser.getTextLength() > MOST_DIGITS
+                return parser.getTextLength() > MAXIMUM_DIGITS
                         ? NODES.nullNode()
                         : NODES.numberNode(parser.getDoubleValue());
             case VALUE_TRUE:
@@ -174,7 +174,7 @@
             case LONG:
                 return NODES.numberNode(parser.getLongValue());
             default:
-                return parser.getTextLength() > MOST_DIGITS
+                return parser.getTextLength() > MAXIMUM_DIGITS
                         ? NODES.nullNode()
                         : NODES.numberNode(parser.getBigIntegerValue());
         }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/lifecycle/StopSettings.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/lifecycle/StopSettings.java
@@ -16,9 +16,9 @@
 public record StopSettings(
         Duration acceptFor, Duration endBy, Duration flushFor, Duration checkEvery) {
 
-    private static final Duration MOST_ACCEPT = Duration.ofMillis(2700);
-    private static final Duration MOST_MARGIN = Duration.ofMillis(700);
-    private static final Duration MOST_FLUSH = Duration.ofMillis(200);
+    private static final Duration MAXIMUM_ACCEPT = Duration.ofMillis(2700);
+    private static final Duration MAXIMUM_MARGIN = Duration.ofMillis(700);
+    private static final Duration MAXIMUM_FLUSH = Duration.ofMillis(200);
     private static final Duration CHECK = Duration.ofMillis(50);
     private static final int ACCEPT_NUMERATOR = 9;
     private static final int ACCEPT_DENOMINATOR = 20;
@@ -44,13 +44,13 @@
      * @return the settings
      */
     public static StopSettings within(Duration grace, Duration answersKeptFor) {
-        Duration margin = least(MOST_MARGIN, grace.dividedBy(MARGIN_PART));
+        Duration margin = least(MAXIMUM_MARGIN, grace.dividedBy(MARGIN_PART));
         Duration half = grace.multipliedBy(ACCEPT_NUMERATOR).dividedBy(ACCEPT_DENOMINATOR);
         Duration told = answersKeptFor.plus(answersKeptFor.dividedBy(2));
         return new StopSettings(
-                least(told, least(MOST_ACCEPT, half)),
+                least(told, least(MAXIMUM_ACCEPT, half)),
                 grace.minus(margin),
-                least(MOST_FLUSH, margin.dividedBy(FLUSH_PART)),
+                least(MAXIMUM_FLUSH, margin.dividedBy(FLUSH_PART)),
                 CHECK);
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/CrashMessageCodec.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/CrashMessageCodec.java
@@ -21,10 +21,10 @@
     public static final int VERSION = 3;
 
     /** So many messages fit into the greatest datagram, whatever their kinds. */
-    public static final int MOST_MESSAGES = 36;
+    public static final int MAXIMUM_MESSAGES = 36;
 
     /** The greatest number of ends, or of rejections, that is told. */
-    private static final int MOST_COUNTED = 255;
+    private static final int MAXIMUM_COUNTED = 255;
 
     private static final byte END = 1;
     private static final byte VERDICT = 2;
@@ -33,14 +33,14 @@
     private CrashMessageCodec() {}
 
     /**
-     * Writes messages, the first {@link #MOST_MESSAGES} of them.
+     * Writes messages, the first {@link #MAXIMUM_MESSAGES} of them.
      *
      * @param messages the messages
      * @param out takes the bytes
      */
     public static void write(List<CrashMessage> messages, ByteBuf out) {
         out.writeByte(VERSION);
-        for (CrashMessage each : messages.subList(0, Math.min(MOST_MESSAGES, messages.size()))) {
+        for (CrashMessage each : messages.subList(0, Math.min(MAXIMUM_MESSAGES, messages.size()))) {
             if (each instanceof CrashMessage.ServerEnd end) {
                 writeHead(END, end, out);
                 out.writeLong(end.serverHash());
@@ -48,8 +48,8 @@
                 out.writeInt(millis(end.endedAgoNanos()));
             } else if (each instanceof CrashMessage.Verdict verdict) {
                 writeHead(VERDICT, verdict, out);
-                out.writeByte(Math.min(MOST_COUNTED, verdict.ends()));
-                out.writeByte(Math.min(MOST_COUNTED, verdict.rejections()));
+                out.writeByte(Math.min(MAXIMUM_COUNTED, verdict.ends()));
+                out.writeByte(Math.min(MAXIMUM_COUNTED, verdict.rejections()));
                 out.writeInt(millis(verdict.agoNanos()));
             } else {
                 writeHead(CLEARANCE, each, out);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/LimitReportCodec.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/LimitReportCodec.java
@@ -22,7 +22,7 @@
     private static final int REPORT_BYTES = 2 * Long.BYTES + 2 * Integer.BYTES;
 
     /** So many reports fit into the greatest datagram. */
-    public static final int MOST_REPORTS = (PeerMessageCodec.MAXIMUM_BYTES - 2) / REPORT_BYTES;
+    public static final int MAXIMUM_REPORTS = (PeerMessageCodec.MAXIMUM_BYTES - 2) / REPORT_BYTES;
 
     /**
      * One datagram.
@@ -35,14 +35,14 @@
     private LimitReportCodec() {}
 
     /**
-     * Writes a datagram, with the first {@link #MOST_REPORTS} of its reports.
+     * Writes a datagram, with the first {@link #MAXIMUM_REPORTS} of its reports.
      *
      * @param content the datagram
      * @param out takes the bytes
      */
     public static void write(Content content, ByteBuf out) {
         out.writeByte(VERSION).writeBoolean(content.passOn());
-        int count = Math.min(MOST_REPORTS, content.reports().size());
+        int count = Math.min(MAXIMUM_REPORTS, content.reports().size());
         for (LimitReport each : content.reports().subList(0, count)) {
             out.writeLong(each.serverHash()).writeDouble(each.perSecond());
             out.writeInt(millis(each.sentAgoNanos())).writeInt(millis(each.receivedAgoNanos()));
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/LoadReportCodec.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/LoadReportCodec.java
@@ -19,10 +19,10 @@
     public static final int VERSION = 2;
 
     private static final int REPORT_BYTES = Long.BYTES + 3;
-    private static final int MOST = 255;
+    private static final int MAXIMUM_VALUE = 255;
 
     /** So many fit into the greatest datagram. */
-    static final int MOST_REPORTS = (PeerMessageCodec.MAXIMUM_BYTES - 1) / REPORT_BYTES;
+    static final int MAXIMUM_REPORTS = (PeerMessageCodec.MAXIMUM_BYTES - 1) / REPORT_BYTES;
 
     private LoadReportCodec() {}
 
@@ -34,11 +34,11 @@
      */
     public static void write(List<LoadReport> reports, ByteBuf out) {
         out.writeByte(VERSION);
-        for (LoadReport each : reports.subList(0, Math.min(MOST_REPORTS, reports.size()))) {
+        for (LoadReport each : reports.subList(0, Math.min(MAXIMUM_REPORTS, reports.size()))) {
             out.writeLong(each.serverHash());
-            out.writeByte(Math.min(MOST, each.load().running()));
-            out.writeByte(Math.min(MOST, each.load().waiting()));
-            out.writeByte(Math.min(MOST, each.load().slots()));
+            out.writeByte(Math.min(MAXIMUM_VALUE, each.load().running()));
+            out.writeByte(Math.min(MAXIMUM_VALUE, each.load().waiting()));
+            out.writeByte(Math.min(MAXIMUM_VALUE, each.load().slots()));
         }
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/RateCodec.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/RateCodec.java
@@ -23,11 +23,11 @@
     private static final int ENTRY_BYTES = 8;
 
     /** So many workspaces fit into the greatest datagram. */
-    public static final int MOST_ENTRIES =
+    public static final int MAXIMUM_ENTRIES =
             (PeerMessageCodec.MAXIMUM_BYTES - HEAD_BYTES) / ENTRY_BYTES;
 
     private static final double STEPS = 10;
-    private static final int MOST = 65_535;
+    private static final int MAXIMUM_STEPS = 65_535;
 
     private RateCodec() {}
 
@@ -75,7 +75,7 @@
         out.writeShort(part.part());
         out.writeShort(part.parts());
         out.writeShort(part.instances());
-        int left = MOST_ENTRIES;
+        int left = MAXIMUM_ENTRIES;
         for (Map.Entry<Integer, RateUsage> each : part.uses().entrySet()) {
             if (part.covers(each.getKey()) && left-- > 0) {
                 out.writeInt(each.getKey());
@@ -86,7 +86,7 @@
     }
 
     private static int steps(double rate) {
-        return (int) Math.min(MOST, Math.ceil(rate * STEPS));
+        return (int) Math.min(MAXIMUM_STEPS, Math.ceil(rate * STEPS));
     }
 
     /**
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/ServerRuns.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/ServerRuns.java
@@ -29,7 +29,7 @@
      * Ids whose runs are remembered, so that what registers without end takes bounded memory; ten
      * times the servers of a large deployment.
      */
-    private static final int MOST_REMEMBERED = 8_192;
+    private static final int MAXIMUM_REMEMBERED = 8_192;
 
     /** Runs before the current one whose late words are known for what they are. */
     private static final int FORMER_REMEMBERED = 4;
@@ -38,7 +38,7 @@
             new LinkedHashMap<>() {
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, Run> eldest) {
-                    return size() > MOST_REMEMBERED;
+                    return size() > MAXIMUM_REMEMBERED;
                 }
             };
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/UnreadableEntries.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/UnreadableEntries.java
@@ -14,7 +14,7 @@
     private static final Logger sLogger = LoggerFactory.getLogger(UnreadableEntries.class);
 
     /** Lines at most, so that a writer of garbage cannot fill the log; the counts go on. */
-    private static final int MOST_LINES = 200;
+    private static final int MAXIMUM_LINES = 200;
 
     private final Set<String> mNames = new HashSet<>();
     private long mSeen;
@@ -29,7 +29,7 @@
     void add(StoredDocument document, String reason) {
         mSeen++;
         boolean isNew = mNames.add(document.name());
-        if (isNew && mLines < MOST_LINES) {
+        if (isNew && mLines < MAXIMUM_LINES) {
             mLines++;
             sLogger.warn(
                     "STORE  entry {} at revision {} names nothing to use: {}",
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/HeldRequests.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/HeldRequests.java
@@ -23,10 +23,10 @@
      * The longest wait. A start needs 0.35 s from its first client to its snapshot; a client that
      * has been kept for longer is told to come back.
      */
-    static final Duration LONGEST = Duration.ofMillis(400);
+    static final Duration MAXIMUM_WAIT = Duration.ofMillis(400);
 
     /** The most requests, which bounds what they keep in memory. */
-    static final int MOST = 512;
+    static final int MAXIMUM_REQUESTS = 512;
 
     /** What is done with a request that leaves here. */
     @FunctionalInterface
@@ -58,13 +58,13 @@
 
     /** Holds a request, or gives it up at once if there are too many. */
     void hold(IncomingRequest request, Responder responder, RequestRecord facts) {
-        if (mHeld.size() >= MOST) {
+        if (mHeld.size() >= MAXIMUM_REQUESTS) {
             mGivenUp.take(request, responder, facts);
             return;
         }
         Held held = new Held(request, responder, facts);
         mHeld.add(held);
-        mEventLoop.schedule(() -> leave(held, mGivenUp), LONGEST.toMillis(), TimeUnit.MILLISECONDS);
+        mEventLoop.schedule(() -> leave(held, mGivenUp), MAXIMUM_WAIT.toMillis(), TimeUnit.MILLISECONDS);
         responder.onClientDisconnected(() -> leave(held, mGone));
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/settings/SpendingSettingsReader.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/settings/SpendingSettingsReader.java
@@ -28,9 +28,9 @@
     private static final Duration DEFAULT_COVER = Duration.ofMinutes(15);
 
     /** Up to here every reader of JSON takes a whole number as it is written. */
-    private static final long MOST = 1L << 53;
+    private static final long MAXIMUM_MICROS = 1L << 53;
 
-    private static final String MICROS = "a whole number from 0 to " + MOST;
+    private static final String MICROS = "a whole number from 0 to " + MAXIMUM_MICROS;
 
     private final SettingsFields mFields;
     private final Set<RegionId> mRegions;
@@ -136,7 +136,7 @@
 
     private static long whole(String text, long least) {
         long value = Long.parseLong(text);
-        if (value < least || value > MOST) {
+        if (value < least || value > MAXIMUM_MICROS) {
             throw new IllegalArgumentException("The number is out of bounds.");
         }
         return value;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/CrashSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/CrashSharing.java
@@ -38,7 +38,7 @@
     private static final long LOOK_MILLIS = 250;
 
     /** Messages that wait for an instance at most, three datagrams; a flood loses the rest. */
-    private static final int MOST_WAITING = 3 * CrashMessageCodec.MOST_MESSAGES;
+    private static final int MAXIMUM_WAITING = 3 * CrashMessageCodec.MAXIMUM_MESSAGES;
 
     private final EventLoop mTraffic;
     private final EventLoop mControl;
@@ -95,7 +95,7 @@
         for (PeerInstance hearer : toAll ? mPeers.alive() : aggregators(message.request())) {
             List<CrashMessage> waiting =
                     mWaiting.computeIfAbsent(hearer, each -> new ArrayList<>());
-            if (waiting.size() < MOST_WAITING) {
+            if (waiting.size() < MAXIMUM_WAITING) {
                 waiting.add(message);
             }
         }
@@ -112,7 +112,7 @@
         mWaiting.forEach(
                 (hearer, messages) -> {
                     for (int from = 0; from < messages.size(); ) {
-                        int to = Math.min(messages.size(), from + CrashMessageCodec.MOST_MESSAGES);
+                        int to = Math.min(messages.size(), from + CrashMessageCodec.MAXIMUM_MESSAGES);
                         List<CrashMessage> part = messages.subList(from, to);
                         mPeers.sendDatagram(List.of(hearer), out -> CrashMessageCodec.write(part, out));
                         from = to;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LimitSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LimitSharing.java
@@ -128,8 +128,8 @@
     }
 
     private void send(List<PeerInstance> hearers, boolean passOn, List<LimitReport> reports) {
-        for (int from = 0; from < reports.size(); from += LimitReportCodec.MOST_REPORTS) {
-            int to = Math.min(reports.size(), from + LimitReportCodec.MOST_REPORTS);
+        for (int from = 0; from < reports.size(); from += LimitReportCodec.MAXIMUM_REPORTS) {
+            int to = Math.min(reports.size(), from + LimitReportCodec.MAXIMUM_REPORTS);
             LimitReportCodec.Content content =
                     new LimitReportCodec.Content(passOn, reports.subList(from, to));
             mPeers.sendDatagram(hearers, out -> LimitReportCodec.write(content, out));
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoadSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoadSharing.java
@@ -23,10 +23,10 @@
     private static final long MILLIS_FOR_EACH = 20;
 
     /** Waiting less brings nothing: queues last a second or two. */
-    private static final long LEAST_MILLIS = 100;
+    private static final long MINIMUM_MILLIS = 100;
 
     /** Beyond this a queue may be over when it is heard of; larger zones send more datagrams. */
-    private static final long MOST_MILLIS = 500;
+    private static final long MAXIMUM_MILLIS = 500;
 
     private final EventLoop mTraffic;
     private final EventLoop mControl;
@@ -69,7 +69,7 @@
 
     private void plan() {
         long wait = MILLIS_FOR_EACH * (mPeers.ownZone().size() - 1);
-        wait = Math.max(LEAST_MILLIS, Math.min(MOST_MILLIS, wait));
+        wait = Math.max(MINIMUM_MILLIS, Math.min(MAXIMUM_MILLIS, wait));
         mTraffic.schedule(this::send, wait, TimeUnit.MILLISECONDS);
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/RateSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/RateSharing.java
@@ -84,7 +84,7 @@
         long now = mTimeSource.monotonicNanos();
         rates.instances(mPeers.shareholders(), now);
         Map<Integer, RateUsage> uses = rates.report(now);
-        int parts = 1 + rates.size() / RateCodec.MOST_ENTRIES;
+        int parts = 1 + rates.size() / RateCodec.MAXIMUM_ENTRIES;
         mControl.execute(() -> reportToAggregators(uses, parts));
     }
 
--- a/masticpond-entry/src/test/java/io/masticpond/entry/backend/Backends.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/backend/Backends.java
@@ -38,7 +38,7 @@
     Backends() throws Exception {
         this(
                 new ConnectionOptions(
-                        ConnectionOptions.USUAL_REQUEST_ID_HEADER,
+                        ConnectionOptions.DEFAULT_REQUEST_ID_HEADER,
                         NOT_EXECUTED,
                         LONG_NANOS,
                         IDLE_NANOS,
--- a/masticpond-entry/src/test/java/io/masticpond/entry/control/TrafficReaderTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/control/TrafficReaderTest.java
@@ -33,7 +33,7 @@
         ask(5);
         assertThat(mTraffic).isEmpty();
         assertThat(mAnswers).hasSize(10).allMatch(Either::isRight);
-        mTime.advance(TrafficReader.FRESH);
+        mTime.advance(TrafficReader.MAXIMUM_AGE);
         ask(1);
         assertThat(mTraffic).hasSize(1);
     }
@@ -52,7 +52,7 @@
 
     @Example
     void crowdOfQuestionsIsRefusedBeyondItsBound() {
-        ask(TrafficReader.MOST_WAITING + 1);
+        ask(TrafficReader.MAXIMUM_WAITING + 1);
         assertThat(mAnswers).hasSize(1);
         assertThat(mAnswers.get(0).getLeft().cause()).isEqualTo("too-many-questions");
     }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/peer/CrashMessageCodecTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/peer/CrashMessageCodecTest.java
@@ -36,7 +36,7 @@
         CrashMessageCodec.write(Collections.nCopies(500, END), buffer);
         assertThat(buffer.readableBytes()).isLessThanOrEqualTo(PeerMessageCodec.MAXIMUM_BYTES);
         assertThat(CrashMessageCodec.read(buffer.skipBytes(1)))
-                .hasSize(CrashMessageCodec.MOST_MESSAGES);
+                .hasSize(CrashMessageCodec.MAXIMUM_MESSAGES);
     }
 
     @Example
--- a/masticpond-entry/src/test/java/io/masticpond/entry/peer/LimitReportCodecTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/peer/LimitReportCodecTest.java
@@ -38,7 +38,7 @@
         LimitReportCodec.write(new LimitReportCodec.Content(false, many), buffer);
         assertThat(buffer.readableBytes()).isLessThanOrEqualTo(PeerMessageCodec.MAXIMUM_BYTES);
         assertThat(LimitReportCodec.read(buffer.skipBytes(1)).reports())
-                .hasSize(LimitReportCodec.MOST_REPORTS);
+                .hasSize(LimitReportCodec.MAXIMUM_REPORTS);
     }
 
     @Property(tries = 500, seed = "9")
--- a/masticpond-entry/src/test/java/io/masticpond/entry/peer/LoadReportCodecTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/peer/LoadReportCodecTest.java
@@ -33,7 +33,7 @@
         LoadReportCodec.write(many, buffer);
         assertThat(buffer.readableBytes()).isLessThanOrEqualTo(PeerMessageCodec.MAXIMUM_BYTES);
         assertThat(LoadReportCodec.read(buffer.skipBytes(1)))
-                .isEqualTo(many.subList(0, LoadReportCodec.MOST_REPORTS));
+                .isEqualTo(many.subList(0, LoadReportCodec.MAXIMUM_REPORTS));
     }
 
     @Property(tries = 300, seed = "7")
--- a/masticpond-entry/src/test/java/io/masticpond/entry/peer/WorkspaceCodecTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/peer/WorkspaceCodecTest.java
@@ -38,7 +38,7 @@
         for (int hash = -500; hash < 500; hash++) {
             uses.put(hash * 7_919, new RateUsage(1, 2));
         }
-        int parts = 1 + 2 * uses.size() / RateCodec.MOST_ENTRIES;
+        int parts = 1 + 2 * uses.size() / RateCodec.MAXIMUM_ENTRIES;
         Map<Integer, RateUsage> read = new HashMap<>();
         for (int number = 0; number < parts; number++) {
             RateCodec.Part part = new RateCodec.Part(RateCodec.Kind.OTHERS, number, parts, 1, uses);
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/HeldRequestsTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/HeldRequestsTest.java
@@ -44,9 +44,9 @@
     @Example
     void noneWaitsForLongerThanItsOwnTime() {
         hold("first");
-        passMillis(HeldRequests.LONGEST.toMillis() / 2);
+        passMillis(HeldRequests.MAXIMUM_WAIT.toMillis() / 2);
         hold("second");
-        passMillis(HeldRequests.LONGEST.toMillis() / 2);
+        passMillis(HeldRequests.MAXIMUM_WAIT.toMillis() / 2);
         assertThat(mGivenUp).containsExactly("first");
         release();
         assertThat(mReleased).containsExactly("second");
@@ -66,12 +66,12 @@
 
     @Example
     void whatWouldBeTooManyIsGivenUpAtOnce() {
-        for (int each = 0; each < HeldRequests.MOST; each++) {
+        for (int each = 0; each < HeldRequests.MAXIMUM_REQUESTS; each++) {
             hold("held");
         }
         hold("late");
         assertThat(mGivenUp).containsExactly("late");
-        assertThat(mHeld.size()).isEqualTo(HeldRequests.MOST);
+        assertThat(mHeld.size()).isEqualTo(HeldRequests.MAXIMUM_REQUESTS);
     }
 
     private FakeResponder hold(String target) {
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/RequestFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/RequestFlowTest.java
@@ -215,7 +215,7 @@
         assertThat(other.status()).isEqualTo(404);
         flow.update(EntryState.EMPTY);
         handle(flow);
-        passTime(HeldRequests.LONGEST.minusMillis(1));
+        passTime(HeldRequests.MAXIMUM_WAIT.minusMillis(1));
         assertThat(mResponder.mAnswers).as("a snapshot may still come").isEmpty();
         passTime(Duration.ofMillis(1));
         assertThat(mResponder.status()).isEqualTo(503);
--- a/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainBench.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainBench.java
@@ -67,7 +67,7 @@
                         (shard, sink) ->
                                 new DefaultAdmission(
                                         shard,
-                                        AdmissionSettings.DEFAULTS,
+                                        AdmissionSettings.DEFAULT,
                                         mTimeSource,
                                         sink,
                                         Timeline.NONE),
--- a/masticpond-measure/src/main/java/io/masticpond/measure/lookup/HttpLookups.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/lookup/HttpLookups.java
@@ -4,7 +4,7 @@
 import io.masticpond.core.id.ServiceId;
 import io.masticpond.core.lookup.ClientBlockTable;
 import io.masticpond.core.lookup.LookupDecider;
-import io.masticpond.core.lookup.LookupKnobs;
+import io.masticpond.core.lookup.LookupParameters;
 import io.masticpond.core.time.SystemTimeSource;
 import io.masticpond.daemon.caller.CallerServer;
 import io.masticpond.daemon.caller.RequestIdSource;
@@ -60,7 +60,7 @@
                         ClientBlockTable.of(mConfiguration.content().clientBlocks()).get(),
                         Deployment.ATLAS.members(),
                         Deployment.ATLAS.zones().get(0),
-                        LookupKnobs.DEFAULT);
+                        LookupParameters.DEFAULT);
         try (CallerServer server =
                 new CallerServer(
                         settings,
--- a/masticpond-measure/src/main/java/io/masticpond/measure/lookup/InstanceFailureCost.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/lookup/InstanceFailureCost.java
@@ -8,7 +8,7 @@
 import io.masticpond.core.id.Shard;
 import io.masticpond.core.lookup.ClientBlockTable;
 import io.masticpond.core.lookup.LookupDecider;
-import io.masticpond.core.lookup.LookupKnobs;
+import io.masticpond.core.lookup.LookupParameters;
 import io.masticpond.core.membership.Member;
 import io.masticpond.core.region.ShardScope;
 import io.masticpond.measure.MeasureTable;
@@ -50,7 +50,7 @@
         ClientBlockTable table = ClientBlockTable.of(configuration.content().clientBlocks()).get();
         LookupDecider decider =
                 new LookupDecider(
-                        configuration, table, members, members.get(0).zone(), LookupKnobs.DEFAULT);
+                        configuration, table, members, members.get(0).zone(), LookupParameters.DEFAULT);
         Map<InstanceId, Integer> callers = new HashMap<>();
         int forwarded = 0;
         int all = 0;
--- a/masticpond-measure/src/main/java/io/masticpond/measure/lookup/LookupsMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/lookup/LookupsMeasure.java
@@ -5,7 +5,7 @@
 import io.masticpond.core.lookup.ClientBlockChange;
 import io.masticpond.core.lookup.ClientBlockTable;
 import io.masticpond.core.lookup.LookupDecider;
-import io.masticpond.core.lookup.LookupKnobs;
+import io.masticpond.core.lookup.LookupParameters;
 import io.masticpond.measure.Measure;
 import io.masticpond.measure.MeasureReport;
 import io.masticpond.measure.MeasureTable;
@@ -118,7 +118,7 @@
                             table,
                             places.members(),
                             places.ownZone(),
-                            LookupKnobs.DEFAULT);
+                            LookupParameters.DEFAULT);
             double nanos =
                     nanosForEach(
                             addresses,
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/AdmitterHost.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/AdmitterHost.java
@@ -39,7 +39,7 @@
         mAdmission =
                 new DefaultAdmission(
                         shard,
-                        AdmissionSettings.DEFAULTS.withWideningPeriod(
+                        AdmissionSettings.DEFAULT.withWideningPeriod(
                                 Duration.ofMillis(Deployment.DEADLINE_MILLIS)),
                         world.events().timeSource(),
                         this,
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/FakeInstance.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/FakeInstance.java
@@ -10,11 +10,11 @@
 import io.masticpond.core.id.ZoneId;
 import io.masticpond.core.lookup.ClientBlockTable;
 import io.masticpond.core.lookup.LookupDecider;
-import io.masticpond.core.lookup.LookupKnobs;
+import io.masticpond.core.lookup.LookupParameters;
 import io.masticpond.core.membership.Member;
 import io.masticpond.core.membership.MembershipView;
 import io.masticpond.core.region.DefaultRegionSelector;
-import io.masticpond.core.region.RegionSelectorKnobs;
+import io.masticpond.core.region.RegionSelectorParameters;
 import io.masticpond.daemon.steering.DefaultShardDirectory;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -48,7 +48,7 @@
                         mRegion,
                         configuration,
                         world.events().timeSource(),
-                        RegionSelectorKnobs.DEFAULT);
+                        RegionSelectorParameters.DEFAULT);
         mDirectory =
                 new DefaultShardDirectory(
                         member.id(), member.zone(), world.scope(), world.events().timeSource());
@@ -136,7 +136,7 @@
         }
         mDecider =
                 new LookupDecider(
-                        mConfiguration, mBlocks, view.members(), zone(), LookupKnobs.DEFAULT);
+                        mConfiguration, mBlocks, view.members(), zone(), LookupParameters.DEFAULT);
         reconfigure();
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailAdmitter.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailAdmitter.java
@@ -65,7 +65,7 @@
         mAdmission =
                 new DefaultAdmission(
                         SHARD,
-                        AdmissionSettings.DEFAULTS.withReportLag(ReportBoard.MAXIMUM_AGE),
+                        AdmissionSettings.DEFAULT.withReportLag(ReportBoard.MAXIMUM_AGE),
                         mEvents.timeSource(),
                         this,
                         Timeline.NONE);
