--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashingRequests.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashingRequests.java
@@ -62,7 +62,7 @@
      *
      * @param settings the settings
      */
-    public void tune(CrashSettings settings) {
+    public void applySettings(CrashSettings settings) {
         mSettings = Assert.notNull(settings, "Settings of crashing requests");
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/ColdPacer.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/ColdPacer.java
@@ -59,7 +59,7 @@
      *
      * @param settings the bound
      */
-    public void tune(ColdPacerSettings settings) {
+    public void applySettings(ColdPacerSettings settings) {
         mSettings = Assert.notNull(settings, "Settings of a pacer");
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRate.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRate.java
@@ -113,7 +113,7 @@
      * @param settings the bound
      * @param nowNanos the monotonic time
      */
-    public void tune(RateLimit limit, SharedRateSettings settings, long nowNanos) {
+    public void applySettings(RateLimit limit, SharedRateSettings settings, long nowNanos) {
         update(nowNanos);
         mLimit = limit;
         mSettings = settings;
@@ -126,7 +126,7 @@
      * @param all those that may be sending, reached or not, this one included
      * @param nowNanos the monotonic time
      */
-    public void instances(int all, long nowNanos) {
+    public void setInstanceCount(int all, long nowNanos) {
         update(nowNanos);
         mInstances = Math.max(1, all);
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRates.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRates.java
@@ -57,7 +57,7 @@
             rate = new SharedRate(limit, mSettings, mInstances, nowNanos);
             mRates.put(id, rate);
         } else if (!rate.limit().equals(limit)) {
-            rate.tune(limit, mSettings, nowNanos);
+            rate.applySettings(limit, mSettings, nowNanos);
         }
     }
 
@@ -67,9 +67,9 @@
      * @param settings the bound
      * @param nowNanos the monotonic time
      */
-    public void tune(SharedRateSettings settings, long nowNanos) {
+    public void applySettings(SharedRateSettings settings, long nowNanos) {
         mSettings = settings;
-        mRates.values().forEach(rate -> rate.tune(rate.limit(), settings, nowNanos));
+        mRates.values().forEach(rate -> rate.applySettings(rate.limit(), settings, nowNanos));
     }
 
     /**
@@ -78,10 +78,10 @@
      * @param all those that may be sending, reached or not, this one included
      * @param nowNanos the monotonic time
      */
-    public void instances(int all, long nowNanos) {
+    public void setInstanceCount(int all, long nowNanos) {
         if (all != mInstances) {
             mInstances = all;
-            mRates.values().forEach(rate -> rate.instances(all, nowNanos));
+            mRates.values().forEach(rate -> rate.setInstanceCount(all, nowNanos));
         }
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRetryBudget.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRetryBudget.java
@@ -59,7 +59,7 @@
      * @param settings the bound, over the same window
      * @throws IllegalArgumentException if the window is another
      */
-    public void tune(RetryBudgetSettings settings) {
+    public void applySettings(RetryBudgetSettings settings) {
         Assert.isTrue(
                 settings.window().equals(mSettings.window()),
                 "The window must stay %s, but was %s.",
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTable.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTable.java
@@ -69,7 +69,7 @@
      *
      * @param regions gives the region of an availability zone, or empty if there is none
      */
-    public void regions(Function<ZoneId, Optional<RegionId>> regions) {
+    public void setRegions(Function<ZoneId, Optional<RegionId>> regions) {
         mRegions = Assert.notNull(regions, "The regions of availability zones");
     }
 
@@ -78,8 +78,8 @@
      *
      * @param leaving whether it does
      */
-    public void leaving(boolean leaving) {
-        mSelf.leaving(leaving);
+    public void setLeaving(boolean leaving) {
+        mSelf.setLeaving(leaving);
     }
 
     /**
@@ -87,8 +87,8 @@
      *
      * @param version the version
      */
-    public void configuration(ConfigurationVersion version) {
-        mSelf.configuration(version);
+    public void setConfiguration(ConfigurationVersion version) {
+        mSelf.setConfiguration(version);
     }
 
     /**
@@ -96,7 +96,7 @@
      *
      * @param listed the entries
      */
-    public void listed(Collection<ListedMember> listed) {
+    public void updateListedMembers(Collection<ListedMember> listed) {
         long now = mTimeSource.monotonicNanos();
         mRosterKnown = true;
         mRecords.values().forEach(MemberRecord::markUnlisted);
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/OwnHeartbeat.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/OwnHeartbeat.java
@@ -29,11 +29,11 @@
         return mState;
     }
 
-    void leaving(boolean leaving) {
+    void setLeaving(boolean leaving) {
         mLeaving = leaving;
     }
 
-    void configuration(ConfigurationVersion version) {
+    void setConfiguration(ConfigurationVersion version) {
         mConfiguration = Assert.notNull(version, "A configuration version");
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/ServerChooser.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/ServerChooser.java
@@ -52,7 +52,7 @@
      *
      * @param settings how much each thing counts
      */
-    public void tune(PlacementSettings settings) {
+    public void applySettings(PlacementSettings settings) {
         mSettings = Assert.notNull(settings, "Placement settings");
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/SharedLoads.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/SharedLoads.java
@@ -38,7 +38,7 @@
      *
      * @param action runs with the first load that waits, and again if a take leaves some
      */
-    public void whenWaiting(Runnable action) {
+    public void setPendingListener(Runnable action) {
         mWhenWaiting = Assert.notNull(action, "An action");
     }
 
@@ -66,7 +66,7 @@
      *
      * @return whether there is
      */
-    public boolean isWaiting() {
+    public boolean hasPending() {
         return !mWaiting.isEmpty();
     }
 
@@ -85,7 +85,7 @@
         }
         reports.forEach(each -> mWaiting.remove(each.serverHash()));
         mTold += reports.size();
-        if (isWaiting()) {
+        if (hasPending()) {
             mWhenWaiting.run();
         }
         return reports;
--- a/masticpond-core/src/main/java/io/masticpond/core/region/DefaultRegionSelector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/DefaultRegionSelector.java
@@ -81,7 +81,7 @@
             services.put(service.id(), views(configuration, service, now));
         }
         mServices = services;
-        instances(mInstancesInRegion, mInstancesInAll);
+        setInstanceCounts(mInstancesInRegion, mInstancesInAll);
     }
 
     private Map<RegionId, RegionView> views(
@@ -145,7 +145,7 @@
      * @param inRegion the instances of this region that are not known to be gone, with this one
      * @param inAll the instances of all regions that are not known to be gone, with this one
      */
-    public void instances(int inRegion, int inAll) {
+    public void setInstanceCounts(int inRegion, int inAll) {
         Assert.positive(inRegion, "A count of instances");
         Assert.isTrue(inAll >= inRegion, "All instances must be at least %d.", inRegion);
         mInstancesInRegion = inRegion;
--- a/masticpond-core/src/main/java/io/masticpond/core/serverlimit/LimitSenders.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/serverlimit/LimitSenders.java
@@ -25,7 +25,7 @@
         mSinceNanos = nowNanos;
     }
 
-    void instances(List<OwnerCandidate> alive, int shareholders, long nowNanos) {
+    void updateInstances(List<OwnerCandidate> alive, int shareholders, long nowNanos) {
         if (shareholders != mShareholders || (alive != mInstances && !alive.equals(mInstances))) {
             mShareholders = Math.max(1, shareholders);
             mInstances = List.copyOf(alive);
--- a/masticpond-core/src/main/java/io/masticpond/core/serverlimit/ServerLimits.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/serverlimit/ServerLimits.java
@@ -72,7 +72,7 @@
      *
      * @param settings the settings
      */
-    public void tune(ServerLimitSettings settings) {
+    public void applySettings(ServerLimitSettings settings) {
         mSettings = Assert.notNull(settings, "Settings of server limits");
         mServers.values().forEach(each -> each.mInstances = List.of());
     }
@@ -84,8 +84,8 @@
      * @param shareholders how many may be sending, heard or not
      * @param nowNanos the monotonic time
      */
-    public void instances(List<OwnerCandidate> alive, int shareholders, long nowNanos) {
-        mSenders.instances(alive, shareholders, nowNanos);
+    public void updateInstances(List<OwnerCandidate> alive, int shareholders, long nowNanos) {
+        mSenders.updateInstances(alive, shareholders, nowNanos);
     }
 
     /**
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/DefaultSpendingGate.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/DefaultSpendingGate.java
@@ -151,13 +151,13 @@
      * @param key the ledger
      * @param answer what became of the call
      */
-    public void answer(LedgerKey key, LedgerAnswer answer) {
+    public void onAnswer(LedgerKey key, LedgerAnswer answer) {
         SpendingAccount account = mAccounts.get(key);
         if (account == null) {
             return;
         }
         AccountState before = account.exchangeState();
-        account.answer(answer);
+        account.onAnswer(answer);
         AccountState after = account.exchangeState();
         if (before != after) {
             record("ledger-" + after.text(), key, answer);
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerExchange.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerExchange.java
@@ -100,7 +100,7 @@
     }
 
     /** Tells whether a call may be made now. */
-    boolean mayCall() {
+    boolean canCall() {
         return !mCalling && mTimeSource.monotonicNanos() - mNotBeforeNanos >= 0;
     }
 
@@ -154,11 +154,11 @@
     }
 
     /** Takes the answer to the call, and tells what was settled by it. */
-    Optional<Settlement> answer(LedgerAnswer answer) {
+    Optional<Settlement> onAnswer(LedgerAnswer answer) {
         Assert.isTrue(mCalling, "No call about the ledger %s is under way.", mKey);
         mCalling = false;
         if (answer instanceof LedgerAnswer.Found found) {
-            return see(found.ledger());
+            return acceptRead(found.ledger());
         }
         if (answer instanceof LedgerAnswer.Written written) {
             return written(written.version());
@@ -206,16 +206,16 @@
     private Optional<Settlement> conflicted(Optional<VersionedLedger> current) {
         mStale = current.isEmpty();
         if (mUncertain) {
-            return mStale ? Optional.empty() : see(current);
+            return mStale ? Optional.empty() : acceptRead(current);
         }
         Optional<Settlement> settlement = settle(Settlement.Outcome.NO_EFFECT);
         if (!mStale) {
-            see(current);
+            acceptRead(current);
         }
         return settlement;
     }
 
-    private Optional<Settlement> see(Optional<VersionedLedger> found) {
+    private Optional<Settlement> acceptRead(Optional<VersionedLedger> found) {
         long version = found.map(VersionedLedger::version).orElse(0L);
         SpendingLedger ledger =
                 found.map(VersionedLedger::ledger)
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerSink.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerSink.java
@@ -5,7 +5,7 @@
  * method.
  *
  * @since 0.1
- * @see DefaultSpendingGate#answer
+ * @see DefaultSpendingGate#onAnswer
  */
 public interface LedgerSink {
 
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingAccount.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingAccount.java
@@ -128,8 +128,8 @@
     }
 
     /** Takes the answer to a call about the ledger. */
-    void answer(LedgerAnswer answer) {
-        Optional<Settlement> settlement = mExchange.answer(answer);
+    void onAnswer(LedgerAnswer answer) {
+        Optional<Settlement> settlement = mExchange.onAnswer(answer);
         settlement.ifPresent(settled -> mAvailableMicros += settled.spendableMicros());
         advance();
     }
@@ -137,7 +137,7 @@
     /** Lets time act: makes the next call about the ledger if one is due. */
     void advance() {
         mRate.advance(mTimeSource.monotonicNanos());
-        if (!mExchange.mayCall() || isClosed()) {
+        if (!mExchange.canCall() || isClosed()) {
             return;
         }
         if (mExchange.mustRead()) {
--- a/masticpond-core/src/main/java/io/masticpond/core/statement/ServerWithdrawals.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/statement/ServerWithdrawals.java
@@ -48,7 +48,7 @@
      *
      * @param settings the settings
      */
-    public void tune(WithdrawalSettings settings) {
+    public void applySettings(WithdrawalSettings settings) {
         mSettings = Assert.notNull(settings, "Settings of withdrawals");
     }
 
--- a/masticpond-core/src/test/java/io/masticpond/core/limit/SharedRetryBudgetTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/limit/SharedRetryBudgetTest.java
@@ -64,10 +64,10 @@
         for (int extra = 0; extra < 48; extra++) {
             assertThat(budget.tryRetry(30_000 * MILLI, 1)).isTrue();
         }
-        budget.tune(new RetryBudgetSettings(RATIO, 70, Duration.ofSeconds(10), 0.8));
+        budget.applySettings(new RetryBudgetSettings(RATIO, 70, Duration.ofSeconds(10), 0.8));
         assertThat(budget.left(30_000 * MILLI, 1)).isEqualTo(8);
         RetryBudgetSettings other = new RetryBudgetSettings(RATIO, 70, Duration.ofSeconds(9), 0.8);
-        assertThatThrownBy(() -> budget.tune(other)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> budget.applySettings(other)).isInstanceOf(IllegalArgumentException.class);
     }
 
     @Example
--- a/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipFixture.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipFixture.java
@@ -60,7 +60,7 @@
                         "10.0.0.1:9000");
         MembershipTable table =
                 new MembershipTable(own, MembershipTimings.DEFAULT, mTime, new Wire(id));
-        table.regions(MembershipFixture::region);
+        table.setRegions(MembershipFixture::region);
         mStates.put(id, own);
         mTables.put(id, table);
         return table;
@@ -72,7 +72,7 @@
         mStates.forEach(
                 (id, own) ->
                         listed.add(new ListedMember(id, own.zone(), own.linkAddress(), false)));
-        mTables.values().forEach(table -> table.listed(listed));
+        mTables.values().forEach(table -> table.updateListedMembers(listed));
         return this;
     }
 
--- a/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipTableTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipTableTest.java
@@ -49,14 +49,14 @@
     void anInstanceThatGetsItsFirstConfigurationIsToldAndLaterVersionsAreNot() {
         settle();
         mFixture.mChanged.clear();
-        mFixture.mTables.get(B).configuration(new ConfigurationVersion(1));
+        mFixture.mTables.get(B).setConfiguration(new ConfigurationVersion(1));
         mFixture.run(NOTICED);
         assertThat(mFixture.mChanged).extracting(Member::id).containsOnly(B);
         assertThat(mFixture.mChanged)
                 .extracting(member -> member.configuration().number())
                 .containsOnly(1L);
         mFixture.mChanged.clear();
-        mFixture.mTables.get(B).configuration(new ConfigurationVersion(2));
+        mFixture.mTables.get(B).setConfiguration(new ConfigurationVersion(2));
         mFixture.run(NOTICED);
         assertThat(mFixture.mChanged).isEmpty();
     }
@@ -215,12 +215,12 @@
     @Example
     void aLeavingInstanceTakesNoNewWorkAndMayComeBack() {
         settle();
-        mFixture.mTables.get(C).leaving(true);
+        mFixture.mTables.get(C).setLeaving(true);
         mFixture.run(Duration.ofSeconds(1));
         assertThat(mFixture.state(A, C)).isEqualTo(MemberState.LEAVING);
         assertThat(mFixture.view(A).region(CASA).admitting()).containsExactly(A, B);
         assertThat(mFixture.view(A).region(CASA).isComplete()).isTrue();
-        mFixture.mTables.get(C).leaving(false);
+        mFixture.mTables.get(C).setLeaving(false);
         mFixture.run(Duration.ofSeconds(1));
         assertThat(mFixture.state(A, C)).isEqualTo(MemberState.LIVE);
     }
@@ -239,7 +239,7 @@
         settle();
         mFixture.mPaused.add(C);
         mFixture.run(NOTICED);
-        mFixture.mTables.get(A).listed(List.of());
+        mFixture.mTables.get(A).updateListedMembers(List.of());
         assertThat(mFixture.state(A, B)).isEqualTo(MemberState.LIVE);
         mFixture.run(AGES);
         assertThat(mFixture.view(A).member(C)).isEmpty();
@@ -251,7 +251,7 @@
         InstanceId newcomer = id("fes2", 0);
         MembershipTable table = mFixture.start(newcomer, "fes2", 1);
         assertThat(table.view().upToDate()).isFalse();
-        table.listed(
+        table.updateListedMembers(
                 List.of(
                         new ListedMember(
                                 FAR,
--- a/masticpond-core/src/test/java/io/masticpond/core/placement/SharedLoadsTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/placement/SharedLoadsTest.java
@@ -33,7 +33,7 @@
     @Example
     void serverWithRoomIsNotToldOf() {
         mShared.answered(mServer, ROOM);
-        assertThat(mShared.isWaiting()).isFalse();
+        assertThat(mShared.hasPending()).isFalse();
     }
 
     @Example
@@ -98,9 +98,9 @@
                         LoadGate.OPEN);
         mServers.update(snapshot(1), 0);
         placer.reported(mServer, FULL, 0);
-        assertThat(placer.shared().isWaiting()).isFalse();
+        assertThat(placer.shared().hasPending()).isFalse();
         placer.reported(mServers.of(SERVICE).get(0), FULL, 0);
-        assertThat(placer.shared().isWaiting()).isTrue();
+        assertThat(placer.shared().hasPending()).isTrue();
     }
 
     @Example
@@ -110,7 +110,7 @@
                     new ServerLoad(server("other-" + number, 0), Distance.SAME_ZONE), FULL);
         }
         int told = 0;
-        while (mShared.isWaiting()) {
+        while (mShared.hasPending()) {
             told += mShared.take().size();
         }
         assertThat(told).isBetween(500, 2_000);
--- a/masticpond-core/src/test/java/io/masticpond/core/region/RegionFixture.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/region/RegionFixture.java
@@ -53,7 +53,7 @@
                         configuration(prices, linkPerSecond),
                         mTime,
                         RegionSelectorParameters.DEFAULT);
-        mSelector.instances(INSTANCES_PER_REGION, 3 * INSTANCES_PER_REGION);
+        mSelector.setInstanceCounts(INSTANCES_PER_REGION, 3 * INSTANCES_PER_REGION);
     }
 
     static RegionFixture plain() {
--- a/masticpond-core/src/test/java/io/masticpond/core/serverlimit/LimitFleet.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/serverlimit/LimitFleet.java
@@ -104,7 +104,7 @@
                 }
             }
             mView = alive;
-            mLimits.instances(mView, known, monotonic());
+            mLimits.updateInstances(mView, known, monotonic());
         }
 
         private boolean reaches(Instance other) {
--- a/masticpond-core/src/test/java/io/masticpond/core/spending/FakeLedgers.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/spending/FakeLedgers.java
@@ -50,7 +50,7 @@
             if (call == null) {
                 return false;
             }
-            gate.answer(call.key(), answerOf(call, fate));
+            gate.onAnswer(call.key(), answerOf(call, fate));
             return true;
         }
 
--- a/masticpond-core/src/test/java/io/masticpond/core/spending/SpendingFailureTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/spending/SpendingFailureTest.java
@@ -250,7 +250,7 @@
     void anUnreadableLedgerIsNotUsed() {
         SpendingFixture.Node node = mFixture.new Node("a", 1);
         node.mGate.configure(mFixture.configuration(CAP));
-        node.mGate.answer(MORNING, new LedgerAnswer.Unreadable("The sum is wrong."));
+        node.mGate.onAnswer(MORNING, new LedgerAnswer.Unreadable("The sum is wrong."));
         assertThat(node.spend()).isFalse();
         assertThat(refusal(node).cause()).isEqualTo(RefusalCause.PLATFORM_AWAY);
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationService.java
@@ -136,7 +136,7 @@
      *
      * @param version the number of the version, which may be wrong
      */
-    public void seen(long version) {
+    public void onVersionSeen(long version) {
         if (version <= mHolder.current().version().number() + HIGHEST_LEAD) {
             mSeen.accumulateAndGet(version, Math::max);
         }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/DefaultConfigurationCommands.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/DefaultConfigurationCommands.java
@@ -231,7 +231,7 @@
                     new ConfigurationLogEntry(version, plan.id(), plan.change());
             mDuty.caughtUp(entry.applyTo(known), ConfigurationUpdate.of(List.of(entry)));
         } else {
-            mDuty.seen(version.number());
+            mDuty.onVersionSeen(version.number());
         }
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/LookupTable.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/LookupTable.java
@@ -72,7 +72,7 @@
      *
      * @param members the members
      */
-    public synchronized void members(List<Member> members) {
+    public synchronized void updateMembers(List<Member> members) {
         if (members.equals(mMembers)) {
             return;
         }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/InstanceLinks.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/InstanceLinks.java
@@ -79,7 +79,7 @@
      *
      * @param listener the listener
      */
-    void listen(LinkListener listener);
+    void addListener(LinkListener listener);
 
     /**
      * Counts what the links did since the start.
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/NettyInstanceLinks.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/NettyInstanceLinks.java
@@ -162,7 +162,7 @@
     }
 
     @Override
-    public void listen(LinkListener listener) {
+    public void addListener(LinkListener listener) {
         mListeners.add(Assert.notNull(listener, "A listener to links"));
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/HeadroomListener.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/HeadroomListener.java
@@ -18,5 +18,5 @@
      * @param from the admitter
      * @param headroom its counts, by service and region
      */
-    void headroom(InstanceId from, List<HeadroomEntry> headroom);
+    void onHeadroom(InstanceId from, List<HeadroomEntry> headroom);
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipService.java
@@ -126,7 +126,7 @@
     /** Starts to take and send heartbeats. */
     public void start() {
         mLinks.handle(Envelope.BodyCase.HEARTBEAT, this::takeHeartbeat);
-        mLinks.listen(new Listener());
+        mLinks.addListener(new Listener());
         mDuty.start();
     }
 
@@ -144,7 +144,7 @@
      *
      * @param listener the listener
      */
-    public void listen(MembershipListener listener) {
+    public void addListener(MembershipListener listener) {
         mListeners.add(Assert.notNull(listener, "A listener to membership"));
     }
 
@@ -153,7 +153,7 @@
      *
      * @param listener the listener
      */
-    public void listenToHeadroom(HeadroomListener listener) {
+    public void addHeadroomListener(HeadroomListener listener) {
         mHeadroomListeners.add(Assert.notNull(listener, "A listener to headroom"));
     }
 
@@ -162,7 +162,7 @@
      *
      * @param headroom gives the entries; called on the thread of the duty, and must not block
      */
-    public void headroom(Supplier<List<HeadroomEntry>> headroom) {
+    public void setHeadroomSupplier(Supplier<List<HeadroomEntry>> headroom) {
         mHeadroom = Assert.notNull(headroom, "The headroom");
     }
 
@@ -174,8 +174,8 @@
     public void configure(Configuration configuration) {
         mDuty.offer(
                 () -> {
-                    mTable.configuration(configuration.version());
-                    mTable.regions(configuration::regionOf);
+                    mTable.setConfiguration(configuration.version());
+                    mTable.setRegions(configuration::regionOf);
                     mChanged = true;
                 });
     }
@@ -185,10 +185,10 @@
      *
      * @param leaving whether it does
      */
-    public void leaving(boolean leaving) {
+    public void setLeaving(boolean leaving) {
         mDuty.offer(
                 () -> {
-                    mTable.leaving(leaving);
+                    mTable.setLeaving(leaving);
                     mTable.sendHeartbeats();
                     mChanged = true;
                 });
@@ -265,7 +265,7 @@
             return;
         }
         mNextListNanos = mTimeSource.monotonicNanos() + jittered(LIST_PERIOD_NANOS);
-        mTable.listed(
+        mTable.updateListedMembers(
                 list.get().stream()
                         .filter(entry -> SocketAddresses.isAddress(entry.linkAddress()))
                         .map(
@@ -304,7 +304,7 @@
                 heartbeat.getDigest());
         if (heartbeat.getHeadroomCount() > 0) {
             mHeadroomListeners.forEach(
-                    listener -> listener.headroom(peer.instance(), heartbeat.getHeadroomList()));
+                    listener -> listener.onHeadroom(peer.instance(), heartbeat.getHeadroomList()));
         }
         publish(false);
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingService.java
@@ -157,7 +157,7 @@
 
     private void advance() {
         while (!mNotTaken.isEmpty()) {
-            mGate.answer(mNotTaken.remove(), new LedgerAnswer.Unavailable());
+            mGate.onAnswer(mNotTaken.remove(), new LedgerAnswer.Unavailable());
         }
         mGate.advance();
         mViews = mGate.views();
@@ -199,7 +199,7 @@
     private void answer(LedgerKey key, PlatformLedgers.LedgerReply reply) {
         LedgerAnswer answer = parse(key, reply);
         log(key, answer);
-        mSteering.put(() -> mGate.answer(key, answer));
+        mSteering.put(() -> mGate.onAnswer(key, answer));
     }
 
     private static LedgerAnswer parse(LedgerKey key, PlatformLedgers.LedgerReply reply) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/ConfiguredRegionSelector.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/ConfiguredRegionSelector.java
@@ -71,9 +71,9 @@
      * @param inRegion how many are in the region of this instance
      * @param inAll how many there are
      */
-    public void instances(int inRegion, int inAll) {
+    public void updateInstanceCounts(int inRegion, int inAll) {
         if (mSelector != null) {
-            mSelector.instances(inRegion, inAll);
+            mSelector.setInstanceCounts(inRegion, inAll);
         }
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/DefaultShardDirectory.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/DefaultShardDirectory.java
@@ -85,7 +85,7 @@
      *
      * @param view the members, this instance among them
      */
-    public void members(MembershipView view) {
+    public void updateMembers(MembershipView view) {
         mView = view;
         refresh();
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/EntrySteering.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/EntrySteering.java
@@ -109,7 +109,7 @@
      *
      * @param listener takes the service and why the attempt was made, on the steering duty
      */
-    public void listenToFurtherAttempts(BiConsumer<ServiceId, AttemptKind> listener) {
+    public void setFurtherAttemptListener(BiConsumer<ServiceId, AttemptKind> listener) {
         mFurtherAttempts = Assert.notNull(listener, "A listener to further attempts");
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/SteeringService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/SteeringService.java
@@ -63,7 +63,7 @@
      *
      * @param configuration the configuration
      */
-    public void configured(Configuration configuration) {
+    public void configure(Configuration configuration) {
         mDuty.put(
                 () -> {
                     mConfiguration = configuration;
@@ -78,10 +78,10 @@
      *
      * @param view the members
      */
-    public void members(MembershipView view) {
+    public void updateMembers(MembershipView view) {
         mDuty.put(
                 () -> {
-                    mDirectory.members(view);
+                    mDirectory.updateMembers(view);
                     countInstances(view);
                     tellReachable();
                     mAdmitter.reconfigure();
@@ -94,7 +94,7 @@
      * @param shard the shard
      * @param headroom the counts
      */
-    public void headroom(Shard shard, Headroom headroom) {
+    public void updateHeadroom(Shard shard, Headroom headroom) {
         mDuty.offer(() -> observe(shard, headroom));
     }
 
@@ -166,7 +166,7 @@
                                         member ->
                                                 mConfiguration.regionOf(member.zone()).equals(own))
                                 .count();
-        mSelector.instances(Math.max(1, inRegion), Math.max(1, inAll));
+        mSelector.updateInstanceCounts(Math.max(1, inRegion), Math.max(1, inAll));
     }
 
     private void tellReachable() {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/CallerModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/CallerModule.java
@@ -54,7 +54,7 @@
                 lookups,
                 entry,
                 guard,
-                configurationDuty::seen);
+                configurationDuty::onVersionSeen);
     }
 
     @Provides
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/Daemon.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/Daemon.java
@@ -115,9 +115,9 @@
         mOperations.start();
         mSpending.start();
         mConfiguration.addListener(this::configured);
-        mMembers.headroom(this::headroom);
-        mMembers.listenToHeadroom(this::headroom);
-        mMembers.listen(this::membersChanged);
+        mMembers.setHeadroomSupplier(this::headroom);
+        mMembers.addHeadroomListener(this::headroom);
+        mMembers.addListener(this::membersChanged);
         mLinks.start();
         mMetrics.control()
                 .watchLinks(
@@ -152,7 +152,7 @@
     }
 
     private void configured(Configuration configuration) {
-        mSteeringKeeper.configured(configuration);
+        mSteeringKeeper.configure(configuration);
         mSpending.configure(configuration);
         mLookups.configure(configuration);
         mMembers.configure(configuration);
@@ -162,8 +162,8 @@
     }
 
     private void membersChanged(MembershipView view) {
-        mSteeringKeeper.members(view);
-        mLookups.members(view.members());
+        mSteeringKeeper.updateMembers(view);
+        mLookups.updateMembers(view.members());
         mSpending.updateHolderCount(view.live().size());
         mMetrics.control().updatePeerCount(view.live().size() - 1);
     }
@@ -179,7 +179,7 @@
             try {
                 Shard shard = ForwardCodec.toShard(entry);
                 Headroom counts = ForwardCodec.toHeadroom(entry);
-                mSteeringKeeper.headroom(shard, counts);
+                mSteeringKeeper.updateHeadroom(shard, counts);
             } catch (IllegalArgumentException e) {
                 sLogger.warn(
                         "INSTANCE  Instance {} told of bad headroom: {}", from, e.getMessage());
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/DaemonParts.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/DaemonParts.java
@@ -63,7 +63,7 @@
 
     @Override
     public void setLeaving(boolean leaving) {
-        mMembers.leaving(leaving);
+        mMembers.setLeaving(leaving);
     }
 
     @Override
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/SteeringModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/SteeringModule.java
@@ -186,7 +186,7 @@
                         admitter,
                         remote,
                         timeline);
-        entry.listenToFurtherAttempts(metrics.requests()::recordFurtherAttempt);
+        entry.setFurtherAttemptListener(metrics.requests()::recordFurtherAttempt);
         duty.every(CHARGE_PERIOD, entry::advance);
         return entry;
     }
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/instance/NettyInstanceLinksTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/instance/NettyInstanceLinksTest.java
@@ -130,7 +130,7 @@
     void theFirstConnectionAndTheLastLossAreTold() {
         connect(LinkFixture.settings(), LinkFixture.settings());
         RecordingListener listener = new RecordingListener();
-        mFirst.listen(listener);
+        mFirst.addListener(listener);
         LinkFixture.echo(mSecond);
         await(mFirst.call(SECOND, forward("a"), LONG));
         mSecond.close();
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/membership/MembershipServiceTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/membership/MembershipServiceTest.java
@@ -96,8 +96,8 @@
                         mTime,
                         run);
         Node node = new Node(id, address, links, duty, new ConcurrentHashMap<>());
-        duty.headroom(() -> List.of(HeadroomEntry.newBuilder().setService("any").build()));
-        duty.listenToHeadroom(
+        duty.setHeadroomSupplier(() -> List.of(HeadroomEntry.newBuilder().setService("any").build()));
+        duty.addHeadroomListener(
                 (from, entries) -> node.heardNanos().put(from, mTime.monotonicNanos()));
         mNodes.add(node);
         duty.start();
@@ -212,9 +212,9 @@
         Node a = start(A, 1, List.of());
         Node b = start(B, 1, List.of(a.address()));
         CountDownLatch told = new CountDownLatch(1);
-        b.duty().headroom(() -> List.of(HeadroomEntry.newBuilder().setService("s").build()));
+        b.duty().setHeadroomSupplier(() -> List.of(HeadroomEntry.newBuilder().setService("s").build()));
         a.duty()
-                .listenToHeadroom(
+                .addHeadroomListener(
                         (from, entries) -> {
                             if (from.equals(B) && entries.get(0).getService().equals("s")) {
                                 told.countDown();
@@ -228,7 +228,7 @@
         Node a = start(A, 1, List.of());
         Node b = start(B, 1, List.of(a.address()));
         awaitTrue("a sees b live", () -> a.stateOf(B) == MemberState.LIVE);
-        b.duty().leaving(true);
+        b.duty().setLeaving(true);
         awaitTrue("a sees b leaving", () -> a.stateOf(B) == MemberState.LEAVING);
         b.duty().close();
         awaitTrue("a sees b gone", () -> a.stateOf(B) == MemberState.DEAD);
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/FurtherAttemptsTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/FurtherAttemptsTest.java
@@ -96,7 +96,7 @@
                                 Timeline.NONE),
                         new SteeringFakes.ScriptedRemote(script, new ArrayList<>()),
                         Timeline.NONE);
-        entry.listenToFurtherAttempts((service, kind) -> mFurther.add(kind));
+        entry.setFurtherAttemptListener((service, kind) -> mFurther.add(kind));
         RequestHead head =
                 new RequestHead(
                         new RequestId("request-1"),
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/LineBudget.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/LineBudget.java
@@ -18,7 +18,7 @@
     }
 
     /** Takes another number of lines a second, on any thread. */
-    void tune(int linesPerSecond) {
+    void setLinesPerSecond(int linesPerSecond) {
         mLinesPerSecond = linesPerSecond;
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/StandardOutputLog.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/StandardOutputLog.java
@@ -92,7 +92,7 @@
      */
     public void limit(int linesPerSecond) {
         Assert.positive(linesPerSecond, "A number of lines per second");
-        mWriter.budget().tune(linesPerSecond);
+        mWriter.budget().setLinesPerSecond(linesPerSecond);
     }
 
     /**
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RoutingReader.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RoutingReader.java
@@ -41,7 +41,7 @@
      *
      * @param listener the listener, on the control thread
      */
-    public void whenProven(Consumer<FreshnessProof> listener) {
+    public void setProofListener(Consumer<FreshnessProof> listener) {
         mProven = listener;
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/CrashGuard.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/CrashGuard.java
@@ -62,8 +62,8 @@
      *
      * @param settings the settings
      */
-    public void tune(CrashSettings settings) {
-        mRequests.tune(settings);
+    public void applySettings(CrashSettings settings) {
+        mRequests.applySettings(settings);
     }
 
     /**
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerLimitGate.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerLimitGate.java
@@ -87,13 +87,13 @@
      *
      * @param settings the settings
      */
-    public void tune(ServerLimitSettings settings) {
-        mLimits.tune(settings);
+    public void applySettings(ServerLimitSettings settings) {
+        mLimits.applySettings(settings);
     }
 
     /** Looks which instances there are now; to be called often. */
     public void refreshInstances() {
-        mLimits.instances(mInstances.get(), mShareholders.getAsInt(), now());
+        mLimits.updateInstances(mInstances.get(), mShareholders.getAsInt(), now());
     }
 
     /**
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerStatements.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerStatements.java
@@ -68,8 +68,8 @@
      *
      * @param settings the settings
      */
-    public void tune(WithdrawalSettings settings) {
-        mWithdrawals.tune(settings);
+    public void applySettings(WithdrawalSettings settings) {
+        mWithdrawals.applySettings(settings);
     }
 
     /**
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/WorkspaceAuthenticator.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/WorkspaceAuthenticator.java
@@ -85,9 +85,9 @@
      *
      * @param settings the settings
      */
-    public void tune(WorkspaceSettings settings) {
+    public void applySettings(WorkspaceSettings settings) {
         mSettings = settings;
-        mRates.tune(settings.rates(), mTimeSource.monotonicNanos());
+        mRates.applySettings(settings.rates(), mTimeSource.monotonicNanos());
     }
 
     /**
--- a/masticpond-entry/src/main/java/io/masticpond/entry/spending/SpendingService.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/spending/SpendingService.java
@@ -167,7 +167,7 @@
     }
 
     private void answered(LedgerKey key, LedgerAnswer answer) {
-        mTraffic.schedule(Duration.ZERO, () -> mGate.answer(key, answer));
+        mTraffic.schedule(Duration.ZERO, () -> mGate.onAnswer(key, answer));
     }
 
     private SpendingRefusal refusal(Refusal refusal, ServiceId service, long price) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoadSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoadSharing.java
@@ -56,7 +56,7 @@
                     List<LoadReport> reports = LoadReportCodec.read(content);
                     mTraffic.execute(() -> receive(reports));
                 });
-        mTraffic.execute(() -> shared().whenWaiting(this::plan));
+        mTraffic.execute(() -> shared().setPendingListener(this::plan));
     }
 
     private SharedLoads shared() {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ProofSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ProofSharing.java
@@ -99,7 +99,7 @@
                                                 received((ProofCodec.Answer) message);
                                             }
                                         }));
-        mReader.whenProven(this::take);
+        mReader.setProofListener(this::take);
         mControl.scheduleWithFixedDelay(
                 this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/RateSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/RateSharing.java
@@ -82,7 +82,7 @@
             return;
         }
         long now = mTimeSource.monotonicNanos();
-        rates.instances(mPeers.shareholders(), now);
+        rates.setInstanceCount(mPeers.shareholders(), now);
         Map<Integer, RateUsage> uses = rates.report(now);
         int parts = 1 + rates.size() / RateCodec.MAXIMUM_ENTRIES;
         mControl.execute(() -> reportToAggregators(uses, parts));
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SettingsInForce.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SettingsInForce.java
@@ -61,11 +61,11 @@
         mTraffic.execute(
                 () -> {
                     mLimits.apply(settings.bounds());
-                    mChooser.tune(settings.placement());
-                    mFlow.crashes().tune(settings.crashes());
-                    mFlow.authenticator().tune(settings.workspaces());
-                    mFlow.statements().limits().tune(settings.serverLimits());
-                    mFlow.statements().tune(settings.withdrawals());
+                    mChooser.applySettings(settings.placement());
+                    mFlow.crashes().applySettings(settings.crashes());
+                    mFlow.authenticator().applySettings(settings.workspaces());
+                    mFlow.statements().limits().applySettings(settings.serverLimits());
+                    mFlow.statements().applySettings(settings.withdrawals());
                 });
         mProcessChanges.log(ProcessChange.Kind.RELOADED, SettingsPart.describeChanges(mSettings, settings));
         mSettings = settings;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SharedLimits.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SharedLimits.java
@@ -67,9 +67,9 @@
 
     /** Takes other bounds, but for the window; what was spent stays counted. */
     void apply(Bounds bounds) {
-        mPacer.tune(ColdPacerSettings.of(bounds.warmUpFactor(), bounds.coldSlack()));
+        mPacer.applySettings(ColdPacerSettings.of(bounds.warmUpFactor(), bounds.coldSlack()));
         mRetrySettings = retrySettings(bounds, mRetrySettings.window());
-        mBudgets.values().forEach(budget -> budget.tune(mRetrySettings));
+        mBudgets.values().forEach(budget -> budget.applySettings(mRetrySettings));
     }
 
     void update(FleetSnapshot snapshot, long nowNanos) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/TrafficModule.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/TrafficModule.java
@@ -179,7 +179,7 @@
                         authenticator,
                         statements,
                         log);
-        flow.crashes().tune(settings.crashes());
+        flow.crashes().applySettings(settings.crashes());
         return flow;
     }
 }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/replica/StoreRestoreTrackerTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/replica/StoreRestoreTrackerTest.java
@@ -162,7 +162,7 @@
     void readOfTheNewEraProvesNothingUntilWritersHaveWritten() {
         Instance instance = mFixture.start();
         List<FreshnessProof> proofs = new ArrayList<>();
-        instance.mReplica.routingReader().whenProven(proofs::add);
+        instance.mReplica.routingReader().setProofListener(proofs::add);
         mStore.keepCopy();
         mStore.routing(5);
         mFixture.pass(500);
@@ -184,7 +184,7 @@
     private List<FreshnessProof> proofsAtStart(long newestEraOfOthers, long millis) {
         Instance started = mFixture.start(FakeStore.Fault.NONE, false);
         List<FreshnessProof> proofs = new ArrayList<>();
-        started.mReplica.routingReader().whenProven(proofs::add);
+        started.mReplica.routingReader().setProofListener(proofs::add);
         mFixture.pass(20);
         started.mReplica.restoreTracker().instancesListed(newestEraOfOthers);
         if (millis > 0) {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/control/ControlNode.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/control/ControlNode.java
@@ -61,7 +61,7 @@
                         Timeline.NONE,
                         sTime,
                         seed + number);
-        mDuty.headroom(() -> List.of(HEADROOM));
+        mDuty.setHeadroomSupplier(() -> List.of(HEADROOM));
     }
 
     ListedInstance listed() {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionSimulation.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionSimulation.java
@@ -242,7 +242,7 @@
     private void share(ModelInstance from) {
         from.placer()
                 .shared()
-                .whenWaiting(
+                .setPendingListener(
                         () ->
                                 mClock.after(
                                         BUNDLE_NANOS,
--- a/masticpond-measure/src/main/java/io/masticpond/measure/rate/RateSimulation.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/rate/RateSimulation.java
@@ -139,7 +139,7 @@
         double factor = mPattern.rate(second());
         if (factor != mRateFactor) {
             mRateFactor = factor;
-            mInstances.forEach(each -> each.mRate.tune(limit(), mNow));
+            mInstances.forEach(each -> each.mRate.setLimit(limit(), mNow));
         }
         for (Instance each : mInstances) {
             boolean down = mPattern.isDown(each.mNumber, second());
--- a/masticpond-measure/src/main/java/io/masticpond/measure/rate/RateWay.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/rate/RateWay.java
@@ -49,7 +49,7 @@
 
         void instances(int all, long nowNanos);
 
-        void tune(RateLimit limit, long nowNanos);
+        void setLimit(RateLimit limit, long nowNanos);
     }
 
     private record Product(SharedRate rate) implements InstanceRate {
@@ -75,12 +75,12 @@
 
         @Override
         public void instances(int all, long nowNanos) {
-            rate.instances(all, nowNanos);
+            rate.setInstanceCount(all, nowNanos);
         }
 
         @Override
-        public void tune(RateLimit limit, long nowNanos) {
-            rate.tune(limit, SETTINGS, nowNanos);
+        public void setLimit(RateLimit limit, long nowNanos) {
+            rate.applySettings(limit, SETTINGS, nowNanos);
         }
     }
 
@@ -124,7 +124,7 @@
         }
 
         @Override
-        public void tune(RateLimit limit, long nowNanos) {
+        public void setLimit(RateLimit limit, long nowNanos) {
             mLimit = limit;
         }
     }
@@ -162,7 +162,7 @@
         public void instances(int all, long nowNanos) {}
 
         @Override
-        public void tune(RateLimit limit, long nowNanos) {
+        public void setLimit(RateLimit limit, long nowNanos) {
             mLimit = limit;
         }
     }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/FakeInstance.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/FakeInstance.java
@@ -121,13 +121,13 @@
 
     /** Takes the members as seen from here. */
     void see(MembershipView view) {
-        mDirectory.members(view);
+        mDirectory.updateMembers(view);
         List<Member> live = view.live();
         long near =
                 live.stream()
                         .filter(each -> mConfiguration.regionOf(each.zone()).get().equals(mRegion))
                         .count();
-        mSelector.instances((int) near, live.size());
+        mSelector.setInstanceCounts((int) near, live.size());
         for (ServiceId service : mWorld.services()) {
             Set<RegionId> reachable = mDirectory.reachableRegions(service);
             for (RegionSpecification region : mConfiguration.content().regions()) {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/spending/SpendingNode.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/spending/SpendingNode.java
@@ -114,9 +114,9 @@
             return;
         }
         if (mPaused) {
-            mWhilePaused.add(() -> mGate.answer(key, answer));
+            mWhilePaused.add(() -> mGate.onAnswer(key, answer));
             return;
         }
-        mGate.answer(key, answer);
+        mGate.onAnswer(key, answer);
     }
 }
