--- a/masticpond-command/src/main/java/io/masticpond/command/task/AbstractEntryCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/AbstractEntryCommand.java
@@ -4,8 +4,8 @@
 import io.masticpond.command.client.FanOut;
 import io.masticpond.command.client.InstanceAddress;
 import io.masticpond.command.client.OperatorClient;
-import io.masticpond.command.view.EntryParts;
-import io.masticpond.command.view.EntryParts.Part;
+import io.masticpond.command.view.EntryResponses;
+import io.masticpond.command.view.EntryResponses.Response;
 import io.vavr.control.Either;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -30,18 +30,18 @@
      * Asks all instances: those given, and all that the first to answer knows, also those that it
      * takes for gone.
      */
-    static Either<CommandError, EntryParts> queryAll(OperatorClient client, String path) {
+    static Either<CommandError, EntryResponses> queryAll(OperatorClient client, String path) {
         return translate(client.get(MEMBERS)).map(members -> queryAll(client, members, path));
     }
 
-    private static EntryParts queryAll(OperatorClient client, JsonNode members, String path) {
+    private static EntryResponses queryAll(OperatorClient client, JsonNode members, String path) {
         Map<InstanceAddress, String> names = new LinkedHashMap<>();
-        List<Part> parts = new ArrayList<>();
+        List<Response> parts = new ArrayList<>();
         for (JsonNode member : members.path("members")) {
             String name = member.path("instance").asText();
             MemberFinder.address(name, member.path("control").asText())
                     .peek(address -> names.put(address, name))
-                    .peekLeft(error -> parts.add(new Part(name, null, error.message())));
+                    .peekLeft(error -> parts.add(new Response(name, null, error.message())));
         }
         client.instances().forEach(given -> names.putIfAbsent(given, given.toString()));
         FanOut.query(List.copyOf(names.keySet()), address -> client.getFrom(address, path))
@@ -50,20 +50,20 @@
                                 parts.add(
                                         answer.fold(
                                                 error ->
-                                                        new Part(
+                                                        new Response(
                                                                 names.get(address),
                                                                 null,
                                                                 error.reason()),
                                                 document ->
-                                                        new Part(
+                                                        new Response(
                                                                 document.path("instance").asText(),
                                                                 document,
                                                                 ""))));
-        return new EntryParts(parts);
+        return new EntryResponses(parts);
     }
 
     /** Ends a command that asked all. */
-    static ExitCode ended(EntryParts parts) {
-        return parts.isWhole() ? ExitCode.DONE : ExitCode.PARTIAL;
+    static ExitCode ended(EntryResponses parts) {
+        return parts.isComplete() ? ExitCode.DONE : ExitCode.PARTIAL;
     }
 }
--- a/masticpond-command/src/main/java/io/masticpond/command/task/EntryShowCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/EntryShowCommand.java
@@ -35,7 +35,7 @@
 
     @Override
     protected final Either<CommandError, ExitCode> run(OperatorClient client) {
-        return translate(client.get("v1/" + mDocument.word() + query())).map(this::show);
+        return translate(client.get("v1/" + mDocument.resourceName() + query())).map(this::show);
     }
 
     /** Gives the query of the question, with its question mark, or nothing. */
@@ -52,7 +52,7 @@
     }
 
     private CommandSpec spec() {
-        CommandSpec spec = CommandSpec.forAnnotatedObject(this).name(mDocument.word());
+        CommandSpec spec = CommandSpec.forAnnotatedObject(this).name(mDocument.resourceName());
         spec.usageMessage().description(mDocument.description());
         return spec;
     }
--- a/masticpond-command/src/main/java/io/masticpond/command/task/EntryTimelineCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/EntryTimelineCommand.java
@@ -1,7 +1,7 @@
 package io.masticpond.command.task;
 
 import io.masticpond.command.client.OperatorClient;
-import io.masticpond.command.view.EntryParts;
+import io.masticpond.command.view.EntryResponses;
 import io.vavr.control.Either;
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
@@ -48,7 +48,7 @@
                 : path + "&request=" + URLEncoder.encode(mRequest, StandardCharsets.UTF_8);
     }
 
-    private ExitCode show(EntryParts parts) {
+    private ExitCode show(EntryResponses parts) {
         if (context().isJson()) {
             parts.lineDocuments().forEach(context()::writeJson);
         } else {
--- a/masticpond-command/src/main/java/io/masticpond/command/task/EntryVersionsCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/EntryVersionsCommand.java
@@ -1,7 +1,7 @@
 package io.masticpond.command.task;
 
 import io.masticpond.command.client.OperatorClient;
-import io.masticpond.command.view.EntryParts;
+import io.masticpond.command.view.EntryResponses;
 import io.vavr.control.Either;
 import picocli.CommandLine.Command;
 
@@ -23,7 +23,7 @@
         return queryAll(client, "v1/status").map(this::show);
     }
 
-    private ExitCode show(EntryParts parts) {
+    private ExitCode show(EntryResponses parts) {
         if (context().isJson()) {
             parts.documents().forEach(context()::writeJson);
         } else {
--- a/masticpond-command/src/main/java/io/masticpond/command/task/LookupCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/LookupCommand.java
@@ -77,10 +77,10 @@
     private ExitCode show(LookupAnswer lookup) {
         TextTable table =
                 new TextTable(
-                        Column.numbers("ORDER"),
-                        Column.words("INSTANCE"),
-                        Column.words("ZONE"),
-                        Column.words("ADDRESS"));
+                        Column.numberColumn("ORDER"),
+                        Column.textColumn("INSTANCE"),
+                        Column.textColumn("ZONE"),
+                        Column.textColumn("ADDRESS"));
         int order = 1;
         for (LookupAnswer.Instance instance : lookup.instances()) {
             table.add(
--- a/masticpond-command/src/main/java/io/masticpond/command/view/Column.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/Column.java
@@ -36,7 +36,7 @@
      * @param title the title
      * @return the column
      */
-    public static Column words(String title) {
+    public static Column textColumn(String title) {
         return new Column(title, Alignment.LEFT);
     }
 
@@ -46,7 +46,7 @@
      * @param title the title
      * @return the column
      */
-    public static Column numbers(String title) {
+    public static Column numberColumn(String title) {
         return new Column(title, Alignment.RIGHT);
     }
 }
--- a/masticpond-command/src/main/java/io/masticpond/command/view/EntryDocument.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/EntryDocument.java
@@ -14,88 +14,88 @@
     SERVICES(
             "Show the services with their rules and backend servers in numbers.",
             List.of(
-                    Field.words("SERVICE", "service"),
-                    Field.numbers("SERVERS", "servers"),
-                    Field.numbers("USABLE", "usable"),
-                    Field.numbers("COLD", "cold"),
-                    Field.numbers("LEAVING", "leaving"),
-                    Field.numbers("SLOTS", "usableSlots"),
-                    Field.numbers("CONNECTIONS", "maximumConnections"),
-                    Field.numbers("WARM-UP MS", "warmUpMillis"),
-                    Field.words("HEALTH", "healthPath"))),
+                    Field.textField("SERVICE", "service"),
+                    Field.numberField("SERVERS", "servers"),
+                    Field.numberField("USABLE", "usable"),
+                    Field.numberField("COLD", "cold"),
+                    Field.numberField("LEAVING", "leaving"),
+                    Field.numberField("SLOTS", "usableSlots"),
+                    Field.numberField("CONNECTIONS", "maximumConnections"),
+                    Field.numberField("WARM-UP MS", "warmUpMillis"),
+                    Field.textField("HEALTH", "healthPath"))),
     /** The routes. */
     ROUTES(
             "Show the routes in force.",
             List.of(
-                    Field.words("ROUTE", "route"),
-                    Field.words("HOST", "host"),
-                    Field.words("PREFIX", "pathPrefix"),
-                    Field.words("IDEMPOTENT", "idempotent"),
-                    Field.numbers("TIMEOUT MS", "timeoutMillis"),
-                    Field.numbers("TARGET MS", "targetMillis"),
-                    Field.numbers("PRIORITY", "priority"),
-                    Field.numbers("ATTEMPTS", "maximumAttempts"),
-                    Field.words("AFFINITY", "affinity"),
-                    Field.words("HOMES", "homeRegions"),
-                    Field.words("SERVICES", "services"))),
+                    Field.textField("ROUTE", "route"),
+                    Field.textField("HOST", "host"),
+                    Field.textField("PREFIX", "pathPrefix"),
+                    Field.textField("IDEMPOTENT", "idempotent"),
+                    Field.numberField("TIMEOUT MS", "timeoutMillis"),
+                    Field.numberField("TARGET MS", "targetMillis"),
+                    Field.numberField("PRIORITY", "priority"),
+                    Field.numberField("ATTEMPTS", "maximumAttempts"),
+                    Field.textField("AFFINITY", "affinity"),
+                    Field.textField("HOMES", "homeRegions"),
+                    Field.textField("SERVICES", "services"))),
     /** The backend servers. */
     SERVERS(
             "Show the backend servers with what the instance believes of each.",
             List.of(
-                    Field.words("SERVER", "server"),
-                    Field.words("SERVICE", "service"),
-                    Field.words("ZONE", "zone"),
-                    Field.words("STATE", "state"),
-                    Field.words("AVOIDED", "avoided"),
-                    Field.numbers("COLD MS", "coldMillis"),
-                    Field.numbers("IN FLIGHT", "inFlight"),
-                    Field.numbers("OWN", "own"),
-                    Field.numbers("SLOTS", "slots"),
-                    Field.numbers("PENALTY", "penalty"),
-                    Field.numbers("FAILED", "failureShare"),
-                    Field.numbers("MEAN MS", "meanMillis"))),
+                    Field.textField("SERVER", "server"),
+                    Field.textField("SERVICE", "service"),
+                    Field.textField("ZONE", "zone"),
+                    Field.textField("STATE", "state"),
+                    Field.textField("AVOIDED", "avoided"),
+                    Field.numberField("COLD MS", "coldMillis"),
+                    Field.numberField("IN FLIGHT", "inFlight"),
+                    Field.numberField("OWN", "own"),
+                    Field.numberField("SLOTS", "slots"),
+                    Field.numberField("PENALTY", "penalty"),
+                    Field.numberField("FAILED", "failureShare"),
+                    Field.numberField("MEAN MS", "meanMillis"))),
     /** The instances. */
     MEMBERS(
             "Show the instances as the first that answers sees them.",
             List.of(
-                    Field.words("INSTANCE", "instance"),
-                    Field.words("ZONE", "zone"),
-                    Field.words("STATE", "state"),
-                    Field.words("READY", "ready"),
-                    Field.words("LEAVING", "leaving"),
-                    Field.numbers("REVISION", "revision"),
-                    Field.numbers("SILENT MS", "silentMillis"),
-                    Field.words("ENTRY", "entry"),
-                    Field.words("CONTROL", "control"))),
+                    Field.textField("INSTANCE", "instance"),
+                    Field.textField("ZONE", "zone"),
+                    Field.textField("STATE", "state"),
+                    Field.textField("READY", "ready"),
+                    Field.textField("LEAVING", "leaving"),
+                    Field.numberField("REVISION", "revision"),
+                    Field.numberField("SILENT MS", "silentMillis"),
+                    Field.textField("ENTRY", "entry"),
+                    Field.textField("CONTROL", "control"))),
     /** The evacuated zones. */
     EVACUATIONS(
             "Show the evacuated zones.",
-            List.of(Field.words("ZONE", "zone"), Field.numbers("SERVERS", "servers"))),
+            List.of(Field.textField("ZONE", "zone"), Field.numberField("SERVERS", "servers"))),
     /** The requests under which servers ended. */
     CRASHES(
             "Show the requests under which backend servers ended, the rejected ones first.",
             List.of(
-                    Field.words("FINGERPRINT", "fingerprint"),
-                    Field.words("STATE", "state"),
-                    Field.numbers("ENDS", "ends"),
-                    Field.numbers("SEEN HERE", "ownEnds"),
-                    Field.numbers("REPORTERS", "reporters"),
-                    Field.numbers("TELLERS", "tellers"),
-                    Field.numbers("NEWEST MS", "newestEndMillis"),
-                    Field.numbers("REJECTED", "rejections"),
-                    Field.numbers("LEFT MS", "leftMillis"))),
+                    Field.textField("FINGERPRINT", "fingerprint"),
+                    Field.textField("STATE", "state"),
+                    Field.numberField("ENDS", "ends"),
+                    Field.numberField("SEEN HERE", "ownEnds"),
+                    Field.numberField("REPORTERS", "reporters"),
+                    Field.numberField("TELLERS", "tellers"),
+                    Field.numberField("NEWEST MS", "newestEndMillis"),
+                    Field.numberField("REJECTED", "rejections"),
+                    Field.numberField("LEFT MS", "leftMillis"))),
     /** The workspaces. */
     WORKSPACES(
             "Show the workspaces with their rates as the instance sees them, and its key proof.",
             List.of(
-                    Field.words("WORKSPACE", "workspace"),
-                    Field.numbers("KEYS", "keys"),
-                    Field.numbers("PRIORITY", "priority"),
-                    Field.numbers("RATE/S", "ratePerSecond"),
-                    Field.numbers("BURST", "burst"),
-                    Field.numbers("CREDIT", "credit"),
-                    Field.numbers("DEMAND/S", "demandPerSecond"),
-                    Field.words("HOMES", "homeRegions"))) {
+                    Field.textField("WORKSPACE", "workspace"),
+                    Field.numberField("KEYS", "keys"),
+                    Field.numberField("PRIORITY", "priority"),
+                    Field.numberField("RATE/S", "ratePerSecond"),
+                    Field.numberField("BURST", "burst"),
+                    Field.numberField("CREDIT", "credit"),
+                    Field.numberField("DEMAND/S", "demandPerSecond"),
+                    Field.textField("HOMES", "homeRegions"))) {
         @Override
         public void show(JsonNode document, Page page) {
             super.show(document, page);
@@ -112,11 +112,11 @@
             "Show the instance's part of the retry budgets and spending caps, and who paces"
                     + " servers.",
             List.of(
-                    Field.words("SERVICE", "service"),
-                    Field.numbers("REQUESTS", "requests"),
-                    Field.numbers("USED", "used"),
-                    Field.numbers("BOUND", "bound"),
-                    Field.numbers("LEFT", "left"))) {
+                    Field.textField("SERVICE", "service"),
+                    Field.numberField("REQUESTS", "requests"),
+                    Field.numberField("USED", "used"),
+                    Field.numberField("BOUND", "bound"),
+                    Field.numberField("LEFT", "left"))) {
         @Override
         String list() {
             return "budgets";
@@ -138,23 +138,23 @@
 
     private static final List<Field> COLD_SERVERS =
             List.of(
-                    Field.words("COLD SERVER", "server"),
-                    Field.words("SERVICE", "service"),
-                    Field.words("ZONE", "zone"),
-                    Field.numbers("COLD MS", "coldMillis"),
-                    Field.words("PACED BY", "owners"));
+                    Field.textField("COLD SERVER", "server"),
+                    Field.textField("SERVICE", "service"),
+                    Field.textField("ZONE", "zone"),
+                    Field.numberField("COLD MS", "coldMillis"),
+                    Field.textField("PACED BY", "owners"));
 
     private static final List<Field> SPENDINGS =
             List.of(
-                    Field.words("SPENDING OF", "service"),
-                    Field.words("SHIFT", "shift"),
-                    Field.words("END", "end"),
-                    Field.numbers("CAP", "capMicros"),
-                    Field.numbers("ALLOTTED", "allottedMicros"),
-                    Field.numbers("SPENT BY ALL", "fleetSpentMicros"),
-                    Field.numbers("IN HAND", "heldMicros"),
-                    Field.numbers("SPENT", "spentMicros"),
-                    Field.words("STATE", "state"));
+                    Field.textField("SPENDING OF", "service"),
+                    Field.textField("SHIFT", "shift"),
+                    Field.textField("END", "end"),
+                    Field.numberField("CAP", "capMicros"),
+                    Field.numberField("ALLOTTED", "allottedMicros"),
+                    Field.numberField("SPENT BY ALL", "fleetSpentMicros"),
+                    Field.numberField("IN HAND", "heldMicros"),
+                    Field.numberField("SPENT", "spentMicros"),
+                    Field.textField("STATE", "state"));
 
     private final String mDescription;
     private final List<Field> mFields;
@@ -169,7 +169,7 @@
      *
      * @return a word in lower case
      */
-    public String word() {
+    public String resourceName() {
         return name().toLowerCase(Locale.ROOT);
     }
 
@@ -196,6 +196,6 @@
 
     /** Names the field that holds the list. */
     String list() {
-        return word();
+        return resourceName();
     }
 }
--- a/masticpond-command/src/main/java/io/masticpond/command/view/EntryParts.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/EntryResponses.java
@@ -10,27 +10,27 @@
 /**
  * What all entry instances answered, or why one did not.
  *
- * @param parts a part for each instance, in the order of their names
+ * @param responses a part for each instance, in the order of their names
  * @since 0.2
  */
-public record EntryParts(List<Part> parts) {
+public record EntryResponses(List<Response> responses) {
 
     private static final List<Field> VERSIONS =
             List.of(
-                    Field.words("INSTANCE", "instance"),
-                    Field.words("ZONE", "zone"),
-                    Field.words("READY", "ready"),
-                    Field.words("STOPPING", "stopping"),
-                    Field.numbers("ROUTES", "routingVersion"),
-                    Field.numbers("AGE MS", "routingAgeMillis"),
-                    Field.numbers("REVISION", "registryRevision"),
-                    Field.numbers("ERA", "storeEra"),
-                    Field.numbers("AGE MS", "registryAgeMillis"),
-                    Field.words("STORE LOST", "storeLost"));
+                    Field.textField("INSTANCE", "instance"),
+                    Field.textField("ZONE", "zone"),
+                    Field.textField("READY", "ready"),
+                    Field.textField("STOPPING", "stopping"),
+                    Field.numberField("ROUTES", "routingVersion"),
+                    Field.numberField("AGE MS", "routingAgeMillis"),
+                    Field.numberField("REVISION", "registryRevision"),
+                    Field.numberField("ERA", "storeEra"),
+                    Field.numberField("AGE MS", "registryAgeMillis"),
+                    Field.textField("STORE LOST", "storeLost"));
 
     /** Sorts the parts. */
-    public EntryParts {
-        parts = parts.stream().sorted(Comparator.comparing(Part::instance)).toList();
+    public EntryResponses {
+        responses = responses.stream().sorted(Comparator.comparing(Response::instance)).toList();
     }
 
     /**
@@ -40,7 +40,7 @@
      * @param document the answer, or null
      * @param reason why there is none, a few words; empty if there is one
      */
-    public record Part(String instance, JsonNode document, String reason) {
+    public record Response(String instance, JsonNode document, String reason) {
 
         boolean isMissing() {
             return document == null;
@@ -52,8 +52,8 @@
      *
      * @return whether no part is missing
      */
-    public boolean isWhole() {
-        return parts.stream().noneMatch(Part::isMissing);
+    public boolean isComplete() {
+        return responses.stream().noneMatch(Response::isMissing);
     }
 
     /**
@@ -65,7 +65,7 @@
         JsonNode documents =
                 JsonNodeFactory.instance
                         .arrayNode()
-                        .addAll(answered().map(Part::document).toList());
+                        .addAll(answered().map(Response::document).toList());
         page.table(Field.table(VERSIONS, documents));
         page.gap();
         showMissing(page);
@@ -90,7 +90,7 @@
      * @return a document for each instance
      */
     public List<JsonNode> documents() {
-        return parts.stream().map(EntryParts::document).toList();
+        return responses.stream().map(EntryResponses::document).toList();
     }
 
     /**
@@ -100,11 +100,11 @@
      * @return the documents, each with a field "type" that is "instance" or "line"
      */
     public List<JsonNode> lineDocuments() {
-        Stream<JsonNode> instances = parts.stream().map(part -> head(part).put("type", "instance"));
+        Stream<JsonNode> instances = responses.stream().map(part -> head(part).put("type", "instance"));
         return Stream.concat(instances, lines().stream()).toList();
     }
 
-    private static JsonNode document(Part part) {
+    private static JsonNode document(Response part) {
         ObjectNode document = head(part);
         if (!part.isMissing()) {
             document.setAll((ObjectNode) part.document());
@@ -112,7 +112,7 @@
         return document;
     }
 
-    private static ObjectNode head(Part part) {
+    private static ObjectNode head(Response part) {
         ObjectNode head = JsonNodeFactory.instance.objectNode().put("instance", part.instance());
         head.put("answered", !part.isMissing());
         return part.isMissing() ? head.put("reason", part.reason()) : head;
@@ -126,7 +126,7 @@
                 .toList();
     }
 
-    private static Stream<JsonNode> lines(Part part, String list) {
+    private static Stream<JsonNode> lines(Response part, String list) {
         Stream.Builder<JsonNode> lines = Stream.builder();
         for (JsonNode each : part.document().path(list)) {
             ObjectNode line = JsonNodeFactory.instance.objectNode();
@@ -136,13 +136,13 @@
         return lines.build();
     }
 
-    private Stream<Part> answered() {
-        return parts.stream().filter(part -> !part.isMissing());
+    private Stream<Response> answered() {
+        return responses.stream().filter(part -> !part.isMissing());
     }
 
     private void showMissing(Page page) {
-        page.line(answered().count() + " of " + parts.size() + " instances answered.");
-        for (Part part : parts) {
+        page.line(answered().count() + " of " + responses.size() + " instances answered.");
+        for (Response part : responses) {
             if (part.isMissing()) {
                 page.line("! No answer of " + part.instance() + ": " + part.reason(), Style.BAD);
             }
--- a/masticpond-command/src/main/java/io/masticpond/command/view/Field.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/Field.java
@@ -7,12 +7,12 @@
 /** A column of a table that shows one field of each document. */
 record Field(Column column, String name) {
 
-    static Field words(String title, String name) {
-        return new Field(Column.words(title), name);
+    static Field textField(String title, String name) {
+        return new Field(Column.textColumn(title), name);
     }
 
-    static Field numbers(String title, String name) {
-        return new Field(Column.numbers(title), name);
+    static Field numberField(String title, String name) {
+        return new Field(Column.numberColumn(title), name);
     }
 
     /** Makes a table with a row for each document. */
--- a/masticpond-command/src/main/java/io/masticpond/command/view/LossCounts.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/LossCounts.java
@@ -51,15 +51,15 @@
     }
 
     /** One way in which requests of a route ended. */
-    private record Way(String route, String service, String end) {}
+    private record LossKey(String route, String service, String end) {}
 
     private final Duration mWindow;
     private final Map<Long, Group> mWindows = new TreeMap<>();
-    private final Map<Way, Group> mWays =
+    private final Map<LossKey, Group> mWays =
             new TreeMap<>(
-                    Comparator.comparing(Way::route)
-                            .thenComparing(Way::service)
-                            .thenComparing(Way::end));
+                    Comparator.comparing(LossKey::route)
+                            .thenComparing(LossKey::service)
+                            .thenComparing(LossKey::end));
     private int mAll;
 
     /**
@@ -86,7 +86,7 @@
         long window = Instant.parse(line.path("at").asText()).toEpochMilli() / mWindow.toMillis();
         mAll++;
         mWindows.computeIfAbsent(window, key -> new Group()).add(end, millis, sends);
-        Way way = new Way(text(line, "route"), text(line, "service"), end);
+        LossKey way = new LossKey(text(line, "route"), text(line, "service"), end);
         mWays.computeIfAbsent(way, key -> new Group()).add(end, millis, sends);
     }
 
@@ -113,16 +113,16 @@
     private TextTable byTime() {
         TextTable table =
                 new TextTable(
-                        Column.words("from"),
-                        Column.numbers("requests"),
-                        Column.numbers("in time"),
-                        Column.numbers("late"),
-                        Column.numbers("refused"),
-                        Column.numbers("gave up"),
-                        Column.numbers("client gone"),
-                        Column.numbers("p50 ms"),
-                        Column.numbers("p99 ms"),
-                        Column.numbers("sends"));
+                        Column.textColumn("from"),
+                        Column.numberColumn("requests"),
+                        Column.numberColumn("in time"),
+                        Column.numberColumn("late"),
+                        Column.numberColumn("refused"),
+                        Column.numberColumn("gave up"),
+                        Column.numberColumn("client gone"),
+                        Column.numberColumn("p50 ms"),
+                        Column.numberColumn("p99 ms"),
+                        Column.numberColumn("sends"));
         mWindows.forEach(
                 (window, group) ->
                         table.add(
@@ -142,21 +142,21 @@
     private TextTable byWay() {
         TextTable table =
                 new TextTable(
-                        Column.words("route"),
-                        Column.words("service"),
-                        Column.words("end"),
-                        Column.numbers("requests"),
-                        Column.numbers("% of all"),
-                        Column.numbers("p50 ms"),
-                        Column.numbers("p99 ms"),
-                        Column.numbers("sends"));
+                        Column.textColumn("route"),
+                        Column.textColumn("service"),
+                        Column.textColumn("end"),
+                        Column.numberColumn("requests"),
+                        Column.numberColumn("% of all"),
+                        Column.numberColumn("p50 ms"),
+                        Column.numberColumn("p99 ms"),
+                        Column.numberColumn("sends"));
         mWays.entrySet().stream()
                 .sorted(Comparator.comparingInt(each -> -each.getValue().mMillis.size()))
                 .forEach(each -> table.add(cells(each.getKey(), each.getValue())));
         return table;
     }
 
-    private Cell[] cells(Way way, Group group) {
+    private Cell[] cells(LossKey way, Group group) {
         int requests = group.mMillis.size();
         return new Cell[] {
             Cell.of(way.route()),
--- a/masticpond-command/src/main/java/io/masticpond/command/view/PlanView.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/PlanView.java
@@ -75,12 +75,12 @@
         }
         TextTable table =
                 new TextTable(
-                        Column.words("SERVICE"),
-                        Column.words("REGION"),
-                        Column.numbers("SLOTS"),
-                        Column.numbers("IN USE"),
-                        Column.numbers("USE"),
-                        Column.words("BASIS"));
+                        Column.textColumn("SERVICE"),
+                        Column.textColumn("REGION"),
+                        Column.numberColumn("SLOTS"),
+                        Column.numberColumn("IN USE"),
+                        Column.numberColumn("USE"),
+                        Column.textColumn("BASIS"));
         for (Load load : loads) {
             table.add(
                     Cell.of(load.service()),
@@ -108,11 +108,11 @@
         }
         TextTable table =
                 new TextTable(
-                        Column.words("SERVICE"),
-                        Column.words("SHIFT"),
-                        Column.numbers("CAP"),
-                        Column.numbers("EXPECTED"),
-                        Column.numbers("ALLOTTED"));
+                        Column.textColumn("SERVICE"),
+                        Column.textColumn("SHIFT"),
+                        Column.numberColumn("CAP"),
+                        Column.numberColumn("EXPECTED"),
+                        Column.numberColumn("ALLOTTED"));
         for (Spending spending : spendings) {
             long expected = spending.expectedMicros().orElse(0);
             Style style = expected > spending.capMicros() ? Style.WARNING : Style.PLAIN;
--- a/masticpond-command/src/main/java/io/masticpond/command/view/ServicesView.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/ServicesView.java
@@ -31,16 +31,16 @@
             ConfigurationAnswer configuration, StatusAnswer status, Page page) {
         TextTable table =
                 new TextTable(
-                        Column.words("SERVICE"),
-                        Column.words("REGION"),
-                        Column.numbers("SERVERS"),
-                        Column.numbers("SLOTS"),
-                        Column.numbers("USABLE"),
-                        Column.numbers("IN FLIGHT"),
-                        Column.numbers("WAITING"),
-                        Column.numbers("WAIT MS"),
-                        Column.words("STEP"),
-                        Column.words("ADMITTER"));
+                        Column.textColumn("SERVICE"),
+                        Column.textColumn("REGION"),
+                        Column.numberColumn("SERVERS"),
+                        Column.numberColumn("SLOTS"),
+                        Column.numberColumn("USABLE"),
+                        Column.numberColumn("IN FLIGHT"),
+                        Column.numberColumn("WAITING"),
+                        Column.numberColumn("WAIT MS"),
+                        Column.textColumn("STEP"),
+                        Column.textColumn("ADMITTER"));
         for (Service service : configuration.content().services()) {
             for (Region region : configuration.content().regions()) {
                 addService(table, service, region, status.capacity());
@@ -61,12 +61,12 @@
             ConfigurationAnswer configuration, StatusAnswer status, Page page) {
         TextTable table =
                 new TextTable(
-                        Column.words("REGION"),
-                        Column.words("ZONE"),
-                        Column.numbers("INSTANCES"),
-                        Column.numbers("LIVE"),
-                        Column.numbers("SERVERS"),
-                        Column.numbers("SLOTS"));
+                        Column.textColumn("REGION"),
+                        Column.textColumn("ZONE"),
+                        Column.numberColumn("INSTANCES"),
+                        Column.numberColumn("LIVE"),
+                        Column.numberColumn("SERVERS"),
+                        Column.numberColumn("SLOTS"));
         for (Region region : configuration.content().regions()) {
             for (String zone : region.zones()) {
                 addPlace(table, region, zone, configuration, status);
--- a/masticpond-command/src/main/java/io/masticpond/command/view/SpendingTable.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/SpendingTable.java
@@ -22,16 +22,16 @@
     public static void show(SpendingAnswer answer, Page page) {
         TextTable table =
                 new TextTable(
-                        Column.words("SERVICE"),
-                        Column.words("SHIFT"),
-                        Column.words("ENDS"),
-                        Column.numbers("CAP"),
-                        Column.numbers("ALLOTTED"),
-                        Column.numbers("SHARE"),
-                        Column.numbers("FORECAST"),
-                        Column.numbers("HELD HERE"),
-                        Column.numbers("SPENT HERE"),
-                        Column.words("STATE"));
+                        Column.textColumn("SERVICE"),
+                        Column.textColumn("SHIFT"),
+                        Column.textColumn("ENDS"),
+                        Column.numberColumn("CAP"),
+                        Column.numberColumn("ALLOTTED"),
+                        Column.numberColumn("SHARE"),
+                        Column.numberColumn("FORECAST"),
+                        Column.numberColumn("HELD HERE"),
+                        Column.numberColumn("SPENT HERE"),
+                        Column.textColumn("STATE"));
         for (SpendingAnswer.Entry entry : answer.spendings()) {
             boolean near = entry.allottedMicros() >= NEAR_SHARE * entry.capMicros();
             boolean over = entry.forecastMicros() > entry.capMicros();
--- a/masticpond-command/src/main/java/io/masticpond/command/view/StatusView.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/StatusView.java
@@ -40,12 +40,12 @@
     private static TextTable members(StatusAnswer status) {
         TextTable table =
                 new TextTable(
-                        Column.words("INSTANCE"),
-                        Column.words("ZONE"),
-                        Column.words("STATE"),
-                        Column.numbers("VERSION"),
-                        Column.words("STARTED"),
-                        Column.words("OPERATOR ADDRESS"));
+                        Column.textColumn("INSTANCE"),
+                        Column.textColumn("ZONE"),
+                        Column.textColumn("STATE"),
+                        Column.numberColumn("VERSION"),
+                        Column.textColumn("STARTED"),
+                        Column.textColumn("OPERATOR ADDRESS"));
         long newest =
                 status.members().stream()
                         .mapToLong(Member::configurationVersion)
--- a/masticpond-command/src/main/java/io/masticpond/command/view/TimelineView.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/TimelineView.java
@@ -26,13 +26,13 @@
     public static void show(MergedTimeline timeline, Page page) {
         TextTable table =
                 new TextTable(
-                        Column.words("TIME (UTC)"),
-                        Column.words("INSTANCE"),
-                        Column.words("PART"),
-                        Column.words("EVENT"),
-                        Column.words("SERVICE"),
-                        Column.words("OBJECT"),
-                        Column.words("DETAIL"));
+                        Column.textColumn("TIME (UTC)"),
+                        Column.textColumn("INSTANCE"),
+                        Column.textColumn("PART"),
+                        Column.textColumn("EVENT"),
+                        Column.textColumn("SERVICE"),
+                        Column.textColumn("OBJECT"),
+                        Column.textColumn("DETAIL"));
         for (MergedTimeline.Entry entry : timeline.entries()) {
             TimelineAnswer.Event event = entry.event();
             table.add(
--- a/masticpond-command/src/test/java/io/masticpond/command/view/TextTableProperties.java
+++ b/masticpond-command/src/test/java/io/masticpond/command/view/TextTableProperties.java
@@ -21,7 +21,7 @@
                     List<@Size(COLUMNS) List<@StringLength(max = 120) String>> rows) {
         TextTable table =
                 new TextTable(
-                        Column.words("NAME"), Column.numbers("COUNT"), Column.words("DETAIL"));
+                        Column.textColumn("NAME"), Column.numberColumn("COUNT"), Column.textColumn("DETAIL"));
         for (List<String> row : rows) {
             table.add(row.stream().map(Cell::of).toArray(Cell[]::new));
         }
@@ -35,14 +35,14 @@
 
     @Example
     void onlyTheWidestColumnIsCut() {
-        TextTable table = new TextTable(Column.words("NAME"), Column.words("DETAIL"));
+        TextTable table = new TextTable(Column.textColumn("NAME"), Column.textColumn("DETAIL"));
         table.add(Cell.of("perth-a-1"), Cell.of("x".repeat(100)));
         assertThat(table.lines(40, false).get(1)).isEqualTo("perth-a-1  " + "x".repeat(28) + "~");
     }
 
     @Example
     void escapeSequencesOfOthersAreNotPassedOn() {
-        TextTable table = new TextTable(Column.words("NAME"));
+        TextTable table = new TextTable(Column.textColumn("NAME"));
         table.add(Cell.of("a\u001b[2Jb\u009bc\u202ed\n"));
         assertThat(table.lines(80, true).get(1)).isEqualTo("a?[2Jb?c?d?");
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/AttemptOutcome.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/AttemptOutcome.java
@@ -32,7 +32,7 @@
      *
      * @return whether the work may go on
      */
-    public boolean mayGoOn() {
+    public boolean mayStillRun() {
         return mMayGoOn;
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/DefaultAdmission.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/DefaultAdmission.java
@@ -63,7 +63,7 @@
             TimeSource timeSource,
             AdmissionSink sink,
             Timeline timeline) {
-        this(shard, settings, timeSource, sink, timeline, new WeighedServerSelector());
+        this(shard, settings, timeSource, sink, timeline, new WeightedServerSelector());
     }
 
     /**
@@ -142,7 +142,7 @@
         Dispatch dispatch = mDispatches.remove(request);
         Assert.isTrue(dispatch != null, "Request %s must be in flight, but is not.", request);
         BackendServerState server = dispatch.server();
-        if (outcome.mayGoOn()) {
+        if (outcome.mayStillRun()) {
             long release = dispatch.request().deadlineNanos() + mSettings.grace().toNanos();
             server.held().giveUp(dispatch.nanos(), Math.max(nanos, release));
         } else {
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/WeighedServerSelector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/WeightedServerSelector.java
@@ -10,7 +10,7 @@
  *
  * @since 0.1
  */
-public final class WeighedServerSelector implements ServerSelector {
+public final class WeightedServerSelector implements ServerSelector {
 
     /** Latencies that differ by less than this factor count as equal. */
     private static final double LATENCY_STEP = 1.5;
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationConfirmation.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationConfirmation.java
@@ -24,7 +24,7 @@
 public final class ConfigurationConfirmation {
 
     /** How a write of the head ended. */
-    public enum WriteEnd {
+    public enum WriteOutcome {
         /** It took effect. */
         WRITTEN,
         /** The object had another version; it had no effect. */
@@ -103,7 +103,7 @@
      * @param end how it ended
      * @return the next step
      */
-    public ConfirmationStep onWrite(WriteEnd end) {
+    public ConfirmationStep onWrite(WriteOutcome end) {
         WriteHead write = mLastWrite.orElseThrow(() -> new IllegalStateException("No write ran."));
         return switch (end) {
             case WRITTEN -> new Accepted(write.head().version());
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationIntent.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationIntent.java
@@ -32,10 +32,10 @@
      *
      * @param content the content
      */
-    record Whole(ConfigurationContent content) implements ConfigurationIntent {
+    record Replace(ConfigurationContent content) implements ConfigurationIntent {
 
         /** Checks that the content is given. */
-        public Whole {
+        public Replace {
             Assert.notNull(content, "A configuration content");
         }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/freshness/FreshnessKeeper.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/freshness/FreshnessTracker.java
@@ -15,16 +15,16 @@
  *
  * @since 0.2
  */
-public final class FreshnessKeeper {
+public final class FreshnessTracker {
 
     /** The age at which the first of a region renews its proof. */
-    static final Duration RENEWAL = Duration.ofMillis(900);
+    static final Duration RENEWAL_AGE = Duration.ofMillis(900);
 
     /** The age from which those who do not read ask who does. */
-    private static final long ASKED = Duration.ofMillis(700).toNanos();
+    private static final long REGION_QUERY_AGE = Duration.ofMillis(700).toNanos();
 
     /** By so much later each of the next few does. */
-    private static final Duration FOR_EACH_RANK = Duration.ofMillis(700);
+    private static final Duration DELAY_PER_RANK = Duration.ofMillis(700);
 
     /**
      * From this rank on all wait equally long, so that a lost store is not asked by all at once.
@@ -32,13 +32,13 @@
     private static final int LAST_RANK = 4;
 
     /** Who is not the first reads no more often than this while nothing comes of it. */
-    private static final Duration BETWEEN_READS = Duration.ofSeconds(4);
+    private static final Duration READ_INTERVAL = Duration.ofSeconds(4);
 
     /** The age from which peers of other regions are asked too. */
-    private static final Duration FAR = Duration.ofMillis(1_800);
+    private static final Duration OTHER_REGIONS_QUERY_AGE = Duration.ofMillis(1_800);
 
-    private FreshnessProof mHeld;
-    private FreshnessProof mWaiting;
+    private FreshnessProof mYoungest;
+    private FreshnessProof mPending;
     private long mInForce;
     private Moment mRead;
 
@@ -48,12 +48,12 @@
      * @param proof the proof
      * @param now the present moment
      */
-    public void take(FreshnessProof proof, Moment now) {
+    public void addProof(FreshnessProof proof, Moment now) {
         Assert.notNull(proof, "A proof");
         if (proof.revision() <= mInForce) {
-            mHeld = younger(mHeld, proof, now);
+            mYoungest = younger(mYoungest, proof, now);
         } else {
-            mWaiting = younger(mWaiting, proof, now);
+            mPending = younger(mPending, proof, now);
         }
     }
 
@@ -63,11 +63,11 @@
      * @param revision the revision, never lower than before
      * @param now the present moment
      */
-    public void inForce(long revision, Moment now) {
+    public void onRevisionApplied(long revision, Moment now) {
         mInForce = Math.max(mInForce, revision);
-        if (mWaiting != null && mWaiting.revision() <= mInForce) {
-            mHeld = younger(mHeld, mWaiting, now);
-            mWaiting = null;
+        if (mPending != null && mPending.revision() <= mInForce) {
+            mYoungest = younger(mYoungest, mPending, now);
+            mPending = null;
         }
     }
 
@@ -80,8 +80,8 @@
      *
      * @return the proof, if there ever was one
      */
-    public Optional<FreshnessProof> held() {
-        return Optional.ofNullable(mHeld);
+    public Optional<FreshnessProof> youngestProof() {
+        return Optional.ofNullable(mYoungest);
     }
 
     /**
@@ -91,11 +91,11 @@
      * @param now the present moment
      * @return whether it must
      */
-    public boolean mustRead(int rank, Moment now) {
-        long waits = Math.min(rank, LAST_RANK) * FOR_EACH_RANK.toNanos();
-        Duration between = rank == 0 ? RENEWAL : BETWEEN_READS;
+    public boolean mustReadStore(int rank, Moment now) {
+        long waits = Math.min(rank, LAST_RANK) * DELAY_PER_RANK.toNanos();
+        Duration between = rank == 0 ? RENEWAL_AGE : READ_INTERVAL;
         boolean isTooSoon = mRead != null && mRead.nanosUntil(now) < between.toNanos();
-        if (isTooSoon || !isOlder(RENEWAL.toNanos() + waits, now)) {
+        if (isTooSoon || !isOlder(RENEWAL_AGE.toNanos() + waits, now)) {
             return false;
         }
         mRead = now;
@@ -108,8 +108,8 @@
      * @param now the present moment
      * @return whether it must
      */
-    public boolean mustAsk(Moment now) {
-        return isOlder(ASKED, now);
+    public boolean mustQueryRegion(Moment now) {
+        return isOlder(REGION_QUERY_AGE, now);
     }
 
     /**
@@ -118,11 +118,11 @@
      * @param now the present moment
      * @return whether they must
      */
-    public boolean mustAskFar(Moment now) {
-        return isOlder(FAR.toNanos(), now);
+    public boolean mustQueryOtherRegions(Moment now) {
+        return isOlder(OTHER_REGIONS_QUERY_AGE.toNanos(), now);
     }
 
     private boolean isOlder(long nanos, Moment now) {
-        return mHeld == null || mHeld.ageNanos(now) >= nanos;
+        return mYoungest == null || mYoungest.ageNanos(now) >= nanos;
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/AdmissionAnswer.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/AdmissionDecision.java
@@ -11,14 +11,14 @@
  * @param longestWaitNanos how long it may wait, negative if its time is too short; 0 if admitted
  * @since 0.2
  */
-public record AdmissionAnswer(
+public record AdmissionDecision(
         boolean admitted, long retryAfterNanos, long expectedWaitNanos, long longestWaitNanos) {
 
     /** The answer to a request that is admitted. */
-    public static final AdmissionAnswer ADMITTED = new AdmissionAnswer(true, 0, 0, 0);
+    public static final AdmissionDecision ADMITTED = new AdmissionDecision(true, 0, 0, 0);
 
     /** Checks that only a refusal has a time. */
-    public AdmissionAnswer {
+    public AdmissionDecision {
         Assert.notNegative(retryAfterNanos, "A time until the return");
         Assert.isTrue(
                 !admitted || retryAfterNanos == 0, "An admitted request must not have to return.");
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/AdmissionLimit.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/AdmissionLimit.java
@@ -64,14 +64,14 @@
      * @param leftNanos the time until its deadline or the timeout of its route, whichever is first
      * @return whether it is admitted, and otherwise when its client should return
      */
-    public AdmissionAnswer decide(Route route, ServiceLoad load, long leftNanos) {
+    public AdmissionDecision decide(Route route, ServiceLoad load, long leftNanos) {
         if (load.usableSlots() == 0) {
             return refuse(mSettings.blindPause().toNanos(), leftNanos, Long.MAX_VALUE, 0);
         }
         long wait = load.expectedWaitNanos();
         long limit = limitNanos(route, load, leftNanos);
         return wait == 0 || wait <= limit
-                ? AdmissionAnswer.ADMITTED
+                ? AdmissionDecision.ADMITTED
                 : refuse(wait - Math.max(0, limit), leftNanos, wait, limit);
     }
 
@@ -125,13 +125,13 @@
     }
 
     /** Refuses until the queue is expected to be short enough, within what a client honours. */
-    private AdmissionAnswer refuse(
+    private AdmissionDecision refuse(
             long excessNanos, long leftNanos, long waitNanos, long longestWaitNanos) {
         long most = Math.max(0, leftNanos / PART_OF_TIME_LEFT);
         double longest = Math.min((double) most, (double) excessNanos * LONGEST_PAUSE);
         long pause = (long) (longest * (1 - CHANCE * mRandom.nextDouble()));
         long least = mSettings.shortestPause().toNanos();
-        return new AdmissionAnswer(
+        return new AdmissionDecision(
                 false, Math.min(most, Math.max(least, pause)), waitNanos, longestWaitNanos);
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/lookup/LookupDecider.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/lookup/LookupDecider.java
@@ -34,7 +34,7 @@
     private final ClientBlockTable mBlocks;
     private final ZoneId mOwnZone;
     private final LookupParameters mKnobs;
-    private final Map<ZoneId, ClientSpread> mMembers = new HashMap<>();
+    private final Map<ZoneId, RendezvousSelector> mMembers = new HashMap<>();
     private final Map<SiteId, ZoneId> mSites = new HashMap<>();
     private final Map<ZoneId, List<List<ZoneQuota>>> mQuotas = new HashMap<>();
 
@@ -59,7 +59,7 @@
         mKnobs = Assert.notNull(knobs, "The knobs of look-ups");
         nameable(members).stream()
                 .collect(Collectors.groupingBy(Member::zone))
-                .forEach((zone, found) -> mMembers.put(zone, new ClientSpread(found)));
+                .forEach((zone, found) -> mMembers.put(zone, new RendezvousSelector(found)));
         for (SiteSpecification site : configuration.content().sites()) {
             mSites.put(site.id(), site.zone());
             mQuotas.computeIfAbsent(site.zone(), this::quotas);
@@ -104,7 +104,7 @@
                 client.flatMap(mBlocks::find)
                         .flatMap(site -> Optional.ofNullable(mSites.get(site)))
                         .orElse(mOwnZone);
-        long key = client.map(ClientSpread::keyOf).orElse(0L);
+        long key = client.map(RendezvousSelector::keyOf).orElse(0L);
         List<List<ZoneQuota>> turns = mQuotas.get(nearest);
         List<ZoneQuota> quotas = turns.get((int) Long.remainderUnsigned(key, turns.size()));
         return new LookupDecision(choose(quotas, key), mKnobs.cacheFor(), mConfiguration.version());
--- a/masticpond-core/src/main/java/io/masticpond/core/lookup/ClientSpread.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/lookup/RendezvousSelector.java
@@ -15,7 +15,7 @@
  * <p>Highest random weight as in {@link io.masticpond.core.membership.Rendezvous}, with the hashes
  * of the instances worked out once, since a look-up is made for each client.
  */
-final class ClientSpread {
+final class RendezvousSelector {
 
     private final List<Member> mMembers;
     private final long[] mHashes;
@@ -25,7 +25,7 @@
      *
      * @param members the instances in any order
      */
-    ClientSpread(Collection<Member> members) {
+    RendezvousSelector(Collection<Member> members) {
         mMembers = members.stream().sorted(Comparator.comparing(Member::id)).toList();
         mHashes = mMembers.stream().mapToLong(member -> hash(member.id().value())).toArray();
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MemberDigest.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MemberDigest.java
@@ -10,7 +10,7 @@
 
     static long of(MemberUpdate news) {
         long mixed = news.id().value().hashCode() * FACTOR;
-        mixed = (mixed ^ news.run().number()) * FACTOR;
+        mixed = (mixed ^ news.incarnation().number()) * FACTOR;
         mixed = (mixed ^ (news.leaving() ? 1 : 0)) * FACTOR;
         return mixed ^ (mixed >>> SHIFT);
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MemberRecord.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MemberRecord.java
@@ -77,7 +77,7 @@
 
     Member member() {
         return new Member(
-                mUpdate.run(),
+                mUpdate.incarnation(),
                 mUpdate.zone(),
                 mUpdate.linkAddress(),
                 mUpdate.callerAddress(),
@@ -111,7 +111,7 @@
     boolean isRestartWithEarlierClock(MemberUpdate news, InstanceId teller) {
         return mUpdate.claim().isEnd()
                 && news.id().equals(teller)
-                && news.run().number() < mUpdate.run().number();
+                && news.incarnation().number() < mUpdate.incarnation().number();
     }
 
     /**
@@ -122,7 +122,7 @@
         Member before = member();
         boolean advances =
                 !mHasReceivedUpdate
-                        || news.run().number() > mUpdate.run().number()
+                        || news.incarnation().number() > mUpdate.incarnation().number()
                         || news.sequence() > mUpdate.sequence();
         if (advances && news.claim() == MemberClaim.LIVE) {
             mLastActivityNanos = now;
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MemberUpdate.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MemberUpdate.java
@@ -11,7 +11,7 @@
  *
  * <p>Everything but the claim was stated by the run itself in the heartbeat with this sequence.
  *
- * @param run the run
+ * @param incarnation the run
  * @param sequence the number of its heartbeat, which grows within a run
  * @param zone its availability zone
  * @param linkAddress where other instances reach it, as "ip:port"
@@ -23,7 +23,7 @@
  * @since 0.1
  */
 public record MemberUpdate(
-        Incarnation run,
+        Incarnation incarnation,
         long sequence,
         ZoneId zone,
         String linkAddress,
@@ -35,7 +35,7 @@
 
     /** Checks that all parts are given. */
     public MemberUpdate {
-        Assert.notNull(run, "An incarnation");
+        Assert.notNull(incarnation, "An incarnation");
         Assert.notNegative(sequence, "A heartbeat sequence");
         Assert.notNull(zone, "An availability zone id");
         Assert.hasText(linkAddress, "A link address");
@@ -51,7 +51,7 @@
      * @return the instance
      */
     public InstanceId id() {
-        return run.instance();
+        return incarnation.instance();
     }
 
     /**
@@ -62,8 +62,8 @@
      * @return whether this takes its place
      */
     public boolean supersedes(MemberUpdate other) {
-        if (run.number() != other.run.number()) {
-            return run.number() > other.run.number();
+        if (incarnation.number() != other.incarnation.number()) {
+            return incarnation.number() > other.incarnation.number();
         }
         if (sequence != other.sequence) {
             return sequence > other.sequence;
@@ -79,8 +79,8 @@
      * @return whether this is of a later run or heartbeat, or says that the run ended
      */
     boolean isNewerThan(Incarnation known, long knownSequence) {
-        return run.number() > known.number()
-                || (run.equals(known) && (sequence > knownSequence || claim.isEnd()));
+        return incarnation.number() > known.number()
+                || (incarnation.equals(known) && (sequence > knownSequence || claim.isEnd()));
     }
 
     /**
@@ -89,9 +89,9 @@
      * @param newClaim the claim
      * @return the news
      */
-    public MemberUpdate claiming(MemberClaim newClaim) {
+    public MemberUpdate withClaim(MemberClaim newClaim) {
         return new MemberUpdate(
-                run,
+                incarnation,
                 sequence,
                 zone,
                 linkAddress,
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTable.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTable.java
@@ -170,7 +170,7 @@
      */
     public void onDisconnected(Incarnation run) {
         MemberRecord record = mRecords.get(run.instance());
-        if (record == null || !record.update().run().equals(run) || !isWatched(record)) {
+        if (record == null || !record.update().incarnation().equals(run) || !isWatched(record)) {
             return;
         }
         record.markDisconnected();
@@ -221,7 +221,7 @@
 
     /** Tells every neighbor that this run ends now. */
     public void announceTermination() {
-        MemberUpdate own = mSelf.next().claiming(MemberClaim.TERMINATED);
+        MemberUpdate own = mSelf.next().withClaim(MemberClaim.TERMINATED);
         neighbors().forEach(id -> mSink.send(id, own, List.of()));
     }
 
@@ -250,7 +250,7 @@
         }
         members.put(mSelf.id(), mSelf.member());
         return new MembershipView(
-                mSelf.state().run(),
+                mSelf.state().incarnation(),
                 List.copyOf(members.values()),
                 missing,
                 mRosterKnown && !isSelfPaused() && !mSuperseded,
@@ -301,7 +301,7 @@
 
     private boolean isKnownRun(MemberUpdate news) {
         MemberRecord record = mRecords.get(news.id());
-        return record != null && record.hasReceivedUpdate() && record.update().run().equals(news.run());
+        return record != null && record.hasReceivedUpdate() && record.update().incarnation().equals(news.incarnation());
     }
 
     private void sendAllTo(InstanceId to) {
@@ -350,10 +350,10 @@
     }
 
     private void mergeAboutSelf(MemberUpdate news) {
-        Incarnation own = mSelf.state().run();
-        if (news.run().number() > own.number()) {
+        Incarnation own = mSelf.state().incarnation();
+        if (news.incarnation().number() > own.number()) {
             mSuperseded |= !news.claim().isEnd();
-        } else if (news.run().equals(own) && news.claim() != MemberClaim.LIVE) {
+        } else if (news.incarnation().equals(own) && news.claim() != MemberClaim.LIVE) {
             mSelf.supersede(news.sequence());
             sendHeartbeats();
         }
@@ -380,11 +380,11 @@
     }
 
     private void claim(MemberRecord record, MemberClaim claim) {
-        accept(record, record.update().claiming(claim), mSelf.id(), true);
+        accept(record, record.update().withClaim(claim), mSelf.id(), true);
     }
 
     private void requestUpdateFromNeighbors(MemberRecord record) {
-        Incarnation run = record.update().run();
+        Incarnation run = record.update().incarnation();
         int asked = 0;
         for (InstanceId id : Rendezvous.order(run.toString(), neighbors())) {
             if (id.equals(record.id()) || !mRecords.get(id).state().isReachable()) {
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/OwnHeartbeat.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/OwnHeartbeat.java
@@ -18,7 +18,7 @@
     }
 
     InstanceId id() {
-        return mState.run().instance();
+        return mState.incarnation().instance();
     }
 
     ZoneId zone() {
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/OwnState.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/OwnState.java
@@ -8,7 +8,7 @@
 /**
  * What an instance states about itself at its start.
  *
- * @param run this run of this instance
+ * @param incarnation this run of this instance
  * @param zone its availability zone
  * @param linkAddress where other instances reach it, as "ip:port"
  * @param callerAddress where callers reach it, as "ip:port"
@@ -16,7 +16,7 @@
  * @since 0.1
  */
 public record OwnState(
-        Incarnation run,
+        Incarnation incarnation,
         ZoneId zone,
         String linkAddress,
         String callerAddress,
@@ -24,7 +24,7 @@
 
     /** Checks that all parts are given. */
     public OwnState {
-        Assert.notNull(run, "An incarnation");
+        Assert.notNull(incarnation, "An incarnation");
         Assert.notNull(zone, "An availability zone id");
         Assert.hasText(linkAddress, "A link address");
         Assert.notNull(callerAddress, "A caller address");
@@ -34,7 +34,7 @@
     /** Makes the news of one heartbeat. */
     MemberUpdate heartbeat(long sequence, boolean leaving, ConfigurationVersion configuration) {
         return new MemberUpdate(
-                run,
+                incarnation,
                 sequence,
                 zone,
                 linkAddress,
@@ -48,7 +48,7 @@
     /** Makes the member that this instance is in its own view. */
     Member member(boolean leaving, ConfigurationVersion configuration) {
         return new Member(
-                run,
+                incarnation,
                 zone,
                 linkAddress,
                 callerAddress,
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/OperationDecision.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/OperationDecision.java
@@ -11,7 +11,7 @@
 public sealed interface OperationDecision<A> {
 
     /**
-     * Run it now; exactly one {@link OperationRegistry#ended} must follow.
+     * Run it now; exactly one {@link OperationRegistry#complete} must follow.
      *
      * @param <A> the whole answer of a backend server
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/OperationRegistry.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/OperationRegistry.java
@@ -121,7 +121,7 @@
      * @return what repeats get from now on: the outcome given, or the one kept before
      * @throws IllegalArgumentException if the operation was never told to run here
      */
-    public OperationOutcome<A> ended(OperationKey key, OperationOutcome<A> outcome) {
+    public OperationOutcome<A> complete(OperationKey key, OperationOutcome<A> outcome) {
         OperationRecord<A> known = mRecords.get(key);
         Assert.isTrue(known != null, "The operation %s does not run here.", key.operationId());
         if (known.isRunning()) {
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/LoadGate.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/LoadGate.java
@@ -1,7 +1,7 @@
 package io.masticpond.core.placement;
 
 import io.masticpond.core.id.ServiceId;
-import io.masticpond.core.limit.AdmissionAnswer;
+import io.masticpond.core.limit.AdmissionDecision;
 import io.masticpond.core.routing.Route;
 import io.masticpond.core.routing.RoutingConfiguration;
 import java.util.Optional;
@@ -43,7 +43,7 @@
      * @param nowNanos the monotonic time
      * @return whether it may be sent if there is a permit
      */
-    default boolean admits(PlacedRequest request, double perSecond, long nowNanos) {
+    default boolean admits(PlacementRequest request, double perSecond, long nowNanos) {
         return true;
     }
 
@@ -55,7 +55,7 @@
      * @param nowNanos the monotonic time
      * @return the time until then
      */
-    default long retryAfterNanos(PlacedRequest request, double perSecond, long nowNanos) {
+    default long retryAfterNanos(PlacementRequest request, double perSecond, long nowNanos) {
         return TimeUnit.SECONDS.toNanos(1);
     }
 
@@ -67,5 +67,5 @@
      * @param nowNanos the monotonic time
      * @return why and until when it is refused, empty if it is admitted
      */
-    Optional<AdmissionAnswer> refuse(PlacedRequest request, ServerLoad chosen, long nowNanos);
+    Optional<AdmissionDecision> refuse(PlacementRequest request, ServerLoad chosen, long nowNanos);
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/Placement.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/Placement.java
@@ -1,6 +1,6 @@
 package io.masticpond.core.placement;
 
-import io.masticpond.core.limit.AdmissionAnswer;
+import io.masticpond.core.limit.AdmissionDecision;
 
 /**
  * What is to be done with a request now.
@@ -19,12 +19,12 @@
     /**
      * It is refused, since it would be answered too late wherever it may go.
      *
-     * @param answer why, and when the client should return
+     * @param decision why, and when the client should return
      */
-    record Refused(AdmissionAnswer answer) implements Placement {}
+    record Refused(AdmissionDecision decision) implements Placement {}
 
     /** It is refused, since the servers that may take it want nothing more for now. */
-    sealed interface Unwanted extends Placement {
+    sealed interface Throttled extends Placement {
 
         /**
          * Tells when the client should return.
@@ -46,7 +46,7 @@
      *
      * @param retryAfterNanos when the client should return
      */
-    record Limited(long retryAfterNanos) implements Unwanted {
+    record Limited(long retryAfterNanos) implements Throttled {
 
         @Override
         public String cause() {
@@ -59,7 +59,7 @@
      *
      * @param retryAfterNanos when the first of them is over
      */
-    record Paused(long retryAfterNanos) implements Unwanted {
+    record Paused(long retryAfterNanos) implements Throttled {
 
         @Override
         public String cause() {
@@ -68,5 +68,5 @@
     }
 
     /** No server may take it. */
-    record Nowhere() implements Placement {}
+    record NoServer() implements Placement {}
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/PlacedRequest.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/PlacementRequest.java
@@ -13,10 +13,10 @@
  * @param leftNanos the time that the client and the route leave
  * @since 0.2
  */
-public record PlacedRequest(Route route, ServiceId service, long keyHash, long leftNanos) {
+public record PlacementRequest(Route route, ServiceId service, long keyHash, long leftNanos) {
 
     /** Checks that the parts are given. */
-    public PlacedRequest {
+    public PlacementRequest {
         Assert.notNull(route, "A route");
         Assert.notNull(service, "A service");
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/PriorityLoadGate.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/PriorityLoadGate.java
@@ -1,7 +1,7 @@
 package io.masticpond.core.placement;
 
 import io.masticpond.core.id.ServiceId;
-import io.masticpond.core.limit.AdmissionAnswer;
+import io.masticpond.core.limit.AdmissionDecision;
 import io.masticpond.core.limit.AdmissionLimit;
 import io.masticpond.core.limit.AdmissionLimitSettings;
 import io.masticpond.core.limit.ServiceLoad;
@@ -47,25 +47,25 @@
     }
 
     @Override
-    public Optional<AdmissionAnswer> refuse(
-            PlacedRequest request, ServerLoad chosen, long nowNanos) {
+    public Optional<AdmissionDecision> refuse(
+            PlacementRequest request, ServerLoad chosen, long nowNanos) {
         ServiceLoad load =
                 new ServiceLoad(
                         chosen.server().slots(),
                         (int) Math.floor(chosen.inFlight(nowNanos)),
                         (long) chosen.serviceNanos());
-        AdmissionAnswer answer =
+        AdmissionDecision answer =
                 limit(request.service()).decide(request.route(), load, request.leftNanos());
         return answer.admitted() ? Optional.empty() : Optional.of(answer);
     }
 
     @Override
-    public boolean admits(PlacedRequest request, double perSecond, long nowNanos) {
+    public boolean admits(PlacementRequest request, double perSecond, long nowNanos) {
         return limit(request.service()).admits(request.route().priority(), perSecond, nowNanos);
     }
 
     @Override
-    public long retryAfterNanos(PlacedRequest request, double perSecond, long nowNanos) {
+    public long retryAfterNanos(PlacementRequest request, double perSecond, long nowNanos) {
         return limit(request.service()).retryAfterNanos(perSecond, request.leftNanos(), nowNanos);
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/ReportedLoad.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/ReportedLoad.java
@@ -20,7 +20,7 @@
      *
      * @return whether a slot was free and nothing waited
      */
-    public boolean hasRoom() {
+    public boolean hasFreeSlot() {
         return waiting == 0 && running < slots;
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/RequestPlacer.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/RequestPlacer.java
@@ -2,7 +2,7 @@
 
 import io.masticpond.core.fleet.RegisteredServer;
 import io.masticpond.core.id.ServiceId;
-import io.masticpond.core.limit.AdmissionAnswer;
+import io.masticpond.core.limit.AdmissionDecision;
 import io.masticpond.core.routing.Route;
 import io.masticpond.core.routing.RoutingConfiguration;
 import io.masticpond.core.support.Assert;
@@ -53,7 +53,7 @@
      *
      * @return the loads to tell
      */
-    public SharedLoads shared() {
+    public SharedLoads sharedLoads() {
         return mShared;
     }
 
@@ -104,7 +104,7 @@
      * @return where it goes, or why not
      */
     public Placement place(
-            PlacedRequest request, List<ServerLoad> servers, Candidates candidates, long nowNanos) {
+            PlacementRequest request, List<ServerLoad> servers, Candidates candidates, long nowNanos) {
         List<ServerLoad> usable = usable(servers, candidates);
         OptionalDouble limited = candidates.limitedPerSecond();
         if (limited.isPresent() && !mGate.admits(request, limited.getAsDouble(), nowNanos)) {
@@ -114,7 +114,7 @@
         if (!(placement instanceof Placement.Placed placed)) {
             return placement;
         }
-        Optional<AdmissionAnswer> refusal = mGate.refuse(request, placed.choice().load(), nowNanos);
+        Optional<AdmissionDecision> refusal = mGate.refuse(request, placed.choice().load(), nowNanos);
         if (refusal.isEmpty()) {
             return placed;
         }
@@ -137,7 +137,7 @@
      * @return where it goes, or that there is nothing left
      */
     public Placement placeAgain(
-            PlacedRequest request, List<ServerLoad> servers, Candidates candidates, long nowNanos) {
+            PlacementRequest request, List<ServerLoad> servers, Candidates candidates, long nowNanos) {
         return choose(request, usable(servers, candidates), candidates, nowNanos);
     }
 
@@ -151,17 +151,17 @@
         return usable;
     }
 
-    private Placement nowhere(PlacedRequest request, Candidates candidates, long nowNanos) {
+    private Placement nowhere(PlacementRequest request, Candidates candidates, long nowNanos) {
         OptionalDouble limited = candidates.limitedPerSecond();
         return limited.isPresent()
                 ? new Placement.Limited(
                         mGate.retryAfterNanos(request, limited.getAsDouble(), nowNanos))
-                : new Placement.Nowhere();
+                : new Placement.NoServer();
     }
 
     /** Chooses a server; a paced one needs a permit, and is left out if there is none. */
     private Placement choose(
-            PlacedRequest request, List<ServerLoad> usable, Candidates candidates, long nowNanos) {
+            PlacementRequest request, List<ServerLoad> usable, Candidates candidates, long nowNanos) {
         while (true) {
             Optional<ServerChoice> choice = mChooser.choose(usable, request, nowNanos);
             if (choice.isEmpty()) {
@@ -182,7 +182,7 @@
      * @param nowNanos the monotonic time
      */
     public void sent(ServerLoad load, long nowNanos) {
-        load.began();
+        load.requestStarted();
         mChooser.outlierDetector().sent(load.server().service(), load.server().id(), nowNanos);
     }
 
@@ -250,7 +250,7 @@
      * @param nowNanos the monotonic time
      */
     public void rejectedByServer(ServerLoad load, Optional<ReportedLoad> told, long nowNanos) {
-        if (told.filter(ReportedLoad::hasRoom).isPresent()) {
+        if (told.filter(ReportedLoad::hasFreeSlot).isPresent()) {
             failed(load, nowNanos);
         } else {
             load.avoidUntil(nowNanos + FULL_AVOID_NANOS, AvoidReason.TURNED_AWAY);
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/ServerChooser.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/ServerChooser.java
@@ -105,7 +105,7 @@
      * @return the choice, or empty if no server is usable
      */
     public Optional<ServerChoice> choose(
-            List<ServerLoad> usable, PlacedRequest request, long nowNanos) {
+            List<ServerLoad> usable, PlacementRequest request, long nowNanos) {
         if (usable.isEmpty()) {
             return Optional.empty();
         }
@@ -140,7 +140,7 @@
      * @return the usable servers, the chosen one first
      */
     public List<ServerChoice> ranked(
-            List<ServerLoad> usable, PlacedRequest request, long nowNanos) {
+            List<ServerLoad> usable, PlacementRequest request, long nowNanos) {
         List<Preference> preferences = preferences(usable, request);
         double perHome = perHome(usable);
         List<ServerChoice> choices = new ArrayList<>(preferences.size());
@@ -162,7 +162,7 @@
      * @return the least loaded of the others, or empty if none is usable
      */
     public Optional<ServerChoice> otherHome(
-            List<ServerLoad> usable, PlacedRequest request, ServerLoad chosen, long nowNanos) {
+            List<ServerLoad> usable, PlacementRequest request, ServerLoad chosen, long nowNanos) {
         return homes(usable, request).stream()
                 .map(Preference::load)
                 .filter(home -> home != chosen)
@@ -171,7 +171,7 @@
     }
 
     /** Gives the servers, the most preferred first. */
-    private List<Preference> preferences(List<ServerLoad> usable, PlacedRequest request) {
+    private List<Preference> preferences(List<ServerLoad> usable, PlacementRequest request) {
         int rounds = mSizes.furtherRounds(request.route().id());
         List<Preference> preferences = new ArrayList<>(usable.size());
         for (ServerLoad server : usable) {
@@ -182,7 +182,7 @@
     }
 
     /** Gives the first of the preferences alone, without sorting the others. */
-    private List<Preference> homes(List<ServerLoad> usable, PlacedRequest request) {
+    private List<Preference> homes(List<ServerLoad> usable, PlacementRequest request) {
         int rounds = mSizes.furtherRounds(request.route().id());
         int count = Math.min(mSettings.homes(), usable.size());
         List<Preference> homes = new ArrayList<>(count + 1);
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/ServerLoad.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/ServerLoad.java
@@ -108,17 +108,17 @@
     }
 
     /** Counts a request that is being sent. */
-    public void began() {
+    public void requestStarted() {
         mOwn++;
     }
 
     /** Counts a request that has ended in any way. */
-    public void ended() {
+    public void requestEnded() {
         mOwn--;
     }
 
     /**
-     * Takes the load that an answer told. Call it after {@link #ended}: the answered request is no
+     * Takes the load that an answer told. Call it after {@link #requestEnded}: the answered request is no
      * longer counted by either side.
      *
      * @param load the load
@@ -228,7 +228,7 @@
      *
      * @return those sent that have not ended
      */
-    public int own() {
+    public int ownInFlight() {
         return mOwn;
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/SharedLoads.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/SharedLoads.java
@@ -49,7 +49,7 @@
      * @param load the load
      */
     void answered(ServerLoad server, ReportedLoad load) {
-        boolean full = !load.hasRoom();
+        boolean full = !load.hasFreeSlot();
         if ((full || server.isReportedFull())
                 && (mWaiting.size() < MOST_WAITING || mWaiting.containsKey(server.hash()))) {
             boolean isFirst = mWaiting.isEmpty();
@@ -105,7 +105,7 @@
             if (server != null) {
                 mHeard++;
                 server.receivedFromPeer(each.load(), nowNanos);
-                server.setReportedFull(!each.load().hasRoom());
+                server.setReportedFull(!each.load().hasFreeSlot());
             }
         }
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/region/DefaultRegionSelector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/DefaultRegionSelector.java
@@ -89,7 +89,7 @@
         Map<RegionId, RegionView> before = mServices.getOrDefault(service.id(), Map.of());
         Map<RegionId, RegionView> views = new LinkedHashMap<>();
         for (RegionSpecification region : configuration.content().regions()) {
-            RegionPlace place = place(configuration, service, region.id());
+            ServiceRegion place = place(configuration, service, region.id());
             if (place.slots() == 0) {
                 continue;
             }
@@ -104,7 +104,7 @@
         return views;
     }
 
-    private RegionPlace place(
+    private ServiceRegion place(
             Configuration configuration, ServiceSpecification service, RegionId region) {
         int slots =
                 configuration.backendServers(service.id(), region).stream()
@@ -117,7 +117,7 @@
                         .map(link -> Duration.ofNanos(link.oneWayMicros() * 1000))
                         .orElse(mKnobs.defaultOneWay())
                         .toNanos();
-        return new RegionPlace(
+        return new ServiceRegion(
                 region, own, slots, service.priceMicros(region), own ? 0 : 2 * oneWay);
     }
 
@@ -199,7 +199,7 @@
     }
 
     private boolean drawsByPrice(RegionOption option, long remainingNanos) {
-        return option.roomy()
+        return option.hasSlotReserve()
                 && !option.heldDown()
                 && option.totalNanos() <= remainingNanos * mKnobs.fastEnoughShare();
     }
@@ -211,7 +211,7 @@
     }
 
     @Override
-    public void ended(RequestHead request, RegionId region, RegionAttemptEnd end) {
+    public void ended(RequestHead request, RegionId region, RegionAttemptOutcome end) {
         view(request.service(), region)
                 .ifPresent(view -> view.ended(request.id(), end, mTimeSource.monotonicNanos()));
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/region/RegionAttemptEnd.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/RegionAttemptOutcome.java
@@ -5,7 +5,7 @@
  *
  * @since 0.1
  */
-public enum RegionAttemptEnd {
+public enum RegionAttemptOutcome {
     /** A backend server answered. */
     ANSWERED,
     /** The admitter refused it and it did not run. */
--- a/masticpond-core/src/main/java/io/masticpond/core/region/RegionOption.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/RegionOption.java
@@ -8,7 +8,7 @@
  * @param view the region
  * @param waitNanos how long the request would wait for a slot
  * @param totalNanos how long its answer would take, with the distance and the work itself
- * @param roomy whether enough slots are free there for price to draw traffic
+ * @param hasSlotReserve whether enough slots are free there for price to draw traffic
  * @param heldDown whether it came back only a short time ago
  * @param block why it cannot take the request, or {@code null} if it can
  * @param retryNanos when it might take the request if it cannot now; 0 if that is not known
@@ -17,7 +17,7 @@
         RegionView view,
         long waitNanos,
         long totalNanos,
-        boolean roomy,
+        boolean hasSlotReserve,
         boolean heldDown,
         RefusalCause block,
         long retryNanos) {
--- a/masticpond-core/src/main/java/io/masticpond/core/region/RegionSelector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/RegionSelector.java
@@ -43,7 +43,7 @@
      * @param region the region that was chosen
      * @param end how it ended there
      */
-    void ended(RequestHead request, RegionId region, RegionAttemptEnd end);
+    void ended(RequestHead request, RegionId region, RegionAttemptOutcome end);
 
     /**
      * Takes whether an admitter for a service can be reached in a region.
--- a/masticpond-core/src/main/java/io/masticpond/core/region/RegionView.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/RegionView.java
@@ -21,14 +21,14 @@
     private final RegionRamp mRamp;
     private final RegionAvailability mAvailability;
     private final Map<RequestId, Long> mStarted = new HashMap<>();
-    private RegionPlace mPlace;
+    private ServiceRegion mPlace;
     private LinkShare mLink;
     private int mSenders = 1;
     private int mFairShare = 1;
     private int mLastTaken;
     private double mWorkNanos;
 
-    RegionView(RegionPlace place, RegionSelectorParameters knobs, LinkShare link, long nowNanos) {
+    RegionView(ServiceRegion place, RegionSelectorParameters knobs, LinkShare link, long nowNanos) {
         mPlace = place;
         mKnobs = knobs;
         mLink = link;
@@ -38,7 +38,7 @@
     }
 
     /** Takes a new configuration of the region, and keeps what is known of it. */
-    void configure(RegionPlace place, LinkShare link) {
+    void configure(ServiceRegion place, LinkShare link) {
         mPlace = place;
         mLink = link;
         mRamp.setCeiling(place.slots());
@@ -142,7 +142,7 @@
         mLink.take();
     }
 
-    void ended(RequestId request, RegionAttemptEnd end, long nowNanos) {
+    void ended(RequestId request, RegionAttemptOutcome end, long nowNanos) {
         Long started = mStarted.remove(request);
         if (started == null) {
             return;
--- a/masticpond-core/src/main/java/io/masticpond/core/region/RegionPlace.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/ServiceRegion.java
@@ -11,5 +11,5 @@
  * @param priceMicros the price of a request there
  * @param roundTripNanos the time to the region and back
  */
-record RegionPlace(
+record ServiceRegion(
         RegionId region, boolean isOwn, int slots, long priceMicros, long roundTripNanos) {}
--- a/masticpond-core/src/main/java/io/masticpond/core/workspace/WorkspaceTable.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/workspace/WorkspaceTable.java
@@ -57,7 +57,7 @@
      * @param key the digest of the key
      * @return the workspace, or empty if the key is unknown
      */
-    public Optional<Workspace> opened(KeyDigest key) {
+    public Optional<Workspace> findByKey(KeyDigest key) {
         return Optional.ofNullable(mByKey.get(key));
     }
 
--- a/masticpond-core/src/test/java/io/masticpond/core/admission/AdmissionProperties.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/admission/AdmissionProperties.java
@@ -133,7 +133,7 @@
             RequestId request = List.copyOf(mOpen.keySet()).get(number % mOpen.size());
             AttemptOutcome outcome = AttemptOutcome.values()[number % 7];
             mOpen.remove(request);
-            if (!outcome.mayGoOn()) {
+            if (!outcome.mayStillRun()) {
                 mRunning.remove(request);
             }
             mHarness.mAdmission.complete(request, outcome);
--- a/masticpond-core/src/test/java/io/masticpond/core/configuration/ConfigurationChainProperties.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/configuration/ConfigurationChainProperties.java
@@ -1,6 +1,6 @@
 package io.masticpond.core.configuration;
 
-import io.masticpond.core.configuration.ConfigurationConfirmation.WriteEnd;
+import io.masticpond.core.configuration.ConfigurationConfirmation.WriteOutcome;
 import io.masticpond.core.configuration.ConfirmationStep.Accepted;
 import io.masticpond.core.configuration.ConfirmationStep.Unavailable;
 import io.masticpond.core.configuration.ConfirmationStep.BaseChanged;
@@ -102,8 +102,8 @@
                                 ? mConfirmation.onHeadUnavailable()
                                 : mConfirmation.onHead(mPlatform.mHead, mPlatform.mObjectVersion);
             } else if (mNext instanceof WriteHead write) {
-                WriteEnd end = mPlatform.write(write, choice % 7);
-                mUncertain |= end == WriteEnd.UNCERTAIN;
+                WriteOutcome end = mPlatform.write(write, choice % 7);
+                mUncertain |= end == WriteOutcome.UNCERTAIN;
                 mNext = mConfirmation.onWrite(end);
             }
             finish();
@@ -140,22 +140,22 @@
         private ConfigurationContent mContent = ConfigurationContent.EMPTY;
         private Configuration mCheckpoint = Configuration.EMPTY;
 
-        WriteEnd write(WriteHead write, int choice) {
+        WriteOutcome write(WriteHead write, int choice) {
             return switch (choice) {
-                case 0 -> WriteEnd.UNAVAILABLE;
+                case 0 -> WriteOutcome.UNAVAILABLE;
                 case 1 -> {
                     land(write);
-                    yield WriteEnd.UNCERTAIN;
+                    yield WriteOutcome.UNCERTAIN;
                 }
                 case 2 -> {
                     mDelayed.add(write);
-                    yield WriteEnd.UNCERTAIN;
+                    yield WriteOutcome.UNCERTAIN;
                 }
                 case 3 -> {
                     landDelayedWrites();
-                    yield land(write) ? WriteEnd.WRITTEN : WriteEnd.CONFLICT;
+                    yield land(write) ? WriteOutcome.WRITTEN : WriteOutcome.CONFLICT;
                 }
-                default -> land(write) ? WriteEnd.WRITTEN : WriteEnd.CONFLICT;
+                default -> land(write) ? WriteOutcome.WRITTEN : WriteOutcome.CONFLICT;
             };
         }
 
--- a/masticpond-core/src/test/java/io/masticpond/core/configuration/ConfigurationPlannerTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/configuration/ConfigurationPlannerTest.java
@@ -25,7 +25,7 @@
     @Example
     void everyFaultIsToldAtOnce() {
         List<String> faults =
-                plan(new ConfigurationIntent.Whole(faulty()), PlanObservations.NONE)
+                plan(new ConfigurationIntent.Replace(faulty()), PlanObservations.NONE)
                         .getLeft()
                         .stream()
                         .map(ConfigurationFault::toString)
--- a/masticpond-core/src/test/java/io/masticpond/core/freshness/FreshnessKeeperTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/freshness/FreshnessTrackerTest.java
@@ -10,46 +10,46 @@
 import net.jqwik.api.Example;
 
 /** Proofs only ever look as old as they are, or older. */
-class FreshnessKeeperTest {
+class FreshnessTrackerTest {
 
     private final ManualTimeSource mTime = new ManualTimeSource(Instant.EPOCH);
-    private final FreshnessKeeper mKeeper = new FreshnessKeeper();
+    private final FreshnessTracker mKeeper = new FreshnessTracker();
 
     private Moment now() {
         return Moment.of(mTime);
     }
 
     private long ageMillis() {
-        return TimeUnit.NANOSECONDS.toMillis(mKeeper.held().orElseThrow().ageNanos(now()));
+        return TimeUnit.NANOSECONDS.toMillis(mKeeper.youngestProof().orElseThrow().ageNanos(now()));
     }
 
     private void prove(long revision) {
-        mKeeper.take(new FreshnessProof(now(), revision), now());
+        mKeeper.addProof(new FreshnessProof(now(), revision), now());
     }
 
     @Example
     void proofOfWhatIsNotInForceHereWaits() {
-        mKeeper.inForce(4, now());
+        mKeeper.onRevisionApplied(4, now());
         prove(5);
-        assertThat(mKeeper.held()).isEmpty();
+        assertThat(mKeeper.youngestProof()).isEmpty();
         mTime.advance(Duration.ofMillis(300));
-        mKeeper.inForce(5, now());
+        mKeeper.onRevisionApplied(5, now());
         assertThat(ageMillis()).isEqualTo(300);
     }
 
     @Example
     void proofHeardLateDoesNotReplaceYoungerOne() {
-        mKeeper.inForce(5, now());
+        mKeeper.onRevisionApplied(5, now());
         Moment early = now();
         mTime.advance(Duration.ofSeconds(2));
         prove(5);
-        mKeeper.take(new FreshnessProof(early, 5), now());
+        mKeeper.addProof(new FreshnessProof(early, 5), now());
         assertThat(ageMillis()).isZero();
     }
 
     @Example
     void suspensionCounts() {
-        mKeeper.inForce(5, now());
+        mKeeper.onRevisionApplied(5, now());
         prove(5);
         mTime.stepWallClock(Duration.ofSeconds(7));
         assertThat(ageMillis()).isEqualTo(7_000);
@@ -57,7 +57,7 @@
 
     @Example
     void wallClockThatIsSetBackMakesNoProofYounger() {
-        mKeeper.inForce(5, now());
+        mKeeper.onRevisionApplied(5, now());
         prove(5);
         mTime.advance(Duration.ofSeconds(3));
         mTime.stepWallClock(Duration.ofSeconds(-3));
@@ -66,12 +66,12 @@
 
     @Example
     void secondOfRegionReadsOnlyWhenTheFirstHasNot() {
-        mKeeper.inForce(5, now());
+        mKeeper.onRevisionApplied(5, now());
         prove(5);
-        mTime.advance(FreshnessKeeper.RENEWAL);
-        assertThat(mKeeper.mustRead(1, now())).as("the first does").isFalse();
+        mTime.advance(FreshnessTracker.RENEWAL_AGE);
+        assertThat(mKeeper.mustReadStore(1, now())).as("the first does").isFalse();
         mTime.advance(Duration.ofSeconds(1));
-        assertThat(mKeeper.mustRead(1, now())).as("the first has not").isTrue();
+        assertThat(mKeeper.mustReadStore(1, now())).as("the first has not").isTrue();
     }
 
     @Example
@@ -79,7 +79,7 @@
         int reads = 0;
         for (int look = 0; look < 100; look++) {
             mTime.advance(Duration.ofMillis(100));
-            reads += mKeeper.mustRead(3, now()) ? 1 : 0;
+            reads += mKeeper.mustReadStore(3, now()) ? 1 : 0;
         }
         assertThat(reads).isLessThanOrEqualTo(5);
     }
--- a/masticpond-core/src/test/java/io/masticpond/core/limit/AdmissionLimitTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/limit/AdmissionLimitTest.java
@@ -83,7 +83,7 @@
             @ForAll @IntRange(max = 3_000) int leftMillis) {
         ServiceLoad load = new ServiceLoad(slots, inFlight, 100 * MILLI);
         long left = leftMillis * MILLI;
-        AdmissionAnswer answer = limit(0, 1).decide(route(1, SERVICE), load, left);
+        AdmissionDecision answer = limit(0, 1).decide(route(1, SERVICE), load, left);
         if (answer.admitted()) {
             return;
         }
--- a/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipFixture.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipFixture.java
@@ -83,7 +83,7 @@
     /** Ends a process: what is sent to it is refused from now on. */
     void kill(InstanceId id) {
         mTables.remove(id);
-        Incarnation run = mStates.get(id).run();
+        Incarnation run = mStates.get(id).incarnation();
         mTables.values().forEach(table -> table.onDisconnected(run));
         deliver();
     }
--- a/masticpond-core/src/test/java/io/masticpond/core/operation/OnceOnlySimulation.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/operation/OnceOnlySimulation.java
@@ -232,7 +232,7 @@
             if (end.mRan) {
                 ran(callerKey);
             }
-            reportOutcome(callerKey, mFixture.mRegistry.ended(key, outcome(key, end)));
+            reportOutcome(callerKey, mFixture.mRegistry.complete(key, outcome(key, end)));
         }
 
         private OperationOutcome<String> outcome(OperationKey key, RunEnd end) {
--- a/masticpond-core/src/test/java/io/masticpond/core/operation/OperationRegistryTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/operation/OperationRegistryTest.java
@@ -27,7 +27,7 @@
     @Example
     void aRepeatGetsTheAnswerOfTheFirst() {
         assertThat(mHome.begin(mKey)).isEqualTo(RUN);
-        mHome.mRegistry.ended(mKey, answered("reserved"));
+        mHome.mRegistry.complete(mKey, answered("reserved"));
         assertThat(mHome.begin(mKey))
                 .isEqualTo(new OperationDecision.Repeat<>(answered("reserved")));
     }
@@ -41,7 +41,7 @@
     @Example
     void anOperationThatDidNotRunMayRunAgain() {
         mHome.begin(mKey);
-        mHome.mRegistry.ended(mKey, didNotRun());
+        mHome.mRegistry.complete(mKey, didNotRun());
         assertThat(mHome.mRegistry.size()).isEqualTo(0);
         assertThat(mHome.begin(mKey)).isEqualTo(RUN);
     }
@@ -49,25 +49,25 @@
     @Example
     void anOperationThatMayHaveRunNeverRunsAgain() {
         mHome.begin(mKey);
-        mHome.mRegistry.ended(mKey, mayHaveRun());
+        mHome.mRegistry.complete(mKey, mayHaveRun());
         assertThat(mHome.begin(mKey)).isEqualTo(new OperationDecision.Repeat<>(mayHaveRun()));
     }
 
     @Example
     void aLateAnswerSettlesWhatMayHaveRunButChangesNoAnswer() {
         mHome.begin(mKey);
-        mHome.mRegistry.ended(mKey, mayHaveRun());
-        mHome.mRegistry.ended(mKey, answered("late"));
-        mHome.mRegistry.ended(mKey, answered("later"));
-        mHome.mRegistry.ended(mKey, mayHaveRun());
+        mHome.mRegistry.complete(mKey, mayHaveRun());
+        mHome.mRegistry.complete(mKey, answered("late"));
+        mHome.mRegistry.complete(mKey, answered("later"));
+        mHome.mRegistry.complete(mKey, mayHaveRun());
         assertThat(mHome.begin(mKey)).isEqualTo(new OperationDecision.Repeat<>(answered("late")));
     }
 
     @Example
     void aLateRefusalDoesNotMakeWhatMayHaveRunRunnable() {
         mHome.begin(mKey);
-        mHome.mRegistry.ended(mKey, mayHaveRun());
-        mHome.mRegistry.ended(mKey, didNotRun());
+        mHome.mRegistry.complete(mKey, mayHaveRun());
+        mHome.mRegistry.complete(mKey, didNotRun());
         assertThat(mHome.begin(mKey)).isEqualTo(new OperationDecision.Repeat<>(mayHaveRun()));
     }
 
@@ -76,7 +76,7 @@
         mHome.begin(mKey);
         assertThat(mHome.mRegistry.begin(mKey, RELEASE, HEAD))
                 .isEqualTo(new OperationDecision.WrongRequest<>());
-        mHome.mRegistry.ended(mKey, answered("reserved"));
+        mHome.mRegistry.complete(mKey, answered("reserved"));
         assertThat(mHome.mRegistry.begin(mKey, RELEASE, HEAD))
                 .isEqualTo(new OperationDecision.WrongRequest<>());
     }
@@ -112,7 +112,7 @@
     @Example
     void anExpiredKeyNeverRunsAlsoWhenTheWallClockGoesBack() {
         mHome.begin(mKey);
-        mHome.mRegistry.ended(mKey, answered("reserved"));
+        mHome.mRegistry.complete(mKey, answered("reserved"));
         mHome.mTime.advance(LIFETIME);
         mHome.mRegistry.forgetExpired();
         assertThat(mHome.mRegistry.size()).isEqualTo(0);
@@ -132,7 +132,7 @@
         mHome.mTime.advance(LIFETIME.plusSeconds(1));
         mHome.mRegistry.forgetExpired();
         assertThat(mHome.begin(mKey)).isEqualTo(new OperationDecision.InProgress<>());
-        mHome.mRegistry.ended(mKey, answered("reserved"));
+        mHome.mRegistry.complete(mKey, answered("reserved"));
         mHome.mRegistry.forgetExpired();
         assertThat(mHome.begin(mKey)).isEqualTo(EXPIRED);
     }
@@ -145,7 +145,7 @@
         OperationKey second = small.mIssuer.issue();
         small.begin(first);
         assertThat(small.begin(second)).isEqualTo(new OperationDecision.Full<>());
-        small.mRegistry.ended(first, answered("reserved"));
+        small.mRegistry.complete(first, answered("reserved"));
         assertThat(small.begin(second)).isEqualTo(new OperationDecision.Full<>());
         assertThat(small.begin(first))
                 .isEqualTo(new OperationDecision.Repeat<>(answered("reserved")));
@@ -162,7 +162,7 @@
                 new OperationFixture(home("casa-1", 1), new OperationLimits(10, 1000, 3, 0));
         OperationKey key = small.mIssuer.issue();
         small.begin(key);
-        OperationOutcome<String> first = small.mRegistry.ended(key, answered("reserved"));
+        OperationOutcome<String> first = small.mRegistry.complete(key, answered("reserved"));
         assertThat(first).isEqualTo(answered("reserved"));
         OperationDecision.Repeat<String> repeat =
                 (OperationDecision.Repeat<String>) small.begin(key);
@@ -174,7 +174,7 @@
     void aStoppingHomeRunsNothingNewAndStillRepeats() {
         mHome.begin(mKey);
         mHome.mRegistry.stop();
-        mHome.mRegistry.ended(mKey, answered("reserved"));
+        mHome.mRegistry.complete(mKey, answered("reserved"));
         assertThat(mHome.begin(mKey))
                 .isEqualTo(new OperationDecision.Repeat<>(answered("reserved")));
         assertThat(mHome.begin(mHome.mIssuer.issue()))
@@ -196,6 +196,6 @@
     @Example
     void endingWhatNeverBeganFails() {
         assertThatIllegalArgumentException()
-                .isThrownBy(() -> mHome.mRegistry.ended(mKey, answered("reserved")));
+                .isThrownBy(() -> mHome.mRegistry.complete(mKey, answered("reserved")));
     }
 }
--- a/masticpond-core/src/test/java/io/masticpond/core/placement/RequestPlacerTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/placement/RequestPlacerTest.java
@@ -8,7 +8,7 @@
 import io.masticpond.core.id.RouteId;
 import io.masticpond.core.id.ServiceId;
 import io.masticpond.core.id.ZoneId;
-import io.masticpond.core.limit.AdmissionAnswer;
+import io.masticpond.core.limit.AdmissionDecision;
 import io.masticpond.core.limit.CallOutlierDetector;
 import io.masticpond.core.limit.CallOutlierDetectorSettings;
 import io.masticpond.core.routing.Route;
@@ -40,7 +40,7 @@
         assertThat(placed()).isSameAs(mServers.get(3));
         assertThat(mAsked.mUsableCalls).isEqualTo(4);
         mAsked.mCold.addAll(mServers);
-        assertThat(place()).isInstanceOf(Placement.Nowhere.class);
+        assertThat(place()).isInstanceOf(Placement.NoServer.class);
     }
 
     @Example
@@ -50,7 +50,7 @@
         mGate =
                 (request, chosen, now) ->
                         chosen == first
-                                ? Optional.of(new AdmissionAnswer(false, 1, 1, 0))
+                                ? Optional.of(new AdmissionDecision(false, 1, 1, 0))
                                 : Optional.empty();
         ServerLoad other = placed();
         assertThat(other).isNotSameAs(first);
@@ -81,7 +81,7 @@
                         Set.of(),
                         List.of(new WeightedService(SERVICE, 1)));
         return new RequestPlacer(chooser, mGate)
-                .place(new PlacedRequest(route, SERVICE, 42, 1_000_000_000L), mServers, mAsked, 0);
+                .place(new PlacementRequest(route, SERVICE, 42, 1_000_000_000L), mServers, mAsked, 0);
     }
 
     private static ServerLoad server(int number) {
--- a/masticpond-core/src/test/java/io/masticpond/core/placement/ServerChooserTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/placement/ServerChooserTest.java
@@ -97,7 +97,7 @@
             String first = chosen(mChooser, servers, key);
             ServerLoad load = find(servers, first);
             for (int each = 0; each < 6; each++) {
-                load.began();
+                load.requestStarted();
             }
             left += chosen(mChooser, servers, key).equals(first) ? 0 : 1;
         }
@@ -113,10 +113,10 @@
             servers = servers.subList(0, 1 + random.nextInt(servers.size()));
             for (ServerLoad server : servers) {
                 for (int sent = random.nextInt(30) - 8; sent > 0; sent--) {
-                    server.began();
+                    server.requestStarted();
                 }
             }
-            PlacedRequest request = request(random.nextInt());
+            PlacementRequest request = request(random.nextInt());
             assertThat(mChooser.choose(servers, request, 0))
                     .contains(mChooser.ranked(servers, request, 0).get(0));
         }
@@ -160,7 +160,7 @@
         return chooser.choose(servers, request(key), 0).orElseThrow().load().server().id().value();
     }
 
-    private static PlacedRequest request(int key) {
+    private static PlacementRequest request(int key) {
         Route route =
                 new Route(
                         new RouteId("r"),
@@ -174,7 +174,7 @@
                         true,
                         Set.of(),
                         List.of(new WeightedService(new ServiceId("service"), 1)));
-        return new PlacedRequest(
+        return new PlacementRequest(
                 route, new ServiceId("service"), HashMixer.hash("key-" + key), 1_000_000_000L);
     }
 
--- a/masticpond-core/src/test/java/io/masticpond/core/placement/SharedLoadsTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/placement/SharedLoadsTest.java
@@ -98,9 +98,9 @@
                         LoadGate.OPEN);
         mServers.update(snapshot(1), 0);
         placer.reported(mServer, FULL, 0);
-        assertThat(placer.shared().hasPending()).isFalse();
+        assertThat(placer.sharedLoads().hasPending()).isFalse();
         placer.reported(mServers.of(SERVICE).get(0), FULL, 0);
-        assertThat(placer.shared().hasPending()).isTrue();
+        assertThat(placer.sharedLoads().hasPending()).isTrue();
     }
 
     @Example
--- a/masticpond-core/src/test/java/io/masticpond/core/region/RegionFixture.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/region/RegionFixture.java
@@ -148,7 +148,7 @@
             if (endNanos > now) {
                 return false;
             }
-            selector.ended(head, region, RegionAttemptEnd.ANSWERED);
+            selector.ended(head, region, RegionAttemptOutcome.ANSWERED);
             return true;
         }
     }
--- a/masticpond-core/src/test/java/io/masticpond/core/region/RegionReturnTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/region/RegionReturnTest.java
@@ -98,7 +98,7 @@
             assertThat(scene.mSelector.select(heads[i], Set.of()).get()).isEqualTo(CASA);
         }
         for (RequestHead head : heads) {
-            scene.mSelector.ended(head, CASA, RegionAttemptEnd.LOST);
+            scene.mSelector.ended(head, CASA, RegionAttemptOutcome.LOST);
         }
         assertThat(scene.select().get()).isEqualTo(FES);
         scene.mTime.advance(Duration.ofMillis(30));
@@ -115,7 +115,7 @@
             RequestHead head = scene.request(5);
             if (scene.mSelector.select(head, Set.of()).isRight()) {
                 attempts++;
-                scene.mSelector.ended(head, FES, RegionAttemptEnd.REFUSED);
+                scene.mSelector.ended(head, FES, RegionAttemptOutcome.REFUSED);
             }
             scene.mTime.advance(Duration.ofMillis(1));
         }
@@ -147,7 +147,7 @@
         assertThat(scene.mSelector.status().stream().mapToInt(RegionStatus::inFlight).sum())
                 .isEqualTo(1);
         assertThat(scene.select().get()).as("casa is still lost").isNotEqualTo(CASA);
-        scene.mSelector.ended(head, FES, RegionAttemptEnd.ANSWERED);
+        scene.mSelector.ended(head, FES, RegionAttemptOutcome.ANSWERED);
         assertThat(scene.mSelector.status().stream().mapToInt(RegionStatus::inFlight).sum())
                 .isEqualTo(1);
     }
--- a/masticpond-core/src/test/java/io/masticpond/core/workspace/WorkspaceTableTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/workspace/WorkspaceTableTest.java
@@ -52,9 +52,9 @@
                         List.of(
                                 workspace("one", Set.of(), "a", "b"),
                                 workspace("two", Set.of(), "c")));
-        assertThat(table.opened(KeyDigest.of("b")).orElseThrow().id().value()).isEqualTo("one");
-        assertThat(table.opened(KeyDigest.of("c")).orElseThrow().id().value()).isEqualTo("two");
-        assertThat(table.opened(KeyDigest.of("d"))).isEmpty();
+        assertThat(table.findByKey(KeyDigest.of("b")).orElseThrow().id().value()).isEqualTo("one");
+        assertThat(table.findByKey(KeyDigest.of("c")).orElseThrow().id().value()).isEqualTo("two");
+        assertThat(table.findByKey(KeyDigest.of("d"))).isEmpty();
         assertThat(table.keys()).isEqualTo(3);
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendClient.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendClient.java
@@ -9,7 +9,7 @@
 import io.masticpond.daemon.http.HttpClients;
 import io.masticpond.daemon.steering.BackendDispatcher;
 import io.masticpond.daemon.steering.HeaderField;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import io.masticpond.daemon.steering.SteeredRequest;
 import java.io.IOException;
 import java.time.Duration;
@@ -147,7 +147,7 @@
     }
 
     private static AttemptResult result(AttemptOutcome outcome, Refusal refusal) {
-        return new AttemptResult(outcome, new RequestEnd.Refused(refusal), false);
+        return new AttemptResult(outcome, new RequestCompletion.Refused(refusal), false);
     }
 
     /** Watches whether a byte of the request was written. */
@@ -211,7 +211,7 @@
                     && "true".equals(response.header(HeaderNames.SHED))) {
                 return new AttemptResult(
                         AttemptOutcome.SHED,
-                        new RequestEnd.Refused(
+                        new RequestCompletion.Refused(
                                 Refusal.didNotRun(
                                         RefusalCause.BACKEND_SHED,
                                         "The backend server " + mServer.id() + " shed it.")),
@@ -229,7 +229,7 @@
                     response.code() >= SERVER_ERROR
                             ? AttemptOutcome.SERVER_ERROR
                             : AttemptOutcome.ANSWERED,
-                    new RequestEnd.Answered(response.code(), headers, body, mServer.id().value()),
+                    new RequestCompletion.Answered(response.code(), headers, body, mServer.id().value()),
                     leaving);
         }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendHealthChecker.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendHealthChecker.java
@@ -111,13 +111,13 @@
     }
 
     /** Takes an end from a thread of the client; if the ring is full, the call counts as lost. */
-    private void handOver(WatchedServer server, ProbeEnd end) {
+    private void handOver(WatchedServer server, ProbeResult end) {
         if (!mDuty.offer(() -> ended(server, end))) {
             server.mCalling = false;
         }
     }
 
-    private void ended(WatchedServer server, ProbeEnd end) {
+    private void ended(WatchedServer server, ProbeResult end) {
         server.mCalling = false;
         if (mServers.get(server.mId) != server) {
             return;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/ProbeClient.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/ProbeClient.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.json.JsonMapper;
-import io.masticpond.daemon.backend.ProbeEnd.Status;
+import io.masticpond.daemon.backend.ProbeResult.Status;
 import io.masticpond.daemon.header.HeaderNames;
 import io.masticpond.daemon.http.HttpClients;
 import java.io.IOException;
@@ -44,11 +44,11 @@
                         .build();
     }
 
-    void health(String address, Consumer<ProbeEnd> listener) {
+    void health(String address, Consumer<ProbeResult> listener) {
         call(address, "/health", listener, ProbeClient::readHealth);
     }
 
-    void load(String address, Consumer<ProbeEnd> listener) {
+    void load(String address, Consumer<ProbeResult> listener) {
         call(address, "/load", listener, ProbeClient::readLoad);
     }
 
@@ -58,7 +58,7 @@
     }
 
     private void call(
-            String address, String path, Consumer<ProbeEnd> listener, AnswerReader reader) {
+            String address, String path, Consumer<ProbeResult> listener, AnswerReader reader) {
         Request request = new Request.Builder().url("http://" + address + path).build();
         Call call = mClient.newCall(request);
         call.timeout().timeout(mTimeout.toNanos(), TimeUnit.NANOSECONDS);
@@ -67,7 +67,7 @@
                     @Override
                     public void onFailure(Call failed, IOException e) {
                         boolean refused = e instanceof ConnectException;
-                        listener.accept(refused ? new ProbeEnd.Refused() : new ProbeEnd.Failed());
+                        listener.accept(refused ? new ProbeResult.Refused() : new ProbeResult.Failed());
                     }
 
                     @Override
@@ -77,39 +77,39 @@
                 });
     }
 
-    private static ProbeEnd read(Response response, AnswerReader reader) {
+    private static ProbeResult read(Response response, AnswerReader reader) {
         try (response) {
             boolean tooLong = response.body().source().request(MAXIMUM_ANSWER_BYTES + 1);
             if (response.code() != OK || tooLong) {
-                return new ProbeEnd.Failed();
+                return new ProbeResult.Failed();
             }
             return reader.read(response, response.body().source().readByteArray());
         } catch (IOException | IllegalArgumentException e) {
-            return new ProbeEnd.Failed();
+            return new ProbeResult.Failed();
         }
     }
 
-    private static ProbeEnd readHealth(Response response, byte[] body) throws IOException {
+    private static ProbeResult readHealth(Response response, byte[] body) throws IOException {
         HealthBody health = MAPPER.readValue(body, HealthBody.class);
         boolean leaving = "true".equals(response.header(HeaderNames.LEAVING));
         boolean closes = "close".equalsIgnoreCase(response.header("Connection"));
         Status status = leaving ? Status.LEAVING : health.toStatus();
-        return new ProbeEnd.Health(status, countOrNotTold(health.inFlight()), closes);
+        return new ProbeResult.Health(status, countOrNotTold(health.inFlight()), closes);
     }
 
-    private static ProbeEnd readLoad(Response response, byte[] body) throws IOException {
+    private static ProbeResult readLoad(Response response, byte[] body) throws IOException {
         LoadBody load = MAPPER.readValue(body, LoadBody.class);
-        return new ProbeEnd.Load(countOrNotTold(load.inFlight()));
+        return new ProbeResult.Load(countOrNotTold(load.inFlight()));
     }
 
     private static int countOrNotTold(Integer count) {
-        return count == null || count < 0 ? ProbeEnd.UNREPORTED : count;
+        return count == null || count < 0 ? ProbeResult.UNREPORTED : count;
     }
 
     /** Reads the answer of one route. */
     @FunctionalInterface
     private interface AnswerReader {
-        ProbeEnd read(Response response, byte[] body) throws IOException;
+        ProbeResult read(Response response, byte[] body) throws IOException;
     }
 
     /** The body of a health answer. */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/ProbeEvaluator.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/ProbeEvaluator.java
@@ -27,17 +27,17 @@
     private boolean mLeaving;
     private int mStays;
 
-    List<BackendServerSignal> evaluate(ProbeEnd end) {
-        if (end instanceof ProbeEnd.Health health) {
+    List<BackendServerSignal> evaluate(ProbeResult end) {
+        if (end instanceof ProbeResult.Health health) {
             return answered(health);
         }
-        if (end instanceof ProbeEnd.Load load) {
+        if (end instanceof ProbeResult.Load load) {
             return List.of(new BackendServerSignal(mLastKind, load.inFlight()));
         }
-        return failed(end instanceof ProbeEnd.Refused);
+        return failed(end instanceof ProbeResult.Refused);
     }
 
-    private List<BackendServerSignal> answered(ProbeEnd.Health health) {
+    private List<BackendServerSignal> answered(ProbeResult.Health health) {
         List<BackendServerSignal> signs = new ArrayList<>();
         mFailures = 0;
         if (mGone) {
@@ -55,7 +55,7 @@
         return signs;
     }
 
-    private Kind kind(ProbeEnd.Health health) {
+    private Kind kind(ProbeResult.Health health) {
         mCloses = health.closes() ? mCloses + 1 : 0;
         mKeptConnections |= !health.closes();
         if (mKeptConnections && mCloses >= CLOSES_TO_TELL) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/ProbeEnd.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/ProbeResult.java
@@ -1,7 +1,7 @@
 package io.masticpond.daemon.backend;
 
 /** How one health or load call to a backend server ended. */
-sealed interface ProbeEnd {
+sealed interface ProbeResult {
 
     /** The number of requests that stands for "not told". */
     int UNREPORTED = -1;
@@ -14,14 +14,14 @@
     }
 
     /** An answer to a health call, with the signs that its head carries. */
-    record Health(Status status, int inFlight, boolean closes) implements ProbeEnd {}
+    record Health(Status status, int inFlight, boolean closes) implements ProbeResult {}
 
     /** An answer to a load call. */
-    record Load(int inFlight) implements ProbeEnd {}
+    record Load(int inFlight) implements ProbeResult {}
 
     /** The server takes no connections: no process listens there. */
-    record Refused() implements ProbeEnd {}
+    record Refused() implements ProbeResult {}
 
     /** No proper answer came in time. */
-    record Failed() implements ProbeEnd {}
+    record Failed() implements ProbeResult {}
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/CallerServer.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/CallerServer.java
@@ -15,7 +15,7 @@
 import io.masticpond.daemon.header.HeaderNames;
 import io.masticpond.daemon.settings.DaemonSettings.CallerSettings;
 import io.masticpond.daemon.steering.HeaderField;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import io.masticpond.daemon.steering.SteeredRequest;
 import io.vavr.control.Either;
 import java.io.IOException;
@@ -198,7 +198,7 @@
     }
 
     private void steer(Context context, SteeredRequest request, CallerService.OperationKeys keys) {
-        CompletableFuture<RequestEnd> future = new CompletableFuture<>();
+        CompletableFuture<RequestCompletion> future = new CompletableFuture<>();
         mService.submit(request, keys, future::complete);
         context.future(
                 () ->
@@ -210,15 +210,15 @@
                                 mServer.jettyServer().threadPool()));
     }
 
-    private void write(Context context, SteeredRequest request, RequestEnd end) {
+    private void write(Context context, SteeredRequest request, RequestCompletion end) {
         String id = request.head().id().value();
         context.header(
                 HeaderNames.CONFIGURATION_VERSION, mService.configuration().version().toString());
-        if (end instanceof RequestEnd.Refused refused) {
+        if (end instanceof RequestCompletion.Refused refused) {
             ProblemWriter.write(context, refused.refusal(), id);
             return;
         }
-        RequestEnd.Answered answer = (RequestEnd.Answered) end;
+        RequestCompletion.Answered answer = (RequestCompletion.Answered) end;
         context.status(answer.status());
         Set<String> seen = new HashSet<>();
         for (HeaderField field : answer.headers()) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/CallerService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/CallerService.java
@@ -4,7 +4,7 @@
 import io.masticpond.core.id.RequestId;
 import io.masticpond.core.id.ServiceId;
 import io.masticpond.core.lookup.LookupDecision;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import io.masticpond.daemon.steering.SteeredRequest;
 import java.util.Optional;
 import java.util.function.Consumer;
@@ -55,7 +55,7 @@
      * @param keys the operation keys that the caller gave
      * @param listener takes the one end, on any thread
      */
-    void submit(SteeredRequest request, OperationKeys keys, Consumer<RequestEnd> listener);
+    void submit(SteeredRequest request, OperationKeys keys, Consumer<RequestCompletion> listener);
 
     /**
      * Gives up a request because its caller went away.
@@ -67,9 +67,9 @@
     /**
      * The operation keys of a request, of which at most one may be given.
      *
-     * @param homed the key that a look-up gave
-     * @param claimed the caller's own key
+     * @param operationKey the key that a look-up gave
+     * @param idempotencyKey the caller's own key
      * @param firstAttempt whether the caller says that it never sent the key before
      */
-    record OperationKeys(Optional<String> homed, Optional<String> claimed, boolean firstAttempt) {}
+    record OperationKeys(Optional<String> operationKey, Optional<String> idempotencyKey, boolean firstAttempt) {}
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ChainStore.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ChainStore.java
@@ -30,7 +30,7 @@
     private static final String CHECKPOINT_PREFIX = "checkpoint-";
 
     private final ObjectStore mStore;
-    private final PartedObjects mParts;
+    private final MultipartObjects mParts;
     private final ConfigurationCodec mCodec;
     private final EventLoopExecutor mExecutor;
 
@@ -38,7 +38,7 @@
         mStore = Assert.notNull(store, "An object store");
         mCodec = Assert.notNull(codec, "A codec");
         mExecutor = Assert.notNull(executor, "An executor");
-        mParts = new PartedObjects(store, executor);
+        mParts = new MultipartObjects(store, executor);
     }
 
     CompletableFuture<Either<PlatformError, HeadObject>> readHead() {
@@ -97,7 +97,7 @@
                 .thenApply(written -> written.map(head::withCheckpointParts));
     }
 
-    CompletableFuture<Either<PlatformError, Long>> writeHead(WriteOfHead write) {
+    CompletableFuture<Either<PlatformError, Long>> writeHead(HeadWrite write) {
         return mStore.write(HEAD, write.expectedObjectVersion(), mCodec.encode(write.head()));
     }
 
@@ -153,5 +153,5 @@
      * @param head the head with the names of its parts
      * @param expectedObjectVersion the version that the object must have
      */
-    record WriteOfHead(ConfigurationHead head, long expectedObjectVersion) {}
+    record HeadWrite(ConfigurationHead head, long expectedObjectVersion) {}
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationCodec.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationCodec.java
@@ -151,7 +151,7 @@
         try {
             if (node.has(CONTENT)) {
                 return Either.right(
-                        new ConfigurationIntent.Whole(
+                        new ConfigurationIntent.Replace(
                                 mMapper.treeToValue(
                                         node.get(CONTENT), ConfigurationContent.class)));
             }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfirmationRunner.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfirmationRunner.java
@@ -2,7 +2,7 @@
 
 import io.masticpond.core.configuration.Configuration;
 import io.masticpond.core.configuration.ConfigurationConfirmation;
-import io.masticpond.core.configuration.ConfigurationConfirmation.WriteEnd;
+import io.masticpond.core.configuration.ConfigurationConfirmation.WriteOutcome;
 import io.masticpond.core.configuration.ConfigurationHead;
 import io.masticpond.core.configuration.ConfigurationLogLimits;
 import io.masticpond.core.configuration.ConfirmationStep;
@@ -10,7 +10,7 @@
 import io.masticpond.core.configuration.ConfirmationStep.WriteHead;
 import io.masticpond.core.configuration.Plan;
 import io.masticpond.core.support.Assert;
-import io.masticpond.daemon.configuration.ChainStore.WriteOfHead;
+import io.masticpond.daemon.configuration.ChainStore.HeadWrite;
 import io.masticpond.daemon.platform.PlatformError;
 import io.vavr.control.Either;
 import java.util.concurrent.CompletableFuture;
@@ -47,14 +47,14 @@
         return head.checkpoint().version().equals(head.version());
     }
 
-    private static WriteEnd endOf(PlatformError error) {
+    private static WriteOutcome endOf(PlatformError error) {
         if (error instanceof PlatformError.Conflict) {
-            return WriteEnd.CONFLICT;
+            return WriteOutcome.CONFLICT;
         }
         if (error instanceof PlatformError.Uncertain) {
-            return WriteEnd.UNCERTAIN;
+            return WriteOutcome.UNCERTAIN;
         }
-        return WriteEnd.UNAVAILABLE;
+        return WriteOutcome.UNAVAILABLE;
     }
 
     /** One confirmation with the head that it last read. */
@@ -93,7 +93,7 @@
             return mConfirmation.onHead(mHead, read.get().objectVersion());
         }
 
-        private CompletableFuture<WriteEnd> write(WriteHead write) {
+        private CompletableFuture<WriteOutcome> write(WriteHead write) {
             if (!write.needsCheckpoint()) {
                 return writeHead(write.head(), write.expectedObjectVersion());
             }
@@ -102,7 +102,7 @@
                     .thenComposeAsync(
                             head ->
                                     head.isLeft()
-                                            ? CompletableFuture.completedFuture(WriteEnd.UNAVAILABLE)
+                                            ? CompletableFuture.completedFuture(WriteOutcome.UNAVAILABLE)
                                             : writeHead(head.get(), write.expectedObjectVersion()),
                             mExecutor);
         }
@@ -114,8 +114,8 @@
                     : mChain.writeCheckpoint(head, mPlan.change().applyTo(base.get().content()));
         }
 
-        private CompletableFuture<WriteEnd> writeHead(ConfigurationHead head, long expected) {
-            return mChain.writeHead(new WriteOfHead(head, expected))
+        private CompletableFuture<WriteOutcome> writeHead(ConfigurationHead head, long expected) {
+            return mChain.writeHead(new HeadWrite(head, expected))
                     .thenApply(
                             written -> {
                                 if (written.isRight() && isCheckpoint(head)) {
@@ -123,7 +123,7 @@
                                             mHead.checkpoint().version().number());
                                 }
                                 return written.fold(
-                                        ConfirmationRunner::endOf, v -> WriteEnd.WRITTEN);
+                                        ConfirmationRunner::endOf, v -> WriteOutcome.WRITTEN);
                             });
         }
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PartedObjects.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/MultipartObjects.java
@@ -22,18 +22,18 @@
  * <p>A part is written once and never changed, so a part that is there already, from an attempt
  * whose answer was lost, is as good as written.
  */
-final class PartedObjects {
+final class MultipartObjects {
 
     /** The greatest part, below the megabyte that the platform takes, in bytes. */
     static final int PART_BYTES = 900_000;
 
-    private static final Logger sLogger = LoggerFactory.getLogger(PartedObjects.class);
+    private static final Logger sLogger = LoggerFactory.getLogger(MultipartObjects.class);
     private static final int MAXIMUM_ATTEMPTS = 3;
 
     private final ObjectStore mStore;
     private final EventLoopExecutor mExecutor;
 
-    PartedObjects(ObjectStore store, EventLoopExecutor executor) {
+    MultipartObjects(ObjectStore store, EventLoopExecutor executor) {
         mStore = Assert.notNull(store, "An object store");
         mExecutor = Assert.notNull(executor, "An executor");
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PlanStore.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PlanStore.java
@@ -20,7 +20,7 @@
     private static final String ID_PREFIX = "plan-";
 
     private final ObjectStore mStore;
-    private final PartedObjects mParts;
+    private final MultipartObjects mParts;
     private final ConfigurationCodec mCodec;
     private final EventLoopExecutor mExecutor;
 
@@ -28,7 +28,7 @@
         mStore = Assert.notNull(store, "An object store");
         mCodec = Assert.notNull(codec, "A codec");
         mExecutor = Assert.notNull(executor, "An executor");
-        mParts = new PartedObjects(store, executor);
+        mParts = new MultipartObjects(store, executor);
     }
 
     /** Names a plan so that names are in order of time, which is how old ones are found. */
@@ -39,7 +39,7 @@
     /** Writes a plan; a plan whose answer was lost is not given out, so that is just a failure. */
     CompletableFuture<Either<PlatformError, Plan>> write(Plan plan) {
         byte[] document = mCodec.encode(new StoredPlan(Optional.of(plan), List.of()));
-        if (document.length <= PartedObjects.PART_BYTES) {
+        if (document.length <= MultipartObjects.PART_BYTES) {
             return writeObject(plan, document);
         }
         return mParts.write(ObjectKind.PLAN, plan.id().value() + "-part", document)
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/ForwardCodec.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/ForwardCodec.java
@@ -15,7 +15,7 @@
 import io.masticpond.core.request.RequestHead;
 import io.masticpond.core.request.Verdict;
 import io.masticpond.daemon.steering.HeaderField;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import io.masticpond.daemon.steering.SteeredRequest;
 import io.masticpond.protocol.generated.Answer;
 import io.masticpond.protocol.generated.Forward;
@@ -143,9 +143,9 @@
      * @param end the end
      * @return the message, without headroom
      */
-    public static ForwardAnswer.Builder toAnswer(RequestId request, RequestEnd end) {
+    public static ForwardAnswer.Builder toAnswer(RequestId request, RequestCompletion end) {
         ForwardAnswer.Builder builder = ForwardAnswer.newBuilder().setRequest(request.value());
-        if (end instanceof RequestEnd.Refused refused) {
+        if (end instanceof RequestCompletion.Refused refused) {
             Refusal refusal = refused.refusal();
             return builder.setRefusal(
                     RefusalEntry.newBuilder()
@@ -155,7 +155,7 @@
                             .setRetryAfterMillis(
                                     refusal.retryAfter().map(Duration::toMillis).orElse(0L)));
         }
-        RequestEnd.Answered answered = (RequestEnd.Answered) end;
+        RequestCompletion.Answered answered = (RequestCompletion.Answered) end;
         Answer.Builder answer =
                 Answer.newBuilder()
                         .setStatus(answered.status())
@@ -173,15 +173,15 @@
      * @param answer the message
      * @return the end
      */
-    public static RequestEnd toEnd(ForwardAnswer answer) {
+    public static RequestCompletion toCompletion(ForwardAnswer answer) {
         return switch (answer.getEndCase()) {
             case ANSWER ->
-                    new RequestEnd.Answered(
+                    new RequestCompletion.Answered(
                             answer.getAnswer().getStatus(),
                             fields(answer.getAnswer().getHeadersList()),
                             bytes(answer.getAnswer().getBody()),
                             answer.getAnswer().getBackendServer());
-            case REFUSAL -> new RequestEnd.Refused(toRefusal(answer.getRefusal()));
+            case REFUSAL -> new RequestCompletion.Refused(toRefusal(answer.getRefusal()));
             default ->
                     throw new IllegalArgumentException("An answer must have an end, but has none.");
         };
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/ForwardReceiver.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/ForwardReceiver.java
@@ -9,7 +9,7 @@
 import io.masticpond.daemon.instance.Responder;
 import io.masticpond.daemon.steering.AdmitterSteering;
 import io.masticpond.daemon.steering.EntrySteering;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import io.masticpond.daemon.steering.SteeredRequest;
 import io.masticpond.protocol.generated.Envelope;
 import io.masticpond.protocol.generated.Forward;
@@ -110,7 +110,7 @@
                 });
     }
 
-    private void answer(Responder responder, Shard shard, SteeredRequest request, RequestEnd end) {
+    private void answer(Responder responder, Shard shard, SteeredRequest request, RequestCompletion end) {
         ForwardAnswer.Builder answer = ForwardCodec.toAnswer(request.head().id(), end);
         mAdmitter
                 .headroom(shard)
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/LinkRemoteAdmitter.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/LinkRemoteAdmitter.java
@@ -118,7 +118,7 @@
                     answer.hasHeadroom()
                             ? Optional.of(ForwardCodec.toHeadroom(answer.getHeadroom()))
                             : Optional.empty();
-            return new ForwardResult.Ended(ForwardCodec.toEnd(answer), headroom);
+            return new ForwardResult.Ended(ForwardCodec.toCompletion(answer), headroom);
         } catch (IllegalArgumentException e) {
             return new ForwardResult.Lost(
                     RefusalCause.INSTANCE_LOST, "The answer cannot be read: " + e.getMessage());
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/MeteredCallerService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/MeteredCallerService.java
@@ -8,7 +8,7 @@
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.daemon.caller.CallerService;
 import io.masticpond.daemon.metrics.RequestMetrics;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import io.masticpond.daemon.steering.SteeredRequest;
 import java.util.Optional;
 import java.util.function.Consumer;
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public void submit(SteeredRequest request, OperationKeys keys, Consumer<RequestEnd> listener) {
+    public void submit(SteeredRequest request, OperationKeys keys, Consumer<RequestCompletion> listener) {
         ServiceId service = request.head().service();
         long start = mTimeSource.monotonicNanos();
         mDelegate.submit(
@@ -78,8 +78,8 @@
         mDelegate.cancel(request);
     }
 
-    private void measure(ServiceId service, long start, RequestEnd end) {
-        if (end instanceof RequestEnd.Refused refused) {
+    private void measure(ServiceId service, long start, RequestCompletion end) {
+        if (end instanceof RequestCompletion.Refused refused) {
             mMetrics.recordRefusal(service, refused.refusal());
         } else {
             mMetrics.recordAnswer(service, mTimeSource.monotonicNanos() - start);
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/RequestGateway.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/RequestGateway.java
@@ -13,7 +13,7 @@
 import io.masticpond.daemon.operation.OnceOnlyGuard;
 import io.masticpond.daemon.operation.OnceOnlyKeys;
 import io.masticpond.daemon.steering.PeerFallbackEntry;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import io.masticpond.daemon.steering.SteeredRequest;
 import java.util.Optional;
 import java.util.function.Consumer;
@@ -103,11 +103,11 @@
     }
 
     @Override
-    public void submit(SteeredRequest request, OperationKeys keys, Consumer<RequestEnd> listener) {
+    public void submit(SteeredRequest request, OperationKeys keys, Consumer<RequestCompletion> listener) {
         boolean taken = mSteering.offer(() -> steer(request, keys, listener));
         if (!taken) {
             listener.accept(
-                    new RequestEnd.Refused(
+                    new RequestCompletion.Refused(
                             Refusal.didNotRun(
                                     RefusalCause.QUEUE_FULL,
                                     "The ring of the steering duty is full.")));
@@ -123,7 +123,7 @@
                 });
     }
 
-    private void steer(SteeredRequest request, OperationKeys keys, Consumer<RequestEnd> listener) {
+    private void steer(SteeredRequest request, OperationKeys keys, Consumer<RequestCompletion> listener) {
         if (request.head().kind() != OperationKind.ONCE_ONLY) {
             mEntry.submit(request, listener);
             return;
@@ -131,8 +131,8 @@
         mGuard.submit(
                 request,
                 new OnceOnlyKeys(
-                        keys.homed(),
-                        keys.claimed(),
+                        keys.operationKey(),
+                        keys.idempotencyKey(),
                         request.head().service().value(),
                         keys.firstAttempt()),
                 listener);
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipMessages.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipMessages.java
@@ -32,7 +32,7 @@
     static MemberEntry entry(MemberUpdate news) {
         return MemberEntry.newBuilder()
                 .setInstance(news.id().value())
-                .setIncarnation(news.run().number())
+                .setIncarnation(news.incarnation().number())
                 .setZone(news.zone().value())
                 .setLinkAddress(news.linkAddress())
                 .setCallerAddress(news.callerAddress())
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipService.java
@@ -293,7 +293,7 @@
             return;
         }
         Optional<MemberUpdate> own = MembershipMessages.toUpdate(heartbeat.getSelf());
-        if (own.isEmpty() || !own.get().run().equals(peer)) {
+        if (own.isEmpty() || !own.get().incarnation().equals(peer)) {
             mRejected.increment();
             return;
         }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/AnswerSize.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/AnswerSize.java
@@ -1,7 +1,7 @@
 package io.masticpond.daemon.operation;
 
 import io.masticpond.daemon.steering.HeaderField;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 
 /**
  * Estimates the memory that a kept answer takes.
@@ -21,7 +21,7 @@
      * @param answer the answer
      * @return the size in bytes
      */
-    public static long of(RequestEnd.Answered answer) {
+    public static long of(RequestCompletion.Answered answer) {
         long size = FIXED_BYTES + answer.body().length;
         for (HeaderField field : answer.headers()) {
             size += HEADER_BYTES + field.name().length() + field.value().length();
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/LinkOperationPeers.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/LinkOperationPeers.java
@@ -15,7 +15,7 @@
 import io.masticpond.daemon.instance.InstanceLinks;
 import io.masticpond.daemon.instance.LinkError;
 import io.masticpond.daemon.steering.RemoteAdmitter.ForwardResult;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import io.masticpond.daemon.steering.SteeredRequest;
 import io.masticpond.protocol.generated.Envelope;
 import io.masticpond.protocol.generated.OperationAsk;
@@ -48,7 +48,7 @@
     private static final RegionId ANY_REGION = new RegionId("any");
 
     private final InstanceLinks mLinks;
-    private final MemberHomes mMembers;
+    private final MemberHomeDirectory mMembers;
     private final InstanceId mSelf;
     private final TimeSource mTimeSource;
 
@@ -61,7 +61,7 @@
      * @param timeSource the clocks
      */
     public LinkOperationPeers(
-            InstanceLinks links, MemberHomes members, InstanceId self, TimeSource timeSource) {
+            InstanceLinks links, MemberHomeDirectory members, InstanceId self, TimeSource timeSource) {
         mLinks = Assert.notNull(links, "Links");
         mMembers = Assert.notNull(members, "Members");
         mSelf = Assert.notNull(self, "An instance id");
@@ -120,7 +120,7 @@
 
     @Override
     public CompletableFuture<Integer> handOver(
-            Incarnation home, List<KeptOutcome<RequestEnd.Answered>> outcomes) {
+            Incarnation home, List<KeptOutcome<RequestCompletion.Answered>> outcomes) {
         Optional<InstanceId> adopter = adopterOf(home);
         if (adopter.isEmpty() || outcomes.isEmpty()) {
             return CompletableFuture.completedFuture(0);
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/MemberHomes.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/MemberHomeDirectory.java
@@ -21,7 +21,7 @@
  *
  * @since 0.1
  */
-public final class MemberHomes implements HomeDirectory {
+public final class MemberHomeDirectory implements HomeDirectory {
 
     private final Incarnation mSelf;
     private final Supplier<? extends Collection<Member>> mMembers;
@@ -32,7 +32,7 @@
      * @param self the run of this instance
      * @param members gives the members as this instance sees them now
      */
-    public MemberHomes(Incarnation self, Supplier<? extends Collection<Member>> members) {
+    public MemberHomeDirectory(Incarnation self, Supplier<? extends Collection<Member>> members) {
         mSelf = Assert.notNull(self, "The run of this instance");
         mMembers = Assert.notNull(members, "Members");
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyGuard.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyGuard.java
@@ -18,7 +18,7 @@
 import io.masticpond.core.timeline.Timeline;
 import io.masticpond.core.timeline.TimelinePart;
 import io.masticpond.daemon.steering.RemoteAdmitter.ForwardResult;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import io.masticpond.daemon.steering.SteeredRequest;
 import java.util.List;
 import java.util.Optional;
@@ -52,7 +52,7 @@
 public final class OnceOnlyGuard {
 
     private final OperationKeyIssuer mIssuer;
-    private final OperationRegistry<RequestEnd.Answered> mRegistry;
+    private final OperationRegistry<RequestCompletion.Answered> mRegistry;
     private final OnceOnlyRunner mRunner;
     private final OperationPeers mPeers;
     private final OperationArchive mArchive;
@@ -103,17 +103,17 @@
      * @param keys what the caller said about its identity
      * @param listener takes the one end
      */
-    public void submit(SteeredRequest request, OnceOnlyKeys keys, Consumer<RequestEnd> listener) {
+    public void submit(SteeredRequest request, OnceOnlyKeys keys, Consumer<RequestCompletion> listener) {
         Flow flow = new Flow(request, keys.firstAttempt(), true, listener);
-        if (keys.claimed().isPresent()) {
-            flow.claim(CallerKey.of(scope(request, keys), keys.claimed().get()));
+        if (keys.idempotencyKey().isPresent()) {
+            flow.claim(CallerKey.of(scope(request, keys), keys.idempotencyKey().get()));
             return;
         }
-        if (keys.homed().isEmpty()) {
+        if (keys.operationKey().isEmpty()) {
             flow.begin(mIssuer.issue());
             return;
         }
-        Optional<OperationKey> key = OperationKey.parse(keys.homed().get());
+        Optional<OperationKey> key = OperationKey.parse(keys.operationKey().get());
         if (key.isEmpty()) {
             flow.refuse(OnceOnlyRefusals.malformedKey());
             return;
@@ -129,7 +129,7 @@
      * @param request the request
      * @param listener takes the one end
      */
-    public void receive(OperationKey key, SteeredRequest request, Consumer<RequestEnd> listener) {
+    public void receive(OperationKey key, SteeredRequest request, Consumer<RequestCompletion> listener) {
         new Flow(request, false, false, listener).begin(key);
     }
 
@@ -142,7 +142,7 @@
      * @param listener takes the one end
      */
     public void receiveClaim(
-            CallerKey callerKey, SteeredRequest request, Consumer<RequestEnd> listener) {
+            CallerKey callerKey, SteeredRequest request, Consumer<RequestCompletion> listener) {
         new Flow(request, false, true, listener).claimHere(callerKey);
     }
 
@@ -170,7 +170,7 @@
      *
      * @return the outcomes
      */
-    public List<KeptOutcome<RequestEnd.Answered>> keptOutcomes() {
+    public List<KeptOutcome<RequestCompletion.Answered>> keptOutcomes() {
         return mRegistry.keptOutcomes();
     }
 
@@ -180,7 +180,7 @@
      * @param outcome the outcome
      * @return whether it is kept
      */
-    public boolean adopt(KeptOutcome<RequestEnd.Answered> outcome) {
+    public boolean adopt(KeptOutcome<RequestCompletion.Answered> outcome) {
         return mRegistry.adopt(outcome.key(), outcome.fingerprint(), outcome.outcome());
     }
 
@@ -217,14 +217,14 @@
         private final SteeredRequest mRequest;
         private final Fingerprint mFingerprint;
         private final boolean mMayPassOn;
-        private final Consumer<RequestEnd> mListener;
+        private final Consumer<RequestCompletion> mListener;
         private boolean mFirstAttempt;
 
         Flow(
                 SteeredRequest request,
                 boolean firstAttempt,
                 boolean mayPassOn,
-                Consumer<RequestEnd> listener) {
+                Consumer<RequestCompletion> listener) {
             mRequest = request;
             mFirstAttempt = firstAttempt;
             mMayPassOn = mayPassOn;
@@ -256,7 +256,7 @@
             } else if (result instanceof ForwardResult.Lost lost) {
                 refuse(Refusal.mayHaveRun(lost.cause(), lost.reason()));
             } else {
-                RequestEnd end = ((ForwardResult.Ended) result).end();
+                RequestCompletion end = ((ForwardResult.Ended) result).completion();
                 mListener.accept(mFirstAttempt ? OnceOnlyRefusals.ofFirstAttempt(end) : end);
             }
         }
@@ -283,13 +283,13 @@
         }
 
         void begin(OperationKey key) {
-            OperationDecision<RequestEnd.Answered> decision =
+            OperationDecision<RequestCompletion.Answered> decision =
                     mRegistry.begin(key, mFingerprint, mRequest.head());
             if (decision instanceof OperationDecision.Run) {
                 run(key);
-            } else if (decision instanceof OperationDecision.Repeat<RequestEnd.Answered> repeat) {
+            } else if (decision instanceof OperationDecision.Repeat<RequestCompletion.Answered> repeat) {
                 record("operation-repeated", mRequest, key);
-                mListener.accept(OutcomeEnds.end(repeat.outcome()));
+                mListener.accept(OutcomeConverter.toCompletion(repeat.outcome()));
             } else if (decision instanceof OperationDecision.InProgress) {
                 mWaiters.add(key, mRequest, mListener);
             } else if (decision instanceof OperationDecision.ForwardToHome<?> elsewhere) {
@@ -307,17 +307,17 @@
             record("operation-begun", mRequest, key);
             mRunner.run(
                     mRequest.withOperationId(key.operationId()),
-                    end -> ended(key, OutcomeEnds.outcome(end)));
+                    end -> ended(key, OutcomeConverter.toOutcome(end)));
         }
 
-        private void ended(OperationKey key, OperationOutcome<RequestEnd.Answered> how) {
-            OperationOutcome<RequestEnd.Answered> outcome = mRegistry.ended(key, how);
+        private void ended(OperationKey key, OperationOutcome<RequestCompletion.Answered> how) {
+            OperationOutcome<RequestCompletion.Answered> outcome = mRegistry.complete(key, how);
             record("operation-ended", mRequest, key);
             if (outcome.verdict() != Verdict.DID_NOT_RUN) {
                 mArchive.keep(new KeptOutcome<>(key, mFingerprint, outcome));
             }
-            mListener.accept(OutcomeEnds.end(outcome));
-            mWaiters.end(key, OutcomeEnds.end(outcome));
+            mListener.accept(OutcomeConverter.toCompletion(outcome));
+            mWaiters.end(key, OutcomeConverter.toCompletion(outcome));
         }
 
         private void passOn(OperationKey key, InstanceId home) {
@@ -336,7 +336,7 @@
 
         private void asked(OperationKey key, ForwardResult result, Refusal notSent) {
             if (result instanceof ForwardResult.Ended ended) {
-                mListener.accept(ended.end());
+                mListener.accept(ended.completion());
             } else if (result instanceof ForwardResult.Lost lost) {
                 refuse(Refusal.mayHaveRun(lost.cause(), lost.reason()));
             } else {
@@ -376,25 +376,25 @@
         private void adopterAnswered(ForwardResult result, Refusal otherwise) {
             boolean kept =
                     result instanceof ForwardResult.Ended ended
-                            && ended.end() instanceof RequestEnd.Answered;
+                            && ended.completion() instanceof RequestCompletion.Answered;
             if (kept) {
-                mListener.accept(((ForwardResult.Ended) result).end());
+                mListener.accept(((ForwardResult.Ended) result).completion());
                 return;
             }
             refuse(otherwise);
         }
 
-        private void repeat(KeptOutcome<RequestEnd.Answered> kept) {
+        private void repeat(KeptOutcome<RequestCompletion.Answered> kept) {
             if (!kept.fingerprint().equals(mFingerprint)) {
                 refuse(OnceOnlyRefusals.wrongRequest());
                 return;
             }
             record("operation-repeated", mRequest, kept.key());
-            mListener.accept(OutcomeEnds.end(kept.outcome()));
+            mListener.accept(OutcomeConverter.toCompletion(kept.outcome()));
         }
 
         private void refuse(Refusal refusal) {
-            mListener.accept(new RequestEnd.Refused(refusal));
+            mListener.accept(new RequestCompletion.Refused(refusal));
         }
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyRefusals.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyRefusals.java
@@ -5,7 +5,7 @@
 import io.masticpond.core.request.Refusal;
 import io.masticpond.core.request.RefusalCause;
 import io.masticpond.core.request.Verdict;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import java.time.Duration;
 import java.util.Optional;
 
@@ -56,11 +56,11 @@
      * Gives the end of a first attempt that another instance could not claim: that instance did not
      * know that no attempt came before.
      */
-    static RequestEnd ofFirstAttempt(RequestEnd end) {
+    static RequestCompletion ofFirstAttempt(RequestCompletion end) {
         boolean unclaimed =
-                end instanceof RequestEnd.Refused refused
+                end instanceof RequestCompletion.Refused refused
                         && refused.refusal().cause() == RefusalCause.PLATFORM_AWAY;
-        return unclaimed ? new RequestEnd.Refused(platformUnavailable(true)) : end;
+        return unclaimed ? new RequestCompletion.Refused(platformUnavailable(true)) : end;
     }
 
     static Refusal homeUnreachable(boolean firstAttempt) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyRunner.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyRunner.java
@@ -1,6 +1,6 @@
 package io.masticpond.daemon.operation;
 
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import io.masticpond.daemon.steering.SteeredRequest;
 import java.util.function.Consumer;
 
@@ -19,5 +19,5 @@
      * @param request the request, with its operation id
      * @param listener takes the one end, on the steering duty
      */
-    void run(SteeredRequest request, Consumer<RequestEnd> listener);
+    void run(SteeredRequest request, Consumer<RequestCompletion> listener);
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationArchive.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationArchive.java
@@ -4,7 +4,7 @@
 import io.masticpond.core.operation.ClaimResult;
 import io.masticpond.core.operation.KeptOutcome;
 import io.masticpond.core.operation.OperationKey;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import java.util.Optional;
 import java.util.function.Consumer;
 
@@ -29,7 +29,7 @@
      *
      * @param outcome the outcome
      */
-    void keep(KeptOutcome<RequestEnd.Answered> outcome);
+    void keep(KeptOutcome<RequestCompletion.Answered> outcome);
 
     /**
      * Looks for the outcome of an operation of another home.
@@ -38,5 +38,5 @@
      * @param listener takes the outcome, or empty if the platform has none or is away; on the
      *     steering duty
      */
-    void find(OperationKey key, Consumer<Optional<KeptOutcome<RequestEnd.Answered>>> listener);
+    void find(OperationKey key, Consumer<Optional<KeptOutcome<RequestCompletion.Answered>>> listener);
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationHandover.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationHandover.java
@@ -4,7 +4,7 @@
 import io.masticpond.core.operation.KeptOutcome;
 import io.masticpond.core.support.Assert;
 import io.masticpond.daemon.duty.EventLoop;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import java.time.Duration;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -53,7 +53,7 @@
      * @return whether the platform or another instance holds every outcome
      */
     public boolean handOver(Duration bound) {
-        CompletableFuture<List<KeptOutcome<RequestEnd.Answered>>> kept = new CompletableFuture<>();
+        CompletableFuture<List<KeptOutcome<RequestCompletion.Answered>>> kept = new CompletableFuture<>();
         boolean taken =
                 mSteering.put(
                         () -> {
@@ -70,7 +70,7 @@
         return copied.thenCombine(adopted, Boolean::logicalOr).join();
     }
 
-    private CompletableFuture<Boolean> adopt(List<KeptOutcome<RequestEnd.Answered>> outcomes) {
+    private CompletableFuture<Boolean> adopt(List<KeptOutcome<RequestCompletion.Answered>> outcomes) {
         return mPeers.handOver(mHome, outcomes).thenApply(count -> count == outcomes.size());
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationHome.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationHome.java
@@ -2,7 +2,7 @@
 
 import io.masticpond.core.operation.OperationKeyIssuer;
 import io.masticpond.core.operation.OperationRegistry;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 
 /**
  * The keys and operations of this run of the instance.
@@ -12,4 +12,4 @@
  * @since 0.1
  */
 public record OperationHome(
-        OperationKeyIssuer issuer, OperationRegistry<RequestEnd.Answered> registry) {}
+        OperationKeyIssuer issuer, OperationRegistry<RequestCompletion.Answered> registry) {}
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationPeers.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationPeers.java
@@ -6,7 +6,7 @@
 import io.masticpond.core.operation.KeptOutcome;
 import io.masticpond.core.operation.OperationKey;
 import io.masticpond.daemon.steering.RemoteAdmitter.ForwardResult;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import io.masticpond.daemon.steering.SteeredRequest;
 import java.util.List;
 import java.util.Optional;
@@ -74,5 +74,5 @@
      * @return how many outcomes the other instance took
      */
     CompletableFuture<Integer> handOver(
-            Incarnation home, List<KeptOutcome<RequestEnd.Answered>> outcomes);
+            Incarnation home, List<KeptOutcome<RequestCompletion.Answered>> outcomes);
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationReceiver.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationReceiver.java
@@ -10,7 +10,7 @@
 import io.masticpond.daemon.forwarding.ForwardCodec;
 import io.masticpond.daemon.instance.InstanceLinks;
 import io.masticpond.daemon.instance.Responder;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import io.masticpond.daemon.steering.SteeredRequest;
 import io.masticpond.protocol.generated.Envelope;
 import io.masticpond.protocol.generated.HandoverReceipt;
@@ -61,7 +61,7 @@
     private void ask(InstanceId from, Envelope envelope, Responder responder) {
         String key = envelope.getOperationAsk().getOperationKey();
         SteeredRequest request;
-        Consumer<Consumer<RequestEnd>> task;
+        Consumer<Consumer<RequestCompletion>> task;
         try {
             request =
                     ForwardCodec.toRequest(
@@ -75,7 +75,7 @@
     }
 
     /** Tells what to do with a request, which ends by a call of the listener given to the task. */
-    private Consumer<Consumer<RequestEnd>> task(String key, SteeredRequest request) {
+    private Consumer<Consumer<RequestCompletion>> task(String key, SteeredRequest request) {
         if (key.startsWith(LinkOperationPeers.CLAIM_PREFIX)) {
             CallerKey callerKey =
                     new CallerKey(key.substring(LinkOperationPeers.CLAIM_PREFIX.length()));
@@ -87,7 +87,7 @@
         return listener -> mGuard.receive(operationKey, request, listener);
     }
 
-    private static void answer(Responder responder, SteeredRequest request, RequestEnd end) {
+    private static void answer(Responder responder, SteeredRequest request, RequestCompletion end) {
         responder.answer(
                 Envelope.newBuilder()
                         .setForwardAnswer(ForwardCodec.toAnswer(request.head().id(), end))
@@ -95,7 +95,7 @@
     }
 
     private void handover(InstanceId from, Envelope envelope, Responder responder) {
-        List<KeptOutcome<RequestEnd.Answered>> outcomes;
+        List<KeptOutcome<RequestCompletion.Answered>> outcomes;
         try {
             outcomes = OutcomeCodec.fromMessage(envelope.getOutcomeHandover());
         } catch (IllegalArgumentException e) {
@@ -107,9 +107,9 @@
 
     /** Takes the outcomes of the sender's own operations; of others it has no say. */
     private void adopt(
-            InstanceId from, List<KeptOutcome<RequestEnd.Answered>> outcomes, Responder responder) {
+            InstanceId from, List<KeptOutcome<RequestCompletion.Answered>> outcomes, Responder responder) {
         int taken = 0;
-        for (KeptOutcome<RequestEnd.Answered> outcome : outcomes) {
+        for (KeptOutcome<RequestCompletion.Answered> outcome : outcomes) {
             boolean own = outcome.key().home().instance().equals(from);
             if (own && mGuard.adopt(outcome)) {
                 taken++;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OutcomeCodec.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OutcomeCodec.java
@@ -9,7 +9,7 @@
 import io.masticpond.core.operation.OperationOutcome;
 import io.masticpond.core.operation.OperationRegistry;
 import io.masticpond.daemon.forwarding.ForwardCodec;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import io.masticpond.protocol.generated.OutcomeEntry;
 import io.masticpond.protocol.generated.OutcomeHandover;
 import java.util.List;
@@ -25,17 +25,17 @@
 
     private OutcomeCodec() {}
 
-    static byte[] toBytes(List<KeptOutcome<RequestEnd.Answered>> outcomes) {
+    static byte[] toBytes(List<KeptOutcome<RequestCompletion.Answered>> outcomes) {
         return toMessage(outcomes).toByteArray();
     }
 
-    static OutcomeHandover toMessage(List<KeptOutcome<RequestEnd.Answered>> outcomes) {
+    static OutcomeHandover toMessage(List<KeptOutcome<RequestCompletion.Answered>> outcomes) {
         OutcomeHandover.Builder message = OutcomeHandover.newBuilder();
         outcomes.forEach(outcome -> message.addOutcomes(toEntry(outcome)));
         return message.build();
     }
 
-    static OutcomeEntry toEntry(KeptOutcome<RequestEnd.Answered> outcome) {
+    static OutcomeEntry toEntry(KeptOutcome<RequestCompletion.Answered> outcome) {
         return OutcomeEntry.newBuilder()
                 .setOperationKey(outcome.key().toString())
                 .setFingerprint(ByteString.copyFromUtf8(outcome.fingerprint().text()))
@@ -49,7 +49,7 @@
      *
      * @throws IllegalArgumentException if the bytes are not what an instance of ours writes
      */
-    static List<KeptOutcome<RequestEnd.Answered>> fromBytes(byte[] bytes) {
+    static List<KeptOutcome<RequestCompletion.Answered>> fromBytes(byte[] bytes) {
         try {
             return fromMessage(OutcomeHandover.parseFrom(bytes));
         } catch (InvalidProtocolBufferException e) {
@@ -62,11 +62,11 @@
      *
      * @throws IllegalArgumentException if an entry is not what an instance of ours writes
      */
-    static List<KeptOutcome<RequestEnd.Answered>> fromMessage(OutcomeHandover message) {
+    static List<KeptOutcome<RequestCompletion.Answered>> fromMessage(OutcomeHandover message) {
         return message.getOutcomesList().stream().map(OutcomeCodec::fromEntry).toList();
     }
 
-    private static KeptOutcome<RequestEnd.Answered> fromEntry(OutcomeEntry entry) {
+    private static KeptOutcome<RequestCompletion.Answered> fromEntry(OutcomeEntry entry) {
         OperationKey key =
                 OperationKey.parse(entry.getOperationKey())
                         .orElseThrow(
@@ -76,19 +76,19 @@
         return new KeptOutcome<>(
                 key,
                 new Fingerprint(entry.getFingerprint().toStringUtf8()),
-                toOutcome(ForwardCodec.toEnd(entry.getEnd())));
+                toOutcome(ForwardCodec.toCompletion(entry.getEnd())));
     }
 
     /** Gives the end that repeats get, without an answer that is too big to be copied. */
-    private static RequestEnd toEnd(OperationOutcome<RequestEnd.Answered> outcome) {
-        RequestEnd end = OutcomeEnds.end(outcome);
+    private static RequestCompletion toEnd(OperationOutcome<RequestCompletion.Answered> outcome) {
+        RequestCompletion end = OutcomeConverter.toCompletion(outcome);
         boolean tooBig =
-                end instanceof RequestEnd.Answered answered
+                end instanceof RequestCompletion.Answered answered
                         && AnswerSize.of(answered) > LARGEST_COPIED_ANSWER;
-        return tooBig ? new RequestEnd.Refused(OperationRegistry.answerNotKept()) : end;
+        return tooBig ? new RequestCompletion.Refused(OperationRegistry.answerNotKept()) : end;
     }
 
-    private static OperationOutcome<RequestEnd.Answered> toOutcome(RequestEnd end) {
-        return OutcomeEnds.outcome(end);
+    private static OperationOutcome<RequestCompletion.Answered> toOutcome(RequestCompletion end) {
+        return OutcomeConverter.toOutcome(end);
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OutcomeWaiters.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OutcomeWaiters.java
@@ -2,7 +2,7 @@
 
 import io.masticpond.core.id.RequestId;
 import io.masticpond.core.operation.OperationKey;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import io.masticpond.daemon.steering.SteeredRequest;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -20,13 +20,13 @@
     private int mCount;
 
     /** A request that waits. */
-    private record Waiter(SteeredRequest request, Consumer<RequestEnd> listener) {}
+    private record Waiter(SteeredRequest request, Consumer<RequestCompletion> listener) {}
 
     /** Lets a request wait, or ends it at once if too many wait. */
-    void add(OperationKey key, SteeredRequest request, Consumer<RequestEnd> listener) {
+    void add(OperationKey key, SteeredRequest request, Consumer<RequestCompletion> listener) {
         List<Waiter> waiters = mWaiters.computeIfAbsent(key, unused -> new ArrayList<>());
         if (waiters.size() >= MAXIMUM_FOR_OPERATION || mCount >= MAXIMUM) {
-            listener.accept(new RequestEnd.Refused(OnceOnlyRefusals.inProgress()));
+            listener.accept(new RequestCompletion.Refused(OnceOnlyRefusals.inProgress()));
             return;
         }
         waiters.add(new Waiter(request, listener));
@@ -34,7 +34,7 @@
     }
 
     /** Gives the outcome to all who wait for it. */
-    void end(OperationKey key, RequestEnd end) {
+    void end(OperationKey key, RequestCompletion end) {
         List<Waiter> waiters = mWaiters.remove(key);
         if (waiters == null) {
             return;
@@ -55,7 +55,7 @@
         }
         mWaiters.values().removeIf(List::isEmpty);
         mCount -= overdue.size();
-        RequestEnd end = new RequestEnd.Refused(OnceOnlyRefusals.inProgress());
+        RequestCompletion end = new RequestCompletion.Refused(OnceOnlyRefusals.inProgress());
         overdue.forEach(waiter -> waiter.listener().accept(end));
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/PlatformOperationArchive.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/PlatformOperationArchive.java
@@ -17,7 +17,7 @@
 import io.masticpond.daemon.platform.ObjectStore;
 import io.masticpond.daemon.platform.PlatformError;
 import io.masticpond.daemon.platform.StoredObject;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import io.vavr.control.Either;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -49,7 +49,7 @@
     private final ObjectStore mStore;
     private final Incarnation mHome;
     private final ClaimBatcher mClaims;
-    private final OutcomeBatcher<RequestEnd.Answered> mOutcomes;
+    private final OutcomeBatcher<RequestCompletion.Answered> mOutcomes;
     private final Executor mSteering;
     private final List<CompletableFuture<Boolean>> mFlushes = new ArrayList<>();
 
@@ -68,7 +68,7 @@
             ObjectStore store,
             Incarnation home,
             ClaimBatcher claims,
-            OutcomeBatcher<RequestEnd.Answered> outcomes,
+            OutcomeBatcher<RequestCompletion.Answered> outcomes,
             Executor steering) {
         mDuty = Assert.notNull(duty, "A duty");
         mStore = Assert.notNull(store, "An object store");
@@ -96,7 +96,7 @@
     }
 
     @Override
-    public void keep(KeptOutcome<RequestEnd.Answered> outcome) {
+    public void keep(KeptOutcome<RequestCompletion.Answered> outcome) {
         if (!mDuty.offer(() -> mOutcomes.add(outcome))) {
             sLogger.warn("ONCE  An outcome was not copied: the ring was full.");
         }
@@ -104,7 +104,7 @@
 
     @Override
     public void find(
-            OperationKey key, Consumer<Optional<KeptOutcome<RequestEnd.Answered>>> listener) {
+            OperationKey key, Consumer<Optional<KeptOutcome<RequestCompletion.Answered>>> listener) {
         CompletableFuture<Void> unused =
                 mStore.read(OperationObjects.outcomes(key.home(), OutcomeBatcher.segment(key)))
                         .thenAccept(
@@ -165,15 +165,15 @@
                                         }));
     }
 
-    private void call(OutcomeCall<RequestEnd.Answered> call) {
+    private void call(OutcomeCall<RequestCompletion.Answered> call) {
         ObjectKey key = OperationObjects.outcomes(mHome, call.segment());
         CompletableFuture<StoreAnswer<Long>> answer;
-        if (call instanceof OutcomeCall.Write<RequestEnd.Answered> write) {
+        if (call instanceof OutcomeCall.Write<RequestCompletion.Answered> write) {
             byte[] bytes = OutcomeCodec.toBytes(write.outcomes());
             answer =
                     mStore.write(key, write.expectedVersion(), bytes)
                             .thenApply(result -> written(result, PlatformOperationArchive::version));
-        } else if (call instanceof OutcomeCall.Delete<RequestEnd.Answered> delete) {
+        } else if (call instanceof OutcomeCall.Delete<RequestCompletion.Answered> delete) {
             answer =
                     mStore.delete(key, delete.expectedVersion())
                             .thenApply(
@@ -239,7 +239,7 @@
         return new StoreAnswer.Unavailable<>();
     }
 
-    private static Optional<KeptOutcome<RequestEnd.Answered>> outcome(
+    private static Optional<KeptOutcome<RequestCompletion.Answered>> outcome(
             OperationKey key, Either<PlatformError, Optional<StoredObject>> answer) {
         if (answer.isLeft() || answer.get().isEmpty()) {
             return Optional.empty();
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/AnswerReader.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/AnswerReader.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import io.masticpond.core.id.InstanceId;
 import io.masticpond.core.id.ZoneId;
-import io.masticpond.daemon.platform.TransportEnd.Answered;
+import io.masticpond.daemon.platform.TransportResult.Answered;
 import io.vavr.control.Either;
 import java.io.IOException;
 import java.util.List;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/CallRunner.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/CallRunner.java
@@ -4,9 +4,9 @@
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.daemon.duty.EventLoop;
 import io.masticpond.daemon.platform.Endpoints.Endpoint;
-import io.masticpond.daemon.platform.TransportEnd.Answered;
-import io.masticpond.daemon.platform.TransportEnd.Broken;
-import io.masticpond.daemon.platform.TransportEnd.NotSent;
+import io.masticpond.daemon.platform.TransportResult.Answered;
+import io.masticpond.daemon.platform.TransportResult.Broken;
+import io.masticpond.daemon.platform.TransportResult.NotSent;
 import io.vavr.control.Either;
 import java.time.Duration;
 import java.util.LinkedHashSet;
@@ -130,7 +130,7 @@
                 });
     }
 
-    private <T> void end(PendingCall<T> call, Endpoint endpoint, TransportEnd end) {
+    private <T> void end(PendingCall<T> call, Endpoint endpoint, TransportResult end) {
         if (call.future().isDone()) {
             return;
         }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/HttpObjectStore.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/HttpObjectStore.java
@@ -2,7 +2,7 @@
 
 import io.masticpond.core.support.Assert;
 import io.masticpond.core.time.TimeSource;
-import io.masticpond.daemon.platform.TransportEnd.Answered;
+import io.masticpond.daemon.platform.TransportResult.Answered;
 import io.vavr.control.Either;
 import java.time.Duration;
 import java.util.ArrayList;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/HttpTransport.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/HttpTransport.java
@@ -1,9 +1,9 @@
 package io.masticpond.daemon.platform;
 
 import io.masticpond.daemon.http.HttpClients;
-import io.masticpond.daemon.platform.TransportEnd.Answered;
-import io.masticpond.daemon.platform.TransportEnd.Broken;
-import io.masticpond.daemon.platform.TransportEnd.NotSent;
+import io.masticpond.daemon.platform.TransportResult.Answered;
+import io.masticpond.daemon.platform.TransportResult.Broken;
+import io.masticpond.daemon.platform.TransportResult.NotSent;
 import java.io.IOException;
 import java.time.Duration;
 import java.util.Optional;
@@ -50,7 +50,7 @@
         return mClient.dispatcher().runningCallsCount() >= MAXIMUM_IN_FLIGHT;
     }
 
-    void send(Request.Builder request, Duration timeout, Consumer<TransportEnd> listener) {
+    void send(Request.Builder request, Duration timeout, Consumer<TransportResult> listener) {
         SendWatch watch = new SendWatch();
         Call call = mClient.newCall(request.tag(SendWatch.class, watch).build());
         call.timeout().timeout(timeout.toNanos(), TimeUnit.NANOSECONDS);
@@ -73,7 +73,7 @@
         HttpClients.close(mClient);
     }
 
-    private static TransportEnd read(Response response) {
+    private static TransportResult read(Response response) {
         try (response) {
             if (response.body().source().request(MAXIMUM_ANSWER_BYTES + 1L)) {
                 return new Broken("The answer is larger than an object may be.");
@@ -104,7 +104,7 @@
             mStarted = true;
         }
 
-        TransportEnd end(IOException e) {
+        TransportResult end(IOException e) {
             return mStarted ? new Broken(reason(e)) : new NotSent(reason(e));
         }
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/PendingCall.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/PendingCall.java
@@ -1,6 +1,6 @@
 package io.masticpond.daemon.platform;
 
-import io.masticpond.daemon.platform.TransportEnd.Answered;
+import io.masticpond.daemon.platform.TransportResult.Answered;
 import io.vavr.control.Either;
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/TransportEnd.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/TransportResult.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /** How one attempt to call the platform ended. */
-sealed interface TransportEnd {
+sealed interface TransportResult {
 
     /** A whole answer came. */
     @SuppressWarnings("ArrayRecordComponent")
@@ -13,11 +13,11 @@
             Optional<String> contentType,
             Optional<String> retryAfter,
             byte[] body)
-            implements TransportEnd {}
+            implements TransportResult {}
 
     /** No byte of the call was sent. */
-    record NotSent(String reason) implements TransportEnd {}
+    record NotSent(String reason) implements TransportResult {}
 
     /** The call was sent, at least in part, and no whole answer came. */
-    record Broken(String reason) implements TransportEnd {}
+    record Broken(String reason) implements TransportResult {}
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/AdmitterSteering.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/AdmitterSteering.java
@@ -69,7 +69,7 @@
      * @param request the request
      * @param listener takes the one end, on the steering duty
      */
-    public void offer(Shard shard, SteeredRequest request, Consumer<RequestEnd> listener) {
+    public void offer(Shard shard, SteeredRequest request, Consumer<RequestCompletion> listener) {
         if (!mDirectory.admitsHere(shard)) {
             refuse(listener, RefusalCause.NOT_READY, "Another instance admits to " + shard + ".");
             return;
@@ -163,18 +163,18 @@
         mShards.values().forEach(each -> each.mAdmission.advance());
     }
 
-    private static void refuse(Consumer<RequestEnd> listener, RefusalCause cause, String detail) {
-        listener.accept(new RequestEnd.Refused(Refusal.didNotRun(cause, detail)));
+    private static void refuse(Consumer<RequestCompletion> listener, RefusalCause cause, String detail) {
+        listener.accept(new RequestCompletion.Refused(Refusal.didNotRun(cause, detail)));
     }
 
     /** A request that waits or is at a backend server. */
     private static final class PendingRequest {
 
         private final SteeredRequest mRequest;
-        private final Consumer<RequestEnd> mListener;
+        private final Consumer<RequestCompletion> mListener;
         private BackendDispatcher.Attempt mAttempt;
 
-        PendingRequest(SteeredRequest request, Consumer<RequestEnd> listener) {
+        PendingRequest(SteeredRequest request, Consumer<RequestCompletion> listener) {
             mRequest = request;
             mListener = listener;
         }
@@ -206,7 +206,7 @@
             mAdmission.configure(List.of(), mDirectory.share(mShard));
         }
 
-        void offer(SteeredRequest request, Consumer<RequestEnd> listener) {
+        void offer(SteeredRequest request, Consumer<RequestCompletion> listener) {
             mPending.put(request.head().id(), new PendingRequest(request, listener));
             mAdmission.offer(request.head());
         }
@@ -240,7 +240,7 @@
                     head.service().value(),
                     head.id().value(),
                     refusal.cause().text());
-            end(head.id(), new RequestEnd.Refused(refusal));
+            end(head.id(), new RequestCompletion.Refused(refusal));
         }
 
         private void complete(
@@ -249,10 +249,10 @@
                 mAdmission.observe(server, BackendServerSignal.of(BackendServerSignal.Kind.LEAVING));
             }
             mAdmission.complete(id, result.outcome());
-            end(id, result.end());
+            end(id, result.completion());
         }
 
-        private void end(RequestId id, RequestEnd end) {
+        private void end(RequestId id, RequestCompletion end) {
             PendingRequest pending = mPending.remove(id);
             mRequests.remove(id);
             if (pending != null) {
@@ -260,8 +260,8 @@
             }
         }
 
-        private RequestEnd refused(RefusalCause cause, String detail) {
-            return new RequestEnd.Refused(Refusal.didNotRun(cause, detail));
+        private RequestCompletion refused(RefusalCause cause, String detail) {
+            return new RequestCompletion.Refused(Refusal.didNotRun(cause, detail));
         }
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/BackendDispatcher.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/BackendDispatcher.java
@@ -34,8 +34,8 @@
      * The end of an attempt.
      *
      * @param outcome how it ended
-     * @param end what the caller is told
+     * @param completion what the caller is told
      * @param leaving whether the backend server said that it is leaving
      */
-    record AttemptResult(AttemptOutcome outcome, RequestEnd end, boolean leaving) {}
+    record AttemptResult(AttemptOutcome outcome, RequestCompletion completion, boolean leaving) {}
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/ConfiguredRegionSelector.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/ConfiguredRegionSelector.java
@@ -6,7 +6,7 @@
 import io.masticpond.core.id.ServiceId;
 import io.masticpond.core.id.ZoneId;
 import io.masticpond.core.region.DefaultRegionSelector;
-import io.masticpond.core.region.RegionAttemptEnd;
+import io.masticpond.core.region.RegionAttemptOutcome;
 import io.masticpond.core.region.RegionSelector;
 import io.masticpond.core.region.RegionSelectorParameters;
 import io.masticpond.core.region.RegionStatus;
@@ -114,7 +114,7 @@
     }
 
     @Override
-    public void ended(RequestHead request, RegionId region, RegionAttemptEnd end) {
+    public void ended(RequestHead request, RegionId region, RegionAttemptOutcome end) {
         if (mSelector != null) {
             mSelector.ended(request, region, end);
         }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/EntrySteering.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/EntrySteering.java
@@ -6,7 +6,7 @@
 import io.masticpond.core.id.RegionId;
 import io.masticpond.core.id.RequestId;
 import io.masticpond.core.id.ServiceId;
-import io.masticpond.core.region.RegionAttemptEnd;
+import io.masticpond.core.region.RegionAttemptOutcome;
 import io.masticpond.core.region.RegionSelector;
 import io.masticpond.core.region.RetryBudget;
 import io.masticpond.core.request.Refusal;
@@ -119,7 +119,7 @@
      * @param request the request; its id must not be in use
      * @param listener takes the one end, on the steering duty
      */
-    public void submit(SteeredRequest request, Consumer<RequestEnd> listener) {
+    public void submit(SteeredRequest request, Consumer<RequestCompletion> listener) {
         Flow flow = new Flow(request, listener);
         mFlows.put(request.head().id(), flow);
         mRetries.firstAttempt();
@@ -171,7 +171,7 @@
     private final class Flow {
 
         private final SteeredRequest mRequest;
-        private final Consumer<RequestEnd> mListener;
+        private final Consumer<RequestCompletion> mListener;
         private final Set<RegionId> mTried = new HashSet<>();
         private final Queue<ShardDirectory.ShardRoute> mRoutes = new ArrayDeque<>();
         private RegionId mRegion;
@@ -186,7 +186,7 @@
 
         private final long mStartNanos = mTimeSource.monotonicNanos();
 
-        Flow(SteeredRequest request, Consumer<RequestEnd> listener) {
+        Flow(SteeredRequest request, Consumer<RequestCompletion> listener) {
             mRequest = request;
             mListener = listener;
         }
@@ -206,7 +206,7 @@
             }
             Either<Refusal, RegionId> choice = mSelector.select(mRequest.head(), mTried);
             if (choice.isLeft()) {
-                finish(new RequestEnd.Refused(choice.getLeft()));
+                finish(new RequestCompletion.Refused(choice.getLeft()));
                 return;
             }
             mRegion = choice.get();
@@ -219,7 +219,7 @@
             long price = service.map(found -> found.priceMicros(mRegion)).orElse(0L);
             Either<Refusal, Charge> charge = mSpending.charge(mRequest.head().service(), price);
             if (charge.isLeft()) {
-                mSelector.ended(mRequest.head(), mRegion, RegionAttemptEnd.FAILED);
+                mSelector.ended(mRequest.head(), mRegion, RegionAttemptOutcome.FAILED);
                 notCharged(charge.getLeft());
                 return;
             }
@@ -235,7 +235,7 @@
                 mWaiting.add(this);
                 return;
             }
-            finish(new RequestEnd.Refused(refusal));
+            finish(new RequestCompletion.Refused(refusal));
         }
 
         private void forward() {
@@ -243,7 +243,7 @@
                     mDirectory.routes(mRequest.head().service(), mRegion);
             if (routes.isEmpty()) {
                 attemptRefused(
-                        RegionAttemptEnd.LOST,
+                        RegionAttemptOutcome.LOST,
                         Refusal.didNotRun(
                                 RefusalCause.INSTANCE_LOST,
                                 "No instance can be reached in " + mRegion + "."));
@@ -267,7 +267,7 @@
         private void forward(ShardDirectory.ShardRoute route, int choice) {
             if (choice >= route.admitters().size()) {
                 shardRefused(
-                        RegionAttemptEnd.LOST,
+                        RegionAttemptOutcome.LOST,
                         Refusal.didNotRun(
                                 RefusalCause.INSTANCE_LOST,
                                 "No admitter of " + route.shard() + " can be reached."));
@@ -295,39 +295,39 @@
                                                 mRequest.head().service(),
                                                 mRegion,
                                                 mDirectory.observe(route.shard(), counts)));
-                if (isNotAdmitter(end.end())) {
+                if (isNotAdmitter(end.completion())) {
                     forward(route, choice + 1);
                     return;
                 }
-                ended(end.end());
+                ended(end.completion());
             } else if (result instanceof RemoteAdmitter.ForwardResult.NotSent) {
                 forward(route, choice + 1);
             } else if (result instanceof RemoteAdmitter.ForwardResult.Lost lost) {
-                ended(new RequestEnd.Refused(Refusal.mayHaveRun(lost.cause(), lost.reason())));
+                ended(new RequestCompletion.Refused(Refusal.mayHaveRun(lost.cause(), lost.reason())));
             }
         }
 
-        private boolean isNotAdmitter(RequestEnd end) {
-            return end instanceof RequestEnd.Refused refused
+        private boolean isNotAdmitter(RequestCompletion end) {
+            return end instanceof RequestCompletion.Refused refused
                     && refused.refusal().verdict() == Verdict.DID_NOT_RUN
                     && refused.refusal().cause() == RefusalCause.NOT_READY;
         }
 
-        private void ended(RequestEnd end) {
-            if (end instanceof RequestEnd.Refused refused) {
+        private void ended(RequestCompletion end) {
+            if (end instanceof RequestCompletion.Refused refused) {
                 if (refused.refusal().verdict() == Verdict.DID_NOT_RUN) {
-                    shardRefused(RegionAttemptEnd.REFUSED, refused.refusal());
+                    shardRefused(RegionAttemptOutcome.REFUSED, refused.refusal());
                 } else {
                     attemptFailed(refused);
                 }
                 return;
             }
-            mSelector.ended(mRequest.head(), mRegion, RegionAttemptEnd.ANSWERED);
+            mSelector.ended(mRequest.head(), mRegion, RegionAttemptOutcome.ANSWERED);
             finish(end);
         }
 
         /** Goes on with the next shard of the region, and with the next region after the last. */
-        private void shardRefused(RegionAttemptEnd how, Refusal refusal) {
+        private void shardRefused(RegionAttemptOutcome how, Refusal refusal) {
             if (mCancelled || isFinal(refusal.cause()) || mRoutes.isEmpty()) {
                 attemptRefused(how, refusal);
                 return;
@@ -335,12 +335,12 @@
             forwardToNextShard();
         }
 
-        private void attemptRefused(RegionAttemptEnd how, Refusal refusal) {
+        private void attemptRefused(RegionAttemptOutcome how, Refusal refusal) {
             mSpending.refund(mCharge);
             mSelector.ended(mRequest.head(), mRegion, how);
             mTried.add(mRegion);
             if (mCancelled || isFinal(refusal.cause())) {
-                finish(new RequestEnd.Refused(refusal));
+                finish(new RequestCompletion.Refused(refusal));
                 return;
             }
             step();
@@ -352,8 +352,8 @@
                     || cause == RefusalCause.BAD_REQUEST;
         }
 
-        private void attemptFailed(RequestEnd.Refused refused) {
-            mSelector.ended(mRequest.head(), mRegion, RegionAttemptEnd.FAILED);
+        private void attemptFailed(RequestCompletion.Refused refused) {
+            mSelector.ended(mRequest.head(), mRegion, RegionAttemptOutcome.FAILED);
             mMayHaveRun = true;
             if (!mCancelled
                     && mRetries.tryRetry(refused.refusal().verdict(), mRequest.head().kind())) {
@@ -380,10 +380,10 @@
         }
 
         private void refuse(RefusalCause cause, String detail) {
-            finish(new RequestEnd.Refused(Refusal.didNotRun(cause, detail)));
+            finish(new RequestCompletion.Refused(Refusal.didNotRun(cause, detail)));
         }
 
-        private void finish(RequestEnd end) {
+        private void finish(RequestCompletion end) {
             mFlows.remove(mRequest.head().id());
             mListener.accept(mMayHaveRun ? end.asUncertain() : end);
         }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/MeteredDispatcher.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/MeteredDispatcher.java
@@ -43,7 +43,7 @@
                 request,
                 server,
                 result -> {
-                    if (result.end() instanceof RequestEnd.Answered) {
+                    if (result.completion() instanceof RequestCompletion.Answered) {
                         mMetrics.recordAttemptAnswer(
                                 request.head().service(),
                                 mTimeSource.monotonicNanos() - startNanos);
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/PeerFallbackEntry.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/PeerFallbackEntry.java
@@ -80,7 +80,7 @@
      * @param request the request; its id must not be in use
      * @param listener takes the one end, on the steering duty
      */
-    public void submit(SteeredRequest request, Consumer<RequestEnd> listener) {
+    public void submit(SteeredRequest request, Consumer<RequestCompletion> listener) {
         mEntry.submit(request, end -> ended(request, end, listener));
     }
 
@@ -98,19 +98,19 @@
         mEntry.cancel(request);
     }
 
-    private void ended(SteeredRequest request, RequestEnd end, Consumer<RequestEnd> listener) {
+    private void ended(SteeredRequest request, RequestCompletion end, Consumer<RequestCompletion> listener) {
         if (!cannotPay(end)) {
             listener.accept(end);
             return;
         }
-        Search search = new Search(request, (RequestEnd.Refused) end, listener);
+        Search search = new Search(request, (RequestCompletion.Refused) end, listener);
         mSearches.put(request.head().id(), search);
         search.askNext();
     }
 
     /** Tells whether a request did not run because its instance has no allotment, or not yet. */
-    private static boolean cannotPay(RequestEnd end) {
-        return end instanceof RequestEnd.Refused refused
+    private static boolean cannotPay(RequestCompletion end) {
+        return end instanceof RequestCompletion.Refused refused
                 && refused.refusal().verdict() == Verdict.DID_NOT_RUN
                 && NO_ALLOTMENT.contains(refused.refusal().cause());
     }
@@ -122,14 +122,14 @@
     private final class Search {
 
         private final SteeredRequest mRequest;
-        private final RequestEnd.Refused mOwnEnd;
-        private final Consumer<RequestEnd> mListener;
+        private final RequestCompletion.Refused mOwnEnd;
+        private final Consumer<RequestCompletion> mListener;
         private final Queue<InstanceId> mLeft = new ArrayDeque<>();
         private InstanceId mAsked;
         private boolean mMayHaveRun;
         private boolean mCancelled;
 
-        Search(SteeredRequest request, RequestEnd.Refused ownEnd, Consumer<RequestEnd> listener) {
+        Search(SteeredRequest request, RequestCompletion.Refused ownEnd, Consumer<RequestCompletion> listener) {
             mRequest = request;
             mOwnEnd = ownEnd;
             mListener = listener;
@@ -156,12 +156,12 @@
 
         private void answered(InstanceId from, RemoteAdmitter.ForwardResult result) {
             if (result instanceof RemoteAdmitter.ForwardResult.Ended ended) {
-                if (cannotPay(ended.end())) {
+                if (cannotPay(ended.completion())) {
                     mEmptySince.put(purse(from), mTimeSource.monotonicNanos());
                     askNext();
                     return;
                 }
-                finish(ended.end());
+                finish(ended.completion());
             } else if (result instanceof RemoteAdmitter.ForwardResult.Lost lost) {
                 lost(lost);
             } else {
@@ -175,7 +175,7 @@
                 askNext();
                 return;
             }
-            finish(new RequestEnd.Refused(Refusal.mayHaveRun(lost.cause(), lost.reason())));
+            finish(new RequestCompletion.Refused(Refusal.mayHaveRun(lost.cause(), lost.reason())));
         }
 
         private boolean isEmpty(AllotmentKey purse) {
@@ -187,7 +187,7 @@
             return new AllotmentKey(instance, mRequest.head().service());
         }
 
-        private void finish(RequestEnd end) {
+        private void finish(RequestCompletion end) {
             mSearches.remove(mRequest.head().id());
             mListener.accept(mMayHaveRun ? end.asUncertain() : end);
         }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/RemoteAdmitter.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/RemoteAdmitter.java
@@ -50,10 +50,10 @@
         /**
          * The admitter ended the request.
          *
-         * @param end the end
+         * @param completion the end
          * @param headroom the admitter's counts, if it told them
          */
-        record Ended(RequestEnd end, Optional<Headroom> headroom) implements ForwardResult {}
+        record Ended(RequestCompletion completion, Optional<Headroom> headroom) implements ForwardResult {}
 
         /**
          * No byte of the request reached the instance, so it did not run.
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/RequestEnd.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/RequestCompletion.java
@@ -9,14 +9,14 @@
  *
  * @since 0.1
  */
-public sealed interface RequestEnd {
+public sealed interface RequestCompletion {
 
     /**
      * Gives this end to a request of which an earlier attempt may have run.
      *
      * @return this end, but in place of a refusal that says it did not run one that says it may
      */
-    default RequestEnd asUncertain() {
+    default RequestCompletion asUncertain() {
         return this;
     }
 
@@ -30,7 +30,7 @@
      */
     @SuppressWarnings("ArrayRecordComponent")
     record Answered(int status, List<HeaderField> headers, byte[] body, String backendServer)
-            implements RequestEnd {
+            implements RequestCompletion {
 
         /** Copies the list. */
         public Answered {
@@ -43,10 +43,10 @@
      *
      * @param refusal what is known
      */
-    record Refused(Refusal refusal) implements RequestEnd {
+    record Refused(Refusal refusal) implements RequestCompletion {
 
         @Override
-        public RequestEnd asUncertain() {
+        public RequestCompletion asUncertain() {
             if (refusal.verdict() != Verdict.DID_NOT_RUN) {
                 return this;
             }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/OperationModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/OperationModule.java
@@ -18,7 +18,7 @@
 import io.masticpond.daemon.membership.MembershipService;
 import io.masticpond.daemon.operation.AnswerSize;
 import io.masticpond.daemon.operation.LinkOperationPeers;
-import io.masticpond.daemon.operation.MemberHomes;
+import io.masticpond.daemon.operation.MemberHomeDirectory;
 import io.masticpond.daemon.operation.OnceOnlyGuard;
 import io.masticpond.daemon.operation.PlatformOperationArchive;
 import io.masticpond.daemon.operation.OperationHome;
@@ -60,8 +60,8 @@
 
     @Provides
     @Singleton
-    static MemberHomes memberHomes(Incarnation incarnation, MembershipService members) {
-        return new MemberHomes(incarnation, () -> members.view().members());
+    static MemberHomeDirectory memberHomes(Incarnation incarnation, MembershipService members) {
+        return new MemberHomeDirectory(incarnation, () -> members.view().members());
     }
 
     @Provides
@@ -91,7 +91,7 @@
     static LinkOperationPeers operationPeers(
             DaemonSettings settings,
             InstanceLinks links,
-            MemberHomes homes,
+            MemberHomeDirectory homes,
             TimeSource timeSource) {
         return new LinkOperationPeers(links, homes, settings.instance().id(), timeSource);
     }
@@ -102,7 +102,7 @@
             Incarnation incarnation,
             @SteeringThread EventLoop steering,
             PeerFallbackEntry entry,
-            MemberHomes homes,
+            MemberHomeDirectory homes,
             LinkOperationPeers peers,
             PlatformOperationArchive operations,
             TimeSource timeSource,
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/backend/BackendHealthCheckerTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/backend/BackendHealthCheckerTest.java
@@ -123,21 +123,21 @@
     @Example
     void oneLostAnswerSaysNothing() {
         ProbeEvaluator judge = new ProbeEvaluator();
-        assertThat(judge.evaluate(new ProbeEnd.Failed())).isEmpty();
-        assertThat(judge.evaluate(new ProbeEnd.Failed())).isEmpty();
-        assertThat(judge.evaluate(new ProbeEnd.Failed()))
+        assertThat(judge.evaluate(new ProbeResult.Failed())).isEmpty();
+        assertThat(judge.evaluate(new ProbeResult.Failed())).isEmpty();
+        assertThat(judge.evaluate(new ProbeResult.Failed()))
                 .containsExactly(BackendServerSignal.of(Kind.UNHEALTHY));
     }
 
     @Example
     void serversThatAlwaysCloseConnectionsAreNotLeaving() {
         ProbeEvaluator judge = new ProbeEvaluator();
-        ProbeEnd closing = new ProbeEnd.Health(ProbeEnd.Status.HEALTHY, 1, true);
+        ProbeResult closing = new ProbeResult.Health(ProbeResult.Status.HEALTHY, 1, true);
         for (int answer = 0; answer < 5; answer++) {
             assertThat(judge.evaluate(closing))
                     .containsExactly(new BackendServerSignal(Kind.HEALTHY, 1));
         }
-        ProbeEnd keeping = new ProbeEnd.Health(ProbeEnd.Status.HEALTHY, 1, false);
+        ProbeResult keeping = new ProbeResult.Health(ProbeResult.Status.HEALTHY, 1, false);
         assertThat(judge.evaluate(keeping)).hasSize(1);
         assertThat(judge.evaluate(closing))
                 .extracting(BackendServerSignal::kind)
@@ -159,9 +159,9 @@
     @Example
     void oneGoodAnswerTakesNoDrainBack() {
         ProbeEvaluator judge = new ProbeEvaluator();
-        ProbeEnd leaving = new ProbeEnd.Health(ProbeEnd.Status.LEAVING, 1, false);
-        ProbeEnd well = new ProbeEnd.Health(ProbeEnd.Status.HEALTHY, 1, false);
-        for (ProbeEnd end : List.of(leaving, well, well, leaving, well, well)) {
+        ProbeResult leaving = new ProbeResult.Health(ProbeResult.Status.LEAVING, 1, false);
+        ProbeResult well = new ProbeResult.Health(ProbeResult.Status.HEALTHY, 1, false);
+        for (ProbeResult end : List.of(leaving, well, well, leaving, well, well)) {
             assertThat(judge.evaluate(end))
                     .extracting(BackendServerSignal::kind)
                     .doesNotContain(Kind.STAYING);
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/ConfigurationCodecTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/ConfigurationCodecTest.java
@@ -71,7 +71,7 @@
     void plainContentsAreIntentsButNothingAtAllIsNot() {
         ConfigurationIntent intent =
                 mCodec.decodeIntent(text("{\"regions\":[{\"id\":\"a\",\"zones\":[\"b\"]}]}")).get();
-        Assert.isTrue(intent instanceof ConfigurationIntent.Whole, "It was %s.", intent);
+        Assert.isTrue(intent instanceof ConfigurationIntent.Replace, "It was %s.", intent);
         List<ConfigurationFault> faults =
                 mCodec.decodeIntent(text("{\"regions\":[{\"id\":\"a\"}]}")).getLeft();
         Assert.isTrue(faults.get(0).path().equals("$.regions[0]"), "The faults are %s.", faults);
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/ConfigurationServiceTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/ConfigurationServiceTest.java
@@ -123,7 +123,7 @@
     void aLargeContentIsSplitAndReadBackByAnotherInstance() {
         Node node = mFleet.start("a", "casa-1");
         ConfigurationContent content = large();
-        Either<ConfigurationError, Plan> plan = plan(node, new ConfigurationIntent.Whole(content));
+        Either<ConfigurationError, Plan> plan = plan(node, new ConfigurationIntent.Replace(content));
         got(confirm(node, got(plan)));
         long parts =
                 mStore.names(ObjectKind.CONFIGURATION).stream()
@@ -156,7 +156,7 @@
     void partsOfOldCheckpointsAreDeleted() {
         Node node = mFleet.start("a", "casa-1");
         for (int i = 0; i < 5; i++) {
-            got(confirm(node, got(plan(node, new ConfigurationIntent.Whole(blocks(i, 3_000))))));
+            got(confirm(node, got(plan(node, new ConfigurationIntent.Replace(blocks(i, 3_000))))));
         }
         node.await(5);
         List<String> left =
