--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/gateway/MeteredCallerServiceTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/gateway/MeteredCallerServiceTest.java
@@ -17,7 +17,7 @@
 import io.masticpond.daemon.caller.CallerService;
 import io.masticpond.daemon.metrics.DaemonMetrics;
 import io.masticpond.daemon.metrics.MetricsRoutes;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import io.masticpond.daemon.steering.SteeredRequest;
 import java.io.IOException;
 import java.time.Duration;
@@ -55,11 +55,11 @@
         submit();
         mTime.stepWallClock(Duration.ofDays(-2));
         mDelegate.end(
-                new RequestEnd.Refused(Refusal.mayHaveRun(RefusalCause.INSTANCE_LOST, "Lost.")));
+                new RequestCompletion.Refused(Refusal.mayHaveRun(RefusalCause.INSTANCE_LOST, "Lost.")));
         submit();
         mTime.advance(Duration.ofMillis(30));
         mTime.stepWallClock(Duration.ofDays(5));
-        mDelegate.end(new RequestEnd.Answered(200, List.of(), new byte[0], "bk-1"));
+        mDelegate.end(new RequestCompletion.Answered(200, List.of(), new byte[0], "bk-1"));
         assertThat(scrape())
                 .contains(
                         "masticpond_refusals_total{cause=\"instance-lost\",service=\"booking\","
@@ -110,9 +110,9 @@
     /** Keeps the listeners until told how their requests end. */
     private static final class FakeCallerService implements CallerService {
 
-        private final Queue<Consumer<RequestEnd>> mListeners = new ArrayDeque<>();
+        private final Queue<Consumer<RequestCompletion>> mListeners = new ArrayDeque<>();
 
-        void end(RequestEnd end) {
+        void end(RequestCompletion end) {
             mListeners.remove().accept(end);
         }
 
@@ -138,7 +138,7 @@
 
         @Override
         public void submit(
-                SteeredRequest request, OperationKeys keys, Consumer<RequestEnd> listener) {
+                SteeredRequest request, OperationKeys keys, Consumer<RequestCompletion> listener) {
             mListeners.add(listener);
         }
 
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/metrics/AttemptMetricsTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/metrics/AttemptMetricsTest.java
@@ -27,7 +27,7 @@
 import io.masticpond.daemon.steering.BackendDispatcher.AttemptResult;
 import io.masticpond.daemon.steering.MeteredAdmission;
 import io.masticpond.daemon.steering.MeteredDispatcher;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import io.masticpond.daemon.steering.SteeredRequest;
 import io.prometheus.metrics.expositionformats.PrometheusTextFormatWriter;
 import java.io.ByteArrayOutputStream;
@@ -137,12 +137,12 @@
         AttemptResult answered =
                 new AttemptResult(
                         AttemptOutcome.ANSWERED,
-                        new RequestEnd.Answered(200, List.of(), new byte[0], "bk-1"),
+                        new RequestCompletion.Answered(200, List.of(), new byte[0], "bk-1"),
                         false);
         AttemptResult refused =
                 new AttemptResult(
                         AttemptOutcome.SHED,
-                        new RequestEnd.Refused(
+                        new RequestCompletion.Refused(
                                 Refusal.didNotRun(RefusalCause.BACKEND_SHED, "Shed.")),
                         false);
         listeners.get(0).accept(answered);
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/operation/GuardedInstances.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/operation/GuardedInstances.java
@@ -22,7 +22,7 @@
 import io.masticpond.core.time.ManualTimeSource;
 import io.masticpond.core.timeline.Timeline;
 import io.masticpond.daemon.steering.RemoteAdmitter.ForwardResult;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import io.masticpond.daemon.steering.SteeredRequest;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -44,7 +44,7 @@
 
     final ManualTimeSource mTime = new ManualTimeSource(Instant.parse("2026-12-02T06:00:00Z"));
     final Map<String, Integer> mExecutions = new HashMap<>();
-    final Map<OperationKey, KeptOutcome<RequestEnd.Answered>> mArchive = new HashMap<>();
+    final Map<OperationKey, KeptOutcome<RequestCompletion.Answered>> mArchive = new HashMap<>();
     final Map<String, OperationKey> mClaims = new HashMap<>();
     final Map<InstanceId, Instance> mInstances = new HashMap<>();
     boolean mPlatformUnavailable;
@@ -97,22 +97,22 @@
         return new OnceOnlyKeys(Optional.empty(), Optional.of(key), "", firstAttempt);
     }
 
-    static RequestEnd answer(String body) {
-        return new RequestEnd.Answered(
+    static RequestCompletion answer(String body) {
+        return new RequestCompletion.Answered(
                 201, List.of(), body.getBytes(StandardCharsets.UTF_8), "plate-1");
     }
 
-    static RequestEnd refused(Refusal refusal) {
-        return new RequestEnd.Refused(refusal);
+    static RequestCompletion refused(Refusal refusal) {
+        return new RequestCompletion.Refused(refusal);
     }
 
     /** The one end of a request, as its caller sees it. */
-    static final class End implements Consumer<RequestEnd> {
+    static final class End implements Consumer<RequestCompletion> {
 
-        private RequestEnd mEnd;
+        private RequestCompletion mEnd;
 
         @Override
-        public void accept(RequestEnd end) {
+        public void accept(RequestCompletion end) {
             if (mEnd != null) {
                 throw new AssertionError("A request ended twice: " + mEnd + ", then " + end + ".");
             }
@@ -124,12 +124,12 @@
         }
 
         String body() {
-            RequestEnd.Answered answered = (RequestEnd.Answered) mEnd;
+            RequestCompletion.Answered answered = (RequestCompletion.Answered) mEnd;
             return new String(answered.body(), StandardCharsets.UTF_8);
         }
 
         Refusal refusal() {
-            return ((RequestEnd.Refused) mEnd).refusal();
+            return ((RequestCompletion.Refused) mEnd).refusal();
         }
     }
 
@@ -138,7 +138,7 @@
 
         final Incarnation mHome;
         final OnceOnlyGuard mGuard;
-        final Map<String, Consumer<RequestEnd>> mRunning = new HashMap<>();
+        final Map<String, Consumer<RequestCompletion>> mRunning = new HashMap<>();
         boolean mAlive = true;
 
         Instance(Incarnation home) {
@@ -148,7 +148,7 @@
             OperationKeyIssuer issuer =
                     new OperationKeyIssuer(
                             home, new HmacKeyAuthenticator(secret), clock, Duration.ofMinutes(10));
-            OperationRegistry<RequestEnd.Answered> registry =
+            OperationRegistry<RequestCompletion.Answered> registry =
                     new OperationRegistry<>(
                             issuer, this::stateOf, clock, OperationLimits.DEFAULT, AnswerSize::of);
             mGuard =
@@ -168,7 +168,7 @@
         }
 
         /** Runs the one operation that waits at a backend server and gives its answer. */
-        void execute(RequestEnd end) {
+        void execute(RequestCompletion end) {
             String operation = mRunning.keySet().iterator().next();
             mExecutions.merge(operation, 1, Integer::sum);
             mRunning.remove(operation).accept(end);
@@ -185,7 +185,7 @@
             mRunning.keySet().forEach(operation -> mExecutions.merge(operation, 1, Integer::sum));
         }
 
-        private void run(SteeredRequest request, Consumer<RequestEnd> listener) {
+        private void run(SteeredRequest request, Consumer<RequestCompletion> listener) {
             mRunning.put(request.operationId().orElseThrow(), listener);
         }
 
@@ -220,7 +220,7 @@
 
         @Override
         public CompletableFuture<Integer> handOver(
-                Incarnation home, List<KeptOutcome<RequestEnd.Answered>> outcomes) {
+                Incarnation home, List<KeptOutcome<RequestCompletion.Answered>> outcomes) {
             return CompletableFuture.completedFuture(0);
         }
 
@@ -246,7 +246,7 @@
         private void pass(
                 InstanceId to,
                 Consumer<ForwardResult> listener,
-                Consumer<Consumer<RequestEnd>> request) {
+                Consumer<Consumer<RequestCompletion>> request) {
             if (mLinkFault == LinkFault.NOT_SENT || !mInstances.get(to).mAlive) {
                 listener.accept(new ForwardResult.NotSent("No connection."));
                 return;
@@ -273,7 +273,7 @@
         }
 
         @Override
-        public void keep(KeptOutcome<RequestEnd.Answered> outcome) {
+        public void keep(KeptOutcome<RequestCompletion.Answered> outcome) {
             if (!mPlatformUnavailable) {
                 mArchive.put(outcome.key(), outcome);
             }
@@ -281,7 +281,7 @@
 
         @Override
         public void find(
-                OperationKey key, Consumer<Optional<KeptOutcome<RequestEnd.Answered>>> listener) {
+                OperationKey key, Consumer<Optional<KeptOutcome<RequestCompletion.Answered>>> listener) {
             listener.accept(
                     mPlatformUnavailable ? Optional.empty() : Optional.ofNullable(mArchive.get(key)));
         }
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/operation/PlatformOperationArchiveTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/operation/PlatformOperationArchiveTest.java
@@ -25,7 +25,7 @@
 import io.masticpond.daemon.platform.HttpObjectStore;
 import io.masticpond.daemon.platform.PlatformClientSettings;
 import io.masticpond.daemon.platform.PlatformObserver;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import io.masticpond.testing.platform.PlatformCall;
 import io.masticpond.testing.platform.PlatformCallDisposition;
 import io.masticpond.testing.platform.PlatformFaults;
@@ -112,7 +112,7 @@
         assertThat(writes()).isLessThan(CLAIMS / 2);
         mCasa.close();
         for (OperationKey key : keys) {
-            Optional<KeptOutcome<RequestEnd.Answered>> found = mFes.find(key);
+            Optional<KeptOutcome<RequestCompletion.Answered>> found = mFes.find(key);
             assertThat(found.orElseThrow().fingerprint()).isEqualTo(RESERVE);
             assertThat(body(found.orElseThrow())).isEqualTo("answer " + key.sequence());
         }
@@ -137,7 +137,7 @@
         OperationKey key = mCasa.mIssuer.issue();
         mCasa.mDuty.keep(outcome(key, "x".repeat(OutcomeCodec.LARGEST_COPIED_ANSWER)));
         assertThat(get(mCasa.mDuty.flush(DEADLINE))).isTrue();
-        OperationOutcome<RequestEnd.Answered> found = mFes.find(key).orElseThrow().outcome();
+        OperationOutcome<RequestCompletion.Answered> found = mFes.find(key).orElseThrow().outcome();
         assertThat(found).isInstanceOf(OperationOutcome.Refused.class);
         assertThat(found.verdict()).isEqualTo(Verdict.RAN);
     }
@@ -166,13 +166,13 @@
         return mPlatform.state().counts().of(PlatformCall.WRITE);
     }
 
-    private static KeptOutcome<RequestEnd.Answered> outcome(OperationKey key, String body) {
-        RequestEnd answer = GuardedInstances.answer(body);
-        return new KeptOutcome<>(key, RESERVE, OutcomeEnds.outcome(answer));
+    private static KeptOutcome<RequestCompletion.Answered> outcome(OperationKey key, String body) {
+        RequestCompletion answer = GuardedInstances.answer(body);
+        return new KeptOutcome<>(key, RESERVE, OutcomeConverter.toOutcome(answer));
     }
 
-    private static String body(KeptOutcome<RequestEnd.Answered> outcome) {
-        RequestEnd.Answered answer = (RequestEnd.Answered) OutcomeEnds.end(outcome.outcome());
+    private static String body(KeptOutcome<RequestCompletion.Answered> outcome) {
+        RequestCompletion.Answered answer = (RequestCompletion.Answered) OutcomeConverter.toCompletion(outcome.outcome());
         return new String(answer.body(), StandardCharsets.UTF_8);
     }
 
@@ -259,8 +259,8 @@
             taken.orTimeout(DEADLINE.toSeconds(), TimeUnit.SECONDS).join();
         }
 
-        Optional<KeptOutcome<RequestEnd.Answered>> find(OperationKey key) {
-            CompletableFuture<Optional<KeptOutcome<RequestEnd.Answered>>> found =
+        Optional<KeptOutcome<RequestCompletion.Answered>> find(OperationKey key) {
+            CompletableFuture<Optional<KeptOutcome<RequestCompletion.Answered>>> found =
                     new CompletableFuture<>();
             mDuty.find(key, found::complete);
             return get(found);
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/AdmitterSteeringTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/AdmitterSteeringTest.java
@@ -41,7 +41,7 @@
 
     private final ManualTimeSource mTime =
             new ManualTimeSource(Instant.parse("2026-12-02T08:00:00Z"));
-    private final Map<String, RequestEnd> mEnds = new HashMap<>();
+    private final Map<String, RequestCompletion> mEnds = new HashMap<>();
     private final Map<String, Consumer<BackendDispatcher.AttemptResult>> mAttempts =
             new HashMap<>();
     private final List<String> mCancelled = new ArrayList<>();
@@ -66,7 +66,7 @@
         assertThat(verdict("waiting")).isEqualTo(Verdict.DID_NOT_RUN);
         assertThat(mEnds).doesNotContainKey("running");
         answer("running");
-        assertThat(mEnds.get("running")).isInstanceOf(RequestEnd.Answered.class);
+        assertThat(mEnds.get("running")).isInstanceOf(RequestCompletion.Answered.class);
         assertThat(mAdmitter.inFlight()).isZero();
     }
 
@@ -81,9 +81,9 @@
     @Example
     void theSameRequestTwiceRunsOnce() {
         offer("same");
-        RequestEnd[] second = new RequestEnd[1];
+        RequestCompletion[] second = new RequestCompletion[1];
         mAdmitter.offer(SHARD, request("same"), end -> second[0] = end);
-        assertThat(second[0]).isInstanceOf(RequestEnd.Refused.class);
+        assertThat(second[0]).isInstanceOf(RequestCompletion.Refused.class);
         assertThat(mAttempts).hasSize(1);
     }
 
@@ -137,12 +137,12 @@
                 .accept(
                         new BackendDispatcher.AttemptResult(
                                 AttemptOutcome.ANSWERED,
-                                new RequestEnd.Answered(200, List.of(), new byte[0], "s1"),
+                                new RequestCompletion.Answered(200, List.of(), new byte[0], "s1"),
                                 false));
     }
 
     private Verdict verdict(String id) {
-        return ((RequestEnd.Refused) mEnds.get(id)).refusal().verdict();
+        return ((RequestCompletion.Refused) mEnds.get(id)).refusal().verdict();
     }
 
     private final class Directory implements ShardDirectory {
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/ChargedForwardTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/ChargedForwardTest.java
@@ -57,7 +57,7 @@
 
     @Example
     void theInstanceThatIsAskedPaysAndSteers() {
-        RequestEnd answer = new RequestEnd.Answered(200, List.of(), new byte[] {1}, "server-1");
+        RequestCompletion answer = new RequestCompletion.Answered(200, List.of(), new byte[] {1}, "server-1");
         mResults.add(new ForwardResult.Ended(answer, Optional.empty()));
         passOn();
         runDuty();
@@ -74,8 +74,8 @@
         passOn();
         runDuty();
         assertThat(mForwardedTo).isEmpty();
-        RequestEnd end = ForwardCodec.toEnd(mAnswers.get(0).getForwardAnswer());
-        Refusal refusal = ((RequestEnd.Refused) end).refusal();
+        RequestCompletion end = ForwardCodec.toCompletion(mAnswers.get(0).getForwardAnswer());
+        Refusal refusal = ((RequestCompletion.Refused) end).refusal();
         assertThat(refusal.verdict()).isEqualTo(Verdict.DID_NOT_RUN);
         assertThat(refusal.cause()).isEqualTo(RefusalCause.PLATFORM_AWAY);
     }
@@ -90,20 +90,20 @@
         mGate.mRenewing = false;
         mEntry.advance();
         assertThat(mForwardedTo).isEmpty();
-        RequestEnd end = ForwardCodec.toEnd(mAnswers.get(0).getForwardAnswer());
-        assertThat(((RequestEnd.Refused) end).refusal().cause()).isEqualTo(RefusalCause.CANCELLED);
+        RequestCompletion end = ForwardCodec.toCompletion(mAnswers.get(0).getForwardAnswer());
+        assertThat(((RequestCompletion.Refused) end).refusal().cause()).isEqualTo(RefusalCause.CANCELLED);
         assertThat(mReceiver.steered()).isZero();
     }
 
     @Example
     void anotherInstanceCannotGiveUpRequestsOfOwnCallers() {
         mGate.mRenewing = true;
-        List<RequestEnd> ends = new ArrayList<>();
+        List<RequestCompletion> ends = new ArrayList<>();
         mEntry.submit(request(), ends::add);
         cancel();
         runDuty();
         mGate.mRenewing = false;
-        RequestEnd answer = new RequestEnd.Answered(200, List.of(), new byte[] {1}, "server-1");
+        RequestCompletion answer = new RequestCompletion.Answered(200, List.of(), new byte[] {1}, "server-1");
         mResults.add(new ForwardResult.Ended(answer, Optional.empty()));
         mEntry.advance();
         assertThat(ends).containsExactly(answer);
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/EntrySteeringTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/EntrySteeringTest.java
@@ -34,15 +34,15 @@
     private static final InstanceId SELF = new InstanceId("self");
     private static final InstanceId FIRST = new InstanceId("first");
     private static final InstanceId SECOND = new InstanceId("second");
-    private static final RequestEnd ANSWER =
-            new RequestEnd.Answered(200, List.of(), new byte[] {1}, "server-1");
+    private static final RequestCompletion ANSWER =
+            new RequestCompletion.Answered(200, List.of(), new byte[] {1}, "server-1");
 
     private final ManualTimeSource mTime =
             new ManualTimeSource(Instant.parse("2026-12-02T08:00:00Z"));
     private final Deque<ForwardResult> mResults = new ArrayDeque<>();
     private final List<InstanceId> mForwardedTo = new ArrayList<>();
     private final List<Shard> mOtherShards = new ArrayList<>();
-    private final List<RequestEnd> mEnds = new ArrayList<>();
+    private final List<RequestCompletion> mEnds = new ArrayList<>();
     private final SteeringFakes.CountingGate mGate = new SteeringFakes.CountingGate();
     private final SteeringFakes.ListSelector mSelector =
             new SteeringFakes.ListSelector(List.of(new RegionId("casa"), new RegionId("fes")));
@@ -218,15 +218,15 @@
     }
 
     private Verdict verdict() {
-        return ((RequestEnd.Refused) mEnds.get(0)).refusal().verdict();
+        return ((RequestCompletion.Refused) mEnds.get(0)).refusal().verdict();
     }
 
-    private static ForwardResult ended(RequestEnd end) {
+    private static ForwardResult ended(RequestCompletion end) {
         return new ForwardResult.Ended(end, Optional.empty());
     }
 
-    private static RequestEnd refused(Verdict verdict, RefusalCause cause) {
-        return new RequestEnd.Refused(
+    private static RequestCompletion refused(Verdict verdict, RefusalCause cause) {
+        return new RequestCompletion.Refused(
                 new Refusal(verdict, cause, "Arranged by the test.", Optional.empty()));
     }
 }
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/FurtherAttemptsTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/FurtherAttemptsTest.java
@@ -32,11 +32,11 @@
     private static final ServiceId SERVICE = new ServiceId("plate-ledger");
     private static final ForwardResult ANSWER =
             new ForwardResult.Ended(
-                    new RequestEnd.Answered(200, List.of(), new byte[0], "server-1"),
+                    new RequestCompletion.Answered(200, List.of(), new byte[0], "server-1"),
                     Optional.empty());
     private static final ForwardResult REFUSED =
             new ForwardResult.Ended(
-                    new RequestEnd.Refused(
+                    new RequestCompletion.Refused(
                             Refusal.didNotRun(RefusalCause.NO_CAPACITY, "No slot is free.")),
                     Optional.empty());
     private static final ForwardResult LOST =
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/PeerFallbackEntryTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/PeerFallbackEntryTest.java
@@ -32,15 +32,15 @@
     private static final InstanceId FIRST = new InstanceId("first");
     private static final InstanceId SECOND = new InstanceId("second");
     private static final RequestId REQUEST = new RequestId("request-1");
-    private static final RequestEnd ANSWER =
-            new RequestEnd.Answered(200, List.of(), new byte[] {1}, "server-1");
+    private static final RequestCompletion ANSWER =
+            new RequestCompletion.Answered(200, List.of(), new byte[] {1}, "server-1");
 
     private final ManualTimeSource mTime =
             new ManualTimeSource(Instant.parse("2026-12-02T08:00:00Z"));
     private final Deque<ForwardResult> mResults = new ArrayDeque<>();
     private final List<InstanceId> mAsked = new ArrayList<>();
     private final List<InstanceId> mCancelled = new ArrayList<>();
-    private final List<RequestEnd> mEnds = new ArrayList<>();
+    private final List<RequestCompletion> mEnds = new ArrayList<>();
     private final SteeringFakes.CountingGate mGate = new SteeringFakes.CountingGate();
     private final Remote mRemote = new Remote();
     private final PeerFallbackEntry mEntry = entry();
@@ -165,15 +165,15 @@
     }
 
     private Refusal refusal(int index) {
-        return ((RequestEnd.Refused) mEnds.get(index)).refusal();
+        return ((RequestCompletion.Refused) mEnds.get(index)).refusal();
     }
 
-    private static ForwardResult ended(RequestEnd end) {
+    private static ForwardResult ended(RequestCompletion end) {
         return new ForwardResult.Ended(end, Optional.empty());
     }
 
-    private static RequestEnd refused(Verdict verdict, RefusalCause cause) {
-        return new RequestEnd.Refused(
+    private static RequestCompletion refused(Verdict verdict, RefusalCause cause) {
+        return new RequestCompletion.Refused(
                 new Refusal(verdict, cause, "Arranged by the test.", Optional.empty()));
     }
 
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/SteeringFakes.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/SteeringFakes.java
@@ -14,7 +14,7 @@
 import io.masticpond.core.id.ServiceId;
 import io.masticpond.core.id.Shard;
 import io.masticpond.core.id.ShiftId;
-import io.masticpond.core.region.RegionAttemptEnd;
+import io.masticpond.core.region.RegionAttemptOutcome;
 import io.masticpond.core.region.RegionSelector;
 import io.masticpond.core.region.RetryBudget;
 import io.masticpond.core.request.Refusal;
@@ -94,7 +94,7 @@
         public void observe(ServiceId service, RegionId region, Headroom headroom) {}
 
         @Override
-        public void ended(RequestHead request, RegionId region, RegionAttemptEnd end) {
+        public void ended(RequestHead request, RegionId region, RegionAttemptOutcome end) {
             mOpenChoices--;
         }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlDocuments.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlDocuments.java
@@ -70,10 +70,10 @@
         ArrayNode copies = document.putArray("copies");
         for (CategoryStatus each : replica.categories()) {
             copies.addObject()
-                    .put("category", Spelling.of(each.category()))
+                    .put("category", JsonFormat.toName(each.category()))
                     .put("listed", each.listed())
                     .put("revision", StoreRevision.revision(each.revision()))
-                    .put("source", Spelling.of(each.source()))
+                    .put("source", JsonFormat.toName(each.source()))
                     .put("ageMillis", each.age().toMillis())
                     .put("documents", each.documents());
         }
@@ -91,7 +91,7 @@
                     .put("incarnation", instance.incarnation())
                     .put("zone", instance.zone().value())
                     .put("region", instance.region().value())
-                    .put("state", Spelling.of(member.state()))
+                    .put("state", JsonFormat.toName(member.state()))
                     .put("ready", instance.ready())
                     .put("leaving", member.leaving())
                     .put("revision", StoreRevision.revision(instance.revision()))
@@ -139,8 +139,8 @@
                                 .put("service", service)
                                 .put("requests", use.requests())
                                 .put("used", use.used())
-                                .put("bound", Spelling.rounded(use.bound()))
-                                .put("left", Spelling.rounded(use.left())));
+                                .put("bound", JsonFormat.rounded(use.bound()))
+                                .put("left", JsonFormat.rounded(use.left())));
         ArrayNode cold = document.putArray("coldServers");
         mTraffic.servers().stream()
                 .filter(ServerSnapshot::cold)
@@ -178,15 +178,15 @@
             ObjectNode crash =
                     crashes.addObject()
                             .put("fingerprint", each.request().toString())
-                            .put("state", Spelling.of(each.state()))
+                            .put("state", JsonFormat.toName(each.state()))
                             .put("ends", each.ends())
                             .put("ownEnds", each.ownEnds())
                             .put("reporters", each.reporters())
                             .put("tellers", each.verdictReporters())
                             .put("rejections", each.rejections())
-                            .put("leftMillis", Spelling.millis(each.remainingNanos()));
+                            .put("leftMillis", JsonFormat.millis(each.remainingNanos()));
             if (each.newestEndAgoNanos() >= 0) {
-                crash.put("newestEndMillis", Spelling.millis(each.newestEndAgoNanos()));
+                crash.put("newestEndMillis", JsonFormat.millis(each.newestEndAgoNanos()));
             }
         }
         return document;
@@ -216,13 +216,13 @@
     }
 
     private ObjectNode begin() {
-        return Spelling.object()
+        return JsonFormat.object()
                 .put("instance", mSources.self().id().value())
                 .put("at", mSources.timeSource().instant().toString());
     }
 
     private ObjectNode beginTraffic() {
-        return begin().put("ageMillis", Spelling.millis(mNowNanos - mTraffic.takenNanos()));
+        return begin().put("ageMillis", JsonFormat.millis(mNowNanos - mTraffic.takenNanos()));
     }
 
     private static Optional<Long> age(ReplicaStatus replica, Category category) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlSurface.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlSurface.java
@@ -98,7 +98,7 @@
     private void released(RequestFingerprint request, boolean isKnown, Responder responder) {
         if (isKnown) {
             ObjectNode document =
-                    Spelling.object()
+                    JsonFormat.object()
                             .put("instance", mSources.self().id().value())
                             .put("released", request.toString());
             responder.answer(answer(FOUND, DOCUMENT, document));
@@ -123,7 +123,7 @@
 
     private void refuse(ControlProblem problem, Responder responder) {
         ObjectNode document =
-                Spelling.object()
+                JsonFormat.object()
                         .put("status", problem.status())
                         .put("cause", problem.cause())
                         .put("detail", problem.detail());
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/Spelling.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/JsonFormat.java
@@ -6,17 +6,17 @@
 import java.util.concurrent.TimeUnit;
 
 /** Forms of values in the documents, as in the log. */
-final class Spelling {
+final class JsonFormat {
 
     private static final double STEPS = 1_000;
 
-    private Spelling() {}
+    private JsonFormat() {}
 
     static ObjectNode object() {
         return JsonNodeFactory.instance.objectNode();
     }
 
-    static String of(Enum<?> value) {
+    static String toName(Enum<?> value) {
         return value.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ServerDocument.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ServerDocument.java
@@ -18,40 +18,40 @@
                 .put("address", server.address().toString())
                 .put("state", state(snapshot))
                 .put("slots", server.slots())
-                .put("inFlight", Spelling.rounded(snapshot.inFlight()))
+                .put("inFlight", JsonFormat.rounded(snapshot.inFlight()))
                 .put("own", snapshot.own())
-                .put("serviceMillis", Spelling.millis((long) snapshot.serviceNanos()));
+                .put("serviceMillis", JsonFormat.millis((long) snapshot.serviceNanos()));
         if (snapshot.cold()) {
             into.put("coldMillis", coldMillis(server, nowNanos));
         }
-        snapshot.avoidReason().ifPresent(reason -> into.put("avoided", Spelling.of(reason)));
+        snapshot.avoidReason().ifPresent(reason -> into.put("avoided", JsonFormat.toName(reason)));
         snapshot.withdrawal().ifPresent(each -> writeWithdrawal(each, into));
         snapshot.limit().ifPresent(limit -> writeLimit(limit, into));
         snapshot.evaluation()
                 .ifPresent(
                         judgement ->
-                                into.put("penalty", Spelling.rounded(judgement.penalty()))
-                                        .put("calls", Spelling.rounded(judgement.calls()))
+                                into.put("penalty", JsonFormat.rounded(judgement.penalty()))
+                                        .put("calls", JsonFormat.rounded(judgement.calls()))
                                         .put(
                                                 "failureShare",
-                                                Spelling.rounded(judgement.failureShare()))
-                                        .put("meanMillis", Spelling.millis(judgement.meanNanos())));
+                                                JsonFormat.rounded(judgement.failureShare()))
+                                        .put("meanMillis", JsonFormat.millis(judgement.meanNanos())));
     }
 
     private static void writeWithdrawal(WithdrawalView withdrawal, ObjectNode into) {
-        into.put("withdrawal", Spelling.of(withdrawal.state()))
-                .put("withdrawalAgeMillis", Spelling.millis(withdrawal.ageNanos()));
+        into.put("withdrawal", JsonFormat.toName(withdrawal.state()))
+                .put("withdrawalAgeMillis", JsonFormat.millis(withdrawal.ageNanos()));
         if (withdrawal.leftNanos() > 0) {
-            into.put("withdrawalLeftMillis", Spelling.millis(withdrawal.leftNanos()));
+            into.put("withdrawalLeftMillis", JsonFormat.millis(withdrawal.leftNanos()));
         }
     }
 
     private static void writeLimit(LimitView limit, ObjectNode into) {
-        into.put("limitPerSecond", Spelling.rounded(limit.perSecond()))
+        into.put("limitPerSecond", JsonFormat.rounded(limit.perSecond()))
                 .put("limitSenders", limit.senders())
-                .put("limitOwnPerSecond", Spelling.rounded(limit.ownPerSecond()))
+                .put("limitOwnPerSecond", JsonFormat.rounded(limit.ownPerSecond()))
                 .put("limitSource", limit.isOwn() ? "answer" : "peer")
-                .put("limitAgeMillis", Spelling.millis(limit.ageNanos()));
+                .put("limitAgeMillis", JsonFormat.millis(limit.ageNanos()));
     }
 
     static void writeCold(ServerSnapshot snapshot, ObjectNode into, long nowNanos) {
@@ -69,7 +69,7 @@
             return "leaving";
         }
         if (snapshot.withdrawal().isPresent()) {
-            return Spelling.of(snapshot.withdrawal().get().state());
+            return JsonFormat.toName(snapshot.withdrawal().get().state());
         }
         if (snapshot.evacuated()) {
             return "evacuated";
@@ -85,6 +85,6 @@
 
     /** Gives the time that it stays cold by the registry; the pace is kept a little longer. */
     private static long coldMillis(RegisteredServer server, long nowNanos) {
-        return Math.max(0, Spelling.millis(server.coldUntilNanos() - nowNanos));
+        return Math.max(0, JsonFormat.millis(server.coldUntilNanos() - nowNanos));
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/TrafficSnapshot.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/TrafficSnapshot.java
@@ -100,7 +100,7 @@
                 flow.servers().isEvacuated(server.zone()),
                 cold,
                 owners,
-                load.own(),
+                load.ownInFlight(),
                 load.inFlight(nowNanos),
                 load.serviceNanos(),
                 load.avoidReason(nowNanos),
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/WorkspaceSnapshot.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/WorkspaceSnapshot.java
@@ -47,7 +47,7 @@
     void write(ObjectNode document) {
         document.put("proven", proven);
         if (proofAgeNanos != RequestRecord.UNKNOWN) {
-            document.put("proofAgeMillis", Spelling.millis(proofAgeNanos));
+            document.put("proofAgeMillis", JsonFormat.millis(proofAgeNanos));
         }
         ArrayNode list = document.putArray("workspaces");
         for (Line line : workspaces) {
@@ -63,7 +63,7 @@
                             limit ->
                                     each.put("ratePerSecond", limit.perSecond())
                                             .put("burst", limit.burst())
-                                            .put("credit", Spelling.rounded(line.credit()))
+                                            .put("credit", JsonFormat.rounded(line.credit()))
                                             .put("demandPerSecond", line.demand()));
             ArrayNode homes = each.putArray("homeRegions");
             workspace.homeRegions().stream()
--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/ClientConnection.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/ClientConnection.java
@@ -189,7 +189,7 @@
                         mLastRead);
         mBegin = mInput.isReadable() ? mLastRead : NONE;
         mHeadBegin = NONE;
-        if (!head.isKept()) {
+        if (!head.isKeepAlive()) {
             stopInput();
         }
         try {
@@ -284,7 +284,7 @@
             mHeadBegin = NONE;
         } else if (mHeadBegin == NONE) {
             mHeadBegin = mServer.now();
-            mServer.lookWithin(mServer.limits().headerTimeout().toNanos());
+            mServer.scheduleCheckWithin(mServer.limits().headerTimeout().toNanos());
         }
         boolean isFull = mInput != null && mInput.readableBytes() > WAITING_INPUT_BYTES;
         mContext.channel().config().setAutoRead(!isPaused || !isFull);
@@ -318,10 +318,10 @@
     }
 
     private long checkRest(long now, long idle) {
-        long left = idle - (now - mOutput.restBegin());
+        long left = idle - (now - mOutput.idleSinceNanos());
         if (mServer.isDraining()) {
             long pause = mServer.options().drainPause().toNanos();
-            long begin = Math.max(mServer.drainBegin() - now, mOutput.restBegin() - now);
+            long begin = Math.max(mServer.drainBegin() - now, mOutput.idleSinceNanos() - now);
             left = pause + begin;
         }
         if (left <= 0) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/ClientOutput.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/ClientOutput.java
@@ -47,7 +47,7 @@
         boolean isHead = exchange.isHeadMethod();
         int length = AnswerEncoder.hasBody(answer.status(), isHead) ? body.readableBytes() : 0;
         boolean isJoined = length <= JOINED_BODY_BYTES;
-        String connection = isLast ? "close" : exchange.isOld() ? "keep-alive" : null;
+        String connection = isLast ? "close" : exchange.isHttp10() ? "keep-alive" : null;
         int room = isJoined ? length : 0;
         ByteBuf head = mServer.encoder().encode(mContext.alloc(), answer, isHead, connection, room);
         if (mWriting == 0) {
@@ -79,7 +79,7 @@
         mIsFlushDue = false;
         mContext.flush();
         if (mWriting > 0) {
-            mServer.lookWithin(mServer.options().writeStall().toNanos());
+            mServer.scheduleCheckWithin(mServer.options().writeStall().toNanos());
         }
     }
 
@@ -101,7 +101,7 @@
     }
 
     /** Tells since when all answers have been sent. */
-    long restBegin() {
+    long idleSinceNanos() {
         return mRestBegin;
     }
 
@@ -119,7 +119,7 @@
 
     /** Closes a connection that has lingered long enough, or tells how much longer it may. */
     long checkLinger(long now) {
-        long linger = mServer.options().linger().toNanos();
+        long linger = mServer.options().lingerTimeout().toNanos();
         long quiet = linger - (now - mLingerRead);
         return closeIfDue(Math.min(quiet, LONGEST_LINGER * linger - (now - mLingerBegin)));
     }
@@ -179,6 +179,6 @@
                                 mContext.close();
                             }
                         });
-        mServer.lookWithin(mServer.options().linger().toNanos());
+        mServer.scheduleCheckWithin(mServer.options().lingerTimeout().toNanos());
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/EntryConnections.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/EntryConnections.java
@@ -64,7 +64,7 @@
         connection.setIndex(mAll.size());
         mAll.add(connection);
         mOpenConnections.incrementAndGet();
-        lookWithin(limits().idleTimeout().toNanos());
+        scheduleCheckWithin(limits().idleTimeout().toNanos());
     }
 
     void remove(ClientConnection connection) {
@@ -83,7 +83,7 @@
         }
         mIsDraining = true;
         mDrainBegin = now();
-        lookWithin(mOptions.drainPause().toNanos());
+        scheduleCheckWithin(mOptions.drainPause().toNanos());
     }
 
     /** Closes all connections at once. */
@@ -101,7 +101,7 @@
     }
 
     /** Makes sure that all connections are looked at for what is due, after a time at most. */
-    void lookWithin(long nanos) {
+    void scheduleCheckWithin(long nanos) {
         long delay = Math.max(nanos, SHORTEST_GAP);
         long due = now() + delay;
         if (mLook != null) {
@@ -111,11 +111,11 @@
             mLook.cancel(false);
         }
         mLookAt = due;
-        mLook = mLoop.schedule(this::look, delay, TimeUnit.NANOSECONDS);
+        mLook = mLoop.schedule(this::checkConnections, delay, TimeUnit.NANOSECONDS);
     }
 
     /** Looks at all connections now. */
-    void look() {
+    void checkConnections() {
         mLook = null;
         long now = now();
         long next = limits().idleTimeout().toNanos() / LOOKS_PER_IDLE_TIMEOUT;
@@ -125,7 +125,7 @@
             }
         }
         if (!mAll.isEmpty()) {
-            lookWithin(next);
+            scheduleCheckWithin(next);
         }
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/Exchange.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/Exchange.java
@@ -79,15 +79,15 @@
 
     /** Tells whether nothing can follow the answer on its connection. */
     boolean isLast() {
-        return mHead == null || !mHead.isKept();
+        return mHead == null || !mHead.isKeepAlive();
     }
 
     boolean isHeadMethod() {
         return mHead != null && mHead.method().equals(HttpMethod.HEAD);
     }
 
-    boolean isOld() {
-        return mHead != null && mHead.isOld();
+    boolean isHttp10() {
+        return mHead != null && mHead.isHttp10();
     }
 
     /** Returns the answer to write, or null if the request was aborted. */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/HttpEntryOptions.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/HttpEntryOptions.java
@@ -10,7 +10,7 @@
  * @param bufferedBytes the greatest total of request bytes held for all connections
  * @param retryAfter the seconds after which a client refused for want of memory may come back
  * @param writeStall how long a client may read nothing of an answer before it is cut off
- * @param linger how long a closed connection is read on so that the last answer arrives
+ * @param lingerTimeout how long a closed connection is read on so that the last answer arrives
  * @param drainPause how long an idle connection is kept once a planned stop has begun
  * @since 0.2
  */
@@ -19,7 +19,7 @@
         long bufferedBytes,
         String retryAfter,
         Duration writeStall,
-        Duration linger,
+        Duration lingerTimeout,
         Duration drainPause) {
 
     /** Options that fit a process of a few hundred megabytes. */
@@ -38,7 +38,7 @@
         Assert.positive(bufferedBytes, "A bound of buffered bytes");
         Assert.hasText(retryAfter, "A time to retry after");
         Assert.positive(writeStall.toNanos(), "A time for a stalled write");
-        Assert.positive(linger.toNanos(), "A time to linger");
+        Assert.positive(lingerTimeout.toNanos(), "A time to linger");
         Assert.positive(drainPause.toNanos(), "A pause before idle connections are closed");
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/RequestHead.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/RequestHead.java
@@ -9,8 +9,8 @@
  * @param method the method
  * @param target the path and query
  * @param headers the headers as sent
- * @param isKept whether the client wants the connection kept after the answer
- * @param isOld whether the client speaks HTTP/1.0
+ * @param isKeepAlive whether the client wants the connection kept after the answer
+ * @param isHttp10 whether the client speaks HTTP/1.0
  * @param isChunked whether the body comes in chunks
  * @param length the length of a body that does not come in chunks
  * @param isContinueExpected whether the client waits for a go-ahead before it sends the body
@@ -20,8 +20,8 @@
         HttpMethod method,
         String target,
         HttpHeaders headers,
-        boolean isKept,
-        boolean isOld,
+        boolean isKeepAlive,
+        boolean isHttp10,
         boolean isChunked,
         long length,
         boolean isContinueExpected) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/BareLogbackProvider.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/BareLogbackProvider.java
@@ -12,7 +12,7 @@
 
 /**
  * Gives SLF4J a Logback that looks for no configuration: the search for files, configurators and
- * their ranks costs a tenth of a start, and {@link LibraryLog} sets all up in code. A process names
+ * their ranks costs a tenth of a start, and {@link LogbackBridge} sets all up in code. A process names
  * this type by the property {@code slf4j.provider}. Until the log is installed nothing is written.
  *
  * @since 0.2
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/WeighedServers.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/CandidateServers.java
@@ -3,7 +3,7 @@
 import io.masticpond.core.id.BackendServerId;
 
 /** The candidates of the last choice of a backend server, the first few of them kept. */
-final class WeighedServers {
+final class CandidateServers {
 
     private BackendServerId[] mServers;
     private int[] mInFlight;
@@ -19,14 +19,14 @@
 
     void add(BackendServerId server, int inFlight, int slots, double score) {
         mWeighed++;
-        if (mKept == RequestRecord.KEPT_CANDIDATES) {
+        if (mKept == RequestRecord.MAXIMUM_CANDIDATES) {
             return;
         }
         if (mServers == null) {
-            mServers = new BackendServerId[RequestRecord.KEPT_CANDIDATES];
-            mInFlight = new int[RequestRecord.KEPT_CANDIDATES];
-            mSlots = new int[RequestRecord.KEPT_CANDIDATES];
-            mScores = new double[RequestRecord.KEPT_CANDIDATES];
+            mServers = new BackendServerId[RequestRecord.MAXIMUM_CANDIDATES];
+            mInFlight = new int[RequestRecord.MAXIMUM_CANDIDATES];
+            mSlots = new int[RequestRecord.MAXIMUM_CANDIDATES];
+            mScores = new double[RequestRecord.MAXIMUM_CANDIDATES];
         }
         mServers[mKept] = server;
         mInFlight[mKept] = inFlight;
@@ -35,7 +35,7 @@
     }
 
     /** Counts the servers that were weighed, kept or not. */
-    int weighed() {
+    int total() {
         return mWeighed;
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/LeftOutLine.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/DropSummaryLine.java
@@ -11,20 +11,20 @@
  * @param plain requests that went as hoped
  * @param lost lines that the output did not take
  */
-record LeftOutLine(long noteworthy, long sentences, long plain, long lost) implements LineContent {
+record DropSummaryLine(long noteworthy, long sentences, long plain, long lost) implements LineContent {
 
     /** Gives what is missing so far. */
-    static LeftOutLine total(LineCounts counts) {
-        return new LeftOutLine(
-                counts.leftOut(LineClass.NOTEWORTHY),
-                counts.leftOut(LineClass.SENTENCE),
-                counts.leftOut(LineClass.PLAIN),
+    static DropSummaryLine total(LineCounts counts) {
+        return new DropSummaryLine(
+                counts.dropped(LinePriority.NOTEWORTHY),
+                counts.dropped(LinePriority.SENTENCE),
+                counts.dropped(LinePriority.PLAIN),
                 counts.lost());
     }
 
     /** Gives what is missing since an earlier total. */
-    LeftOutLine since(LeftOutLine earlier) {
-        return new LeftOutLine(
+    DropSummaryLine since(DropSummaryLine earlier) {
+        return new DropSummaryLine(
                 noteworthy - earlier.noteworthy,
                 sentences - earlier.sentences,
                 plain - earlier.plain,
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/Words.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/EnumNames.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 
 /** Spells constants in lines, without making a new text each time. */
-final class Words {
+final class EnumNames {
 
-    private static final Map<Exclusion, String> EXCLUSIONS = spell(Exclusion.class);
-    private static final Map<RequestOutcome, String> OUTCOMES = spell(RequestOutcome.class);
-    private static final Map<AttemptResult, String> RESULTS = spell(AttemptResult.class);
-    private static final Map<UpdateSource, String> SOURCES = spell(UpdateSource.class);
+    private static final Map<Exclusion, String> EXCLUSIONS = toName(Exclusion.class);
+    private static final Map<RequestOutcome, String> OUTCOMES = toName(RequestOutcome.class);
+    private static final Map<AttemptResult, String> RESULTS = toName(AttemptResult.class);
+    private static final Map<UpdateSource, String> SOURCES = toName(UpdateSource.class);
 
-    private Words() {}
+    private EnumNames() {}
 
     static String of(Exclusion value) {
         return EXCLUSIONS.get(Assert.notNull(value, "A constant to spell"));
@@ -32,14 +32,14 @@
     }
 
     /** Spells a constant that is seldom needed. */
-    static String spell(Enum<?> value) {
+    static String toName(Enum<?> value) {
         return value.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    private static <E extends Enum<E>> Map<E, String> spell(Class<E> type) {
+    private static <E extends Enum<E>> Map<E, String> toName(Class<E> type) {
         Map<E, String> words = new EnumMap<>(type);
         for (E value : type.getEnumConstants()) {
-            words.put(value, spell(value));
+            words.put(value, toName(value));
         }
         return words;
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/Exclusion.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/Exclusion.java
@@ -30,7 +30,7 @@
      *
      * @return whether it may
      */
-    public boolean isShort() {
+    public boolean isTransient() {
         return switch (this) {
             case COLD, FULL, LIMITED, FAILING, TRIED -> true;
             case LEAVING, PAUSED, EVACUATED, NOT_HOME -> false;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/LineBudget.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/LineBudget.java
@@ -30,7 +30,7 @@
     }
 
     /** Counts the lines that a class may still write. */
-    int allowed(LineClass lineClass) {
+    int allowed(LinePriority lineClass) {
         return (int) Math.max(0, mLeft - lineClass.reserve() * mLinesPerSecond);
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/LineCounts.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/LineCounts.java
@@ -13,11 +13,11 @@
 
     private final AtomicLong mWritten = new AtomicLong();
     private final AtomicLong mLost = new AtomicLong();
-    private final Map<LineClass, AtomicLong> mLeftOut = new EnumMap<>(LineClass.class);
+    private final Map<LinePriority, AtomicLong> mLeftOut = new EnumMap<>(LinePriority.class);
 
     /** Starts with none. */
     public LineCounts() {
-        for (LineClass lineClass : LineClass.values()) {
+        for (LinePriority lineClass : LinePriority.values()) {
             mLeftOut.put(lineClass, new AtomicLong());
         }
     }
@@ -46,7 +46,7 @@
      * @param lineClass their class
      * @return the count
      */
-    public long leftOut(LineClass lineClass) {
+    public long dropped(LinePriority lineClass) {
         return mLeftOut.get(lineClass).get();
     }
 
@@ -58,7 +58,7 @@
         mLost.addAndGet(lines);
     }
 
-    void leftOut(LineClass lineClass, int lines) {
+    void dropped(LinePriority lineClass, int lines) {
         mLeftOut.get(lineClass).addAndGet(lines);
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/LineClass.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/LinePriority.java
@@ -6,7 +6,7 @@
  *
  * @since 0.2
  */
-public enum LineClass {
+public enum LinePriority {
     /** Refusals, failures, retries and changes of belief. */
     NOTEWORTHY(2_048, 0),
     /** Lines of libraries and sentences of the system's own parts. */
@@ -17,7 +17,7 @@
     private final int mCapacity;
     private final double mReserve;
 
-    LineClass(int capacity, double reserve) {
+    LinePriority(int capacity, double reserve) {
         mCapacity = capacity;
         mReserve = reserve;
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/LineRings.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/LineRings.java
@@ -7,32 +7,32 @@
 /** The lines that wait, in one bounded ring for each class. Any thread offers, one takes. */
 final class LineRings {
 
-    private static final LineClass[] CLASSES = LineClass.values();
+    private static final LinePriority[] CLASSES = LinePriority.values();
 
-    private final Map<LineClass, MpscArrayQueue<TimedLine>> mRings = new EnumMap<>(LineClass.class);
+    private final Map<LinePriority, MpscArrayQueue<TimedLine>> mRings = new EnumMap<>(LinePriority.class);
 
     LineRings() {
-        for (LineClass lineClass : CLASSES) {
+        for (LinePriority lineClass : CLASSES) {
             mRings.put(lineClass, new MpscArrayQueue<>(lineClass.capacity()));
         }
     }
 
     /** Adds a line unless its ring is full. */
-    boolean offer(LineClass lineClass, TimedLine line) {
+    boolean offer(LinePriority lineClass, TimedLine line) {
         return mRings.get(lineClass).offer(line);
     }
 
     /** Takes the oldest line of a class, or null. */
-    TimedLine poll(LineClass lineClass) {
+    TimedLine poll(LinePriority lineClass) {
         return mRings.get(lineClass).poll();
     }
 
-    int waiting(LineClass lineClass) {
+    int waiting(LinePriority lineClass) {
         return mRings.get(lineClass).size();
     }
 
     boolean isEmpty() {
-        for (LineClass lineClass : CLASSES) {
+        for (LinePriority lineClass : CLASSES) {
             if (!mRings.get(lineClass).isEmpty()) {
                 return false;
             }
@@ -41,13 +41,13 @@
     }
 
     /** Tells whether a ring should be emptied soon. */
-    boolean isHalfFull(LineClass lineClass) {
+    boolean isHalfFull(LinePriority lineClass) {
         return 2 * waiting(lineClass) >= lineClass.capacity();
     }
 
     /** Tells whether any ring should be emptied soon. */
     boolean isAnyHalfFull() {
-        for (LineClass lineClass : CLASSES) {
+        for (LinePriority lineClass : CLASSES) {
             if (isHalfFull(lineClass)) {
                 return true;
             }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/LineWriter.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/LineWriter.java
@@ -12,14 +12,14 @@
 final class LineWriter {
 
     /** How often missing lines are told of. */
-    static final Duration LEFT_OUT_INTERVAL = Duration.ofSeconds(10);
+    static final Duration DROP_SUMMARY_INTERVAL = Duration.ofSeconds(10);
 
     private final LineRings mRings;
     private final LineCounts mCounts;
     private final TimeSource mTimeSource;
     private final LineBatch mBatch;
     private final LineBudget mBudget;
-    private LeftOutLine mTold;
+    private DropSummaryLine mTold;
     private long mToldNanos;
 
     LineWriter(
@@ -34,7 +34,7 @@
         mBatch = new LineBatch(output, counts);
         mToldNanos = timeSource.monotonicNanos();
         mBudget = new LineBudget(options.linesPerSecond(), mToldNanos);
-        mTold = LeftOutLine.total(counts);
+        mTold = DropSummaryLine.total(counts);
     }
 
     LineBudget budget() {
@@ -45,35 +45,35 @@
     boolean writeBatch() {
         long nowNanos = mTimeSource.monotonicNanos();
         mBudget.refill(nowNanos);
-        write(LineClass.NOTEWORTHY);
-        if (mRings.waiting(LineClass.NOTEWORTHY) == 0) {
-            write(LineClass.SENTENCE);
+        write(LinePriority.NOTEWORTHY);
+        if (mRings.waiting(LinePriority.NOTEWORTHY) == 0) {
+            write(LinePriority.SENTENCE);
         }
         samplePlain();
-        if (nowNanos - mToldNanos >= LEFT_OUT_INTERVAL.toNanos()) {
-            tellLeftOut(nowNanos);
+        if (nowNanos - mToldNanos >= DROP_SUMMARY_INTERVAL.toNanos()) {
+            reportDrops(nowNanos);
         }
         return mBatch.write();
     }
 
     /** Writes all that waits, whatever the budget, and what is missing. */
     void writeRest() {
-        for (LineClass lineClass : LineClass.values()) {
+        for (LinePriority lineClass : LinePriority.values()) {
             int waiting = mRings.waiting(lineClass);
             for (int index = 0; index < waiting; index++) {
                 add(mRings.poll(lineClass));
             }
         }
-        tellLeftOut(mTimeSource.monotonicNanos());
+        reportDrops(mTimeSource.monotonicNanos());
         mBatch.write();
     }
 
     /** Tells whether lines are missing that were not told of. */
-    boolean hasUntold() {
-        return !LeftOutLine.total(mCounts).since(mTold).isNone();
+    boolean hasUnreportedDrops() {
+        return !DropSummaryLine.total(mCounts).since(mTold).isNone();
     }
 
-    private void write(LineClass lineClass) {
+    private void write(LinePriority lineClass) {
         int count = Math.min(mBudget.allowed(lineClass), mRings.waiting(lineClass));
         for (int index = 0; index < count; index++) {
             add(mRings.poll(lineClass));
@@ -82,13 +82,13 @@
     }
 
     private void samplePlain() {
-        int waiting = mRings.waiting(LineClass.PLAIN);
-        int allowed = Math.min(waiting, mBudget.allowed(LineClass.PLAIN));
-        if (mRings.waiting(LineClass.NOTEWORTHY) > 0) {
+        int waiting = mRings.waiting(LinePriority.PLAIN);
+        int allowed = Math.min(waiting, mBudget.allowed(LinePriority.PLAIN));
+        if (mRings.waiting(LinePriority.NOTEWORTHY) > 0) {
             allowed = 0;
         }
         for (int index = 0; index < waiting; index++) {
-            TimedLine line = mRings.poll(LineClass.PLAIN);
+            TimedLine line = mRings.poll(LinePriority.PLAIN);
             // Spreads the allowed ones evenly over those that wait.
             boolean kept =
                     (long) (index + 1) * allowed / waiting > (long) index * allowed / waiting;
@@ -98,13 +98,13 @@
         }
         mBudget.take(allowed);
         if (waiting > allowed) {
-            mCounts.leftOut(LineClass.PLAIN, waiting - allowed);
+            mCounts.dropped(LinePriority.PLAIN, waiting - allowed);
         }
     }
 
-    private void tellLeftOut(long nowNanos) {
-        LeftOutLine total = LeftOutLine.total(mCounts);
-        LeftOutLine untold = total.since(mTold);
+    private void reportDrops(long nowNanos) {
+        DropSummaryLine total = DropSummaryLine.total(mCounts);
+        DropSummaryLine untold = total.since(mTold);
         if (!untold.isNone()) {
             mBatch.add(mTimeSource.instant().toEpochMilli(), untold);
             mTold = total;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/SentenceLine.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/LogEventLine.java
@@ -16,7 +16,7 @@
  * @param message the sentence, with values filled in since they may change later
  * @param fault what was thrown, or null
  */
-record SentenceLine(
+record LogEventLine(
         String level, String logger, String thread, String message, IThrowableProxy fault)
         implements LineContent {
 
@@ -25,8 +25,8 @@
     private static final String MASK = "***";
 
     /** Gives the line of an event. */
-    static SentenceLine of(ILoggingEvent event) {
-        return new SentenceLine(
+    static LogEventLine of(ILoggingEvent event) {
+        return new LogEventLine(
                 event.getLevel().toString(),
                 event.getLoggerName(),
                 event.getThreadName(),
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/LibraryLog.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/LogbackBridge.java
@@ -14,12 +14,12 @@
  *
  * @since 0.2
  */
-public final class LibraryLog {
+public final class LogbackBridge {
 
     /** The logger above all of the system's own. */
     public static final String OWN_LOGGER = "io.masticpond";
 
-    private LibraryLog() {}
+    private LogbackBridge() {}
 
     /**
      * Sends all that is logged through SLF4J to a log from now on.
@@ -61,7 +61,7 @@
 
         @Override
         protected void append(ILoggingEvent event) {
-            mLog.offer(LineClass.SENTENCE, SentenceLine.of(event));
+            mLog.offer(LinePriority.SENTENCE, LogEventLine.of(event));
         }
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/ProcessChange.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/ProcessChange.java
@@ -50,7 +50,7 @@
     public void write(JsonGenerator line) throws IOException {
         line.writeStringField("instance", instance.value());
         line.writeNumberField("incarnation", incarnation);
-        line.writeStringField("state", Words.spell(kind));
+        line.writeStringField("state", EnumNames.toName(kind));
         RequestLine.writeKnown(line, "millis", millis);
         if (detail != null) {
             line.writeStringField("detail", LineText.cut(detail, LONGEST_DETAIL));
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/RequestLine.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/RequestLine.java
@@ -21,7 +21,7 @@
     @Override
     public void write(JsonGenerator line) throws IOException {
         writeHead(line, request);
-        line.writeStringField("outcome", Words.of(request.mOutcome));
+        line.writeStringField("outcome", EnumNames.of(request.mOutcome));
         if (request.mCause != null) {
             line.writeStringField("cause", LineText.of(request.mCause));
         }
@@ -110,7 +110,7 @@
                 line.writeBooleanField("cold", true);
             }
             line.writeNumberField("sentMillis", millis(attempt.mSentNanos - request.mArrivalNanos));
-            line.writeStringField("result", Words.of(attempt.mResult));
+            line.writeStringField("result", EnumNames.of(attempt.mResult));
             if (attempt.mStatus != 0) {
                 line.writeNumberField("status", attempt.mStatus);
             }
@@ -149,9 +149,9 @@
     }
 
     private void writeChoice(JsonGenerator line) throws IOException {
-        line.writeNumberField("weighed", request.mWeighed.weighed());
+        line.writeNumberField("weighed", request.mWeighed.total());
         line.writeArrayFieldStart("candidates");
-        WeighedServers weighed = request.mWeighed;
+        CandidateServers weighed = request.mWeighed;
         for (int index = 0; index < weighed.kept(); index++) {
             line.writeStartObject();
             line.writeStringField("server", weighed.server(index).value());
@@ -171,7 +171,7 @@
         for (Exclusion exclusion : EXCLUSIONS) {
             int count = request.mExcluded.getOrDefault(exclusion, 0);
             if (count > 0) {
-                line.writeNumberField(Words.of(exclusion), count);
+                line.writeNumberField(EnumNames.of(exclusion), count);
             }
         }
         line.writeEndObject();
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/RequestRecord.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/RequestRecord.java
@@ -20,7 +20,7 @@
 public final class RequestRecord {
 
     /** How many candidates of a choice are kept; further ones are only counted. */
-    public static final int KEPT_CANDIDATES = 8;
+    public static final int MAXIMUM_CANDIDATES = 8;
 
     /** Stands for an age, version or budget that is not known. */
     public static final long UNKNOWN = -1;
@@ -42,7 +42,7 @@
     long mRegistryAgeNanos = UNKNOWN;
     int mShareholders;
     long mPeersAgeNanos = UNKNOWN;
-    final WeighedServers mWeighed = new WeighedServers();
+    final CandidateServers mWeighed = new CandidateServers();
     Map<Exclusion, Integer> mExcluded;
     final AttemptList mAttempts = new AttemptList();
     double mRetryBudget = UNKNOWN;
@@ -167,7 +167,7 @@
     }
 
     /** Begins a choice of a backend server: what the one before weighed is forgotten. */
-    public void weigh() {
+    public void beginSelection() {
         mWeighed.clear();
         if (mExcluded != null) {
             mExcluded.clear();
@@ -213,7 +213,7 @@
      * @param nanos the wait as expected
      * @param longestNanos how long it may be
      */
-    public void wouldWait(long nanos, long longestNanos) {
+    public void expectedWait(long nanos, long longestNanos) {
         mWaitNanos = nanos;
         mLongestWaitNanos = longestNanos;
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/RetryLine.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/RetryLine.java
@@ -33,7 +33,7 @@
         line.writeNumberField("attempt", mAttempts);
         if (mFailed != null) {
             line.writeStringField("server", mFailed.mServer.value());
-            line.writeStringField("result", Words.of(mFailed.mResult));
+            line.writeStringField("result", EnumNames.of(mFailed.mResult));
             if (mFailed.mStatus != 0) {
                 line.writeNumberField("status", mFailed.mStatus);
             }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/StandardOutputLog.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/StandardOutputLog.java
@@ -66,23 +66,23 @@
 
     @Override
     public void requestEnded(RequestRecord request) {
-        LineClass lineClass = request.isPlain() ? LineClass.PLAIN : LineClass.NOTEWORTHY;
+        LinePriority lineClass = request.isPlain() ? LinePriority.PLAIN : LinePriority.NOTEWORTHY;
         offer(lineClass, new RequestLine(request));
     }
 
     @Override
     public void requestRetried(RequestRecord request) {
-        offer(LineClass.NOTEWORTHY, new RetryLine(request));
+        offer(LinePriority.NOTEWORTHY, new RetryLine(request));
     }
 
     @Override
     public void viewChanged(ViewChange change) {
-        offer(LineClass.NOTEWORTHY, change);
+        offer(LinePriority.NOTEWORTHY, change);
     }
 
     @Override
     public void processChanged(ProcessChange change) {
-        offer(LineClass.NOTEWORTHY, change);
+        offer(LinePriority.NOTEWORTHY, change);
     }
 
     /**
@@ -120,10 +120,10 @@
     }
 
     /** Adds a line to its ring, at the wall time of now. */
-    void offer(LineClass lineClass, LineContent content) {
+    void offer(LinePriority lineClass, LineContent content) {
         TimedLine line = new TimedLine(mTimeSource.instant().toEpochMilli(), content);
         if (mClosed || !mRings.offer(lineClass, line)) {
-            mCounts.leftOut(lineClass, 1);
+            mCounts.dropped(lineClass, 1);
             return;
         }
         if (mAsleep) {
@@ -153,8 +153,8 @@
     private void sleepUntilLine() {
         mAsleep = true;
         if (!mClosed && mRings.isEmpty()) {
-            if (mWriter.hasUntold()) {
-                LockSupport.parkNanos(this, LineWriter.LEFT_OUT_INTERVAL.toNanos());
+            if (mWriter.hasUnreportedDrops()) {
+                LockSupport.parkNanos(this, LineWriter.DROP_SUMMARY_INTERVAL.toNanos());
             } else {
                 LockSupport.park(this);
             }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/ViewChange.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/ViewChange.java
@@ -113,7 +113,7 @@
             line.writeStringField("server", server.value());
             line.writeStringField("service", service.value());
             line.writeStringField("zone", zone.value());
-            line.writeStringField("state", Words.spell(state));
+            line.writeStringField("state", EnumNames.toName(state));
             writeOrigin(line, revision, source);
         }
     }
@@ -158,7 +158,7 @@
         @Override
         public void write(JsonGenerator line) throws IOException {
             line.writeStringField("fingerprint", view.request().toString());
-            line.writeStringField("state", Words.spell(view.state()));
+            line.writeStringField("state", EnumNames.toName(view.state()));
             line.writeNumberField("ends", view.ends());
             line.writeNumberField("ownEnds", view.ownEnds());
             line.writeNumberField("reporters", view.reporters());
@@ -234,7 +234,7 @@
         public void write(JsonGenerator line) throws IOException {
             line.writeStringField("server", view.server().value());
             line.writeStringField("service", view.service().value());
-            line.writeStringField("state", Words.spell(view.state()));
+            line.writeStringField("state", EnumNames.toName(view.state()));
             if (view.leftNanos() > 0) {
                 line.writeNumberField("leftMillis", RequestLine.millis(view.leftNanos()));
             }
@@ -260,7 +260,7 @@
         public void write(JsonGenerator line) throws IOException {
             line.writeStringField("server", server.value());
             line.writeStringField("state", "malformed");
-            line.writeStringField("part", Words.spell(part));
+            line.writeStringField("part", EnumNames.toName(part));
         }
     }
 
@@ -364,6 +364,6 @@
     private static void writeOrigin(JsonGenerator line, long revision, UpdateSource source)
             throws IOException {
         RequestLine.writeRevision(line, "revision", revision);
-        line.writeStringField("source", Words.of(source));
+        line.writeStringField("source", EnumNames.of(source));
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/metrics/MetricPage.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/metrics/MetricPage.java
@@ -1,7 +1,7 @@
 package io.masticpond.entry.metrics;
 
 import io.masticpond.entry.log.AttemptResult;
-import io.masticpond.entry.log.LineClass;
+import io.masticpond.entry.log.LinePriority;
 import io.masticpond.entry.log.LineCounts;
 import io.masticpond.entry.log.RequestOutcome;
 import io.masticpond.entry.log.RouteKind;
@@ -187,9 +187,9 @@
         CounterSnapshot.Builder written = counter("log_lines", "Log lines by what became of them.");
         addPoint(written, Labels.of("fate", "written"), mLines.written());
         addPoint(written, Labels.of("fate", "lost"), mLines.lost());
-        for (LineClass lineClass : LineClass.values()) {
+        for (LinePriority lineClass : LinePriority.values()) {
             Labels labels = Labels.of("fate", "left-out-" + text(lineClass));
-            addPoint(written, labels, mLines.leftOut(lineClass));
+            addPoint(written, labels, mLines.dropped(lineClass));
         }
         mPage.metricSnapshot(written.build());
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/LimitReportCodec.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/LimitReportCodec.java
@@ -27,10 +27,10 @@
     /**
      * One datagram.
      *
-     * @param passOn whether the hearer passes news on to its zone
+     * @param forward whether the hearer passes news on to its zone
      * @param reports the reports
      */
-    public record Content(boolean passOn, List<LimitReport> reports) {}
+    public record Content(boolean forward, List<LimitReport> reports) {}
 
     private LimitReportCodec() {}
 
@@ -41,7 +41,7 @@
      * @param out takes the bytes
      */
     public static void write(Content content, ByteBuf out) {
-        out.writeByte(VERSION).writeBoolean(content.passOn());
+        out.writeByte(VERSION).writeBoolean(content.forward());
         int count = Math.min(MAXIMUM_REPORTS, content.reports().size());
         for (LimitReport each : content.reports().subList(0, count)) {
             out.writeLong(each.serverHash()).writeDouble(each.perSecond());
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/Reading.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/DocumentParsing.java
@@ -4,9 +4,9 @@
 import java.util.function.Supplier;
 
 /** Reads documents of which nothing is certain. */
-final class Reading {
+final class DocumentParsing {
 
-    private Reading() {}
+    private DocumentParsing() {}
 
     /**
      * Turns a refusal by a value type into a sentence, so that one document cannot stop the rest.
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/EvacuationTable.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/EvacuationTable.java
@@ -31,7 +31,7 @@
     @Override
     public void changed(StoredDocument document, long stateNanos) {
         Either<String, ZoneId> read =
-                Reading.guard(() -> Either.right(new ZoneId(document.name())));
+                DocumentParsing.guard(() -> Either.right(new ZoneId(document.name())));
         if (read.isLeft()) {
             sLogger.warn("STORE  an evacuation is unreadable: {}", read.getLeft());
             return;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/FleetReplica.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/FleetReplica.java
@@ -34,7 +34,7 @@
     private final ReplicaSettings.Outage mSettings;
     private final SnapshotListener mListener;
     private final StoreHealth mHealth;
-    private final StoreScout mScout;
+    private final StoreProber mProber;
     private final RoutingTable mRouting;
     private final ServerDocuments mServers;
     private final EvacuationTable mEvacuations = new EvacuationTable();
@@ -77,7 +77,7 @@
         mSettings = context.settings().outage();
         mListener = Assert.notNull(listener, "A listener");
         mHealth = new StoreHealth(mTime, mScheduler, mSettings.lostAfter());
-        mScout = new StoreScout(context, probe, mHealth, this::checkLag);
+        mProber = new StoreProber(context, probe, mHealth, this::checkLag);
         mRouting = new RoutingTable(translator);
         mServers = new ServerDocuments(translator);
         mHealth.addListener(this);
@@ -155,11 +155,11 @@
      * @param zone says who watches
      * @param client asks them
      */
-    public void shareWatching(RelayZone zone, RelayClient client) {
+    public void shareWatching(WatcherSelector zone, RelayClient client) {
         shareWatching(zone, (RelayLink) client);
     }
 
-    void shareWatching(RelayZone zone, RelayLink link) {
+    void shareWatching(WatcherSelector zone, RelayLink link) {
         if (mContext.settings().watching().watchersInZone() > 0) {
             mRelay =
                     Optional.of(
@@ -204,7 +204,7 @@
 
     private void relayTurned() {
         boolean relies = isFollowing();
-        mScout.setIdle(relies);
+        mProber.setIdle(relies);
         mWatchingSinceNanos = mTime.monotonicNanos();
         if (relies) {
             mFollowers.forEach(CategoryFollower::pause);
@@ -219,7 +219,7 @@
         // Until the store has answered once, it counts as failing.
         mHealth.failed(mTime.monotonicNanos());
         mFollowers.forEach(CategoryFollower::start);
-        mScout.start();
+        mProber.start();
         mRelay.ifPresent(RelayFollower::start);
     }
 
@@ -249,7 +249,7 @@
     public void stop() {
         mStopped = true;
         mFollowers.forEach(CategoryFollower::pause);
-        mScout.stop();
+        mProber.stop();
         mRelay.ifPresent(RelayFollower::stop);
         mRelayService.changed();
         mFallback.ifPresent(RelayFallback::stop);
@@ -315,7 +315,7 @@
         mRelayService.changed();
         mGraceTimer.run();
         mServers.keepVanished(false);
-        mScout.hurry();
+        mProber.probeNow();
         mFallback.ifPresent(RelayFallback::start);
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/InstanceRegistration.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/InstanceRegistration.java
@@ -64,7 +64,7 @@
      *
      * @param era the era of the store in which this instance has settled
      */
-    public void enter(long era) {
+    public void register(long era) {
         mEra = era;
         put();
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayFollower.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayFollower.java
@@ -23,7 +23,7 @@
 
     private static final Logger sLogger = LoggerFactory.getLogger(RelayFollower.class);
 
-    private final RelayZone mZone;
+    private final WatcherSelector mZone;
     private final RelayLink mLink;
     private final RelayedCopies mCopies;
     private final ReplicaContext mContext;
@@ -50,7 +50,7 @@
      */
     RelayFollower(
             ReplicaContext context,
-            RelayZone zone,
+            WatcherSelector zone,
             RelayLink link,
             RelayedCopies copies,
             BooleanSupplier mayRely,
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RoutingTable.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RoutingTable.java
@@ -55,7 +55,7 @@
     @Override
     public void changed(StoredDocument document, long stateNanos) {
         Either<String, RoutingConfiguration> read =
-                Reading.guard(() -> mTranslator.routing(document.content()));
+                DocumentParsing.guard(() -> mTranslator.routing(document.content()));
         if (read.isLeft()) {
             sLogger.warn(
                     "STORE  routing {} at revision {} is unreadable, the last good one stays: {}",
@@ -85,7 +85,7 @@
 
     /** Gives the version that the operator gave it, below all others if it cannot be read. */
     private long version(StoredDocument document) {
-        return Reading.guard(() -> mTranslator.routing(document.content()))
+        return DocumentParsing.guard(() -> mTranslator.routing(document.content()))
                 .map(RoutingConfiguration::version)
                 .getOrElse(Long.MIN_VALUE);
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/StoreScout.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/StoreProber.java
@@ -8,7 +8,7 @@
  * Looks whether the store still answers while all calls wait, and whether it is back when it was
  * lost. For the control thread.
  */
-final class StoreScout {
+final class StoreProber {
 
     private final StoreProbe mProbe;
     private final StoreHealth mHealth;
@@ -30,7 +30,7 @@
      * @param health hears how the calls end
      * @param onLook runs now and then while the store is not lost
      */
-    StoreScout(ReplicaContext context, StoreProbe probe, StoreHealth health, Runnable onLook) {
+    StoreProber(ReplicaContext context, StoreProbe probe, StoreHealth health, Runnable onLook) {
         mProbe = probe;
         mHealth = health;
         mOnLook = onLook;
@@ -62,7 +62,7 @@
     }
 
     /** Looks at once, and often from now on, since the store is lost. */
-    void hurry() {
+    void probeNow() {
         mFailures = 0;
         look();
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayZone.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/WatcherSelector.java
@@ -18,7 +18,7 @@
  *
  * @since 0.2
  */
-public final class RelayZone {
+public final class WatcherSelector {
 
     private final ZoneId mZone;
     private final InstanceId mSelf;
@@ -32,7 +32,7 @@
      * @param ready gives the ready instances of the zone that are in no doubt, this one among them
      *     if it is ready
      */
-    public RelayZone(ZoneId zone, InstanceId self, Supplier<List<RelayMember>> ready) {
+    public WatcherSelector(ZoneId zone, InstanceId self, Supplier<List<RelayMember>> ready) {
         mZone = Assert.notNull(zone, "An availability zone");
         mSelf = Assert.notNull(self, "An instance id");
         mReady = Assert.notNull(ready, "A supplier of members");
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestRun.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestRun.java
@@ -2,7 +2,7 @@
 
 import io.masticpond.core.crash.RequestFingerprint;
 import io.masticpond.core.id.ServiceId;
-import io.masticpond.core.limit.AdmissionAnswer;
+import io.masticpond.core.limit.AdmissionDecision;
 import io.masticpond.core.placement.Placement;
 import io.masticpond.core.placement.ServerLoad;
 import io.masticpond.core.request.Verdict;
@@ -115,10 +115,10 @@
         List<ServerLoad> servers = mFlow.servers().of(mService);
         Placement placement = mSearch.place(servers, mSends > 0, mTimes.leftNanos(now), now);
         if (placement instanceof Placement.Refused refused) {
-            refuseForLoad(refused.answer(), servers, now);
+            refuseForLoad(refused.decision(), servers, now);
             return;
         }
-        if (placement instanceof Placement.Unwanted unwanted) {
+        if (placement instanceof Placement.Throttled unwanted) {
             Duration comeBack = Duration.ofNanos(unwanted.retryAfterNanos());
             endRejected(Rejection.unavailable(unwanted.cause(), comeBack));
             return;
@@ -134,9 +134,9 @@
         }
     }
 
-    private void refuseForLoad(AdmissionAnswer answer, List<ServerLoad> servers, long now) {
+    private void refuseForLoad(AdmissionDecision answer, List<ServerLoad> servers, long now) {
         mSearch.explain(servers, mTimes.leftNanos(now), now);
-        mFacts.wouldWait(answer.expectedWaitNanos(), answer.longestWaitNanos());
+        mFacts.expectedWait(answer.expectedWaitNanos(), answer.longestWaitNanos());
         refuse(Rejection.unavailable("overload", Duration.ofNanos(answer.retryAfterNanos())));
     }
 
@@ -314,7 +314,7 @@
     }
 
     private void attemptOver(ServerLoad server) {
-        server.ended();
+        server.requestEnded();
         mCall = null;
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerSearch.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerSearch.java
@@ -3,7 +3,7 @@
 import io.masticpond.core.id.BackendServerId;
 import io.masticpond.core.id.ServiceId;
 import io.masticpond.core.placement.Candidates;
-import io.masticpond.core.placement.PlacedRequest;
+import io.masticpond.core.placement.PlacementRequest;
 import io.masticpond.core.placement.Placement;
 import io.masticpond.core.placement.RequestPlacer;
 import io.masticpond.core.placement.ServerChoice;
@@ -50,10 +50,10 @@
     /** Places the request; one that has been sent before is past the gate. */
     Placement place(List<ServerLoad> servers, boolean sentBefore, long leftNanos, long now) {
         mWithoutPermit.clear();
-        mFacts.weigh();
+        mFacts.beginSelection();
         Usable candidates = new Usable(now, true);
         Placement placement = place(servers, sentBefore, leftNanos, candidates);
-        if (!(placement instanceof Placement.Nowhere)) {
+        if (!(placement instanceof Placement.NoServer)) {
             return placement;
         }
         if (candidates.mSawReturning) {
@@ -66,22 +66,22 @@
 
     private Placement place(
             List<ServerLoad> servers, boolean sentBefore, long leftNanos, Usable candidates) {
-        PlacedRequest request = placed(leftNanos);
+        PlacementRequest request = placed(leftNanos);
         RequestPlacer placer = mFlow.placer();
         return sentBefore
                 ? placer.placeAgain(request, servers, candidates, candidates.mNow)
                 : placer.place(request, servers, candidates, candidates.mNow);
     }
 
-    private PlacedRequest placed(long leftNanos) {
-        return new PlacedRequest(mRoute, mService, mKeyHash, leftNanos);
+    private PlacementRequest placed(long leftNanos) {
+        return new PlacementRequest(mRoute, mService, mKeyHash, leftNanos);
     }
 
     /**
      * Notes the servers of the last choice, the chosen one first, for a request that is refused.
      */
     void explain(List<ServerLoad> servers, long leftNanos, long now) {
-        mFacts.weigh();
+        mFacts.beginSelection();
         List<ServerLoad> usable = servers.stream().filter(load -> isUsable(load, now)).toList();
         for (ServerChoice each : mFlow.placer().chooser().ranked(usable, placed(leftNanos), now)) {
             note(each, now);
@@ -169,7 +169,7 @@
                 long left = mStatements.pausedForNanos(load, mNow);
                 mFirstPauseNanos = Math.min(mFirstPauseNanos, left);
             }
-            mSawUnpaused |= exclusion == null || exclusion.isShort();
+            mSawUnpaused |= exclusion == null || exclusion.isTransient();
             if (exclusion != null) {
                 return false;
             }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/WorkspaceAuthenticator.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/WorkspaceAuthenticator.java
@@ -152,7 +152,7 @@
             return Either.left(Rejection.unauthorized("no-key"));
         }
         KeyDigest key = KeyDigest.of(text);
-        Optional<Workspace> opened = mWorkspaces.opened(key);
+        Optional<Workspace> opened = mWorkspaces.findByKey(key);
         long ageNanos = proofAgeNanos();
         note(facts, opened.orElse(null), ageNanos);
         if (!isProven(ageNanos)) {
@@ -244,7 +244,7 @@
             }
             boolean opens =
                     mWorkspaces
-                            .opened(mKey)
+                            .findByKey(mKey)
                             .map(Workspace::id)
                             .filter(mWorkspace::equals)
                             .isPresent();
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlSide.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlComponents.java
@@ -20,9 +20,9 @@
 
 /** What runs on the control thread: the copy of the store, the own entry there, and the peers. */
 @Singleton
-final class ControlSide {
+final class ControlComponents {
 
-    private static final Logger sLogger = LoggerFactory.getLogger(ControlSide.class);
+    private static final Logger sLogger = LoggerFactory.getLogger(ControlComponents.class);
 
     private final TimeSource mTimeSource;
     private final PeerInstance mSelf;
@@ -32,7 +32,7 @@
     private final RelayServer mRelayServer;
 
     @Inject
-    ControlSide(
+    ControlComponents(
             TimeSource timeSource,
             PeerInstance self,
             HeartbeatService heartbeats,
@@ -49,7 +49,7 @@
 
     /** Starts the parts; to be called on the control thread. */
     void start() {
-        mReplica.restoreTracker().addSettledListener((era, hadBefore) -> mRegistration.enter(era));
+        mReplica.restoreTracker().addSettledListener((era, hadBefore) -> mRegistration.register(era));
         mReplica.start();
         mHeartbeats.start();
         mRegistration.start();
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlModule.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlModule.java
@@ -17,7 +17,7 @@
 import io.masticpond.entry.replica.KnownZonesTranslator;
 import io.masticpond.entry.replica.RelayClient;
 import io.masticpond.entry.replica.RelayServer;
-import io.masticpond.entry.replica.RelayZone;
+import io.masticpond.entry.replica.WatcherSelector;
 import io.masticpond.entry.replica.ReplicaContext;
 import io.masticpond.entry.replica.ReplicaSettings;
 import io.masticpond.entry.replica.StoreFeed;
@@ -110,7 +110,7 @@
         RelayClient client = new RelayClient(control);
         replica.usePeers(heard, client, settings.zone(), settings.region());
         replica.shareWatching(
-                new RelayZone(
+                new WatcherSelector(
                         settings.zone(), self.id(), () -> heard.readyMembers(settings.zone())),
                 client);
         return replica;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryInstance.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryInstance.java
@@ -22,13 +22,13 @@
 
     private final EventLoop mTraffic;
     private final EventLoop mControl;
-    private final ControlSide mControlSide;
+    private final ControlComponents mControlSide;
     private final RequestFlow mFlow;
     private final EntryListeners mListeners;
     private final SnapshotUpdates mUpdates;
     private final StopSwitch mStop;
     private final ProcessChangeLog mNews;
-    private final SettingsInForce mSettings;
+    private final SettingsReloader mSettings;
     private final LoadSharing mLoadSharing;
     private final CrashSharing mCrashSharing;
     private final ProofSharing mProofSharing;
@@ -40,12 +40,12 @@
             ProcessChangeLog news,
             @TrafficThread EventLoop traffic,
             @ControlThread EventLoop control,
-            ControlSide controlSide,
+            ControlComponents controlSide,
             RequestFlow flow,
             EntryListeners listeners,
             SnapshotUpdates updates,
             StopSwitch stop,
-            SettingsInForce settings,
+            SettingsReloader settings,
             LoadSharing loadSharing,
             CrashSharing crashSharing,
             ProofSharing proofSharing,
@@ -108,6 +108,6 @@
      * @param settings the settings, which differ from those before
      */
     public void reload(EntrySettings settings) {
-        mSettings.change(settings);
+        mSettings.apply(settings);
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryMetricsCollector.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryMetricsCollector.java
@@ -43,7 +43,7 @@
     private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
     private final TimeSource mTimeSource;
-    private final ControlSide mControl;
+    private final ControlComponents mControl;
     private final RequestFlow mFlow;
     private final SharedLimits mLimits;
     private final ConnectionCounts mConnections;
@@ -133,7 +133,7 @@
     @Inject
     EntryMetricsCollector(
             TimeSource timeSource,
-            ControlSide control,
+            ControlComponents control,
             RequestFlow flow,
             SharedLimits limits,
             NettyBackendConnections connections,
@@ -155,8 +155,8 @@
                         mConnections.open(),
                         mConnections.idle(),
                         mConnections.opened(),
-                        mFlow.placer().shared().reportedCount(),
-                        mFlow.placer().shared().receivedCount(),
+                        mFlow.placer().sharedLoads().reportedCount(),
+                        mFlow.placer().sharedLoads().receivedCount(),
                         mFlow.crashes().ends(),
                         crashes.size(),
                         crashes.stream().filter(each -> each.remainingNanos() > 0).count(),
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LifecycleModule.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LifecycleModule.java
@@ -37,7 +37,7 @@
             @ControlThread EventLoop control,
             RequestFlow flow,
             SharedLimits limits,
-            ControlSide controlSide,
+            ControlComponents controlSide,
             Readiness readiness,
             StopSwitch stop,
             RecentDecisions decisions,
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LimitSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LimitSharing.java
@@ -76,7 +76,7 @@
 
     private void receive(LimitReportCodec.Content told) {
         List<LimitReport> news = mLimits.received(mFlow.servers(), told.reports());
-        if (told.passOn() && !news.isEmpty()) {
+        if (told.forward() && !news.isEmpty()) {
             mControl.execute(() -> send(mPeers.ownZone(), false, news));
         }
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoadSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoadSharing.java
@@ -60,7 +60,7 @@
     }
 
     private SharedLoads shared() {
-        return mFlow.placer().shared();
+        return mFlow.placer().sharedLoads();
     }
 
     private void receive(List<LoadReport> reports) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ProofSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ProofSharing.java
@@ -1,6 +1,6 @@
 package io.masticpond.entry.wiring;
 
-import io.masticpond.core.freshness.FreshnessKeeper;
+import io.masticpond.core.freshness.FreshnessTracker;
 import io.masticpond.core.freshness.FreshnessProof;
 import io.masticpond.core.time.Moment;
 import io.masticpond.core.time.TimeSource;
@@ -52,7 +52,7 @@
     private final PeerInstance mSelf;
     private final DecisionLog mLog;
     private final long mLimitNanos;
-    private final FreshnessKeeper mKeeper = new FreshnessKeeper();
+    private final FreshnessTracker mKeeper = new FreshnessTracker();
     private final Map<Long, Moment> mRequests = new LinkedHashMap<>();
     private List<PeerInstance> mAlive = List.of();
     private List<PeerInstance> mOrder = List.of();
@@ -105,7 +105,7 @@
     }
 
     private void answer(ProofCodec.Request ask, ByteBuf out) {
-        FreshnessProof proof = mKeeper.held().orElse(null);
+        FreshnessProof proof = mKeeper.youngestProof().orElse(null);
         long age = proof == null ? Integer.MAX_VALUE : proof.ageNanos(now());
         ProofCodec.write(
                 new ProofCodec.Answer(
@@ -124,7 +124,7 @@
     }
 
     private void take(FreshnessProof proof) {
-        mKeeper.take(proof, now());
+        mKeeper.addProof(proof, now());
         reportProof();
     }
 
@@ -140,7 +140,7 @@
         Moment now = now();
         order();
         int rank = rank();
-        if (!mReading && mKeeper.mustRead(rank, now)) {
+        if (!mReading && mKeeper.mustReadStore(rank, now)) {
             mReading = true;
             mReader.read(isRead -> mReading = false);
         }
@@ -170,10 +170,10 @@
 
     private void request(int rank, Moment now) {
         List<PeerInstance> asked = new ArrayList<>();
-        if (rank != 0 && !mOrder.isEmpty() && mKeeper.mustAsk(now)) {
+        if (rank != 0 && !mOrder.isEmpty() && mKeeper.mustQueryRegion(now)) {
             asked.add(mOrder.get((int) (mNumber % Math.min(ASKED_NEAR, mOrder.size()))));
         }
-        if (mKeeper.mustAskFar(now)) {
+        if (mKeeper.mustQueryOtherRegions(now)) {
             for (int i = 0; i < ASKED_FAR && !mAlive.isEmpty(); i++) {
                 asked.add(mAlive.get((int) Math.floorMod(mTurn++, (long) mAlive.size())));
             }
@@ -192,8 +192,8 @@
     /** Tells the request path of a new proof; the snapshot that it proves is there before it. */
     private void reportProof() {
         Moment now = now();
-        mKeeper.inForce(mReader.revisionInForce(), now);
-        Moment proof = mKeeper.held().map(FreshnessProof::moment).orElse(null);
+        mKeeper.onRevisionApplied(mReader.revisionInForce(), now);
+        Moment proof = mKeeper.youngestProof().map(FreshnessProof::moment).orElse(null);
         if (proof != mReportedProof) {
             mReportedProof = proof;
             mTraffic.execute(() -> mFlow.authenticator().recordProof(proof));
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SettingsInForce.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SettingsReloader.java
@@ -16,7 +16,7 @@
  * that is on its way sees either the old ones or the new ones and is never cut.
  */
 @Singleton
-final class SettingsInForce {
+final class SettingsReloader {
 
     private final EventLoop mTraffic;
     private final PeerInstance mSelf;
@@ -30,7 +30,7 @@
     private EntrySettings mSettings;
 
     @Inject
-    SettingsInForce(
+    SettingsReloader(
             EntrySettings settings,
             @TrafficThread EventLoop traffic,
             PeerInstance self,
@@ -54,7 +54,7 @@
     }
 
     /** Takes the settings and tells what changed; to be called by one thread at a time. */
-    synchronized void change(EntrySettings settings) {
+    synchronized void apply(EntrySettings settings) {
         mDirectory.apply(settings.bounds());
         mStop.apply(settings.bounds());
         mHeartbeats.setSeeds(Seeds.internal(settings, mSelf));
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SnapshotUpdates.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SnapshotUpdates.java
@@ -22,7 +22,7 @@
     private final EventLoop mTraffic;
     private final TimeSource mTimeSource;
     private final FleetSnapshotLog mLog;
-    private final ControlSide mControlSide;
+    private final ControlComponents mControlSide;
     private final RequestFlow mFlow;
     private final SharedLimits mLimits;
     private final ServiceSplit mSplit;
@@ -36,7 +36,7 @@
             @TrafficThread EventLoop traffic,
             TimeSource timeSource,
             FleetSnapshotLog log,
-            ControlSide controlSide,
+            ControlComponents controlSide,
             RequestFlow flow,
             SharedLimits limits,
             ServiceSplit split,
--- a/masticpond-entry/src/test/java/io/masticpond/entry/http/HttpEntryServerTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/http/HttpEntryServerTest.java
@@ -87,7 +87,7 @@
         mTraffic.submit(
                         () -> {
                             mTime.advance(duration);
-                            mServer.connections().look();
+                            mServer.connections().checkConnections();
                         })
                 .syncUninterruptibly();
     }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/log/LineWriterTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/log/LineWriterTest.java
@@ -23,26 +23,26 @@
 
     @Example
     void failuresGoBeforePlainRequestsThatCameFirst() {
-        offer(LineClass.PLAIN, 600);
-        offer(LineClass.NOTEWORTHY, 150);
+        offer(LinePriority.PLAIN, 600);
+        offer(LinePriority.NOTEWORTHY, 150);
         mWriter.writeBatch();
         assertThat(mOutput.lines())
                 .hasSize(150)
                 .allMatch(line -> line.path("outcome").asText().equals("refused"));
-        assertThat(mCounts.leftOut(LineClass.PLAIN)).isEqualTo(600);
-        assertThat(mCounts.leftOut(LineClass.NOTEWORTHY)).isZero();
+        assertThat(mCounts.dropped(LinePriority.PLAIN)).isEqualTo(600);
+        assertThat(mCounts.dropped(LinePriority.NOTEWORTHY)).isZero();
     }
 
     @Example
     void failuresAboveTheBudgetWaitAndNoPlainRequestIsWrittenMeanwhile() {
-        offer(LineClass.NOTEWORTHY, 500);
+        offer(LinePriority.NOTEWORTHY, 500);
         for (int step = 0; step < 10; step++) {
-            offer(LineClass.PLAIN, 10);
+            offer(LinePriority.PLAIN, 10);
             mWriter.writeBatch();
             mTime.advance(OPTIONS.batchInterval());
         }
         assertThat(refused()).isEqualTo(500);
-        assertThat(mCounts.leftOut(LineClass.NOTEWORTHY)).isZero();
+        assertThat(mCounts.dropped(LinePriority.NOTEWORTHY)).isZero();
         assertThat(mOutput.lines().subList(0, 500))
                 .allMatch(line -> line.path("outcome").asText().equals("refused"));
     }
@@ -51,7 +51,7 @@
     void aStormOfAllClassesStaysWithinTheBudget() {
         int seconds = 12;
         for (int step = 0; step < 5 * seconds; step++) {
-            for (LineClass lineClass : LineClass.values()) {
+            for (LinePriority lineClass : LinePriority.values()) {
                 offer(lineClass, 400);
             }
             mWriter.writeBatch();
@@ -69,7 +69,7 @@
         for (int index = 0; index < 1_000; index++) {
             RequestRecord request = new RequestRecord("r" + index, 0);
             request.answered(200, 0);
-            offer(LineClass.PLAIN, request);
+            offer(LinePriority.PLAIN, request);
         }
         mWriter.writeBatch();
         assertThat(mOutput.lines()).hasSize(100);
@@ -79,7 +79,7 @@
 
     @Example
     void oneCallWritesTheWholeBatch() {
-        offer(LineClass.NOTEWORTHY, 30);
+        offer(LinePriority.NOTEWORTHY, 30);
         assertThat(mWriter.writeBatch()).isTrue();
         assertThat(mWriter.writeBatch()).isFalse();
         assertThat(mOutput.calls()).isEqualTo(1);
@@ -87,7 +87,7 @@
 
     @Example
     void aLongBatchIsWrittenInPiecesOfWholeLines() {
-        offer(LineClass.NOTEWORTHY, 180);
+        offer(LinePriority.NOTEWORTHY, 180);
         assertThat(mWriter.writeBatch()).isTrue();
         assertThat(mOutput.lines()).hasSize(180);
         assertThat(mOutput.calls()).isBetween(2, 10);
@@ -99,25 +99,25 @@
 
     @Example
     void whatWasLeftOutIsToldOnceEveryTenSeconds() {
-        offer(LineClass.PLAIN, 500);
+        offer(LinePriority.PLAIN, 500);
         mWriter.writeBatch();
         assertThat(mOutput.count("left-out")).isZero();
-        assertThat(mWriter.hasUntold()).isTrue();
-        mTime.advance(LineWriter.LEFT_OUT_INTERVAL);
+        assertThat(mWriter.hasUnreportedDrops()).isTrue();
+        mTime.advance(LineWriter.DROP_SUMMARY_INTERVAL);
         mWriter.writeBatch();
-        mTime.advance(LineWriter.LEFT_OUT_INTERVAL);
+        mTime.advance(LineWriter.DROP_SUMMARY_INTERVAL);
         mWriter.writeBatch();
         assertThat(mOutput.count("left-out")).isEqualTo(1);
         JsonNode told = mOutput.lines().get(mOutput.lines().size() - 1);
         assertThat(told.path("plain").asInt()).isEqualTo(400);
         assertThat(told.path("noteworthy").asInt(1)).isZero();
-        assertThat(mWriter.hasUntold()).isFalse();
+        assertThat(mWriter.hasUnreportedDrops()).isFalse();
     }
 
     @Example
     void theRestIsWrittenWhateverTheBudget() {
-        offer(LineClass.NOTEWORTHY, 1_000);
-        offer(LineClass.PLAIN, 1_000);
+        offer(LinePriority.NOTEWORTHY, 1_000);
+        offer(LinePriority.PLAIN, 1_000);
         mWriter.writeRest();
         assertThat(mOutput.lines()).hasSize(2_000);
         assertThat(mCounts.written()).isEqualTo(2_000);
@@ -129,10 +129,10 @@
                 .count();
     }
 
-    private void offer(LineClass lineClass, int count) {
+    private void offer(LinePriority lineClass, int count) {
         for (int index = 0; index < count; index++) {
             RequestRecord request = new RequestRecord("r" + index, 0);
-            if (lineClass == LineClass.NOTEWORTHY) {
+            if (lineClass == LinePriority.NOTEWORTHY) {
                 request.refused("no-room", 503, 500, 0);
             } else {
                 request.answered(200, 0);
@@ -141,10 +141,10 @@
         }
     }
 
-    private void offer(LineClass lineClass, RequestRecord request) {
+    private void offer(LinePriority lineClass, RequestRecord request) {
         boolean taken = mRings.offer(lineClass, new TimedLine(0, new RequestLine(request)));
         if (!taken) {
-            mCounts.leftOut(lineClass, 1);
+            mCounts.dropped(lineClass, 1);
         }
     }
 }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/log/RequestLineTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/log/RequestLineTest.java
@@ -175,12 +175,12 @@
         request.routing(7, millis(40));
         request.registry(812, RequestRecord.UNKNOWN);
         request.peers(6, millis(90));
-        request.weigh();
+        request.beginSelection();
         request.candidate(FIRST, 3, 4, 0.9);
         request.sent(FIRST, ZONE, true, millis(1));
         request.attemptEnded(AttemptResult.TURNED_AWAY, 503, millis(10));
         request.retryBudget(1.5);
-        request.weigh();
+        request.beginSelection();
         request.excluded(Exclusion.LEAVING);
         request.excluded(Exclusion.LEAVING);
         request.excluded(Exclusion.TRIED);
--- a/masticpond-entry/src/test/java/io/masticpond/entry/log/StandardOutputLogTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/log/StandardOutputLogTest.java
@@ -27,17 +27,17 @@
     void anOutputThatBlocksBlocksNobodyAndIsCounted() {
         StuckOutput stuck = new StuckOutput();
         StandardOutputLog log = StandardOutputLog.start(HASTY, new SystemTimeSource(), stuck);
-        int offered = 3 * LineClass.NOTEWORTHY.capacity();
+        int offered = 3 * LinePriority.NOTEWORTHY.capacity();
         for (int index = 0; index < offered; index++) {
             log.requestEnded(refused());
         }
-        long leftOut = log.counts().leftOut(LineClass.NOTEWORTHY);
+        long leftOut = log.counts().dropped(LinePriority.NOTEWORTHY);
         assertThat(leftOut).isGreaterThan(0).isLessThan(offered);
         assertThat(log.counts().written()).isZero();
         log.close();
         stuck.release();
         log.requestEnded(refused());
-        assertThat(log.counts().leftOut(LineClass.NOTEWORTHY)).isEqualTo(leftOut + 1);
+        assertThat(log.counts().dropped(LinePriority.NOTEWORTHY)).isEqualTo(leftOut + 1);
     }
 
     @Example
@@ -66,7 +66,7 @@
         LoggerContext context = new LoggerContext();
         try (StandardOutputLog log =
                 StandardOutputLog.start(OPTIONS, new SystemTimeSource(), mOutput)) {
-            LibraryLog.install(context, log, false);
+            LogbackBridge.install(context, log, false);
             Logger library = context.getLogger("org.example.Library");
             Logger own = context.getLogger("io.masticpond.entry.Part");
             library.info("Not of interest.");
--- a/masticpond-entry/src/test/java/io/masticpond/entry/replica/HostileStoreTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/replica/HostileStoreTest.java
@@ -75,7 +75,7 @@
                         era -> JsonNodeFactory.instance.objectNode().put("era", era),
                         heard::add);
         registration.start();
-        registration.enter(0);
+        registration.register(0);
         mScheduler.pass(Duration.ofSeconds(20));
         assertThat(mCalls.stream().filter("put i-1"::equals).count()).isBetween(4L, 12L);
         assertThat(heard).isEmpty();
--- a/masticpond-entry/src/test/java/io/masticpond/entry/replica/ReplicaFixture.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/replica/ReplicaFixture.java
@@ -122,7 +122,7 @@
 
         void share() {
             mReplica.shareWatching(
-                    new RelayZone(
+                    new WatcherSelector(
                             new ZoneId("zone-a"),
                             mId,
                             () ->
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/RequestFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/RequestFlowTest.java
@@ -4,7 +4,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.masticpond.core.id.BackendServerId;
-import io.masticpond.core.limit.AdmissionAnswer;
+import io.masticpond.core.limit.AdmissionDecision;
 import io.masticpond.core.placement.LoadGate;
 import io.masticpond.core.placement.ServerLoad;
 import io.masticpond.core.request.Verdict;
@@ -63,10 +63,10 @@
     void refusalForOverloadTellsTheServerChosenFirstAndWhatDecided() {
         mLoadGate =
                 (request, chosen, now) ->
-                        Optional.of(new AdmissionAnswer(false, 5_000_000, 70_000_000, 20_000_000));
+                        Optional.of(new AdmissionDecision(false, 5_000_000, 70_000_000, 20_000_000));
         RequestFlow flow = flow(true, 2);
         for (ServerLoad load : flow.servers().of(SERVICE)) {
-            load.began();
+            load.requestStarted();
         }
         handle(flow);
         JsonNode line = mDecisions.ofRequest("one").get(0);
@@ -101,10 +101,10 @@
         assertThat(mResponder.status()).isEqualTo(503);
     }
 
-    private static Optional<AdmissionAnswer> refusalOf(
+    private static Optional<AdmissionDecision> refusalOf(
             ServerLoad chosen, Set<BackendServerId> full) {
         return full.contains(chosen.server().id())
-                ? Optional.of(new AdmissionAnswer(false, 5_000_000, 70_000_000, 20_000_000))
+                ? Optional.of(new AdmissionDecision(false, 5_000_000, 70_000_000, 20_000_000))
                 : Optional.empty();
     }
 
@@ -112,7 +112,7 @@
     void coldServerWithoutPermitIsNoCandidateOfRefusalForOverload() {
         mLoadGate =
                 (request, chosen, now) ->
-                        Optional.of(new AdmissionAnswer(false, 5_000_000, 70_000_000, 20_000_000));
+                        Optional.of(new AdmissionDecision(false, 5_000_000, 70_000_000, 20_000_000));
         handle(flow(true, 2));
         JsonNode all = mDecisions.ofRequest("one").get(0).path("candidates");
         String cold = all.get(0).path("server").asText();
@@ -141,7 +141,7 @@
         BackendServerId home = mConnections.last().mServer.id();
         flow.servers().of(SERVICE).stream()
                 .filter(each -> each.server().id().equals(home))
-                .forEach(each -> List.of(1, 2, 3).forEach(ignored -> each.began()));
+                .forEach(each -> List.of(1, 2, 3).forEach(ignored -> each.requestStarted()));
         handle(flow);
         return !mConnections.last().mServer.id().equals(home);
     }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/RestartedServerFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/RestartedServerFlowTest.java
@@ -35,10 +35,10 @@
         startAgain(flow, id);
         ServerLoad later = load(flow, id);
         assertThat(later).isNotSameAs(former);
-        assertThat(later.own()).isZero();
+        assertThat(later.ownInFlight()).isZero();
         mConnections.last().fail(Verdict.MAY_HAVE_RUN, CallFailure.Kind.BROKEN_OFF);
-        assertThat(former.own()).isZero();
-        assertThat(later.own()).isZero();
+        assertThat(former.ownInFlight()).isZero();
+        assertThat(later.ownInFlight()).isZero();
         long now = mTime.monotonicNanos();
         assertThat(flow.placer().chooser().outlierDetector().evaluation(SERVICE, id, now)).isEmpty();
         assertThat(mConnections.mForgotten)
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionSimulation.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionSimulation.java
@@ -241,12 +241,12 @@
     /** Lets the other instances of a zone hear of loads, once a bundle has waited and travelled. */
     private void share(ModelInstance from) {
         from.placer()
-                .shared()
+                .sharedLoads()
                 .setPendingListener(
                         () ->
                                 mClock.after(
                                         BUNDLE_NANOS,
-                                        () -> tell(from, from.placer().shared().take())));
+                                        () -> tell(from, from.placer().sharedLoads().take())));
     }
 
     private void tell(ModelInstance from, List<LoadReport> reports) {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelInstance.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelInstance.java
@@ -74,7 +74,7 @@
     }
 
     void receive(List<LoadReport> reports, long nowNanos) {
-        mPlacer.shared().receive(mServers, reports, nowNanos);
+        mPlacer.sharedLoads().receive(mServers, reports, nowNanos);
     }
 
     void counted(ServiceId service, long nowNanos) {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelRequest.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelRequest.java
@@ -5,7 +5,7 @@
 import io.masticpond.core.id.ZoneId;
 import io.masticpond.core.placement.Candidates;
 import io.masticpond.core.placement.Distance;
-import io.masticpond.core.placement.PlacedRequest;
+import io.masticpond.core.placement.PlacementRequest;
 import io.masticpond.core.placement.Placement;
 import io.masticpond.core.placement.ReportedLoad;
 import io.masticpond.core.placement.ServerLoad;
@@ -130,8 +130,8 @@
         }
 
         private void place() {
-            PlacedRequest request =
-                    new PlacedRequest(
+            PlacementRequest request =
+                    new PlacementRequest(
                             mRoute, service(), HashMixer.hash(mObject), mDeadlineNanos - now());
             var servers = mInstance.servers().of(service());
             if (mWorld.variant().knowsTrueLoads()) {
@@ -144,7 +144,7 @@
             if (placement instanceof Placement.Placed placed) {
                 send(placed.choice().load());
             } else if (placement instanceof Placement.Refused refused) {
-                refuse(refused.answer().retryAfterNanos());
+                refuse(refused.decision().retryAfterNanos());
             } else {
                 refuse(COME_BACK_NANOS);
             }
@@ -174,7 +174,7 @@
         }
 
         private void hear(ServerLoad load, ModelServer.Answer answer, long sentNanos) {
-            load.ended();
+            load.requestEnded();
             if (!mWorld.isAlive(mInstance)) {
                 return;
             }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainArrivals.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainArrivals.java
@@ -7,7 +7,7 @@
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.daemon.duty.EventLoop;
 import io.masticpond.daemon.steering.AdmitterSteering;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import io.masticpond.daemon.steering.SteeredRequest;
 import java.time.Duration;
 import java.util.List;
@@ -94,8 +94,8 @@
                 head, Optional.empty(), "POST", "/layouts", List.of(), BODY, Optional.empty());
     }
 
-    private void end(RequestEnd end) {
-        if (end instanceof RequestEnd.Refused refused) {
+    private void end(RequestCompletion end) {
+        if (end instanceof RequestCompletion.Refused refused) {
             boolean ran = refused.refusal().verdict() != Verdict.DID_NOT_RUN;
             (ran ? mCut : mRefused).increment();
         } else {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/logging/SampleRequests.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/logging/SampleRequests.java
@@ -39,7 +39,7 @@
         request.routing(7, SERVICE_NANOS);
         request.registry(number, SERVICE_NANOS);
         request.peers(3, SERVICE_NANOS);
-        request.weigh();
+        request.beginSelection();
         for (int index = 0; index < 3; index++) {
             request.candidate(server(number + index), index, SLOTS, 0.9 - index);
         }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/logging/StoppedReaderRun.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/logging/StoppedReaderRun.java
@@ -2,7 +2,7 @@
 
 import io.masticpond.core.time.SystemTimeSource;
 import io.masticpond.entry.log.DecisionLog;
-import io.masticpond.entry.log.LineClass;
+import io.masticpond.entry.log.LinePriority;
 import io.masticpond.entry.log.LogOptions;
 import io.masticpond.entry.log.RecentDecisions;
 import io.masticpond.entry.log.RequestRecord;
@@ -46,8 +46,8 @@
             return new Result(
                     nanos,
                     log.counts().written(),
-                    log.counts().leftOut(LineClass.NOTEWORTHY),
-                    log.counts().leftOut(LineClass.PLAIN));
+                    log.counts().dropped(LinePriority.NOTEWORTHY),
+                    log.counts().dropped(LinePriority.PLAIN));
         }
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/BackendAnswerRun.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/BackendAnswerRun.java
@@ -8,7 +8,7 @@
 import io.masticpond.core.time.SystemTimeSource;
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.daemon.backend.BackendClient;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import io.masticpond.daemon.steering.SteeredRequest;
 import io.masticpond.testing.backend.BackendFleet;
 import io.masticpond.testing.backend.BackendServerFaults;
@@ -93,7 +93,7 @@
                 request,
                 server,
                 result -> {
-                    ended(result.end(), id, path, digest(body));
+                    ended(result.completion(), id, path, digest(body));
                     mRoom.release();
                 });
     }
@@ -103,8 +103,8 @@
         return ("layout " + number + " " + filler).getBytes(StandardCharsets.UTF_8);
     }
 
-    private void ended(RequestEnd end, String id, String path, String digest) {
-        if (!(end instanceof RequestEnd.Answered answered) || answered.status() != 200) {
+    private void ended(RequestCompletion end, String id, String path, String digest) {
+        if (!(end instanceof RequestCompletion.Answered answered) || answered.status() != 200) {
             mTally.mFailed.increment();
             return;
         }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/MeasuredInstance.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/MeasuredInstance.java
@@ -25,7 +25,7 @@
 import io.masticpond.daemon.instance.NettyInstanceLinks;
 import io.masticpond.daemon.operation.AnswerSize;
 import io.masticpond.daemon.operation.LinkOperationPeers;
-import io.masticpond.daemon.operation.MemberHomes;
+import io.masticpond.daemon.operation.MemberHomeDirectory;
 import io.masticpond.daemon.operation.OnceOnlyGuard;
 import io.masticpond.daemon.operation.OnceOnlyKeys;
 import io.masticpond.daemon.operation.PlatformOperationArchive;
@@ -35,7 +35,7 @@
 import io.masticpond.daemon.platform.HttpObjectStore;
 import io.masticpond.daemon.platform.PlatformClientSettings;
 import io.masticpond.daemon.platform.PlatformObserver;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import io.masticpond.daemon.steering.SteeredRequest;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -108,7 +108,7 @@
                         RandomSource.SPLIT_MIX_64.create(seed),
                         PlatformObserver.NONE);
         mClient = new BackendClient(TIME, mExecutor);
-        MemberHomes homes = new MemberHomes(self, members);
+        MemberHomeDirectory homes = new MemberHomeDirectory(self, members);
         mPeers = new LinkOperationPeers(mLinks, homes, self.instance(), TIME);
         mOperationDuty =
                 new PlatformOperationArchive(
@@ -122,7 +122,7 @@
         mMember = start();
     }
 
-    private OnceOnlyGuard guard(MemberHomes homes) {
+    private OnceOnlyGuard guard(MemberHomeDirectory homes) {
         HomeClock clock = new HomeClock(TIME);
         byte[] secret = new byte[HmacKeyAuthenticator.MINIMUM_SECRET_BYTES];
         mRandom.nextBytes(secret);
@@ -175,7 +175,7 @@
     }
 
     /** Steers a request under the guard; after a kill nothing is told any more. */
-    void submit(SteeredRequest request, OnceOnlyKeys keys, Consumer<RequestEnd> listener) {
+    void submit(SteeredRequest request, OnceOnlyKeys keys, Consumer<RequestCompletion> listener) {
         mSteering.offer(
                 () -> {
                     if (mAlive) {
@@ -185,7 +185,7 @@
     }
 
     /** Steers a request past the guard, for comparison. */
-    void submitUnguarded(SteeredRequest request, Consumer<RequestEnd> listener) {
+    void submitUnguarded(SteeredRequest request, Consumer<RequestCompletion> listener) {
         mSteering.offer(() -> run(request, listener));
     }
 
@@ -214,11 +214,11 @@
         kill();
     }
 
-    private void run(SteeredRequest request, Consumer<RequestEnd> listener) {
+    private void run(SteeredRequest request, Consumer<RequestCompletion> listener) {
         mRuns.sent(request);
         BackendServerSpecification server = mBackends.get(mRandom.nextInt(mBackends.size()));
         mClient.dispatch(
-                request, server, result -> onSteering(() -> listener.accept(result.end())));
+                request, server, result -> onSteering(() -> listener.accept(result.completion())));
     }
 
     private void onSteering(Runnable task) {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyCaller.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyCaller.java
@@ -10,7 +10,7 @@
 import io.masticpond.core.time.SystemTimeSource;
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.daemon.operation.OnceOnlyKeys;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import io.masticpond.daemon.steering.SteeredRequest;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -136,14 +136,14 @@
         return new OnceOnlyKeys(mHomedKey, claimed, "", mAttempts == 1);
     }
 
-    private void ended(RequestEnd end, boolean loses) {
+    private void ended(RequestCompletion end, boolean loses) {
         if (loses) {
             mTally.mLostOnTheWay.increment();
             again(0);
-        } else if (end instanceof RequestEnd.Answered answered) {
+        } else if (end instanceof RequestCompletion.Answered answered) {
             answered(new String(answered.body(), StandardCharsets.UTF_8));
         } else {
-            refused(((RequestEnd.Refused) end).refusal());
+            refused(((RequestCompletion.Refused) end).refusal());
         }
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyLatency.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyLatency.java
@@ -7,7 +7,7 @@
 import io.masticpond.core.time.SystemTimeSource;
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.daemon.operation.OnceOnlyKeys;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import io.masticpond.daemon.steering.SteeredRequest;
 import io.masticpond.testing.platform.PlatformCall;
 import java.nio.charset.StandardCharsets;
@@ -44,14 +44,14 @@
         /** Past the guard, as an operation that may repeat. */
         NO_KEY("no key") {
             @Override
-            void submit(MeasuredFleet fleet, SteeredRequest request, Consumer<RequestEnd> end) {
+            void submit(MeasuredFleet fleet, SteeredRequest request, Consumer<RequestCompletion> end) {
                 instance(fleet, request, 0).submitUnguarded(request, end);
             }
         },
         /** With a key of the instance that it is sent to, as after a look-up. */
         HOMED("homed key at its home") {
             @Override
-            void submit(MeasuredFleet fleet, SteeredRequest request, Consumer<RequestEnd> end) {
+            void submit(MeasuredFleet fleet, SteeredRequest request, Consumer<RequestCompletion> end) {
                 MeasuredInstance home = instance(fleet, request, 0);
                 home.submit(request, homed(home), end);
             }
@@ -59,7 +59,7 @@
         /** With a key of another instance. */
         PASSED_ON("homed key passed on") {
             @Override
-            void submit(MeasuredFleet fleet, SteeredRequest request, Consumer<RequestEnd> end) {
+            void submit(MeasuredFleet fleet, SteeredRequest request, Consumer<RequestCompletion> end) {
                 MeasuredInstance home = instance(fleet, request, 1);
                 instance(fleet, request, 0).submit(request, homed(home), end);
             }
@@ -67,7 +67,7 @@
         /** With a key that the caller made. */
         CLAIMED("caller's own key") {
             @Override
-            void submit(MeasuredFleet fleet, SteeredRequest request, Consumer<RequestEnd> end) {
+            void submit(MeasuredFleet fleet, SteeredRequest request, Consumer<RequestCompletion> end) {
                 OnceOnlyKeys keys =
                         new OnceOnlyKeys(Optional.empty(), Optional.of(request.path()), "", true);
                 instance(fleet, request, 0).submit(request, keys, end);
@@ -84,7 +84,7 @@
             return mText;
         }
 
-        abstract void submit(MeasuredFleet fleet, SteeredRequest request, Consumer<RequestEnd> end);
+        abstract void submit(MeasuredFleet fleet, SteeredRequest request, Consumer<RequestCompletion> end);
 
         private static MeasuredInstance instance(
                 MeasuredFleet fleet, SteeredRequest request, int offset) {
@@ -142,7 +142,7 @@
                 mFleet,
                 request,
                 end -> {
-                    if (end instanceof RequestEnd.Answered) {
+                    if (end instanceof RequestCompletion.Answered) {
                         nanos.recordValue(TIME.monotonicNanos() - start);
                     } else {
                         failed.recordValue(1);
--- a/masticpond-measure/src/main/java/io/masticpond/measure/quickstart/QuickstartCommand.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/quickstart/QuickstartCommand.java
@@ -112,7 +112,7 @@
             fleet.close();
         }
         mOutput.println(new ObjectMapper().writeValueAsString(json(report, tally)));
-        return report.promisesHeld();
+        return report.guaranteesHeld();
     }
 
     private boolean configure(LocalFleet fleet) throws IOException {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/quickstart/QuickstartReport.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/quickstart/QuickstartReport.java
@@ -76,7 +76,7 @@
      * @return whether no request was mismatched, doubled, over the cap or over the slots, and all
      *     were answered
      */
-    boolean promisesHeld() {
+    boolean guaranteesHeld() {
         return broken().isEmpty();
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/rate/RateWay.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/rate/RateSharingStrategy.java
@@ -7,7 +7,7 @@
 import java.time.Duration;
 
 /** A way to share a rate among instances. */
-enum RateWay {
+enum RateSharingStrategy {
     /** As the product does it. */
     SHARED_CREDIT {
         @Override
--- a/masticpond-measure/src/main/java/io/masticpond/measure/rate/RateSimulation.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/rate/RateSimulation.java
@@ -50,7 +50,7 @@
         private final int mNumber;
         private final InstanceId mId;
         private final int mZone;
-        private RateWay.InstanceRate mRate;
+        private RateSharingStrategy.InstanceRate mRate;
         private RateTotals mTotals = new RateTotals();
         private boolean mDown;
         private int mTurn;
@@ -76,7 +76,7 @@
     }
 
     private final RateScenario mShape;
-    private final RateWay mWay;
+    private final RateSharingStrategy mWay;
     private final RatePattern mPattern;
     private final SplittableRandom mRandom;
     private final PriorityQueue<Event> mEvents =
@@ -91,12 +91,12 @@
     private long mOrder;
     private double mRateFactor = 1;
 
-    RateSimulation(RateScenario shape, RateWay way, RatePattern pattern, long seed) {
+    RateSimulation(RateScenario shape, RateSharingStrategy way, RatePattern pattern, long seed) {
         mShape = shape;
         mWay = way;
         mPattern = pattern;
         mRandom = new SplittableRandom(seed);
-        mTally = new RateStatistics(RateWay.SETTINGS);
+        mTally = new RateStatistics(RateSharingStrategy.SETTINGS);
         for (int number = 0; number < shape.instances(); number++) {
             mInstances.add(new Instance(number));
         }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/rate/WorkspaceRatesMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/rate/WorkspaceRatesMeasure.java
@@ -55,10 +55,10 @@
         double refusedCut = 0;
         for (RateScenario shape : shapes()) {
             for (RatePattern pattern : RatePattern.values()) {
-                for (RateWay way : ways(shape)) {
+                for (RateSharingStrategy way : ways(shape)) {
                     RateStatistics tally = new RateSimulation(shape, way, pattern, seed).run();
                     rows.add(row(shape, pattern, way, tally));
-                    if (way == RateWay.SHARED_CREDIT) {
+                    if (way == RateSharingStrategy.SHARED_CREDIT) {
                         worst = Math.max(worst, tally.worst());
                         boolean isCut = pattern.isCut(SECONDS / 2);
                         refused = Math.max(refused, isCut ? 0 : tally.refusedBelow());
@@ -85,12 +85,12 @@
         return shapes;
     }
 
-    private static List<RateWay> ways(RateScenario shape) {
-        return shape.instances() == 67 ? List.of(RateWay.values()) : List.of(RateWay.SHARED_CREDIT);
+    private static List<RateSharingStrategy> ways(RateScenario shape) {
+        return shape.instances() == 67 ? List.of(RateSharingStrategy.values()) : List.of(RateSharingStrategy.SHARED_CREDIT);
     }
 
     private static List<String> row(
-            RateScenario shape, RatePattern pattern, RateWay way, RateStatistics tally) {
+            RateScenario shape, RatePattern pattern, RateSharingStrategy way, RateStatistics tally) {
         double instanceSeconds = shape.instances() * SECONDS;
         return List.of(
                 String.valueOf(shape.instances()),
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/EntryFlow.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/EntryFlow.java
@@ -4,7 +4,7 @@
 import io.masticpond.core.id.InstanceId;
 import io.masticpond.core.id.RegionId;
 import io.masticpond.core.id.Shard;
-import io.masticpond.core.region.RegionAttemptEnd;
+import io.masticpond.core.region.RegionAttemptOutcome;
 import io.masticpond.core.request.Refusal;
 import io.masticpond.daemon.steering.ShardDirectory.ShardRoute;
 import io.vavr.control.Either;
@@ -48,7 +48,7 @@
         mRegion = choice.get();
         List<ShardRoute> routes = mEntry.directory().routes(mRequest.head().service(), mRegion);
         if (routes.isEmpty()) {
-            refused(RegionAttemptEnd.LOST);
+            refused(RegionAttemptOutcome.LOST);
             return;
         }
         mRoutes = new ArrayDeque<>(routes);
@@ -57,7 +57,7 @@
 
     private void forward(ShardRoute route, int choice) {
         if (choice >= route.admitters().size()) {
-            refusedByShard(RegionAttemptEnd.LOST);
+            refusedByShard(RegionAttemptOutcome.LOST);
             return;
         }
         mEntry.directory().sent(route.shard());
@@ -98,7 +98,7 @@
     }
 
     /** Tries the next shard of the region, and the next region after the last. */
-    private void refusedByShard(RegionAttemptEnd how) {
+    private void refusedByShard(RegionAttemptOutcome how) {
         if (mRoutes.isEmpty()) {
             refused(how);
             return;
@@ -106,7 +106,7 @@
         forward(mRoutes.remove(), 0);
     }
 
-    private void refused(RegionAttemptEnd how) {
+    private void refused(RegionAttemptOutcome how) {
         mEntry.selector().ended(mRequest.head(), mRegion, how);
         mTried.add(mRegion);
         mRegion = null;
@@ -114,7 +114,7 @@
     }
 
     private void lost() {
-        mEntry.selector().ended(mRequest.head(), mRegion, RegionAttemptEnd.FAILED);
+        mEntry.selector().ended(mRequest.head(), mRegion, RegionAttemptOutcome.FAILED);
         mRegion = null;
         end(Outcome.BROKEN);
     }
@@ -127,7 +127,7 @@
         mEnded = true;
         mEntry.remove(this);
         if (mRegion != null) {
-            mEntry.selector().ended(mRequest.head(), mRegion, RegionAttemptEnd.FAILED);
+            mEntry.selector().ended(mRequest.head(), mRegion, RegionAttemptOutcome.FAILED);
         }
         mWorld.counts().ended(mRequest, outcome, mWorld.events().nanos());
     }
@@ -153,7 +153,7 @@
                     () -> {
                         mEntry.observe(mShard, headroom);
                         mEntry.selector()
-                                .ended(mRequest.head(), mRegion, RegionAttemptEnd.ANSWERED);
+                                .ended(mRequest.head(), mRegion, RegionAttemptOutcome.ANSWERED);
                         mRegion = null;
                         end(Outcome.ANSWERED);
                     });
@@ -166,7 +166,7 @@
                     mOfAttempt,
                     () -> {
                         mEntry.observe(mShard, headroom);
-                        refusedByShard(RegionAttemptEnd.REFUSED);
+                        refusedByShard(RegionAttemptOutcome.REFUSED);
                     });
         }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/support/AbstractRefusingCallerService.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/support/AbstractRefusingCallerService.java
@@ -5,7 +5,7 @@
 import io.masticpond.core.request.Refusal;
 import io.masticpond.core.support.Assert;
 import io.masticpond.daemon.caller.CallerService;
-import io.masticpond.daemon.steering.RequestEnd;
+import io.masticpond.daemon.steering.RequestCompletion;
 import io.masticpond.daemon.steering.SteeredRequest;
 import java.util.Optional;
 import java.util.function.Consumer;
@@ -40,8 +40,8 @@
 
     @Override
     public final void submit(
-            SteeredRequest request, OperationKeys keys, Consumer<RequestEnd> listener) {
-        listener.accept(new RequestEnd.Refused(mRefusal));
+            SteeredRequest request, OperationKeys keys, Consumer<RequestCompletion> listener) {
+        listener.accept(new RequestCompletion.Refused(mRefusal));
     }
 
     @Override
--- a/masticpond-measure/src/test/java/io/masticpond/measure/rate/RatePatternTest.java
+++ b/masticpond-measure/src/test/java/io/masticpond/measure/rate/RatePatternTest.java
@@ -13,7 +13,7 @@
 
     private static RateStatistics play(int instances, double usual, RatePattern pattern, long seed) {
         RateScenario shape = new RateScenario(instances, 3, usual);
-        return new RateSimulation(shape, RateWay.SHARED_CREDIT, pattern, seed).run();
+        return new RateSimulation(shape, RateSharingStrategy.SHARED_CREDIT, pattern, seed).run();
     }
 
     @Property(tries = 40, seed = "27")
