--- a/masticpond-command/src/main/java/io/masticpond/command/view/EntryResponses.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/EntryResponses.java
@@ -100,7 +100,8 @@
      * @return the documents, each with a field "type" that is "instance" or "line"
      */
     public List<JsonNode> lineDocuments() {
-        Stream<JsonNode> instances = responses.stream().map(part -> head(part).put("type", "instance"));
+        Stream<JsonNode> instances =
+                responses.stream().map(part -> head(part).put("type", "instance"));
         return Stream.concat(instances, lines().stream()).toList();
     }
 
--- a/masticpond-command/src/test/java/io/masticpond/command/view/TextTableProperties.java
+++ b/masticpond-command/src/test/java/io/masticpond/command/view/TextTableProperties.java
@@ -21,7 +21,9 @@
                     List<@Size(COLUMNS) List<@StringLength(max = 120) String>> rows) {
         TextTable table =
                 new TextTable(
-                        Column.textColumn("NAME"), Column.numberColumn("COUNT"), Column.textColumn("DETAIL"));
+                        Column.textColumn("NAME"),
+                        Column.numberColumn("COUNT"),
+                        Column.textColumn("DETAIL"));
         for (List<String> row : rows) {
             table.add(row.stream().map(Cell::of).toArray(Cell[]::new));
         }
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/AttemptEvaluator.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/AttemptEvaluator.java
@@ -115,7 +115,8 @@
     }
 
     private void reportedUnhealthy(BackendServerState server, long nanos) {
-        boolean trusted = server.record().answeredWithin(nanos, mSettings.answerValidity().toNanos());
+        boolean trusted =
+                server.record().answeredWithin(nanos, mSettings.answerValidity().toNanos());
         if (trusted
                 || !server.ejectionState().isInUse()
                 || !mDetector.mayEject(server, mServers.all())) {
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationConfirmation.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationConfirmation.java
@@ -1,9 +1,9 @@
 package io.masticpond.core.configuration;
 
 import io.masticpond.core.configuration.ConfirmationStep.Accepted;
-import io.masticpond.core.configuration.ConfirmationStep.Unavailable;
 import io.masticpond.core.configuration.ConfirmationStep.BaseChanged;
 import io.masticpond.core.configuration.ConfirmationStep.ReadHead;
+import io.masticpond.core.configuration.ConfirmationStep.Unavailable;
 import io.masticpond.core.configuration.ConfirmationStep.Unsettled;
 import io.masticpond.core.configuration.ConfirmationStep.WriteHead;
 import io.masticpond.core.id.ConfigurationVersion;
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashMessage.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashMessage.java
@@ -25,7 +25,8 @@
      * @param sentAgoNanos how long ago the request was sent to it
      * @param endedAgoNanos how long ago the send ended without an answer, at most as long
      */
-    record ServerEnd(RequestFingerprint request, long serverHash, long sentAgoNanos, long endedAgoNanos)
+    record ServerEnd(
+            RequestFingerprint request, long serverHash, long sentAgoNanos, long endedAgoNanos)
             implements CrashMessage {
 
         /** Checks the times. */
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashSuspect.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashSuspect.java
@@ -69,7 +69,8 @@
 
     /** Forgets what others suspected a while ago; who still does says so with the next end. */
     void forgetSuspicions(long nowNanos) {
-        mVerdicts.values()
+        mVerdicts
+                .values()
                 .removeIf(
                         word ->
                                 !word.isRejection()
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashingRequests.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashingRequests.java
@@ -160,7 +160,8 @@
      */
     public void answered(RequestFingerprint request, long nowNanos) {
         CrashSuspect suspect = current(request, nowNanos);
-        if (suspect == null || (suspect.serverEnds().isEmpty() && suspect.verdictReporters() == 0)) {
+        if (suspect == null
+                || (suspect.serverEnds().isEmpty() && suspect.verdictReporters() == 0)) {
             return;
         }
         sendClearance(suspect);
@@ -231,7 +232,8 @@
         if (suspect.wasClearedAfter(endedNanos)) {
             return;
         }
-        suspect.serverEnds().add(reporter, end.serverHash(), nowNanos - end.sentAgoNanos(), endedNanos);
+        suspect.serverEnds()
+                .add(reporter, end.serverHash(), nowNanos - end.sentAgoNanos(), endedNanos);
         conclude(suspect, nowNanos);
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/CallOutlierDetector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/CallOutlierDetector.java
@@ -149,15 +149,18 @@
                 .computeIfAbsent(service, ignored -> new Peers(nowNanos - VERDICT_NANOS))
                 .mTallies
                 .computeIfAbsent(
-                        server, ignored -> new CallStatistics(mSettings.halfLife().toNanos(), nowNanos));
+                        server,
+                        ignored -> new CallStatistics(mSettings.halfLife().toNanos(), nowNanos));
     }
 
     private void evaluate(Peers peers, long nowNanos) {
         peers.mJudgedNanos = nowNanos;
         Collection<CallStatistics> tallies = peers.mTallies.values();
         tallies.forEach(each -> each.decay(nowNanos));
-        PeerMedians failures = new PeerMedians(tallies, CallStatistics::calls, CallStatistics::failureShare);
-        PeerMedians means = new PeerMedians(tallies, CallStatistics::successes, CallStatistics::meanNanos);
+        PeerMedians failures =
+                new PeerMedians(tallies, CallStatistics::calls, CallStatistics::failureShare);
+        PeerMedians means =
+                new PeerMedians(tallies, CallStatistics::successes, CallStatistics::meanNanos);
         tallies.forEach(each -> each.setPenalty(penaltyOf(each, failures, means)));
         List<CallStatistics> worstFirst =
                 tallies.stream()
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/RateTotals.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/RateTotals.java
@@ -39,7 +39,9 @@
         /** Written out, since the one that records get is linked at its first use, in a start. */
         @Override
         public boolean equals(Object other) {
-            return other instanceof Part<?> that && part == that.part && reporter.equals(that.reporter);
+            return other instanceof Part<?> that
+                    && part == that.part
+                    && reporter.equals(that.reporter);
         }
 
         @Override
@@ -60,7 +62,8 @@
      * @param uses its use by the hash of the workspace
      * @param nowNanos the monotonic time
      */
-    public void received(InstanceId instance, int part, Map<Integer, RateUsage> uses, long nowNanos) {
+    public void received(
+            InstanceId instance, int part, Map<Integer, RateUsage> uses, long nowNanos) {
         mInstances.put(new Part<>(instance, part), new ReceivedSum(new Sum(uses, 1), nowNanos));
     }
 
@@ -110,7 +113,8 @@
     }
 
     /** What was added up at a moment, and of what each instance then had told. */
-    private record Sums(Sum zone, Sum all, Map<Part<InstanceId>, ReceivedSum> received, long nanos) {}
+    private record Sums(
+            Sum zone, Sum all, Map<Part<InstanceId>, ReceivedSum> received, long nanos) {}
 
     /** Adds up anew only now and then, since each instance of the zone asks often. */
     private Sums sums(int part, long nowNanos) {
--- a/masticpond-core/src/main/java/io/masticpond/core/lookup/LookupParameters.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/lookup/LookupParameters.java
@@ -15,7 +15,8 @@
 public record LookupParameters(int maximumInstances, int nearestZoneInstances, Duration cacheFor) {
 
     /** The values that are used unless operators say otherwise. */
-    public static final LookupParameters DEFAULT = new LookupParameters(4, 2, Duration.ofSeconds(5));
+    public static final LookupParameters DEFAULT =
+            new LookupParameters(4, 2, Duration.ofSeconds(5));
 
     /** Checks the ranges. */
     public LookupParameters {
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MemberRecord.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MemberRecord.java
@@ -59,7 +59,8 @@
             return MemberState.EXPECTED;
         }
         return switch (mUpdate.claim()) {
-            case LIVE -> mUpdate.leaving() || mListedLeaving ? MemberState.LEAVING : MemberState.LIVE;
+            case LIVE ->
+                    mUpdate.leaving() || mListedLeaving ? MemberState.LEAVING : MemberState.LIVE;
             case SUSPECT -> MemberState.SUSPECT;
             case DEAD, TERMINATED -> MemberState.DEAD;
         };
@@ -158,7 +159,8 @@
     MemberRecord expectedAgain(long now) {
         MemberRecord expected =
                 new MemberRecord(
-                        new ListedMember(mId, mUpdate.zone(), mUpdate.linkAddress(), mListedLeaving),
+                        new ListedMember(
+                                mId, mUpdate.zone(), mUpdate.linkAddress(), mListedLeaving),
                         now);
         expected.mListed = true;
         expected.mListedLeaving = mListedLeaving;
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTable.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTable.java
@@ -113,7 +113,8 @@
                 mSink.memberChanged(record.member());
             }
         }
-        if (mRecords.values().removeIf(record -> !record.isListed() && !record.hasReceivedUpdate())) {
+        if (mRecords.values()
+                .removeIf(record -> !record.isListed() && !record.hasReceivedUpdate())) {
             mNeighborhood.membersChanged();
         }
     }
@@ -126,7 +127,8 @@
      * @param all whether the news are all that the sender knows, and so need not be passed on
      * @param digest the digest of the sender
      */
-    public void receiveHeartbeat(MemberUpdate own, List<MemberUpdate> others, boolean all, long digest) {
+    public void receiveHeartbeat(
+            MemberUpdate own, List<MemberUpdate> others, boolean all, long digest) {
         if (own.id().equals(mSelf.id())) {
             return;
         }
@@ -301,7 +303,9 @@
 
     private boolean isKnownRun(MemberUpdate news) {
         MemberRecord record = mRecords.get(news.id());
-        return record != null && record.hasReceivedUpdate() && record.update().incarnation().equals(news.incarnation());
+        return record != null
+                && record.hasReceivedUpdate()
+                && record.update().incarnation().equals(news.incarnation());
     }
 
     private void sendAllTo(InstanceId to) {
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/OutcomeBatcher.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/OutcomeBatcher.java
@@ -176,7 +176,8 @@
 
     private long retryNanos(StoreAnswer<Long> answer) {
         boolean away =
-                answer instanceof StoreAnswer.Unavailable || answer instanceof StoreAnswer.Postponed;
+                answer instanceof StoreAnswer.Unavailable
+                        || answer instanceof StoreAnswer.Postponed;
         return away ? mIntervalNanos * UNAVAILABLE_RETRY_INTERVALS : 0;
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/RequestPlacer.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/RequestPlacer.java
@@ -104,7 +104,10 @@
      * @return where it goes, or why not
      */
     public Placement place(
-            PlacementRequest request, List<ServerLoad> servers, Candidates candidates, long nowNanos) {
+            PlacementRequest request,
+            List<ServerLoad> servers,
+            Candidates candidates,
+            long nowNanos) {
         List<ServerLoad> usable = usable(servers, candidates);
         OptionalDouble limited = candidates.limitedPerSecond();
         if (limited.isPresent() && !mGate.admits(request, limited.getAsDouble(), nowNanos)) {
@@ -114,7 +117,8 @@
         if (!(placement instanceof Placement.Placed placed)) {
             return placement;
         }
-        Optional<AdmissionDecision> refusal = mGate.refuse(request, placed.choice().load(), nowNanos);
+        Optional<AdmissionDecision> refusal =
+                mGate.refuse(request, placed.choice().load(), nowNanos);
         if (refusal.isEmpty()) {
             return placed;
         }
@@ -137,7 +141,10 @@
      * @return where it goes, or that there is nothing left
      */
     public Placement placeAgain(
-            PlacementRequest request, List<ServerLoad> servers, Candidates candidates, long nowNanos) {
+            PlacementRequest request,
+            List<ServerLoad> servers,
+            Candidates candidates,
+            long nowNanos) {
         return choose(request, usable(servers, candidates), candidates, nowNanos);
     }
 
@@ -161,7 +168,10 @@
 
     /** Chooses a server; a paced one needs a permit, and is left out if there is none. */
     private Placement choose(
-            PlacementRequest request, List<ServerLoad> usable, Candidates candidates, long nowNanos) {
+            PlacementRequest request,
+            List<ServerLoad> usable,
+            Candidates candidates,
+            long nowNanos) {
         while (true) {
             Optional<ServerChoice> choice = mChooser.choose(usable, request, nowNanos);
             if (choice.isEmpty()) {
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/ServerLoad.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/ServerLoad.java
@@ -118,8 +118,8 @@
     }
 
     /**
-     * Takes the load that an answer told. Call it after {@link #requestEnded}: the answered request is no
-     * longer counted by either side.
+     * Takes the load that an answer told. Call it after {@link #requestEnded}: the answered request
+     * is no longer counted by either side.
      *
      * @param load the load
      * @param nowNanos the monotonic time
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerExchange.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerExchange.java
@@ -63,7 +63,8 @@
         mTimeSource = context.timeSource();
         mRandom = context.random();
         mConflictBackoff = new Backoff(mRandom, FIRST_CONFLICT_DELAY, LONGEST_CONFLICT_DELAY);
-        mUnavailableBackoff = new Backoff(mRandom, FIRST_UNAVAILABLE_DELAY, LONGEST_UNAVAILABLE_DELAY);
+        mUnavailableBackoff =
+                new Backoff(mRandom, FIRST_UNAVAILABLE_DELAY, LONGEST_UNAVAILABLE_DELAY);
         mNotBeforeNanos = mTimeSource.monotonicNanos();
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/statement/ServerWithdrawals.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/statement/ServerWithdrawals.java
@@ -235,8 +235,7 @@
         return beliefs;
     }
 
-    private static WithdrawalView view(
-            Withdrawal state, WithdrawalView.State now, long nowNanos) {
+    private static WithdrawalView view(Withdrawal state, WithdrawalView.State now, long nowNanos) {
         return new WithdrawalView(
                 state.mServer.id(),
                 state.mServer.service(),
--- a/masticpond-core/src/test/java/io/masticpond/core/configuration/ConfigurationChainProperties.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/configuration/ConfigurationChainProperties.java
@@ -2,9 +2,9 @@
 
 import io.masticpond.core.configuration.ConfigurationConfirmation.WriteOutcome;
 import io.masticpond.core.configuration.ConfirmationStep.Accepted;
-import io.masticpond.core.configuration.ConfirmationStep.Unavailable;
 import io.masticpond.core.configuration.ConfirmationStep.BaseChanged;
 import io.masticpond.core.configuration.ConfirmationStep.ReadHead;
+import io.masticpond.core.configuration.ConfirmationStep.Unavailable;
 import io.masticpond.core.configuration.ConfirmationStep.WriteHead;
 import io.masticpond.core.id.ConfigurationVersion;
 import io.masticpond.core.support.Assert;
@@ -91,7 +91,8 @@
             }
             if (mConfirmation == null) {
                 mConfirmation =
-                        new ConfigurationConfirmation(mPlan, ConfigurationFixture.LIMITS, MAXIMUM_READS);
+                        new ConfigurationConfirmation(
+                                mPlan, ConfigurationFixture.LIMITS, MAXIMUM_READS);
                 mNext = mConfirmation.start();
                 mUncertain = false;
                 return;
--- a/masticpond-core/src/test/java/io/masticpond/core/configuration/ConfigurationPlannerTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/configuration/ConfigurationPlannerTest.java
@@ -20,7 +20,9 @@
 
     private static final Configuration BASE =
             new Configuration(
-                    new ConfigurationVersion(7), Optional.of(new PlanId("p")), ConfigurationFixture.valid());
+                    new ConfigurationVersion(7),
+                    Optional.of(new PlanId("p")),
+                    ConfigurationFixture.valid());
 
     @Example
     void everyFaultIsToldAtOnce() {
@@ -80,7 +82,9 @@
                 new ConfigurationContent(
                         List.of(),
                         List.of(),
-                        List.of(ConfigurationFixture.service("a", 1), ConfigurationFixture.service("a", 2)),
+                        List.of(
+                                ConfigurationFixture.service("a", 1),
+                                ConfigurationFixture.service("a", 2)),
                         List.of(),
                         List.of());
         Assert.isTrue(
--- a/masticpond-core/src/test/java/io/masticpond/core/limit/CallOutlierDetectorTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/limit/CallOutlierDetectorTest.java
@@ -100,7 +100,8 @@
     private static final class World {
 
         private final Random mRandom;
-        private final CallOutlierDetector mJudge = new CallOutlierDetector(CallOutlierDetectorSettings.DEFAULT);
+        private final CallOutlierDetector mJudge =
+                new CallOutlierDetector(CallOutlierDetectorSettings.DEFAULT);
         private final double[] mFailureShare;
         private final double[] mSlowness;
         private final int[] mSent;
--- a/masticpond-core/src/test/java/io/masticpond/core/limit/PeerMediansTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/limit/PeerMediansTest.java
@@ -26,7 +26,8 @@
             }
             all.add(tally);
         }
-        PeerMedians medians = new PeerMedians(all, CallStatistics::successes, CallStatistics::meanNanos);
+        PeerMedians medians =
+                new PeerMedians(all, CallStatistics::successes, CallStatistics::meanNanos);
         for (CallStatistics tally : all) {
             assertThat(Double.valueOf(medians.without(tally))).isEqualTo(sorted(tally, all));
         }
--- a/masticpond-core/src/test/java/io/masticpond/core/limit/SharedRetryBudgetTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/limit/SharedRetryBudgetTest.java
@@ -67,7 +67,8 @@
         budget.applySettings(new RetryBudgetSettings(RATIO, 70, Duration.ofSeconds(10), 0.8));
         assertThat(budget.left(30_000 * MILLI, 1)).isEqualTo(8);
         RetryBudgetSettings other = new RetryBudgetSettings(RATIO, 70, Duration.ofSeconds(9), 0.8);
-        assertThatThrownBy(() -> budget.applySettings(other)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> budget.applySettings(other))
+                .isInstanceOf(IllegalArgumentException.class);
     }
 
     @Example
--- a/masticpond-core/src/test/java/io/masticpond/core/operation/OperationRegistryTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/operation/OperationRegistryTest.java
@@ -97,7 +97,8 @@
         OperationFixture restarted =
                 new OperationFixture(home("casa-1", 2), OperationLimits.DEFAULT);
         restarted.mHomes.put(mKey.home(), HomeState.TERMINATED);
-        assertThat(restarted.begin(mKey)).isEqualTo(new OperationDecision.HomeTerminated<>(mKey.home()));
+        assertThat(restarted.begin(mKey))
+                .isEqualTo(new OperationDecision.HomeTerminated<>(mKey.home()));
     }
 
     @Example
--- a/masticpond-core/src/test/java/io/masticpond/core/placement/RequestPlacerTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/placement/RequestPlacerTest.java
@@ -66,7 +66,8 @@
     private Placement place() {
         ServerChooser chooser =
                 new ServerChooser(
-                        PlacementSettings.DEFAULT, new CallOutlierDetector(CallOutlierDetectorSettings.DEFAULT));
+                        PlacementSettings.DEFAULT,
+                        new CallOutlierDetector(CallOutlierDetectorSettings.DEFAULT));
         Route route =
                 new Route(
                         new RouteId("r"),
@@ -81,7 +82,11 @@
                         Set.of(),
                         List.of(new WeightedService(SERVICE, 1)));
         return new RequestPlacer(chooser, mGate)
-                .place(new PlacementRequest(route, SERVICE, 42, 1_000_000_000L), mServers, mAsked, 0);
+                .place(
+                        new PlacementRequest(route, SERVICE, 42, 1_000_000_000L),
+                        mServers,
+                        mAsked,
+                        0);
     }
 
     private static ServerLoad server(int number) {
--- a/masticpond-core/src/test/java/io/masticpond/core/placement/ServerChooserTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/placement/ServerChooserTest.java
@@ -32,7 +32,8 @@
 
     private final ServerChooser mChooser =
             new ServerChooser(
-                    PlacementSettings.DEFAULT, new CallOutlierDetector(CallOutlierDetectorSettings.DEFAULT));
+                    PlacementSettings.DEFAULT,
+                    new CallOutlierDetector(CallOutlierDetectorSettings.DEFAULT));
 
     @Example
     void theShareThatLeavesSmallRegionsDoesNotDependOnTheNumberOfServers() {
--- a/masticpond-core/src/test/java/io/masticpond/core/region/DefaultRegionSelectorTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/region/DefaultRegionSelectorTest.java
@@ -74,7 +74,8 @@
     @Example
     void takesTheNearestOnPriceTieEveryTime() {
         RegionFixture scene = new RegionFixture(Map.of(CASA, 7L, FES, 7L, AGADIR, 7L), 0);
-        RegionChoiceStatistics tally = scene.run(Duration.ofSeconds(5), 200, WORK, () -> scene.reportAll(8));
+        RegionChoiceStatistics tally =
+                scene.run(Duration.ofSeconds(5), 200, WORK, () -> scene.reportAll(8));
         assertThat(tally.changes()).isEqualTo(0);
         assertThat(tally.count(CASA)).isEqualTo(1000);
     }
--- a/masticpond-core/src/test/java/io/masticpond/core/region/RegionReturnTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/region/RegionReturnTest.java
@@ -28,7 +28,8 @@
         scene.mSelector.setReachable(SERVICE, AGADIR, false);
         RegionChoiceStatistics first = scene.run(SECOND, 400, WORK, () -> scene.reportAll(8));
         RegionChoiceStatistics second = scene.run(SECOND, 400, WORK, () -> scene.reportAll(8));
-        RegionChoiceStatistics fifth = scene.run(Duration.ofSeconds(5), 400, WORK, () -> scene.reportAll(8));
+        RegionChoiceStatistics fifth =
+                scene.run(Duration.ofSeconds(5), 400, WORK, () -> scene.reportAll(8));
         assertThat(first.count(FES) < 100).as("first second: " + first.count(FES)).isTrue();
         assertThat(second.count(FES) > first.count(FES))
                 .as("second: " + second.count(FES))
@@ -48,7 +49,8 @@
         scene.mSelector.setReachable(SERVICE, CASA, false);
         scene.run(Duration.ofSeconds(10), 200, WORK, () -> scene.reportAll(8));
         scene.mSelector.setReachable(SERVICE, CASA, true);
-        RegionChoiceStatistics held = scene.run(Duration.ofMillis(900), 200, WORK, () -> scene.reportAll(8));
+        RegionChoiceStatistics held =
+                scene.run(Duration.ofMillis(900), 200, WORK, () -> scene.reportAll(8));
         assertThat(held.count(CASA)).as("a region that just came back is used last").isLessThan(4);
         RegionChoiceStatistics first = scene.run(SECOND, 200, WORK, () -> scene.reportAll(8));
         assertThat(first.count(CASA) > 0 && first.count(CASA) < 150)
--- a/masticpond-core/src/test/java/io/masticpond/core/region/ShardScopeTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/region/ShardScopeTest.java
@@ -32,12 +32,14 @@
     @Example
     void sharesEachServerAmongTheShardsOnce() {
         for (ShardScope scope : ShardScope.values()) {
-            List<Shard> shards = scope.shards(CONFIGURATION, RegionFixture.SERVICE, RegionFixture.CASA);
+            List<Shard> shards =
+                    scope.shards(CONFIGURATION, RegionFixture.SERVICE, RegionFixture.CASA);
             List<Object> servers = new ArrayList<>();
             shards.forEach(shard -> servers.addAll(scope.servers(CONFIGURATION, shard)));
             assertThat(servers)
                     .containsExactlyInAnyOrderElementsOf(
-                            CONFIGURATION.backendServers(RegionFixture.SERVICE, RegionFixture.CASA));
+                            CONFIGURATION.backendServers(
+                                    RegionFixture.SERVICE, RegionFixture.CASA));
         }
     }
 
--- a/masticpond-core/src/test/java/io/masticpond/core/spending/FakeLedgers.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/spending/FakeLedgers.java
@@ -94,7 +94,9 @@
         }
         if (call.change().isEmpty()) {
             boolean lost = fate != CallDisposition.ANSWERED;
-            return lost ? new LedgerAnswer.Unavailable() : new LedgerAnswer.Found(ledger(call.key()));
+            return lost
+                    ? new LedgerAnswer.Unavailable()
+                    : new LedgerAnswer.Found(ledger(call.key()));
         }
         LedgerChange change = call.change().get();
         switch (fate) {
--- a/masticpond-core/src/test/java/io/masticpond/core/spending/SpendingFailureTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/spending/SpendingFailureTest.java
@@ -100,7 +100,8 @@
     void racingWritersAreAllServedAndNothingIsCountedTwice() {
         List<SpendingFixture.Node> nodes = List.of(start("a", 1), start("b", 2), start("c", 3));
         for (int round = 0; round < 40; round++) {
-            nodes.forEach(node -> node.mCalls.next(FakeLedgers.CallDisposition.ANSWERED, node.mGate));
+            nodes.forEach(
+                    node -> node.mCalls.next(FakeLedgers.CallDisposition.ANSWERED, node.mGate));
             nodes.forEach(node -> node.advance(Duration.ofMillis(200)));
         }
         long held = nodes.stream().mapToLong(node -> available(node, MORNING)).sum();
--- a/masticpond-core/src/test/java/io/masticpond/core/spending/SpendingProperties.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/spending/SpendingProperties.java
@@ -86,7 +86,8 @@
                 case CHANGE_CAP -> changeCap(node, step.amount() * 50L);
                 default -> {
                     node.advance(Duration.ofMillis(600));
-                    node.mCalls.next(FakeLedgers.CallDisposition.valueOf(step.kind().name()), node.mGate);
+                    node.mCalls.next(
+                            FakeLedgers.CallDisposition.valueOf(step.kind().name()), node.mGate);
                 }
             }
         }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendClient.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendClient.java
@@ -229,7 +229,8 @@
                     response.code() >= SERVER_ERROR
                             ? AttemptOutcome.SERVER_ERROR
                             : AttemptOutcome.ANSWERED,
-                    new RequestCompletion.Answered(response.code(), headers, body, mServer.id().value()),
+                    new RequestCompletion.Answered(
+                            response.code(), headers, body, mServer.id().value()),
                     leaving);
         }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendHealthChecker.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendHealthChecker.java
@@ -5,7 +5,7 @@
 import io.masticpond.core.id.BackendServerId;
 import io.masticpond.core.support.Assert;
 import io.masticpond.core.time.TimeSource;
-import io.masticpond.daemon.duty.EventLoop;
+import io.masticpond.daemon.eventloop.EventLoop;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.List;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/ProbeClient.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/ProbeClient.java
@@ -67,7 +67,8 @@
                     @Override
                     public void onFailure(Call failed, IOException e) {
                         boolean refused = e instanceof ConnectException;
-                        listener.accept(refused ? new ProbeResult.Refused() : new ProbeResult.Failed());
+                        listener.accept(
+                                refused ? new ProbeResult.Refused() : new ProbeResult.Failed());
                     }
 
                     @Override
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/CallerService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/CallerService.java
@@ -71,5 +71,6 @@
      * @param idempotencyKey the caller's own key
      * @param firstAttempt whether the caller says that it never sent the key before
      */
-    record OperationKeys(Optional<String> operationKey, Optional<String> idempotencyKey, boolean firstAttempt) {}
+    record OperationKeys(
+            Optional<String> operationKey, Optional<String> idempotencyKey, boolean firstAttempt) {}
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfirmationRunner.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfirmationRunner.java
@@ -102,7 +102,8 @@
                     .thenComposeAsync(
                             head ->
                                     head.isLeft()
-                                            ? CompletableFuture.completedFuture(WriteOutcome.UNAVAILABLE)
+                                            ? CompletableFuture.completedFuture(
+                                                    WriteOutcome.UNAVAILABLE)
                                             : writeHead(head.get(), write.expectedObjectVersion()),
                             mExecutor);
         }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/EventLoopExecutor.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/EventLoopExecutor.java
@@ -1,7 +1,7 @@
 package io.masticpond.daemon.configuration;
 
 import io.masticpond.core.support.Assert;
-import io.masticpond.daemon.duty.EventLoop;
+import io.masticpond.daemon.eventloop.EventLoop;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Executor;
 import java.util.concurrent.RejectedExecutionException;
@@ -32,7 +32,8 @@
      * for it without a limit.
      */
     <T> void whenDone(CompletableFuture<T> future, Consumer<T> step) {
-        var unused = future.thenAcceptAsync(step, this).exceptionally(EventLoopExecutor::logDropped);
+        var unused =
+                future.thenAcceptAsync(step, this).exceptionally(EventLoopExecutor::logDropped);
     }
 
     private static Void logDropped(Throwable error) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PlatformFollower.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PlatformFollower.java
@@ -2,8 +2,8 @@
 
 import io.masticpond.core.configuration.Configuration;
 import io.masticpond.core.configuration.ConfigurationHead;
-import io.masticpond.core.configuration.ConfigurationUpdate;
 import io.masticpond.core.configuration.ConfigurationReplica;
+import io.masticpond.core.configuration.ConfigurationUpdate;
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.daemon.platform.ObjectStore;
 import io.masticpond.daemon.platform.PlatformError;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/duty/EventLoop.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/eventloop/EventLoop.java
@@ -1,4 +1,4 @@
-package io.masticpond.daemon.duty;
+package io.masticpond.daemon.eventloop;
 
 import io.masticpond.core.support.Assert;
 import io.masticpond.core.time.TimeSource;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/duty/package-info.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/eventloop/package-info.java
@@ -1,2 +1,2 @@
 /** Threads with one duty each, fed by one bounded ring each; they must not know what they run. */
-package io.masticpond.daemon.duty;
+package io.masticpond.daemon.eventloop;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/ForwardReceiver.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/ForwardReceiver.java
@@ -4,7 +4,7 @@
 import io.masticpond.core.id.RequestId;
 import io.masticpond.core.id.Shard;
 import io.masticpond.core.time.TimeSource;
-import io.masticpond.daemon.duty.EventLoop;
+import io.masticpond.daemon.eventloop.EventLoop;
 import io.masticpond.daemon.instance.InstanceLinks;
 import io.masticpond.daemon.instance.Responder;
 import io.masticpond.daemon.steering.AdmitterSteering;
@@ -110,7 +110,8 @@
                 });
     }
 
-    private void answer(Responder responder, Shard shard, SteeredRequest request, RequestCompletion end) {
+    private void answer(
+            Responder responder, Shard shard, SteeredRequest request, RequestCompletion end) {
         ForwardAnswer.Builder answer = ForwardCodec.toAnswer(request.head().id(), end);
         mAdmitter
                 .headroom(shard)
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/MeteredCallerService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/MeteredCallerService.java
@@ -61,7 +61,8 @@
     }
 
     @Override
-    public void submit(SteeredRequest request, OperationKeys keys, Consumer<RequestCompletion> listener) {
+    public void submit(
+            SteeredRequest request, OperationKeys keys, Consumer<RequestCompletion> listener) {
         ServiceId service = request.head().service();
         long start = mTimeSource.monotonicNanos();
         mDelegate.submit(
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/RequestGateway.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/RequestGateway.java
@@ -9,7 +9,7 @@
 import io.masticpond.core.request.Refusal;
 import io.masticpond.core.request.RefusalCause;
 import io.masticpond.daemon.caller.CallerService;
-import io.masticpond.daemon.duty.EventLoop;
+import io.masticpond.daemon.eventloop.EventLoop;
 import io.masticpond.daemon.operation.OnceOnlyGuard;
 import io.masticpond.daemon.operation.OnceOnlyKeys;
 import io.masticpond.daemon.steering.PeerFallbackEntry;
@@ -103,7 +103,8 @@
     }
 
     @Override
-    public void submit(SteeredRequest request, OperationKeys keys, Consumer<RequestCompletion> listener) {
+    public void submit(
+            SteeredRequest request, OperationKeys keys, Consumer<RequestCompletion> listener) {
         boolean taken = mSteering.offer(() -> steer(request, keys, listener));
         if (!taken) {
             listener.accept(
@@ -123,7 +124,8 @@
                 });
     }
 
-    private void steer(SteeredRequest request, OperationKeys keys, Consumer<RequestCompletion> listener) {
+    private void steer(
+            SteeredRequest request, OperationKeys keys, Consumer<RequestCompletion> listener) {
         if (request.head().kind() != OperationKind.ONCE_ONLY) {
             mEntry.submit(request, listener);
             return;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/Connection.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/Connection.java
@@ -160,7 +160,9 @@
         }
         long now = mTimeSource.monotonicNanos();
         boolean busy = isBusy();
-        long limit = (busy ? mSettings.busyInactivityTimeout() : mSettings.idleInactivityTimeout()).toNanos();
+        long limit =
+                (busy ? mSettings.busyInactivityTimeout() : mSettings.idleInactivityTimeout())
+                        .toNanos();
         long sinceRead = now - mLastReadNanos;
         long silent = busy ? Math.min(sinceRead, now - mBusySinceNanos) : sinceRead;
         if (silent > limit) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/LinkSettings.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/LinkSettings.java
@@ -16,7 +16,8 @@
  * @param connectTimeout how long to wait for a connection and its handshake
  * @param minimumBackoff the wait after a first failed connection
  * @param maximumBackoff the longest wait after failed connections
- * @param busyInactivityTimeout after how long without a byte a connection with unanswered calls is closed
+ * @param busyInactivityTimeout after how long without a byte a connection with unanswered calls is
+ *     closed
  * @param idleInactivityTimeout after how long without a byte any other connection is closed
  * @since 0.1
  */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipMessages.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipMessages.java
@@ -24,7 +24,8 @@
                             MemberClaim.SUSPECT,
                                     io.masticpond.protocol.generated.MemberClaim.SUSPECT,
                             MemberClaim.DEAD, io.masticpond.protocol.generated.MemberClaim.DEAD,
-                            MemberClaim.TERMINATED, io.masticpond.protocol.generated.MemberClaim.GONE));
+                            MemberClaim.TERMINATED,
+                                    io.masticpond.protocol.generated.MemberClaim.GONE));
 
     private MembershipMessages() {}
 
@@ -73,7 +74,10 @@
 
     /** Reads all news that can be read. */
     static List<MemberUpdate> toUpdate(List<MemberEntry> entries) {
-        return entries.stream().map(MembershipMessages::toUpdate).flatMap(Optional::stream).toList();
+        return entries.stream()
+                .map(MembershipMessages::toUpdate)
+                .flatMap(Optional::stream)
+                .toList();
     }
 
     /** Writes a question for newer news. */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipService.java
@@ -14,7 +14,7 @@
 import io.masticpond.core.timeline.HybridLogicalClock;
 import io.masticpond.core.timeline.HybridTime;
 import io.masticpond.core.timeline.Timeline;
-import io.masticpond.daemon.duty.EventLoop;
+import io.masticpond.daemon.eventloop.EventLoop;
 import io.masticpond.daemon.instance.InstanceLinks;
 import io.masticpond.daemon.instance.LinkListener;
 import io.masticpond.daemon.instance.Responder;
@@ -311,7 +311,10 @@
 
     private void takeAsk(Incarnation peer, MemberAsk ask) {
         MembershipMessages.run(ask)
-                .ifPresent(run -> mTable.receiveUpdateRequest(peer.instance(), run, ask.getSequence()));
+                .ifPresent(
+                        run ->
+                                mTable.receiveUpdateRequest(
+                                        peer.instance(), run, ask.getSequence()));
     }
 
     /** Hands over what the links tell. */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/LinkOperationPeers.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/LinkOperationPeers.java
@@ -61,7 +61,10 @@
      * @param timeSource the clocks
      */
     public LinkOperationPeers(
-            InstanceLinks links, MemberHomeDirectory members, InstanceId self, TimeSource timeSource) {
+            InstanceLinks links,
+            MemberHomeDirectory members,
+            InstanceId self,
+            TimeSource timeSource) {
         mLinks = Assert.notNull(links, "Links");
         mMembers = Assert.notNull(members, "Members");
         mSelf = Assert.notNull(self, "An instance id");
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyGuard.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyGuard.java
@@ -103,7 +103,8 @@
      * @param keys what the caller said about its identity
      * @param listener takes the one end
      */
-    public void submit(SteeredRequest request, OnceOnlyKeys keys, Consumer<RequestCompletion> listener) {
+    public void submit(
+            SteeredRequest request, OnceOnlyKeys keys, Consumer<RequestCompletion> listener) {
         Flow flow = new Flow(request, keys.firstAttempt(), true, listener);
         if (keys.idempotencyKey().isPresent()) {
             flow.claim(CallerKey.of(scope(request, keys), keys.idempotencyKey().get()));
@@ -129,7 +130,8 @@
      * @param request the request
      * @param listener takes the one end
      */
-    public void receive(OperationKey key, SteeredRequest request, Consumer<RequestCompletion> listener) {
+    public void receive(
+            OperationKey key, SteeredRequest request, Consumer<RequestCompletion> listener) {
         new Flow(request, false, false, listener).begin(key);
     }
 
@@ -287,7 +289,8 @@
                     mRegistry.begin(key, mFingerprint, mRequest.head());
             if (decision instanceof OperationDecision.Run) {
                 run(key);
-            } else if (decision instanceof OperationDecision.Repeat<RequestCompletion.Answered> repeat) {
+            } else if (decision
+                    instanceof OperationDecision.Repeat<RequestCompletion.Answered> repeat) {
                 record("operation-repeated", mRequest, key);
                 mListener.accept(OutcomeConverter.toCompletion(repeat.outcome()));
             } else if (decision instanceof OperationDecision.InProgress) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyKeys.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyKeys.java
@@ -14,11 +14,16 @@
  * @since 0.1
  */
 public record OnceOnlyKeys(
-        Optional<String> operationKey, Optional<String> idempotencyKey, String scope, boolean firstAttempt) {
+        Optional<String> operationKey,
+        Optional<String> idempotencyKey,
+        String scope,
+        boolean firstAttempt) {
 
     /** Checks that at most one key is given. */
     public OnceOnlyKeys {
-        Assert.isTrue(operationKey.isEmpty() || idempotencyKey.isEmpty(), "Only one kind of key may be given.");
+        Assert.isTrue(
+                operationKey.isEmpty() || idempotencyKey.isEmpty(),
+                "Only one kind of key may be given.");
         Assert.notNull(scope, "A scope");
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationArchive.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationArchive.java
@@ -38,5 +38,6 @@
      * @param listener takes the outcome, or empty if the platform has none or is away; on the
      *     steering duty
      */
-    void find(OperationKey key, Consumer<Optional<KeptOutcome<RequestCompletion.Answered>>> listener);
+    void find(
+            OperationKey key, Consumer<Optional<KeptOutcome<RequestCompletion.Answered>>> listener);
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationHandover.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationHandover.java
@@ -3,7 +3,7 @@
 import io.masticpond.core.id.Incarnation;
 import io.masticpond.core.operation.KeptOutcome;
 import io.masticpond.core.support.Assert;
-import io.masticpond.daemon.duty.EventLoop;
+import io.masticpond.daemon.eventloop.EventLoop;
 import io.masticpond.daemon.steering.RequestCompletion;
 import java.time.Duration;
 import java.util.List;
@@ -53,7 +53,8 @@
      * @return whether the platform or another instance holds every outcome
      */
     public boolean handOver(Duration bound) {
-        CompletableFuture<List<KeptOutcome<RequestCompletion.Answered>>> kept = new CompletableFuture<>();
+        CompletableFuture<List<KeptOutcome<RequestCompletion.Answered>>> kept =
+                new CompletableFuture<>();
         boolean taken =
                 mSteering.put(
                         () -> {
@@ -70,7 +71,8 @@
         return copied.thenCombine(adopted, Boolean::logicalOr).join();
     }
 
-    private CompletableFuture<Boolean> adopt(List<KeptOutcome<RequestCompletion.Answered>> outcomes) {
+    private CompletableFuture<Boolean> adopt(
+            List<KeptOutcome<RequestCompletion.Answered>> outcomes) {
         return mPeers.handOver(mHome, outcomes).thenApply(count -> count == outcomes.size());
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationReceiver.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationReceiver.java
@@ -6,7 +6,7 @@
 import io.masticpond.core.operation.OperationKey;
 import io.masticpond.core.support.Assert;
 import io.masticpond.core.time.TimeSource;
-import io.masticpond.daemon.duty.EventLoop;
+import io.masticpond.daemon.eventloop.EventLoop;
 import io.masticpond.daemon.forwarding.ForwardCodec;
 import io.masticpond.daemon.instance.InstanceLinks;
 import io.masticpond.daemon.instance.Responder;
@@ -107,7 +107,9 @@
 
     /** Takes the outcomes of the sender's own operations; of others it has no say. */
     private void adopt(
-            InstanceId from, List<KeptOutcome<RequestCompletion.Answered>> outcomes, Responder responder) {
+            InstanceId from,
+            List<KeptOutcome<RequestCompletion.Answered>> outcomes,
+            Responder responder) {
         int taken = 0;
         for (KeptOutcome<RequestCompletion.Answered> outcome : outcomes) {
             boolean own = outcome.key().home().instance().equals(from);
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/PlatformOperationArchive.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/PlatformOperationArchive.java
@@ -12,7 +12,7 @@
 import io.masticpond.core.operation.OutcomeCall;
 import io.masticpond.core.operation.StoreAnswer;
 import io.masticpond.core.support.Assert;
-import io.masticpond.daemon.duty.EventLoop;
+import io.masticpond.daemon.eventloop.EventLoop;
 import io.masticpond.daemon.platform.ObjectKey;
 import io.masticpond.daemon.platform.ObjectStore;
 import io.masticpond.daemon.platform.PlatformError;
@@ -104,7 +104,8 @@
 
     @Override
     public void find(
-            OperationKey key, Consumer<Optional<KeptOutcome<RequestCompletion.Answered>>> listener) {
+            OperationKey key,
+            Consumer<Optional<KeptOutcome<RequestCompletion.Answered>>> listener) {
         CompletableFuture<Void> unused =
                 mStore.read(OperationObjects.outcomes(key.home(), OutcomeBatcher.segment(key)))
                         .thenAccept(
@@ -172,7 +173,8 @@
             byte[] bytes = OutcomeCodec.toBytes(write.outcomes());
             answer =
                     mStore.write(key, write.expectedVersion(), bytes)
-                            .thenApply(result -> written(result, PlatformOperationArchive::version));
+                            .thenApply(
+                                    result -> written(result, PlatformOperationArchive::version));
         } else if (call instanceof OutcomeCall.Delete<RequestCompletion.Answered> delete) {
             answer =
                     mStore.delete(key, delete.expectedVersion())
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/CallRunner.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/CallRunner.java
@@ -2,7 +2,7 @@
 
 import io.masticpond.core.support.Assert;
 import io.masticpond.core.time.TimeSource;
-import io.masticpond.daemon.duty.EventLoop;
+import io.masticpond.daemon.eventloop.EventLoop;
 import io.masticpond.daemon.platform.Endpoints.Endpoint;
 import io.masticpond.daemon.platform.TransportResult.Answered;
 import io.masticpond.daemon.platform.TransportResult.Broken;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingService.java
@@ -13,7 +13,7 @@
 import io.masticpond.core.support.Assert;
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.core.timeline.Timeline;
-import io.masticpond.daemon.duty.EventLoop;
+import io.masticpond.daemon.eventloop.EventLoop;
 import io.masticpond.daemon.metrics.SpendingMetrics;
 import java.time.Duration;
 import java.util.ArrayDeque;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/AdmitterSteering.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/AdmitterSteering.java
@@ -163,7 +163,8 @@
         mShards.values().forEach(each -> each.mAdmission.advance());
     }
 
-    private static void refuse(Consumer<RequestCompletion> listener, RefusalCause cause, String detail) {
+    private static void refuse(
+            Consumer<RequestCompletion> listener, RefusalCause cause, String detail) {
         listener.accept(new RequestCompletion.Refused(Refusal.didNotRun(cause, detail)));
     }
 
@@ -246,7 +247,8 @@
         private void complete(
                 RequestId id, BackendServerId server, BackendDispatcher.AttemptResult result) {
             if (result.leaving()) {
-                mAdmission.observe(server, BackendServerSignal.of(BackendServerSignal.Kind.LEAVING));
+                mAdmission.observe(
+                        server, BackendServerSignal.of(BackendServerSignal.Kind.LEAVING));
             }
             mAdmission.complete(id, result.outcome());
             end(id, result.completion());
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/ConfiguredRegionSelector.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/ConfiguredRegionSelector.java
@@ -41,7 +41,8 @@
      * @param timeSource the clocks
      * @param knobs the adjustable numbers
      */
-    public ConfiguredRegionSelector(ZoneId zone, TimeSource timeSource, RegionSelectorParameters knobs) {
+    public ConfiguredRegionSelector(
+            ZoneId zone, TimeSource timeSource, RegionSelectorParameters knobs) {
         mZone = zone;
         mTimeSource = timeSource;
         mKnobs = knobs;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/EntrySteering.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/EntrySteering.java
@@ -303,7 +303,9 @@
             } else if (result instanceof RemoteAdmitter.ForwardResult.NotSent) {
                 forward(route, choice + 1);
             } else if (result instanceof RemoteAdmitter.ForwardResult.Lost lost) {
-                ended(new RequestCompletion.Refused(Refusal.mayHaveRun(lost.cause(), lost.reason())));
+                ended(
+                        new RequestCompletion.Refused(
+                                Refusal.mayHaveRun(lost.cause(), lost.reason())));
             }
         }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/MeteredAdmission.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/MeteredAdmission.java
@@ -104,7 +104,8 @@
         public void dispatch(RequestHead request, BackendServerId server) {
             Long offeredNanos = mOfferedNanos.remove(request.id());
             if (offeredNanos != null) {
-                mMetrics.recordQueueWait(request.service(), mTimeSource.monotonicNanos() - offeredNanos);
+                mMetrics.recordQueueWait(
+                        request.service(), mTimeSource.monotonicNanos() - offeredNanos);
             }
             mSink.dispatch(request, server);
         }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/PeerFallbackEntry.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/PeerFallbackEntry.java
@@ -98,7 +98,8 @@
         mEntry.cancel(request);
     }
 
-    private void ended(SteeredRequest request, RequestCompletion end, Consumer<RequestCompletion> listener) {
+    private void ended(
+            SteeredRequest request, RequestCompletion end, Consumer<RequestCompletion> listener) {
         if (!cannotPay(end)) {
             listener.accept(end);
             return;
@@ -129,7 +130,10 @@
         private boolean mMayHaveRun;
         private boolean mCancelled;
 
-        Search(SteeredRequest request, RequestCompletion.Refused ownEnd, Consumer<RequestCompletion> listener) {
+        Search(
+                SteeredRequest request,
+                RequestCompletion.Refused ownEnd,
+                Consumer<RequestCompletion> listener) {
             mRequest = request;
             mOwnEnd = ownEnd;
             mListener = listener;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/RemoteAdmitter.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/RemoteAdmitter.java
@@ -53,7 +53,8 @@
          * @param completion the end
          * @param headroom the admitter's counts, if it told them
          */
-        record Ended(RequestCompletion completion, Optional<Headroom> headroom) implements ForwardResult {}
+        record Ended(RequestCompletion completion, Optional<Headroom> headroom)
+                implements ForwardResult {}
 
         /**
          * No byte of the request reached the instance, so it did not run.
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/SteeringService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/SteeringService.java
@@ -8,7 +8,7 @@
 import io.masticpond.core.id.ServiceId;
 import io.masticpond.core.id.Shard;
 import io.masticpond.core.membership.MembershipView;
-import io.masticpond.daemon.duty.EventLoop;
+import io.masticpond.daemon.eventloop.EventLoop;
 import java.time.Duration;
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/BackendWatch.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/BackendWatch.java
@@ -3,7 +3,7 @@
 import io.masticpond.core.configuration.BackendServerSpecification;
 import io.masticpond.core.id.Shard;
 import io.masticpond.daemon.backend.BackendHealthChecker;
-import io.masticpond.daemon.duty.EventLoop;
+import io.masticpond.daemon.eventloop.EventLoop;
 import io.masticpond.daemon.steering.ShardDirectory;
 import java.time.Duration;
 import java.util.ArrayList;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/DaemonParts.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/DaemonParts.java
@@ -2,15 +2,15 @@
 
 import io.masticpond.core.id.Incarnation;
 import io.masticpond.daemon.caller.CallerServer;
-import io.masticpond.daemon.duty.EventLoop;
+import io.masticpond.daemon.eventloop.EventLoop;
 import io.masticpond.daemon.forwarding.ForwardReceiver;
 import io.masticpond.daemon.gateway.RequestGateway;
 import io.masticpond.daemon.lifecycle.StoppableParts;
 import io.masticpond.daemon.membership.MembershipService;
 import io.masticpond.daemon.operation.LinkOperationPeers;
 import io.masticpond.daemon.operation.OnceOnlyGuard;
-import io.masticpond.daemon.operation.PlatformOperationArchive;
 import io.masticpond.daemon.operation.OperationHandover;
+import io.masticpond.daemon.operation.PlatformOperationArchive;
 import io.masticpond.daemon.spending.SpendingService;
 import io.masticpond.daemon.steering.SteeringService;
 import java.time.Duration;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/FoundationModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/FoundationModule.java
@@ -6,7 +6,7 @@
 import io.masticpond.core.time.SystemTimeSource;
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.daemon.caller.RequestIdSource;
-import io.masticpond.daemon.duty.EventLoop;
+import io.masticpond.daemon.eventloop.EventLoop;
 import io.masticpond.daemon.metrics.DaemonMetrics;
 import io.masticpond.daemon.platform.PlatformObserver;
 import io.masticpond.daemon.settings.DaemonSettings;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/SpendingModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/SpendingModule.java
@@ -7,14 +7,14 @@
 import io.masticpond.core.spending.AllotmentPolicy;
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.core.timeline.Timeline;
-import io.masticpond.daemon.duty.EventLoop;
+import io.masticpond.daemon.eventloop.EventLoop;
 import io.masticpond.daemon.metrics.DaemonMetrics;
 import io.masticpond.daemon.operator.OperatorRoutes;
 import io.masticpond.daemon.platform.ObjectStore;
 import io.masticpond.daemon.spending.LedgerCodec;
 import io.masticpond.daemon.spending.PlatformLedgers;
-import io.masticpond.daemon.spending.SpendingService;
 import io.masticpond.daemon.spending.SpendingRoutes;
+import io.masticpond.daemon.spending.SpendingService;
 import javax.inject.Singleton;
 
 /**
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/SteeringModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/SteeringModule.java
@@ -16,7 +16,7 @@
 import io.masticpond.daemon.backend.BackendHealthChecker;
 import io.masticpond.daemon.backend.BackendHealthSettings;
 import io.masticpond.daemon.configuration.ConfigurationHolder;
-import io.masticpond.daemon.duty.EventLoop;
+import io.masticpond.daemon.eventloop.EventLoop;
 import io.masticpond.daemon.forwarding.ForwardReceiver;
 import io.masticpond.daemon.forwarding.LinkRemoteAdmitter;
 import io.masticpond.daemon.instance.InstanceLinks;
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/ConfigurationServiceTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/ConfigurationServiceTest.java
@@ -123,7 +123,8 @@
     void aLargeContentIsSplitAndReadBackByAnotherInstance() {
         Node node = mFleet.start("a", "casa-1");
         ConfigurationContent content = large();
-        Either<ConfigurationError, Plan> plan = plan(node, new ConfigurationIntent.Replace(content));
+        Either<ConfigurationError, Plan> plan =
+                plan(node, new ConfigurationIntent.Replace(content));
         got(confirm(node, got(plan)));
         long parts =
                 mStore.names(ObjectKind.CONFIGURATION).stream()
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/gateway/MeteredCallerServiceTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/gateway/MeteredCallerServiceTest.java
@@ -55,7 +55,8 @@
         submit();
         mTime.stepWallClock(Duration.ofDays(-2));
         mDelegate.end(
-                new RequestCompletion.Refused(Refusal.mayHaveRun(RefusalCause.INSTANCE_LOST, "Lost.")));
+                new RequestCompletion.Refused(
+                        Refusal.mayHaveRun(RefusalCause.INSTANCE_LOST, "Lost.")));
         submit();
         mTime.advance(Duration.ofMillis(30));
         mTime.stepWallClock(Duration.ofDays(5));
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/membership/MembershipServiceTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/membership/MembershipServiceTest.java
@@ -96,7 +96,8 @@
                         mTime,
                         run);
         Node node = new Node(id, address, links, duty, new ConcurrentHashMap<>());
-        duty.setHeadroomSupplier(() -> List.of(HeadroomEntry.newBuilder().setService("any").build()));
+        duty.setHeadroomSupplier(
+                () -> List.of(HeadroomEntry.newBuilder().setService("any").build()));
         duty.addHeadroomListener(
                 (from, entries) -> node.heardNanos().put(from, mTime.monotonicNanos()));
         mNodes.add(node);
@@ -212,7 +213,9 @@
         Node a = start(A, 1, List.of());
         Node b = start(B, 1, List.of(a.address()));
         CountDownLatch told = new CountDownLatch(1);
-        b.duty().setHeadroomSupplier(() -> List.of(HeadroomEntry.newBuilder().setService("s").build()));
+        b.duty()
+                .setHeadroomSupplier(
+                        () -> List.of(HeadroomEntry.newBuilder().setService("s").build()));
         a.duty()
                 .addHeadroomListener(
                         (from, entries) -> {
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/metrics/DaemonMetricsTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/metrics/DaemonMetricsTest.java
@@ -115,7 +115,8 @@
             requests.recordFurtherAttempt(service, kind);
         }
         for (int region = 0; region < 100; region++) {
-            mMetrics.capacity().updateHeadroom(service, new RegionId("region-" + region), Headroom.NONE);
+            mMetrics.capacity()
+                    .updateHeadroom(service, new RegionId("region-" + region), Headroom.NONE);
         }
         mMetrics.spending().updateLedger(service, 1, 1, 1);
         mMetrics.spending().updateHeld(service, 1);
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/operation/GuardedInstances.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/operation/GuardedInstances.java
@@ -281,9 +281,12 @@
 
         @Override
         public void find(
-                OperationKey key, Consumer<Optional<KeptOutcome<RequestCompletion.Answered>>> listener) {
+                OperationKey key,
+                Consumer<Optional<KeptOutcome<RequestCompletion.Answered>>> listener) {
             listener.accept(
-                    mPlatformUnavailable ? Optional.empty() : Optional.ofNullable(mArchive.get(key)));
+                    mPlatformUnavailable
+                            ? Optional.empty()
+                            : Optional.ofNullable(mArchive.get(key)));
         }
     }
 }
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/operation/PlatformOperationArchiveTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/operation/PlatformOperationArchiveTest.java
@@ -21,7 +21,7 @@
 import io.masticpond.core.time.ManualTimeSource;
 import io.masticpond.core.time.SystemTimeSource;
 import io.masticpond.core.time.TimeSource;
-import io.masticpond.daemon.duty.EventLoop;
+import io.masticpond.daemon.eventloop.EventLoop;
 import io.masticpond.daemon.platform.HttpObjectStore;
 import io.masticpond.daemon.platform.PlatformClientSettings;
 import io.masticpond.daemon.platform.PlatformObserver;
@@ -88,7 +88,10 @@
 
     @Example
     void lostAnswersAndLateEffectsLeaveOneHolderOfEachClaim() {
-        mPlatform.state().setFaults(new PlatformFaults(PlatformCallDisposition.SERVED, 0, 0.2, 0.2, 50, 0, 0));
+        mPlatform
+                .state()
+                .setFaults(
+                        new PlatformFaults(PlatformCallDisposition.SERVED, 0, 0.2, 0.2, 50, 0, 0));
         assertOneHolderOfEachClaim();
     }
 
@@ -172,7 +175,8 @@
     }
 
     private static String body(KeptOutcome<RequestCompletion.Answered> outcome) {
-        RequestCompletion.Answered answer = (RequestCompletion.Answered) OutcomeConverter.toCompletion(outcome.outcome());
+        RequestCompletion.Answered answer =
+                (RequestCompletion.Answered) OutcomeConverter.toCompletion(outcome.outcome());
         return new String(answer.body(), StandardCharsets.UTF_8);
     }
 
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/spending/SpendingServiceTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/spending/SpendingServiceTest.java
@@ -17,7 +17,7 @@
 import io.masticpond.core.spending.SpendingView;
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.core.timeline.Timeline;
-import io.masticpond.daemon.duty.EventLoop;
+import io.masticpond.daemon.eventloop.EventLoop;
 import io.masticpond.daemon.platform.ObjectKey;
 import io.masticpond.daemon.platform.ObjectKind;
 import io.masticpond.daemon.platform.StoredObject;
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/ChargedForwardTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/ChargedForwardTest.java
@@ -15,7 +15,7 @@
 import io.masticpond.core.request.RequestHead;
 import io.masticpond.core.request.Verdict;
 import io.masticpond.core.time.ManualTimeSource;
-import io.masticpond.daemon.duty.EventLoop;
+import io.masticpond.daemon.eventloop.EventLoop;
 import io.masticpond.daemon.forwarding.ForwardCodec;
 import io.masticpond.daemon.forwarding.ForwardReceiver;
 import io.masticpond.daemon.instance.EnvelopeHandler;
@@ -57,7 +57,8 @@
 
     @Example
     void theInstanceThatIsAskedPaysAndSteers() {
-        RequestCompletion answer = new RequestCompletion.Answered(200, List.of(), new byte[] {1}, "server-1");
+        RequestCompletion answer =
+                new RequestCompletion.Answered(200, List.of(), new byte[] {1}, "server-1");
         mResults.add(new ForwardResult.Ended(answer, Optional.empty()));
         passOn();
         runDuty();
@@ -91,7 +92,8 @@
         mEntry.advance();
         assertThat(mForwardedTo).isEmpty();
         RequestCompletion end = ForwardCodec.toCompletion(mAnswers.get(0).getForwardAnswer());
-        assertThat(((RequestCompletion.Refused) end).refusal().cause()).isEqualTo(RefusalCause.CANCELLED);
+        assertThat(((RequestCompletion.Refused) end).refusal().cause())
+                .isEqualTo(RefusalCause.CANCELLED);
         assertThat(mReceiver.steered()).isZero();
     }
 
@@ -103,7 +105,8 @@
         cancel();
         runDuty();
         mGate.mRenewing = false;
-        RequestCompletion answer = new RequestCompletion.Answered(200, List.of(), new byte[] {1}, "server-1");
+        RequestCompletion answer =
+                new RequestCompletion.Answered(200, List.of(), new byte[] {1}, "server-1");
         mResults.add(new ForwardResult.Ended(answer, Optional.empty()));
         mEntry.advance();
         assertThat(ends).containsExactly(answer);
@@ -111,7 +114,8 @@
 
     @Example
     void anInstanceOfAnEarlierBuildDeclinesSinceItFindsNoShard() {
-        assertThatThrownBy(() -> ForwardCodec.toShard(ForwardCodec.toUnchargedForward(request(), 1)))
+        assertThatThrownBy(
+                        () -> ForwardCodec.toShard(ForwardCodec.toUnchargedForward(request(), 1)))
                 .isInstanceOf(IllegalArgumentException.class);
         Shard shard = new Shard(SERVICE, new RegionId("any"), 0);
         assertThat(ForwardCodec.isUncharged(ForwardCodec.toForward(request(), shard, 1))).isFalse();
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlDocuments.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlDocuments.java
@@ -199,7 +199,10 @@
     }
 
     Either<ControlProblem, ObjectNode> timeline(ControlRequest question) {
-        return question.number(ControlView.BELIEFS, DEFAULT_VIEW_CHANGES, RecentDecisions.MAXIMUM_VIEW_CHANGES)
+        return question.number(
+                        ControlView.BELIEFS,
+                        DEFAULT_VIEW_CHANGES,
+                        RecentDecisions.MAXIMUM_VIEW_CHANGES)
                 .map(beliefs -> timeline(question.parameter(ControlView.REQUEST), beliefs));
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ServerDocument.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ServerDocument.java
@@ -35,7 +35,9 @@
                                         .put(
                                                 "failureShare",
                                                 JsonFormat.rounded(judgement.failureShare()))
-                                        .put("meanMillis", JsonFormat.millis(judgement.meanNanos())));
+                                        .put(
+                                                "meanMillis",
+                                                JsonFormat.millis(judgement.meanNanos())));
     }
 
     private static void writeWithdrawal(WithdrawalView withdrawal, ObjectNode into) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/TrafficSnapshot.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/TrafficSnapshot.java
@@ -106,6 +106,9 @@
                 load.avoidReason(nowNanos),
                 Optional.ofNullable(withdrawal),
                 Optional.ofNullable(limit),
-                flow.placer().chooser().outlierDetector().evaluation(server.service(), server.id(), nowNanos));
+                flow.placer()
+                        .chooser()
+                        .outlierDetector()
+                        .evaluation(server.service(), server.id(), nowNanos));
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/directory/DirectorySettings.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/directory/DirectorySettings.java
@@ -7,8 +7,8 @@
  * How clients are spread over instances.
  *
  * @param timeToLive how long a client may keep an answer
- * @param minimumInZone with fewer ready instances than this in the client's availability zone, those
- *     of its region are named too
+ * @param minimumInZone with fewer ready instances than this in the client's availability zone,
+ *     those of its region are named too
  * @param isRegionWide whether all ready instances of the region are always named: the load is even
  *     where zones have unlike numbers of clients for each instance, and most bytes of clients and
  *     answers cross zones
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/BareLogbackProvider.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/BareLogbackProvider.java
@@ -12,8 +12,9 @@
 
 /**
  * Gives SLF4J a Logback that looks for no configuration: the search for files, configurators and
- * their ranks costs a tenth of a start, and {@link LogbackBridge} sets all up in code. A process names
- * this type by the property {@code slf4j.provider}. Until the log is installed nothing is written.
+ * their ranks costs a tenth of a start, and {@link LogbackBridge} sets all up in code. A process
+ * names this type by the property {@code slf4j.provider}. Until the log is installed nothing is
+ * written.
  *
  * @since 0.2
  */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/DropSummaryLine.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/DropSummaryLine.java
@@ -11,7 +11,8 @@
  * @param plain requests that went as hoped
  * @param lost lines that the output did not take
  */
-record DropSummaryLine(long noteworthy, long sentences, long plain, long lost) implements LineContent {
+record DropSummaryLine(long noteworthy, long sentences, long plain, long lost)
+        implements LineContent {
 
     /** Gives what is missing so far. */
     static DropSummaryLine total(LineCounts counts) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/FleetSnapshotLog.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/FleetSnapshotLog.java
@@ -77,8 +77,7 @@
         long former = version(before);
         long version = version(mSnapshot);
         if (version != former) {
-            mLog.viewChanged(
-                    new ViewChange.Routing(former, version, mSnapshot.revision(), source));
+            mLog.viewChanged(new ViewChange.Routing(former, version, mSnapshot.revision(), source));
         }
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/LineRings.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/LineRings.java
@@ -9,7 +9,8 @@
 
     private static final LinePriority[] CLASSES = LinePriority.values();
 
-    private final Map<LinePriority, MpscArrayQueue<TimedLine>> mRings = new EnumMap<>(LinePriority.class);
+    private final Map<LinePriority, MpscArrayQueue<TimedLine>> mRings =
+            new EnumMap<>(LinePriority.class);
 
     LineRings() {
         for (LinePriority lineClass : CLASSES) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/metrics/CountingLog.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/metrics/CountingLog.java
@@ -1,9 +1,9 @@
 package io.masticpond.entry.metrics;
 
-import io.masticpond.entry.log.ViewChange;
 import io.masticpond.entry.log.DecisionLog;
 import io.masticpond.entry.log.ProcessChange;
 import io.masticpond.entry.log.RequestRecord;
+import io.masticpond.entry.log.ViewChange;
 
 /** Counts the requests that go into a log, so that figures and lines never disagree. */
 final class CountingLog implements DecisionLog {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/metrics/MetricPage.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/metrics/MetricPage.java
@@ -1,8 +1,8 @@
 package io.masticpond.entry.metrics;
 
 import io.masticpond.entry.log.AttemptResult;
-import io.masticpond.entry.log.LinePriority;
 import io.masticpond.entry.log.LineCounts;
+import io.masticpond.entry.log.LinePriority;
 import io.masticpond.entry.log.RequestOutcome;
 import io.masticpond.entry.log.RouteKind;
 import io.masticpond.entry.replica.FeedError;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/CrashMessageCodec.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/CrashMessageCodec.java
@@ -86,7 +86,8 @@
         return switch (kind) {
             case END ->
                     Optional.of(
-                            new CrashMessage.ServerEnd(request, in.readLong(), readAge(in), readAge(in)));
+                            new CrashMessage.ServerEnd(
+                                    request, in.readLong(), readAge(in), readAge(in)));
             case VERDICT ->
                     Optional.of(
                             new CrashMessage.Verdict(
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/HeartbeatService.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/HeartbeatService.java
@@ -138,7 +138,8 @@
         run(
                 () -> {
                     mSelf.setRevision(revision);
-                    PeerUpdate.State state = ready ? PeerUpdate.State.READY : PeerUpdate.State.STARTING;
+                    PeerUpdate.State state =
+                            ready ? PeerUpdate.State.READY : PeerUpdate.State.STARTING;
                     if (mSelf.changeState(state)) {
                         mExchange.announce(now());
                     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerExchange.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerExchange.java
@@ -216,7 +216,8 @@
             receiveAboutUnknown(news, now);
         } else if (news.state() == PeerUpdate.State.SILENT) {
             receiveClaim(record, news, from, now);
-        } else if (record.isClaimed() && !news.isLaterThan(record.incarnation(), record.lastSequence())) {
+        } else if (record.isClaimed()
+                && !news.isLaterThan(record.incarnation(), record.lastSequence())) {
             mSender.answer(from, false, List.of(record.claimUpdate()));
         } else if (news.isLaterThan(record.incarnation(), record.lastSequence())) {
             boolean wasClaimed = record.isClaimed();
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerMessage.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerMessage.java
@@ -11,7 +11,8 @@
  * @param updates what the sender tells of others
  * @since 0.2
  */
-public record PeerMessage(Kind kind, PeerUpdate sender, String listAfter, List<PeerUpdate> updates) {
+public record PeerMessage(
+        Kind kind, PeerUpdate sender, String listAfter, List<PeerUpdate> updates) {
 
     /**
      * What a datagram is for. The order is part of the message layout.
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/RateCodec.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/RateCodec.java
@@ -50,7 +50,8 @@
      * @param instances over how many instances the uses go
      * @param uses the use by the hash of the workspace
      */
-    public record Part(Kind kind, int part, int parts, int instances, Map<Integer, RateUsage> uses) {
+    public record Part(
+            Kind kind, int part, int parts, int instances, Map<Integer, RateUsage> uses) {
 
         /**
          * Tells whether a workspace belongs to this part.
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/CategoryCopy.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/CategoryCopy.java
@@ -103,7 +103,8 @@
      * @param source who told
      * @param nowNanos the monotonic time
      */
-    void applyList(List<TimestampedDocument> documents, long revision, CopySource source, long nowNanos) {
+    void applyList(
+            List<TimestampedDocument> documents, long revision, CopySource source, long nowNanos) {
         if (mListed && revision < mRevision) {
             return;
         }
@@ -204,7 +205,8 @@
      * @param source who told
      * @param nowNanos the monotonic time
      */
-    void applyChanges(List<TimestampedDocument> changes, long revision, CopySource source, long nowNanos) {
+    void applyChanges(
+            List<TimestampedDocument> changes, long revision, CopySource source, long nowNanos) {
         for (TimestampedDocument told : changes) {
             apply(told, revision, nowNanos);
         }
@@ -275,7 +277,8 @@
         for (Map.Entry<String, Tombstone> entry : mTombstones.entrySet()) {
             Tombstone tombstone = entry.getValue();
             if (!whole && tombstone.learntRevision() > afterRevision) {
-                documents.add(new TimestampedDocument(deletion(entry.getKey(), tombstone), nowNanos));
+                documents.add(
+                        new TimestampedDocument(deletion(entry.getKey(), tombstone), nowNanos));
             }
         }
         return new CopyPart(mCategory, mRevision, whole, documents);
@@ -364,7 +367,8 @@
     record TimestampedDocument(StoredDocument document, long stateNanos) {}
 
     /** What another copy lacks, or the whole. */
-    record CopyPart(Category category, long revision, boolean whole, List<TimestampedDocument> documents) {}
+    record CopyPart(
+            Category category, long revision, boolean whole, List<TimestampedDocument> documents) {}
 
     private record Held(StoredDocument document, long stateNanos) {}
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/CategoryFollower.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/CategoryFollower.java
@@ -155,7 +155,10 @@
         FeedResult content = result.get();
         long nowNanos = mTime.monotonicNanos();
         mCopy.applyList(
-                timestamped(content, nowNanos), content.storeRevision(), CopySource.STORE, nowNanos);
+                timestamped(content, nowNanos),
+                content.storeRevision(),
+                CopySource.STORE,
+                nowNanos);
         mApplied.run();
         mListed.accept(start);
         next(Duration.ZERO, this::follow);
@@ -205,7 +208,10 @@
         mCuts = isShort ? mCuts : 0;
         long nowNanos = mTime.monotonicNanos();
         mCopy.applyChanges(
-                timestamped(changes, nowNanos), changes.storeRevision(), CopySource.STORE, nowNanos);
+                timestamped(changes, nowNanos),
+                changes.storeRevision(),
+                CopySource.STORE,
+                nowNanos);
         mApplied.run();
         boolean isEmpty = changes.documents().isEmpty();
         boolean isEarly = !isShort && held.compareTo(mSettings.firstRetry()) < 0;
@@ -282,6 +288,8 @@
     }
 
     static List<TimestampedDocument> timestamped(FeedResult result, long nowNanos) {
-        return result.documents().stream().map(document -> new TimestampedDocument(document, nowNanos)).toList();
+        return result.documents().stream()
+                .map(document -> new TimestampedDocument(document, nowNanos))
+                .toList();
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/FleetReplica.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/FleetReplica.java
@@ -144,7 +144,8 @@
     void usePeers(PeerRevisions peers, RelayLink link, RelayFallback.Place place) {
         mFallback =
                 Optional.of(
-                        new RelayFallback(mContext, peers, link, mRelayed, place, this::onPeerUpdate));
+                        new RelayFallback(
+                                mContext, peers, link, mRelayed, place, this::onPeerUpdate));
         mLag = Optional.of(new PeerLag(peers));
     }
 
@@ -195,7 +196,12 @@
 
     private boolean watches() {
         boolean wasAnswered = mHealth.succeededNanos() - mWatchingSinceNanos >= 0;
-        return mUsable && !mLeaving && !mStopped && !mHealth.isLost() && !isFollowing() && wasAnswered;
+        return mUsable
+                && !mLeaving
+                && !mStopped
+                && !mHealth.isLost()
+                && !isFollowing()
+                && wasAnswered;
     }
 
     private boolean isFollowing() {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayCodec.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayCodec.java
@@ -107,8 +107,8 @@
                 new CopyPart(category, answer.getRevision(), answer.getWhole(), documents));
     }
 
-    private TimestampedDocument timestamped(Category category, RelayedDocument document, long nowNanos)
-            throws IOException {
+    private TimestampedDocument timestamped(
+            Category category, RelayedDocument document, long nowNanos) throws IOException {
         JsonNode content =
                 document.getDeleted()
                         ? null
@@ -120,6 +120,7 @@
                         document.getRevision(),
                         document.getDeleted(),
                         content);
-        return new TimestampedDocument(stored, nowNanos - Duration.ofMillis(document.getAgeMs()).toNanos());
+        return new TimestampedDocument(
+                stored, nowNanos - Duration.ofMillis(document.getAgeMs()).toNanos());
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayServer.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayServer.java
@@ -109,7 +109,8 @@
                             mConnections--;
                             limit.cancel(false);
                         });
-        channel.pipeline().addLast(RelayFrames.decoder(MAXIMUM_REQUEST_BYTES), new RelayRequestHandler());
+        channel.pipeline()
+                .addLast(RelayFrames.decoder(MAXIMUM_REQUEST_BYTES), new RelayRequestHandler());
     }
 
     /** Answers the one ask of a connection. */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/ReplicaSettings.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/ReplicaSettings.java
@@ -130,8 +130,8 @@
      * @param expiryAfter how long an outage must last for entries to have expired meanwhile
      * @param confirmWithin how long after the store's return such entries may come back
      * @param checkEvery how often a silent store is checked, by a cheap probe and by peers
-     * @param acceptRestoredAfter how long after the store came back from an older copy an entry counts
-     *     again that had been deleted, longer than entries of silent servers last
+     * @param acceptRestoredAfter how long after the store came back from an older copy an entry
+     *     counts again that had been deleted, longer than entries of silent servers last
      * @param tombstoneKept how long deletions are remembered for peers
      * @since 0.2
      */
@@ -184,7 +184,8 @@
      * @param margin how much later its answer may come before the connection counts as silent
      * @param lookEvery how often the instances of the zone are looked at
      * @param avoidFor how long a watcher that failed is not asked again
-     * @param ownWatchFor how long an instance watches by itself at least once its watchers have failed
+     * @param ownWatchFor how long an instance watches by itself at least once its watchers have
+     *     failed
      * @since 0.2
      */
     public record Watching(
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/ServerDocuments.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/ServerDocuments.java
@@ -194,7 +194,8 @@
         mUnconfirmed.remove(name);
         mOvertaken.remove(name);
         Either<String, RegisteredServer> read =
-                DocumentParsing.guard(() -> mTranslator.server(name, document.content(), stateNanos));
+                DocumentParsing.guard(
+                        () -> mTranslator.server(name, document.content(), stateNanos));
         if (read.isLeft()) {
             mUnreadable.add(document, read.getLeft());
             forget(name);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/StoreRestoreTracker.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/StoreRestoreTracker.java
@@ -130,7 +130,8 @@
         mIsSettling = true;
         ReplicaSettings.Outage times = mContext.settings().outage();
         mSettleTimer = mContext.scheduler().schedule(times.confirmWithin(), this::settle);
-        mAcceptTimer = mContext.scheduler().schedule(times.acceptRestoredAfter(), this::acceptRestored);
+        mAcceptTimer =
+                mContext.scheduler().schedule(times.acceptRestoredAfter(), this::acceptRestored);
     }
 
     private void becomeSettled(boolean hadBefore) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/BrokenOffRequests.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/BrokenOffRequests.java
@@ -6,8 +6,8 @@
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.entry.backend.BackendConnections;
 import io.masticpond.entry.backend.ServerReachability;
-import io.masticpond.entry.log.ViewChange;
 import io.masticpond.entry.log.DecisionLog;
+import io.masticpond.entry.log.ViewChange;
 import io.netty.channel.EventLoop;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -71,7 +71,8 @@
         }
     }
 
-    private void check(RegisteredServer server, long afterMillis, Consumer<ServerReachability> taker) {
+    private void check(
+            RegisteredServer server, long afterMillis, Consumer<ServerReachability> taker) {
         mEventLoop.schedule(
                 () -> mConnections.check(server, taker), afterMillis, TimeUnit.MILLISECONDS);
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/CrashGuard.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/CrashGuard.java
@@ -1,9 +1,9 @@
 package io.masticpond.entry.request;
 
-import io.masticpond.core.crash.CrashView;
 import io.masticpond.core.crash.CrashMessage;
 import io.masticpond.core.crash.CrashOutput;
 import io.masticpond.core.crash.CrashSettings;
+import io.masticpond.core.crash.CrashView;
 import io.masticpond.core.crash.CrashingRequests;
 import io.masticpond.core.crash.RequestFingerprint;
 import io.masticpond.core.fleet.RegisteredServer;
@@ -12,8 +12,8 @@
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.entry.backend.BackendConnections;
 import io.masticpond.entry.http.IncomingRequest;
-import io.masticpond.entry.log.ViewChange;
 import io.masticpond.entry.log.DecisionLog;
+import io.masticpond.entry.log.ViewChange;
 import io.netty.channel.EventLoop;
 import java.util.List;
 import java.util.function.Consumer;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/HeldRequests.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/HeldRequests.java
@@ -64,7 +64,8 @@
         }
         Held held = new Held(request, responder, facts);
         mHeld.add(held);
-        mEventLoop.schedule(() -> leave(held, mGivenUp), MAXIMUM_WAIT.toMillis(), TimeUnit.MILLISECONDS);
+        mEventLoop.schedule(
+                () -> leave(held, mGivenUp), MAXIMUM_WAIT.toMillis(), TimeUnit.MILLISECONDS);
         responder.onClientDisconnected(() -> leave(held, mGone));
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlComponents.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlComponents.java
@@ -49,7 +49,8 @@
 
     /** Starts the parts; to be called on the control thread. */
     void start() {
-        mReplica.restoreTracker().addSettledListener((era, hadBefore) -> mRegistration.register(era));
+        mReplica.restoreTracker()
+                .addSettledListener((era, hadBefore) -> mRegistration.register(era));
         mReplica.start();
         mHeartbeats.start();
         mRegistration.start();
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/CrashSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/CrashSharing.java
@@ -112,9 +112,12 @@
         mWaiting.forEach(
                 (hearer, messages) -> {
                     for (int from = 0; from < messages.size(); ) {
-                        int to = Math.min(messages.size(), from + CrashMessageCodec.MAXIMUM_MESSAGES);
+                        int to =
+                                Math.min(
+                                        messages.size(), from + CrashMessageCodec.MAXIMUM_MESSAGES);
                         List<CrashMessage> part = messages.subList(from, to);
-                        mPeers.sendDatagram(List.of(hearer), out -> CrashMessageCodec.write(part, out));
+                        mPeers.sendDatagram(
+                                List.of(hearer), out -> CrashMessageCodec.write(part, out));
                         from = to;
                     }
                 });
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoadSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoadSharing.java
@@ -76,6 +76,8 @@
     private void send() {
         List<LoadReport> reports = shared().take();
         mControl.execute(
-                () -> mPeers.sendDatagram(mPeers.ownZone(), out -> LoadReportCodec.write(reports, out)));
+                () ->
+                        mPeers.sendDatagram(
+                                mPeers.ownZone(), out -> LoadReportCodec.write(reports, out)));
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoggingPeerListener.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoggingPeerListener.java
@@ -2,9 +2,9 @@
 
 import io.masticpond.core.id.InstanceId;
 import io.masticpond.core.time.TimeSource;
-import io.masticpond.entry.log.ViewChange;
 import io.masticpond.entry.log.DecisionLog;
 import io.masticpond.entry.log.RequestRecord;
+import io.masticpond.entry.log.ViewChange;
 import io.masticpond.entry.peer.PeerInstance;
 import io.masticpond.entry.peer.PeerListener;
 import java.util.HashMap;
@@ -30,8 +30,7 @@
                 lost == null
                         ? 0
                         : TimeUnit.NANOSECONDS.toMillis(mTimeSource.monotonicNanos() - lost);
-        mLog.viewChanged(
-                new ViewChange.Peer(instance.id(), instance.incarnation(), true, silent));
+        mLog.viewChanged(new ViewChange.Peer(instance.id(), instance.incarnation(), true, silent));
     }
 
     @Override
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoggingStoreListener.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoggingStoreListener.java
@@ -1,7 +1,7 @@
 package io.masticpond.entry.wiring;
 
-import io.masticpond.entry.log.ViewChange;
 import io.masticpond.entry.log.DecisionLog;
+import io.masticpond.entry.log.ViewChange;
 import io.masticpond.entry.replica.StoreListener;
 import java.time.Duration;
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ProofSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ProofSharing.java
@@ -1,12 +1,12 @@
 package io.masticpond.entry.wiring;
 
-import io.masticpond.core.freshness.FreshnessTracker;
 import io.masticpond.core.freshness.FreshnessProof;
+import io.masticpond.core.freshness.FreshnessTracker;
 import io.masticpond.core.time.Moment;
 import io.masticpond.core.time.TimeSource;
-import io.masticpond.entry.log.ViewChange;
 import io.masticpond.entry.log.DecisionLog;
 import io.masticpond.entry.log.RequestRecord;
+import io.masticpond.entry.log.ViewChange;
 import io.masticpond.entry.peer.HeartbeatService;
 import io.masticpond.entry.peer.PeerInstance;
 import io.masticpond.entry.peer.ProofCodec;
@@ -94,7 +94,8 @@
                                 .ifPresent(
                                         message -> {
                                             if (message instanceof ProofCodec.Request ask) {
-                                                mPeers.sendDatagram(sender, out -> answer(ask, out));
+                                                mPeers.sendDatagram(
+                                                        sender, out -> answer(ask, out));
                                             } else {
                                                 received((ProofCodec.Answer) message);
                                             }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/RateSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/RateSharing.java
@@ -68,11 +68,15 @@
     void start() {
         mPeers.registerReceiver(
                 RateCodec.VERSION,
-                (sender, content) -> RateCodec.read(content).ifPresent(part -> receive(sender, part)));
+                (sender, content) ->
+                        RateCodec.read(content).ifPresent(part -> receive(sender, part)));
         mTraffic.scheduleWithFixedDelay(
                 this::report, REPORT_MILLIS, REPORT_MILLIS, TimeUnit.MILLISECONDS);
         mControl.scheduleWithFixedDelay(
-                this::reportToZones, REPORT_ZONES_MILLIS, REPORT_ZONES_MILLIS, TimeUnit.MILLISECONDS);
+                this::reportToZones,
+                REPORT_ZONES_MILLIS,
+                REPORT_ZONES_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 
     /** Takes what this instance does, on the traffic thread. */
@@ -190,6 +194,7 @@
         zones.forEach(
                 (zone, members) ->
                         mAggregators.put(
-                                zone, PeerOrder.first("rates/" + zone.value(), members, AGGREGATORS)));
+                                zone,
+                                PeerOrder.first("rates/" + zone.value(), members, AGGREGATORS)));
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SettingsReloader.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SettingsReloader.java
@@ -67,7 +67,8 @@
                     mFlow.statements().limits().applySettings(settings.serverLimits());
                     mFlow.statements().applySettings(settings.withdrawals());
                 });
-        mProcessChanges.log(ProcessChange.Kind.RELOADED, SettingsPart.describeChanges(mSettings, settings));
+        mProcessChanges.log(
+                ProcessChange.Kind.RELOADED, SettingsPart.describeChanges(mSettings, settings));
         mSettings = settings;
     }
 }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/backend/AnswerWholenessTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/backend/AnswerWholenessTest.java
@@ -121,7 +121,8 @@
         String refusal = "HTTP/1.1 503 No\r\nX-Not-Executed: full\r\nContent-Length: 0\r\n\r\n";
         String misdirected = "HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n";
         String other = refusal.replace("X-Not", "X-Request-Id: b\r\nX-Not");
-        assertThat(answerTo(BackendFixture.get("a"), each -> each.send(refusal)).status()).isEqualTo(503);
+        assertThat(answerTo(BackendFixture.get("a"), each -> each.send(refusal)).status())
+                .isEqualTo(503);
         assertThat(answerTo(BackendFixture.get("a"), each -> each.send(misdirected)).status())
                 .isEqualTo(421);
         assertFails(CallFailure.Kind.BAD_ANSWER, each -> each.send(other).close());
@@ -168,7 +169,8 @@
     @Example
     void answersWithoutBodyEndWithTheirHead() throws Exception {
         BackendRequest head =
-                BackendFixture.request("a", HttpMethod.HEAD, Unpooled.EMPTY_BUFFER, BackendFixture.LONG_NANOS);
+                BackendFixture.request(
+                        "a", HttpMethod.HEAD, Unpooled.EMPTY_BUFFER, BackendFixture.LONG_NANOS);
         RecordingCallListener.Answer toHead =
                 answerTo(
                         head,
--- a/masticpond-entry/src/test/java/io/masticpond/entry/backend/BackendFixture.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/backend/BackendFixture.java
@@ -36,7 +36,7 @@
     private final EventLoop mLoop = mGroup.next();
 
     BackendFixture() throws Exception {
-        BackendFixture(
+        this(
                 new ConnectionOptions(
                         ConnectionOptions.DEFAULT_REQUEST_ID_HEADER,
                         NOT_EXECUTED,
--- a/masticpond-entry/src/test/java/io/masticpond/entry/backend/CallEndTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/backend/CallEndTest.java
@@ -68,12 +68,16 @@
                     () -> {
                         BackendCall call =
                                 backends.mConnections.send(
-                                        backends.mTarget, 1, BackendFixture.get("never"), cancelled);
+                                        backends.mTarget,
+                                        1,
+                                        BackendFixture.get("never"),
+                                        cancelled);
                         assertThat(call.isWritten()).isFalse();
                         call.cancel();
                         return null;
                     });
-            RecordingCallListener next = backends.onLoop(() -> backends.sendHere(BackendFixture.get("next"), 1));
+            RecordingCallListener next =
+                    backends.onLoop(() -> backends.sendHere(BackendFixture.get("next"), 1));
             RawServer.Connection connection = backends.mServer.accept();
             assertThat(connection.readHead()).contains("X-Request-Id: next");
             connection.answer("next", "x");
@@ -91,7 +95,10 @@
                     backends.onLoop(
                             () ->
                                     backends.mConnections.send(
-                                            backends.mTarget, 1, BackendFixture.get("a"), cancelled));
+                                            backends.mTarget,
+                                            1,
+                                            BackendFixture.get("a"),
+                                            cancelled));
             RawServer.Connection connection = backends.mServer.accept();
             connection.readHead();
             boolean wasWritten =
@@ -161,7 +168,8 @@
             RecordingCallListener waiting =
                     backends.onLoop(
                             () -> {
-                                RecordingCallListener recorder = backends.sendHere(BackendFixture.get("b"), 2);
+                                RecordingCallListener recorder =
+                                        backends.sendHere(BackendFixture.get("b"), 2);
                                 backends.mConnections.close();
                                 return recorder;
                             });
--- a/masticpond-entry/src/test/java/io/masticpond/entry/backend/ConnectionReuseTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/backend/ConnectionReuseTest.java
@@ -174,7 +174,8 @@
         }
     }
 
-    private static void assertOnlyRepeatableUsesRestedOne(BackendFixture backends) throws Exception {
+    private static void assertOnlyRepeatableUsesRestedOne(BackendFixture backends)
+            throws Exception {
         RawServer.Connection rested = backends.keptConnection(TEN_SECONDS);
         backends.advance(100);
         RecordingCallListener once = backends.send(BackendFixture.onceOnly("once"));
--- a/masticpond-entry/src/test/java/io/masticpond/entry/log/FleetSnapshotLogTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/log/FleetSnapshotLogTest.java
@@ -59,7 +59,8 @@
     @Example
     void eachLaterChangeIsOneLineAndNothingIsToldTwice() {
         RegisteredServer stays = server("b1", false, 0);
-        mLog.changed(snapshot(3, 1, Set.of(), stays, server("b2", false, 0)), UpdateSource.STORE, 0);
+        mLog.changed(
+                snapshot(3, 1, Set.of(), stays, server("b2", false, 0)), UpdateSource.STORE, 0);
         mChanges.clear();
         FleetSnapshot next =
                 snapshot(4, 2, Set.of(ZONE), server("b1", true, 0), server("b3", false, 500));
--- a/masticpond-entry/src/test/java/io/masticpond/entry/peer/PeerMessageCodecTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/peer/PeerMessageCodecTest.java
@@ -18,7 +18,8 @@
         PeerInstance instance = PeerSimulation.instance("edge-casa-ain-1", 1, number);
         Optional<PeerPlace> place =
                 withPlace ? Optional.of(PeerPlace.of(instance)) : Optional.empty();
-        return new PeerUpdate(instance.id(), number, number, number, PeerUpdate.State.LEAVING, place);
+        return new PeerUpdate(
+                instance.id(), number, number, number, PeerUpdate.State.LEAVING, place);
     }
 
     private static ByteBuf written(PeerMessage message) {
--- a/masticpond-entry/src/test/java/io/masticpond/entry/peer/WorkspaceCodecTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/peer/WorkspaceCodecTest.java
@@ -52,7 +52,8 @@
     @Example
     void ratesBeyondWhatIsToldAreCutAndNotWrapped() {
         RateCodec.Part part =
-                new RateCodec.Part(RateCodec.Kind.ZONE, 0, 1, 1, Map.of(1, new RateUsage(1e6, 1e9)));
+                new RateCodec.Part(
+                        RateCodec.Kind.ZONE, 0, 1, 1, Map.of(1, new RateUsage(1e6, 1e9)));
         RateUsage read = RateCodec.read(written(part).skipBytes(1)).orElseThrow().uses().get(1);
         assertThat(read.used()).isEqualTo(6_553.5);
     }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/replica/StoreRestoreTrackerTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/replica/StoreRestoreTrackerTest.java
@@ -201,7 +201,9 @@
         assertThat(proofsAtStart(0, 1_000)).as("others have settled before the return").isEmpty();
         assertThat(proofsAtStart(0, 3_000)).as("after its own time").isNotEmpty();
         assertThat(proofsAtStart(1, 0)).as("others have settled since").isNotEmpty();
-        assertThat(proofsAtStart(StoreRestoreTracker.UNREPORTED, 0)).as("the first of all").isNotEmpty();
+        assertThat(proofsAtStart(StoreRestoreTracker.UNREPORTED, 0))
+                .as("the first of all")
+                .isNotEmpty();
     }
 
     @Example
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/AbstractRequestFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/AbstractRequestFlowTest.java
@@ -108,7 +108,8 @@
                         new RequestPlacer(
                                 new ServerChooser(
                                         PlacementSettings.DEFAULT,
-                                        new CallOutlierDetector(CallOutlierDetectorSettings.DEFAULT)),
+                                        new CallOutlierDetector(
+                                                CallOutlierDetectorSettings.DEFAULT)),
                                 mLoadGate),
                         new ColdWithoutPermit(),
                         new FixedBudget(() -> mBudget),
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/CrashingRequestFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/CrashingRequestFlowTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.masticpond.core.crash.CrashView;
 import io.masticpond.core.crash.CrashMessage;
+import io.masticpond.core.crash.CrashView;
 import io.masticpond.core.crash.RequestFingerprint;
 import io.masticpond.core.request.Verdict;
 import io.masticpond.entry.backend.CallFailure;
@@ -105,7 +105,8 @@
 
     @Example
     void connectionsThatWereOnlyCutAreNoEnds() {
-        for (ServerReachability reach : List.of(ServerReachability.OPEN, ServerReachability.UNKNOWN)) {
+        for (ServerReachability reach :
+                List.of(ServerReachability.OPEN, ServerReachability.UNKNOWN)) {
             RequestFlow flow = flow(true, 2);
             for (int time = 0; time < 6; time++) {
                 ask(flow);
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/RequestFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/RequestFlowTest.java
@@ -63,7 +63,8 @@
     void refusalForOverloadTellsTheServerChosenFirstAndWhatDecided() {
         mLoadGate =
                 (request, chosen, now) ->
-                        Optional.of(new AdmissionDecision(false, 5_000_000, 70_000_000, 20_000_000));
+                        Optional.of(
+                                new AdmissionDecision(false, 5_000_000, 70_000_000, 20_000_000));
         RequestFlow flow = flow(true, 2);
         for (ServerLoad load : flow.servers().of(SERVICE)) {
             load.requestStarted();
@@ -112,7 +113,8 @@
     void coldServerWithoutPermitIsNoCandidateOfRefusalForOverload() {
         mLoadGate =
                 (request, chosen, now) ->
-                        Optional.of(new AdmissionDecision(false, 5_000_000, 70_000_000, 20_000_000));
+                        Optional.of(
+                                new AdmissionDecision(false, 5_000_000, 70_000_000, 20_000_000));
         handle(flow(true, 2));
         JsonNode all = mDecisions.ofRequest("one").get(0).path("candidates");
         String cold = all.get(0).path("server").asText();
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/RestartedServerFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/RestartedServerFlowTest.java
@@ -40,7 +40,8 @@
         assertThat(former.ownInFlight()).isZero();
         assertThat(later.ownInFlight()).isZero();
         long now = mTime.monotonicNanos();
-        assertThat(flow.placer().chooser().outlierDetector().evaluation(SERVICE, id, now)).isEmpty();
+        assertThat(flow.placer().chooser().outlierDetector().evaluation(SERVICE, id, now))
+                .isEmpty();
         assertThat(mConnections.mForgotten)
                 .extracting(RegisteredServer::run)
                 .as("the connections that lead to the former run")
--- a/masticpond-measure/src/main/java/io/masticpond/measure/configuration/ConfigurationMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/configuration/ConfigurationMeasure.java
@@ -108,7 +108,8 @@
         while (operators.stream().anyMatch(Thread::isAlive)) {
             turn++;
             boolean outage = turn % OUTAGE_EVERY == 0;
-            state.setFaults(outage ? PlatformFaults.outage(PlatformCallDisposition.REFUSED) : faults());
+            state.setFaults(
+                    outage ? PlatformFaults.outage(PlatformCallDisposition.REFUSED) : faults());
             int victim = random.nextInt(MeasuredFleet.INSTANCES);
             MeasuredInstance killed = fleet.kill(victim);
             MeasuredInstance started = fleet.start(victim);
@@ -143,7 +144,13 @@
 
     private static PlatformFaults faults() {
         return new PlatformFaults(
-                PlatformCallDisposition.SERVED, REFUSED, LOST_ANSWERS, LATE_EFFECTS, DELAY_MILLIS, 0, 0);
+                PlatformCallDisposition.SERVED,
+                REFUSED,
+                LOST_ANSWERS,
+                LATE_EFFECTS,
+                DELAY_MILLIS,
+                0,
+                0);
     }
 
     private static MeasureReport report(
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionMeasure.java
@@ -62,7 +62,8 @@
         List<List<String>> rows = new ArrayList<>();
         for (LoadPattern pattern : LoadPattern.values()) {
             for (DecisionVariant variant : DecisionVariant.values()) {
-                DecisionStatistics tally = play(DecisionScenario.TEN_INSTANCES, variant, pattern, seed);
+                DecisionStatistics tally =
+                        play(DecisionScenario.TEN_INSTANCES, variant, pattern, seed);
                 rows.add(row(pattern, variant, tally));
                 if (variant == DecisionVariant.AS_IT_IS) {
                     report.figure("worth" + capitalized(pattern), tally.utility());
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionSimulation.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionSimulation.java
@@ -54,7 +54,8 @@
     private double mLoad = 1;
     private long mRevision;
 
-    DecisionSimulation(DecisionScenario shape, DecisionVariant variant, LoadPattern pattern, long seed) {
+    DecisionSimulation(
+            DecisionScenario shape, DecisionVariant variant, LoadPattern pattern, long seed) {
         mShape = shape;
         mVariant = variant;
         mMoved = new double[shape.instances().length];
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelRequest.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelRequest.java
@@ -5,8 +5,8 @@
 import io.masticpond.core.id.ZoneId;
 import io.masticpond.core.placement.Candidates;
 import io.masticpond.core.placement.Distance;
-import io.masticpond.core.placement.PlacementRequest;
 import io.masticpond.core.placement.Placement;
+import io.masticpond.core.placement.PlacementRequest;
 import io.masticpond.core.placement.ReportedLoad;
 import io.masticpond.core.placement.ServerLoad;
 import io.masticpond.core.routing.Route;
@@ -192,7 +192,8 @@
                 }
                 return;
             }
-            mWorld.statistics().answered(load.distance() == Distance.OTHER_REGION, mKind.answerBytes());
+            mWorld.statistics()
+                    .answered(load.distance() == Distance.OTHER_REGION, mKind.answerBytes());
             mInstance.placer().chooser().answered(mRoute.id(), mKind.answerBytes());
             boolean waited = answer.load().waiting() > 0;
             mInstance.placer().succeeded(load, now() - sentNanos, waited, now());
--- a/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainArrivals.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainArrivals.java
@@ -5,7 +5,7 @@
 import io.masticpond.core.request.RequestHead;
 import io.masticpond.core.request.Verdict;
 import io.masticpond.core.time.TimeSource;
-import io.masticpond.daemon.duty.EventLoop;
+import io.masticpond.daemon.eventloop.EventLoop;
 import io.masticpond.daemon.steering.AdmitterSteering;
 import io.masticpond.daemon.steering.RequestCompletion;
 import io.masticpond.daemon.steering.SteeredRequest;
--- a/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainBench.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainBench.java
@@ -8,7 +8,7 @@
 import io.masticpond.daemon.backend.BackendClient;
 import io.masticpond.daemon.backend.BackendHealthChecker;
 import io.masticpond.daemon.backend.BackendHealthSettings;
-import io.masticpond.daemon.duty.EventLoop;
+import io.masticpond.daemon.eventloop.EventLoop;
 import io.masticpond.daemon.http.HttpClients;
 import io.masticpond.daemon.steering.AdmitterSteering;
 import io.masticpond.testing.backend.BackendFleet;
--- a/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainKind.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainKind.java
@@ -11,7 +11,8 @@
     HEALTH("health only", new DrainPlan(0, DrainPlan.NEVER, DrainPlan.NEVER), 0, 0),
     OLD_HEALTH(
             "health only, 500 ms old", new DrainPlan(0, DrainPlan.NEVER, DrainPlan.NEVER), 500, 0),
-    MISLEADING_HEADER("health claims to be well, header", new DrainPlan(0, 0, DrainPlan.NEVER), 0, 0),
+    MISLEADING_HEADER(
+            "health claims to be well, header", new DrainPlan(0, 0, DrainPlan.NEVER), 0, 0),
     MISLEADING_CLOSE("health claims to be well, closes", new DrainPlan(-1, -1, 0), 0, 0),
     LATE("all signs 1.5 s late", new DrainPlan(1_500, 1_500, 1_500), 0, 1_500),
     LATE_HEADER(
--- a/masticpond-measure/src/main/java/io/masticpond/measure/lookup/InstanceFailureCost.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/lookup/InstanceFailureCost.java
@@ -50,7 +50,11 @@
         ClientBlockTable table = ClientBlockTable.of(configuration.content().clientBlocks()).get();
         LookupDecider decider =
                 new LookupDecider(
-                        configuration, table, members, members.get(0).zone(), LookupParameters.DEFAULT);
+                        configuration,
+                        table,
+                        members,
+                        members.get(0).zone(),
+                        LookupParameters.DEFAULT);
         Map<InstanceId, Integer> callers = new HashMap<>();
         int forwarded = 0;
         int all = 0;
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/AnswersMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/AnswersMeasure.java
@@ -47,7 +47,8 @@
         }
     }
 
-    private static MeasureReport report(AnswerCounters backends, AnswerCounters instances, int resets) {
+    private static MeasureReport report(
+            AnswerCounters backends, AnswerCounters instances, int resets) {
         long requests = backends.requests() + instances.requests();
         return new MeasureReport()
                 .table(
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyFaultRun.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyFaultRun.java
@@ -118,7 +118,13 @@
 
     private static PlatformFaults lossyPlatform() {
         return new PlatformFaults(
-                PlatformCallDisposition.SERVED, 0, LOST_WRITE_SHARE, LATE_WRITE_SHARE, LATE_MILLIS, 0, 0);
+                PlatformCallDisposition.SERVED,
+                0,
+                LOST_WRITE_SHARE,
+                LATE_WRITE_SHARE,
+                LATE_MILLIS,
+                0,
+                0);
     }
 
     private void clearFaults() {
@@ -132,7 +138,9 @@
         every(STOP_MILLIS, this::stopOne);
         mFaults.afterMillis(
                 OUTAGE_MILLIS,
-                () -> mFleet.platform().setFaults(PlatformFaults.outage(PlatformCallDisposition.REFUSED)));
+                () ->
+                        mFleet.platform()
+                                .setFaults(PlatformFaults.outage(PlatformCallDisposition.REFUSED)));
         mFaults.afterMillis(
                 OUTAGE_MILLIS + OUTAGE_LENGTH_MILLIS,
                 () -> mFleet.platform().setFaults(lossyPlatform()));
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyLatency.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyLatency.java
@@ -44,14 +44,16 @@
         /** Past the guard, as an operation that may repeat. */
         NO_KEY("no key") {
             @Override
-            void submit(MeasuredFleet fleet, SteeredRequest request, Consumer<RequestCompletion> end) {
+            void submit(
+                    MeasuredFleet fleet, SteeredRequest request, Consumer<RequestCompletion> end) {
                 instance(fleet, request, 0).submitUnguarded(request, end);
             }
         },
         /** With a key of the instance that it is sent to, as after a look-up. */
         HOMED("homed key at its home") {
             @Override
-            void submit(MeasuredFleet fleet, SteeredRequest request, Consumer<RequestCompletion> end) {
+            void submit(
+                    MeasuredFleet fleet, SteeredRequest request, Consumer<RequestCompletion> end) {
                 MeasuredInstance home = instance(fleet, request, 0);
                 home.submit(request, homed(home), end);
             }
@@ -59,7 +61,8 @@
         /** With a key of another instance. */
         PASSED_ON("homed key passed on") {
             @Override
-            void submit(MeasuredFleet fleet, SteeredRequest request, Consumer<RequestCompletion> end) {
+            void submit(
+                    MeasuredFleet fleet, SteeredRequest request, Consumer<RequestCompletion> end) {
                 MeasuredInstance home = instance(fleet, request, 1);
                 instance(fleet, request, 0).submit(request, homed(home), end);
             }
@@ -67,7 +70,8 @@
         /** With a key that the caller made. */
         CLAIMED("caller's own key") {
             @Override
-            void submit(MeasuredFleet fleet, SteeredRequest request, Consumer<RequestCompletion> end) {
+            void submit(
+                    MeasuredFleet fleet, SteeredRequest request, Consumer<RequestCompletion> end) {
                 OnceOnlyKeys keys =
                         new OnceOnlyKeys(Optional.empty(), Optional.of(request.path()), "", true);
                 instance(fleet, request, 0).submit(request, keys, end);
@@ -84,7 +88,8 @@
             return mText;
         }
 
-        abstract void submit(MeasuredFleet fleet, SteeredRequest request, Consumer<RequestCompletion> end);
+        abstract void submit(
+                MeasuredFleet fleet, SteeredRequest request, Consumer<RequestCompletion> end);
 
         private static MeasuredInstance instance(
                 MeasuredFleet fleet, SteeredRequest request, int offset) {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/platform/PlatformClientMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/platform/PlatformClientMeasure.java
@@ -18,7 +18,10 @@
 public final class PlatformClientMeasure implements Measure {
 
     private static final List<PlatformCallDisposition> OUTAGES =
-            List.of(PlatformCallDisposition.REFUSED, PlatformCallDisposition.IGNORED, PlatformCallDisposition.ANSWER_MALFORMED);
+            List.of(
+                    PlatformCallDisposition.REFUSED,
+                    PlatformCallDisposition.IGNORED,
+                    PlatformCallDisposition.ANSWER_MALFORMED);
 
     @Override
     public String name() {
@@ -50,7 +53,8 @@
         MeasureReport report = new MeasureReport();
         CallLatency latency = CallLatency.measure(seed);
         addLatency(report, latency);
-        Map<PlatformCallDisposition, OutageRun.Result> outages = new EnumMap<>(PlatformCallDisposition.class);
+        Map<PlatformCallDisposition, OutageRun.Result> outages =
+                new EnumMap<>(PlatformCallDisposition.class);
         for (PlatformCallDisposition fate : OUTAGES) {
             outages.put(fate, OutageRun.run(fate, seed));
         }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/rate/WorkspaceRatesMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/rate/WorkspaceRatesMeasure.java
@@ -86,11 +86,16 @@
     }
 
     private static List<RateSharingStrategy> ways(RateScenario shape) {
-        return shape.instances() == 67 ? List.of(RateSharingStrategy.values()) : List.of(RateSharingStrategy.SHARED_CREDIT);
+        return shape.instances() == 67
+                ? List.of(RateSharingStrategy.values())
+                : List.of(RateSharingStrategy.SHARED_CREDIT);
     }
 
     private static List<String> row(
-            RateScenario shape, RatePattern pattern, RateSharingStrategy way, RateStatistics tally) {
+            RateScenario shape,
+            RatePattern pattern,
+            RateSharingStrategy way,
+            RateStatistics tally) {
         double instanceSeconds = shape.instances() * SECONDS;
         return List.of(
                 String.valueOf(shape.instances()),
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/RegionFailoverMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/RegionFailoverMeasure.java
@@ -104,7 +104,8 @@
         return report(runs);
     }
 
-    private static Run run(Deployment deployment, ShardScope scope, FaultScenario trouble, long seed) {
+    private static Run run(
+            Deployment deployment, ShardScope scope, FaultScenario trouble, long seed) {
         RegionSimulation world = new RegionSimulation(deployment, scope, SERVICES, seed);
         RegionId lost = world.regionOf(deployment.zones().get(0));
         Predicate<ZoneId> others = zone -> !world.regionOf(zone).equals(lost);
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/RegionSimulation.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/RegionSimulation.java
@@ -258,7 +258,8 @@
             if (server.isAlive()) {
                 tell(
                         server,
-                        new BackendServerSignal(BackendServerSignal.Kind.HEALTHY, server.inFlight()));
+                        new BackendServerSignal(
+                                BackendServerSignal.Kind.HEALTHY, server.inFlight()));
             }
         }
     }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/replacement/CrashStormMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/replacement/CrashStormMeasure.java
@@ -61,7 +61,8 @@
             pause(AFTER);
             load.stopCallers();
             CrashAttribution trace =
-                    new CrashAttribution(load.fleet().instances(), victims, load.ended(), killed, ended);
+                    new CrashAttribution(
+                            load.fleet().instances(), victims, load.ended(), killed, ended);
             return report(load.statistics(), load.fleet().backendCounts(), trace, recovery);
         } catch (IOException e) {
             throw new UncheckedIOException("The fleet could not be run.", e);
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/ProbePolicy.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/ProbePolicy.java
@@ -27,7 +27,9 @@
         Runnable back =
                 () ->
                         mRun.events()
-                                .after(delay + TailTopology.FAR_NANOS, () -> mRun.answered(request));
+                                .after(
+                                        delay + TailTopology.FAR_NANOS,
+                                        () -> mRun.answered(request));
         mRun.events().after(HALF_PROBE_NANOS + delay, () -> mRun.serve(server, request, back));
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailBench.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailBench.java
@@ -42,7 +42,8 @@
     }
 
     private static TailResult runOnce(TailScenario scenario, TailPolicyKind kind, long seed) {
-        Workload workload = Workload.draw(scenario, TailTopology.SLOTS, TailTopology.INSTANCES, seed);
+        Workload workload =
+                Workload.draw(scenario, TailTopology.SLOTS, TailTopology.INSTANCES, seed);
         TailRun run = new TailRun(workload);
         run.run(kind);
         return new TailResult(
--- a/masticpond-measure/src/test/java/io/masticpond/measure/decision/LoadPatternTest.java
+++ b/masticpond-measure/src/test/java/io/masticpond/measure/decision/LoadPatternTest.java
@@ -72,7 +72,8 @@
         return late / 2;
     }
 
-    private static DecisionStatistics play(LoadPattern pattern, DecisionVariant variant, long seed) {
+    private static DecisionStatistics play(
+            LoadPattern pattern, DecisionVariant variant, long seed) {
         return new DecisionSimulation(DecisionScenario.TEN_INSTANCES, variant, pattern, seed).run();
     }
 }
--- a/masticpond-measure/src/test/java/io/masticpond/measure/rate/RatePatternTest.java
+++ b/masticpond-measure/src/test/java/io/masticpond/measure/rate/RatePatternTest.java
@@ -11,7 +11,8 @@
 /** The rate of a workspace over all instances, whatever comes and whatever fails. */
 class RatePatternTest {
 
-    private static RateStatistics play(int instances, double usual, RatePattern pattern, long seed) {
+    private static RateStatistics play(
+            int instances, double usual, RatePattern pattern, long seed) {
         RateScenario shape = new RateScenario(instances, 3, usual);
         return new RateSimulation(shape, RateSharingStrategy.SHARED_CREDIT, pattern, seed).run();
     }
--- a/masticpond-model/src/test/resources/models/configuration.als
+++ b/masticpond-model/src/test/resources/models/configuration.als
@@ -156,7 +156,7 @@
   chainKept and toldKept and messagesKept
 }
 
--- ConfigurationDuty.tell: a message goes out and may come late or never.
+-- ConfigurationService.push: a message goes out and may come late or never.
 pred sendNews[i, j: Instance] {
   i in Up and j != i
   Links.messages' = Links.messages + j -> i.has
--- a/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformCounts.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformCounts.java
@@ -9,7 +9,8 @@
  * @param fates the calls by what became of them; a fate without calls is missing
  * @since 0.1
  */
-public record PlatformCounts(Map<PlatformCall, Long> calls, Map<PlatformCallDisposition, Long> fates) {
+public record PlatformCounts(
+        Map<PlatformCall, Long> calls, Map<PlatformCallDisposition, Long> fates) {
 
     /**
      * Counts the calls of all kinds.
--- a/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformFaults.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformFaults.java
@@ -77,7 +77,8 @@
      * @return the faults
      */
     public static PlatformFaults lag(long watchMillis, long listMillis) {
-        return new PlatformFaults(PlatformCallDisposition.SERVED, 0, 0, 0, 0, watchMillis, listMillis);
+        return new PlatformFaults(
+                PlatformCallDisposition.SERVED, 0, 0, 0, 0, watchMillis, listMillis);
     }
 
     private static void checkShare(double share, String name) {
--- a/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformState.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformState.java
@@ -37,7 +37,8 @@
     private final List<Watch> mWatches = new ArrayList<>();
     private final InstanceList mInstances = new InstanceList();
     private final Map<PlatformCall, Long> mCalls = new EnumMap<>(PlatformCall.class);
-    private final Map<PlatformCallDisposition, Long> mFates = new EnumMap<>(PlatformCallDisposition.class);
+    private final Map<PlatformCallDisposition, Long> mFates =
+            new EnumMap<>(PlatformCallDisposition.class);
     private PlatformFaults mFaults = PlatformFaults.NONE;
 
     /**
