--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/CategoryCopy.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/CategoryCopy.java
@@ -11,15 +11,15 @@
 import java.util.Set;
 
 /**
- * This instance's copy of one category, which never goes back.
+ * Local copy of one category, which never reverts to an older state.
  *
- * <p>Documents are compared by the revisions of the store alone, so that it does not matter whether
- * the store or a peer told of them, nor in which order. Deletions are kept as tombstones.
+ * <p>Documents are compared only by the revisions of the store, so neither their source (the store
+ * or a peer) nor their order of arrival matters. Deletions are kept as tombstones.
  *
- * <p>A store that has come back from an older copy lists what was true then. Until its writers have
- * had time to write again, its list neither takes away what is known nor brings back what was
- * deleted; {@link #settle} and {@link #acceptRestored} end that. What is written in the new era
- * counts at once. For the control thread.
+ * <p>A store that was restored from an older copy lists an outdated state. Until its writers have
+ * had time to write again, its list neither removes known documents nor brings back deleted ones;
+ * {@link #settle} and {@link #acceptRestored} end that. Documents written in the new era apply at
+ * once. Confined to the control thread.
  */
 final class CategoryCopy {
 
@@ -28,7 +28,7 @@
     private final Map<String, Held> mDocuments = new HashMap<>();
     private final Map<String, Tombstone> mTombstones = new HashMap<>();
 
-    /** Documents of a store that came back which had been deleted before. */
+    /** Documents listed by a restored store that had been deleted before the restore. */
     private final Map<String, TimestampedDocument> mRestored = new HashMap<>();
 
     private boolean mRestoring;
@@ -41,10 +41,10 @@
     private CopySource mSource = CopySource.NONE;
 
     /**
-     * Makes an empty copy.
+     * Creates an empty copy.
      *
      * @param category the category
-     * @param listener hears of changes
+     * @param listener receives the changes
      */
     CategoryCopy(Category category, CopyListener listener) {
         mCategory = category;
@@ -55,22 +55,22 @@
         return mCategory;
     }
 
-    /** Tells whether the category has been read whole once. */
+    /** Returns whether the category has been listed completely at least once. */
     boolean isListed() {
         return mListed;
     }
 
-    /** Tells whether the category has been read whole, but not in an era or later. */
+    /** Returns whether the category has been listed completely, but only before the given era. */
     boolean wasListedBefore(long era) {
         return mListed && StoreRevision.era(mRevision) < era;
     }
 
-    /** Gives the revision up to which the copy is complete. */
+    /** Returns the revision up to which the copy is complete. */
     long revision() {
         return mRevision;
     }
 
-    /** Gives the revision of the newest document or deletion that is known. */
+    /** Returns the revision of the newest document or deletion that is known. */
     long contentRevision() {
         return mContentRevision;
     }
@@ -83,7 +83,7 @@
         return mSource;
     }
 
-    /** Tells how current the copy is. */
+    /** Returns how current the copy is. */
     CategoryStatus status(long nowNanos) {
         boolean isKnown = mSource != CopySource.NONE;
         return new CategoryStatus(
@@ -96,11 +96,11 @@
     }
 
     /**
-     * Takes the whole content as it was at a revision, unless the copy is further.
+     * Applies the complete content at a revision, unless the copy is at a later one.
      *
      * @param documents all documents
      * @param revision the revision up to which they are complete
-     * @param source who told
+     * @param source where the documents come from
      * @param nowNanos the monotonic time
      */
     void applyList(
@@ -113,14 +113,14 @@
             mUncertain = true;
         }
         Set<String> names = new HashSet<>();
-        for (TimestampedDocument told : documents) {
-            if (!told.document().deleted()) {
-                names.add(told.document().name());
+        for (TimestampedDocument timestamped : documents) {
+            if (!timestamped.document().deleted()) {
+                names.add(timestamped.document().name());
             }
-            if (!isRestored(told.document())) {
-                apply(told, revision, nowNanos);
-            } else if (mRestored.putIfAbsent(told.document().name(), told) != null) {
-                takeIfWrittenAgain(told, revision, nowNanos);
+            if (!isRestored(timestamped.document())) {
+                apply(timestamped, revision, nowNanos);
+            } else if (mRestored.putIfAbsent(timestamped.document().name(), timestamped) != null) {
+                applyIfRewritten(timestamped, revision, nowNanos);
             }
         }
         mRestored.keySet().retainAll(names);
@@ -132,13 +132,15 @@
                 markDeleted(document.name(), revision, revision, nowNanos);
             }
         }
-        // What came and went unseen before this list has no tombstone.
+        // Documents created and deleted unseen before this list have no tombstone.
         mHorizon = revision;
         mListed = true;
         confirm(revision, source, nowNanos);
     }
 
-    /** Tells whether a document was deleted in an earlier era than that of which it is listed. */
+    /**
+     * Returns whether a document was deleted in an earlier era than the one in which it is listed.
+     */
     private boolean isRestored(StoredDocument document) {
         Tombstone tombstone = mTombstones.get(document.name());
         return mUncertain
@@ -147,20 +149,23 @@
                 && StoreRevision.isOfEarlierEra(tombstone.revision(), document.revision());
     }
 
-    private void takeIfWrittenAgain(TimestampedDocument told, long revision, long nowNanos) {
-        TimestampedDocument before = mRestored.get(told.document().name());
-        if (told.document().revision() > before.document().revision()) {
-            apply(told, revision, nowNanos);
+    private void applyIfRewritten(TimestampedDocument timestamped, long revision, long nowNanos) {
+        TimestampedDocument before = mRestored.get(timestamped.document().name());
+        if (timestamped.document().revision() > before.document().revision()) {
+            apply(timestamped, revision, nowNanos);
         }
     }
 
-    /** Tells whether the store has come back from a copy and its writers may not be done. */
+    /**
+     * Returns whether the store was restored from a copy and its writers may not have written
+     * again.
+     */
     boolean isRestoring() {
         return mRestoring;
     }
 
-    /** Counts the documents that are known and that the store has not listed since its return. */
-    int keptOverRestore() {
+    /** Returns the number of known documents that the store has not listed since its restore. */
+    int countKeptAfterRestore() {
         return (int)
                 mDocuments.values().stream()
                         .filter(held -> isOfEarlierEra(held.document()))
@@ -172,7 +177,7 @@
     }
 
     /**
-     * Takes it that what was lost has been written again: what is still not listed is gone.
+     * Assumes that all lost documents have been written again, and removes those still not listed.
      *
      * @param nowNanos the monotonic time
      */
@@ -187,73 +192,74 @@
     }
 
     /**
-     * Takes it that what had been deleted, was brought back by the store, and is still there, is
-     * meant to be.
+     * Accepts the documents that had been deleted, were brought back by the restored store and
+     * still exist.
      *
      * @param nowNanos the monotonic time
      */
     void acceptRestored(long nowNanos) {
         mUncertain = false;
-        List.copyOf(mRestored.values()).forEach(told -> apply(told, mRevision, nowNanos));
+        List.copyOf(mRestored.values())
+                .forEach(timestamped -> apply(timestamped, mRevision, nowNanos));
     }
 
     /**
-     * Takes the changes since a revision at which the copy was, in their order.
+     * Applies the changes since an earlier revision of the copy, in their order.
      *
      * @param changes the changes
      * @param revision the revision up to which they are complete
-     * @param source who told
+     * @param source where the documents come from
      * @param nowNanos the monotonic time
      */
     void applyChanges(
             List<TimestampedDocument> changes, long revision, CopySource source, long nowNanos) {
-        for (TimestampedDocument told : changes) {
-            apply(told, revision, nowNanos);
+        for (TimestampedDocument timestamped : changes) {
+            apply(timestamped, revision, nowNanos);
         }
         confirm(Math.max(revision, mRevision), source, nowNanos);
     }
 
     /**
-     * Takes what a peer has given, unless the copy is further.
+     * Applies the part sent by a peer, unless the copy is at a later revision.
      *
      * @param part the part
      * @param nowNanos the monotonic time
      */
     void applyPart(CopyPart part, long nowNanos) {
         if (part.whole()) {
-            part.documents().forEach(told -> applySuperseding(told, nowNanos));
+            part.documents().forEach(timestamped -> applySuperseding(timestamped, nowNanos));
             applyList(part.documents(), part.revision(), CopySource.PEER, nowNanos);
         } else if (mListed && part.revision() >= mRevision) {
             applyChanges(part.documents(), part.revision(), CopySource.PEER, nowNanos);
         }
     }
 
-    /** A peer may have kept a newer document than the copy that the store came back from has. */
-    private void applySuperseding(TimestampedDocument told, long nowNanos) {
-        StoredDocument document = told.document();
+    /** A peer may have kept a newer document than the copy from which the store was restored. */
+    private void applySuperseding(TimestampedDocument timestamped, long nowNanos) {
+        StoredDocument document = timestamped.document();
         Held held = mDocuments.get(document.name());
-        boolean isOutranking =
+        boolean isSuperseding =
                 held != null
                         && held.document().revision() == document.revision()
-                        && mListener.isOvertaken(held.document(), document);
-        if (isOutranking) {
+                        && mListener.isSuperseded(held.document(), document);
+        if (isSuperseding) {
             mDocuments.put(document.name(), new Held(document, nowNanos));
-            mListener.changed(document, told.stateNanos());
+            mListener.changed(document, timestamped.stateNanos());
         }
     }
 
     /**
-     * Tells whether another copy lacks anything that is known here.
+     * Returns whether another copy lacks a change that is known here.
      *
      * @param afterRevision the revision up to which the other is complete; negative if it is empty
-     * @return whether it does
+     * @return whether a change is missing
      */
     boolean hasUpdates(long afterRevision) {
         return afterRevision < mHorizon || afterRevision < mContentRevision;
     }
 
     /**
-     * Gives what another copy lacks.
+     * Returns the changes that another copy lacks.
      *
      * @param afterRevision the revision up to which the other is complete; negative if it is empty
      * @param nowNanos the monotonic time
@@ -271,12 +277,12 @@
             }
         }
         if (whole) {
-            // The other may not know that they had been deleted, and decides by itself.
+            // The other copy may not know of their deletion, and decides by itself.
             documents.addAll(mRestored.values());
         }
         for (Map.Entry<String, Tombstone> entry : mTombstones.entrySet()) {
             Tombstone tombstone = entry.getValue();
-            if (!whole && tombstone.learntRevision() > afterRevision) {
+            if (!whole && tombstone.recordedRevision() > afterRevision) {
                 documents.add(
                         new TimestampedDocument(deletion(entry.getKey(), tombstone), nowNanos));
             }
@@ -285,16 +291,16 @@
     }
 
     /**
-     * Forgets old deletions.
+     * Discards old tombstones.
      *
-     * @param beforeNanos the monotonic time before which they were learnt
+     * @param beforeNanos the monotonic time; tombstones recorded before it are discarded
      */
     void forgetTombstones(long beforeNanos) {
         Iterator<Tombstone> tombstones = mTombstones.values().iterator();
         while (tombstones.hasNext()) {
             Tombstone tombstone = tombstones.next();
-            if (tombstone.learntNanos() - beforeNanos < 0) {
-                mHorizon = Math.max(mHorizon, tombstone.learntRevision());
+            if (tombstone.recordedNanos() - beforeNanos < 0) {
+                mHorizon = Math.max(mHorizon, tombstone.recordedRevision());
                 tombstones.remove();
             }
         }
@@ -304,8 +310,8 @@
         return new StoredDocument(mCategory, name, tombstone.revision(), true, null);
     }
 
-    private void apply(TimestampedDocument told, long completeRevision, long nowNanos) {
-        StoredDocument document = told.document();
+    private void apply(TimestampedDocument timestamped, long completeRevision, long nowNanos) {
+        StoredDocument document = timestamped.document();
         mRestored.remove(document.name());
         Held held = mDocuments.get(document.name());
         Tombstone tombstone = mTombstones.get(document.name());
@@ -313,15 +319,15 @@
             if (held != null && document.revision() >= held.document().revision()) {
                 markDeleted(document.name(), document.revision(), completeRevision, nowNanos);
             } else if (held == null && isOlder(tombstone, document.revision())) {
-                // Unknown here, yet an old word of a peer must not bring it in.
+                // Unknown here, but an outdated document of a peer must not add it.
                 mContentRevision = Math.max(mContentRevision, document.revision());
                 addTombstone(document.name(), document.revision(), completeRevision, nowNanos);
             }
             return;
         }
-        boolean isBuried = tombstone != null && tombstone.revision() >= document.revision();
+        boolean isDeletedLater = tombstone != null && tombstone.revision() >= document.revision();
         boolean isKnown = held != null && held.document().revision() >= document.revision();
-        if (isBuried || isKnown) {
+        if (isDeletedLater || isKnown) {
             return;
         }
         mTombstones.remove(document.name());
@@ -332,13 +338,13 @@
             mListener.retained(document.revision());
             return;
         }
-        mDocuments.put(document.name(), new Held(document, told.stateNanos()));
-        mListener.changed(document, told.stateNanos());
+        mDocuments.put(document.name(), new Held(document, timestamped.stateNanos()));
+        mListener.changed(document, timestamped.stateNanos());
     }
 
     private boolean isOlderCopy(StoredDocument document, StoredDocument held) {
         return StoreRevision.isOfEarlierEra(held.revision(), document.revision())
-                && mListener.isOvertaken(document, held);
+                && mListener.isSuperseded(document, held);
     }
 
     private static boolean isOlder(Tombstone tombstone, long revision) {
@@ -353,8 +359,8 @@
     }
 
     private void addTombstone(String name, long revision, long completeRevision, long nowNanos) {
-        long learnt = Math.max(revision, completeRevision);
-        mTombstones.put(name, new Tombstone(revision, learnt, nowNanos));
+        long recordedRevision = Math.max(revision, completeRevision);
+        mTombstones.put(name, new Tombstone(revision, recordedRevision, nowNanos));
     }
 
     private void confirm(long revision, CopySource source, long nowNanos) {
@@ -363,14 +369,14 @@
         mConfirmedNanos = nowNanos;
     }
 
-    /** A document and the monotonic time of which it tells. */
+    /** Document and the monotonic time of the state that it describes. */
     record TimestampedDocument(StoredDocument document, long stateNanos) {}
 
-    /** What another copy lacks, or the whole. */
+    /** Changes that another copy lacks, or the complete content. */
     record CopyPart(
             Category category, long revision, boolean whole, List<TimestampedDocument> documents) {}
 
     private record Held(StoredDocument document, long stateNanos) {}
 
-    private record Tombstone(long revision, long learntRevision, long learntNanos) {}
+    private record Tombstone(long revision, long recordedRevision, long recordedNanos) {}
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/CategoryFollower.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/CategoryFollower.java
@@ -9,10 +9,11 @@
 import java.util.function.Consumer;
 
 /**
- * Follows one category in the store: lists it, then waits for changes, one call at a time.
+ * Follower of one category in the store that lists it and then watches for changes, one call at a
+ * time.
  *
- * <p>After a failure the next watch is a short one, since a store that holds a call tells nothing
- * of whether it is back. While the store is lost the follower rests. For the control thread.
+ * <p>After a failure the next watch is a short one, since a held call does not show whether the
+ * store has recovered. The follower pauses while the store is lost. Confined to the control thread.
  */
 final class CategoryFollower {
 
@@ -30,8 +31,8 @@
     private final Consumer<Moment> mListed;
     private int mCall;
     private int mFailures;
-    private int mCuts;
-    private int mHistoriesGone;
+    private int mInterruptions;
+    private int mHistoryGoneCount;
     private boolean mHistoryGone;
     private boolean mPaused;
     private boolean mListing;
@@ -39,14 +40,14 @@
     private Runnable mTimer = () -> {};
 
     /**
-     * Makes a follower.
+     * Creates a follower.
      *
      * @param context the store, clocks and times
-     * @param copy what the answers are put into
-     * @param settle says how long to wait after changes
-     * @param health hears how the calls end
-     * @param applied hears that the copy has taken an answer
-     * @param listed hears after that when a list was asked for that the copy has taken
+     * @param copy the copy to which the answers are applied
+     * @param settle determines how long to wait after changes
+     * @param health records the outcome of the calls
+     * @param applied runs after an answer was applied to the copy
+     * @param listed then receives the moment at which an applied list was requested
      */
     CategoryFollower(
             ReplicaContext context,
@@ -67,14 +68,14 @@
         mApplied = applied;
     }
 
-    /** Reads the category, then follows it until {@link #pause}. */
+    /** Lists the category, then follows it until {@link #pause}. */
     void start() {
-        next(Duration.ZERO, this::list);
+        scheduleNext(Duration.ZERO, this::list);
     }
 
     /**
-     * Makes no further call until {@link #resume}. A wait is ended, since it may be dead; a list is
-     * let through, since its answer is as good as any other.
+     * Makes no further call until {@link #resume}. A pending watch is cancelled, since it may be
+     * dead; a pending list completes, since its answer remains valid.
      */
     void pause() {
         mPaused = true;
@@ -85,18 +86,18 @@
         mTimer.run();
     }
 
-    /** Goes on after a rest, from the revision seen last. */
+    /** Resumes after a pause, from the last revision seen. */
     void resume() {
         mPaused = false;
         if (mListing) {
             return;
         }
         mFailures = 0;
-        next(mRetries.after(1), this::catchUp);
+        scheduleNext(mRetries.after(1), this::catchUp);
     }
 
     /**
-     * Makes sure that nothing has been missed by a wait that may have gone silent.
+     * Ensures that no change was missed by a watch that may no longer deliver.
      *
      * @param revision the revision of a change that may be missing
      */
@@ -104,14 +105,14 @@
         if (mPaused || mHealth.isFailing()) {
             return;
         }
-        // A watch from behind the change would not tell of it.
+        // A watch that starts after the change would not report it.
         mHistoryGone |= mCopy.revision() >= revision;
         stopCall();
         catchUp();
     }
 
     /**
-     * Lists anew if the copy is of an earlier era: a watch from there may look whole and miss
+     * Lists again if the copy is of an earlier era: a watch from there may seem complete but miss
      * changes.
      *
      * @param era the newest era that is known
@@ -161,7 +162,7 @@
                 nowNanos);
         mApplied.run();
         mListed.accept(start);
-        next(Duration.ZERO, this::follow);
+        scheduleNext(Duration.ZERO, this::follow);
     }
 
     private void follow() {
@@ -196,16 +197,16 @@
         } else if (wait.equals(SHORT_WAIT)) {
             failed(startNanos);
         } else {
-            watchCut(held);
+            watchInterrupted(held);
         }
     }
 
     private void watchAnswered(FeedResult changes, Duration wait, Duration held) {
         mHealth.succeeded();
         mFailures = 0;
-        mHistoriesGone = 0;
+        mHistoryGoneCount = 0;
         boolean isShort = wait.equals(SHORT_WAIT);
-        mCuts = isShort ? mCuts : 0;
+        mInterruptions = isShort ? mInterruptions : 0;
         long nowNanos = mTime.monotonicNanos();
         mCopy.applyChanges(
                 timestamped(changes, nowNanos),
@@ -215,37 +216,40 @@
         mApplied.run();
         boolean isEmpty = changes.documents().isEmpty();
         boolean isEarly = !isShort && held.compareTo(mSettings.firstRetry()) < 0;
-        // A store that does not hold an empty watch must not be asked without a pause.
+        // Avoids a busy loop on a store that does not hold an empty watch.
         Duration settle =
                 isEmpty && isEarly
                         ? mSettings.serverSettle()
                         : mSettle.after(changes.documents().size(), held);
-        next(settle, this::follow);
+        scheduleNext(settle, this::follow);
     }
 
     private void historyGone() {
         mHealth.succeeded();
         mHistoryGone = true;
-        mHistoriesGone++;
-        // A store that drops its history over and over must not be listed without a pause.
-        next(mHistoriesGone == 1 ? Duration.ZERO : mRetries.after(mHistoriesGone), this::catchUp);
+        mHistoryGoneCount++;
+        // Avoids a busy loop of lists on a store that drops its history repeatedly.
+        scheduleNext(
+                mHistoryGoneCount == 1 ? Duration.ZERO : mRetries.after(mHistoryGoneCount),
+                this::catchUp);
     }
 
-    private void watchCut(Duration held) {
+    private void watchInterrupted(Duration held) {
         if (held.compareTo(mSettings.lastRetry()) >= 0) {
-            mCuts = 0;
+            mInterruptions = 0;
         }
         boolean wasHeld = held.compareTo(mSettings.firstRetry()) >= 0;
-        Duration delay = mCuts == 0 && wasHeld ? Duration.ZERO : mRetries.after(mCuts + 1);
-        mCuts++;
+        Duration delay =
+                mInterruptions == 0 && wasHeld ? Duration.ZERO : mRetries.after(mInterruptions + 1);
+        mInterruptions++;
         mHealth.failed(mTime.monotonicNanos());
-        next(delay, this::catchUp);
+        scheduleNext(delay, this::catchUp);
     }
 
     private void failed(long sinceNanos) {
         mFailures++;
         mHealth.failed(sinceNanos);
-        next(mRetries.after(mFailures), this::catchUp);
+        scheduleNext(mRetries.after(mFailures), this::catchUp);
     }
 
     private int begin(Duration wait, Duration timeout) {
@@ -279,7 +283,7 @@
         cancel.run();
     }
 
-    private void next(Duration delay, Runnable step) {
+    private void scheduleNext(Duration delay, Runnable step) {
         mTimer.run();
         if (mPaused) {
             return;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/CategoryStatus.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/CategoryStatus.java
@@ -3,14 +3,14 @@
 import java.time.Duration;
 
 /**
- * How current a copy of one category is.
+ * Snapshot of how current the copy of one category is.
  *
  * @param category the category
- * @param listed whether it has been read whole once
+ * @param listed whether it has been listed completely at least once
  * @param revision the revision up to which the copy is complete
- * @param source who confirmed it last
+ * @param source the source that confirmed it last
  * @param age how long ago that was; zero if never
- * @param documents how many documents it holds
+ * @param documents the number of documents in the copy
  * @since 0.2
  */
 public record CategoryStatus(
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/ConditionalStore.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/ConditionalStore.java
@@ -6,16 +6,16 @@
 import java.util.function.Consumer;
 
 /**
- * Objects of the system's own that are changed by whoever has seen their last revision. Calls come
- * from the control thread and their results are given on it; no call blocks, and none is made twice
- * by itself.
+ * Strategy interface for objects owned by this system that are changed by conditional writes on
+ * their last revision. Called from the control thread, on which results are also delivered; no call
+ * blocks, and none is retried automatically.
  *
  * @since 0.3
  */
 public interface ConditionalStore {
 
     /**
-     * An object as it was read.
+     * Object as it was read.
      *
      * @param revision the revision of its last change, positive
      * @param content its content
@@ -24,21 +24,21 @@
     record Versioned(long revision, JsonNode content) {}
 
     /**
-     * Reads an object as it is now.
+     * Reads the current state of an object.
      *
      * @param name its name
-     * @param result hears the object, or that there is none, or why that is not known
+     * @param result receives the object, empty if it does not exist, or the reason for the failure
      */
     void read(String name, Consumer<Either<FeedError, Optional<Versioned>>> result);
 
     /**
-     * Writes an object if nobody else has changed it.
+     * Writes an object if no other writer has changed it.
      *
      * @param name its name
      * @param expectedRevision the revision seen last, 0 if there must be no such object
      * @param content its new content
-     * @param result hears the new revision; {@link FeedError#CONFLICT} and {@link
-     *     FeedError#TURNED_AWAY} if nothing was done; any other error if that is not known
+     * @param result receives the new revision; {@link FeedError#CONFLICT} or {@link
+     *     FeedError#TURNED_AWAY} if nothing was written; any other error if the outcome is unknown
      */
     void write(
             String name,
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/CopyListener.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/CopyListener.java
@@ -1,37 +1,38 @@
 package io.masticpond.entry.replica;
 
-/** Hears which documents of a copy have changed. */
+/** Callback interface for changes of the documents of a copy. */
 interface CopyListener {
 
     /**
-     * Hears a document that is new or newer than before.
+     * Called for a document that is new or newer than before.
      *
      * @param document the document, not deleted
-     * @param stateNanos the monotonic time of which it tells
+     * @param stateNanos the monotonic time of the state that it describes
      */
     void changed(StoredDocument document, long stateNanos);
 
     /**
-     * Tells by the order of those who write whether a document is older than another. The store's
-     * own order does not tell once it has come back from an older copy.
+     * Returns whether a document is older than another by the order of its writers. The store's
+     * revisions do not show this once the store was restored from an older copy.
      *
-     * @param document what the store holds, or a peer
+     * @param document the document held by the store or a peer
      * @param other the same document as known before
-     * @return whether the other must stay; false where writers give no order
+     * @return whether the other must be kept; {@code false} if the writers define no order
      */
-    default boolean isOvertaken(StoredDocument document, StoredDocument other) {
+    default boolean isSuperseded(StoredDocument document, StoredDocument other) {
         return false;
     }
 
     /**
-     * Hears that a document is the newest still, though its store has listed an older one.
+     * Called when the known document is still the newest although the store has listed an older
+     * one.
      *
-     * @param revision the revision of the older one
+     * @param revision the revision of the older document
      */
     default void retained(long revision) {}
 
     /**
-     * Hears that a document is gone.
+     * Called when a document was removed.
      *
      * @param name its name
      * @param revision the revision of its deletion, or of the list that lacked it
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/CopySource.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/CopySource.java
@@ -1,12 +1,12 @@
 package io.masticpond.entry.replica;
 
 /**
- * Who told an instance the newest of what it knows.
+ * Source of the newest changes that an instance knows.
  *
  * @since 0.2
  */
 public enum CopySource {
-    /** Nobody: nothing is known yet, or this instance's own clock changed what it knows. */
+    /** No source: nothing is known yet, or only the passage of time caused a change. */
     NONE,
     /** The platform's store. */
     STORE,
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/DocumentParsing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/DocumentParsing.java
@@ -3,17 +3,18 @@
 import io.vavr.control.Either;
 import java.util.function.Supplier;
 
-/** Reads documents of which nothing is certain. */
+/** Utility methods for parsing untrusted documents. */
 final class DocumentParsing {
 
     private DocumentParsing() {}
 
     /**
-     * Turns a refusal by a value type into a sentence, so that one document cannot stop the rest.
+     * Converts an exception of a value type into an error message, so that one document cannot stop
+     * the processing of the others.
      *
-     * @param <T> what is read
-     * @param reading the reading
-     * @return what was read, or one sentence that says what is wrong
+     * @param <T> the type of the result
+     * @param reading the parser to run
+     * @return the result, or one sentence that describes the error
      */
     static <T> Either<String, T> guard(Supplier<Either<String, T>> reading) {
         try {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/DocumentTranslator.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/DocumentTranslator.java
@@ -6,14 +6,15 @@
 import io.vavr.control.Either;
 
 /**
- * Turns the platform's documents into the system's terms. Safe for all threads.
+ * Strategy interface for translating the platform's documents into the model of this system.
+ * Implementations must be thread-safe.
  *
  * @since 0.2
  */
 public interface DocumentTranslator {
 
     /**
-     * Reads a routing configuration.
+     * Translates a routing configuration.
      *
      * @param content the platform's document
      * @return the configuration, or one sentence that says what is wrong with it
@@ -21,31 +22,31 @@
     Either<String, RoutingConfiguration> routing(JsonNode content);
 
     /**
-     * Reads a backend server.
+     * Translates a backend server.
      *
      * @param name the name of the object, which is the id of the server
      * @param content the platform's document
-     * @param nowNanos the monotonic time at which the news arrived
+     * @param nowNanos the monotonic time at which the document arrived
      * @return the server, or one sentence that says what is wrong with it
      */
     Either<String, RegisteredServer> server(String name, JsonNode content, long nowNanos);
 
     /**
-     * Tells whether a backend server has reported its state since it registered. Until then nothing
-     * says whether it is cold.
+     * Returns whether a backend server has reported its state since it registered. Until then it is
+     * unknown whether the server is cold.
      *
      * @param content the platform's document
-     * @return whether it has; true where the platform knows no such reports
+     * @return whether it has; {@code true} if the platform has no such reports
      */
     default boolean hasReported(JsonNode content) {
         return true;
     }
 
     /**
-     * Reads which run of a backend server wrote a document that can be read.
+     * Returns which run of a backend server wrote a readable document.
      *
      * @param content the platform's document
-     * @return what it says of the run; nothing where the platform knows no runs
+     * @return the report on the run; empty if the platform does not distinguish runs
      */
     default ServerReport report(JsonNode content) {
         return ServerReport.SILENT;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/EvacuationTable.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/EvacuationTable.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The zones whose servers must get nothing. */
+/** Table of the evacuated zones, whose servers must receive no requests. */
 final class EvacuationTable implements CopyListener {
 
     private static final Logger sLogger = LoggerFactory.getLogger(EvacuationTable.class);
@@ -21,7 +21,7 @@
         return new HashSet<>(mZones.values());
     }
 
-    /** Tells once whether anything has changed since the last call. */
+    /** Returns whether anything has changed since the last call, and resets that state. */
     boolean takeChanged() {
         boolean changed = mChanged;
         mChanged = false;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/EventLoopScheduler.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/EventLoopScheduler.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Runs tasks later on an event loop.
+ * {@link Scheduler} that runs tasks on an event loop.
  *
  * @since 0.2
  */
@@ -16,7 +16,7 @@
     private final EventLoop mLoop;
 
     /**
-     * Makes a scheduler.
+     * Creates a scheduler.
      *
      * @param loop the loop that runs the tasks
      */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/FleetReplica.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/FleetReplica.java
@@ -17,11 +17,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps this instance's snapshot of routes, servers and evacuations up to date from the platform's
- * store, and from peers while the store is lost to it.
+ * Local replica of the routes, servers and evacuations in the platform's store, kept up to date
+ * from the store and, while it is unreachable, from peers.
  *
- * <p>All methods but {@link #snapshot}, {@link #revision} and {@link #isUsable} belong to the
- * control thread.
+ * <p>All methods except {@link #snapshot}, {@link #revision} and {@link #isUsable} are confined to
+ * the control thread.
  *
  * @since 0.2
  */
@@ -50,7 +50,7 @@
     private boolean mLeaving;
     private long mWatchingSinceNanos;
     private Runnable mGraceTimer = () -> {};
-    private Runnable mWarmTimer = () -> {};
+    private Runnable mWarmUpTimer = () -> {};
     private final StoreRestoreTracker mRestoreTracker;
     private boolean mStopped;
     private volatile FleetSnapshot mSnapshot = FleetSnapshot.EMPTY;
@@ -58,12 +58,12 @@
     private volatile boolean mUsable;
 
     /**
-     * Makes a replica that knows nothing yet.
+     * Creates an empty replica.
      *
      * @param context the store, clocks and times
-     * @param probe looks whether the store answers
+     * @param probe checks whether the store answers
      * @param translator reads the documents
-     * @param listener hears each new snapshot, on the control thread
+     * @param listener receives each new snapshot, on the control thread
      */
     public FleetReplica(
             ReplicaContext context,
@@ -87,7 +87,7 @@
         mRestoreTracker =
                 new StoreRestoreTracker(
                         context, mCopies.values(), mFollowers, () -> publish(CopySource.NONE));
-        mRelayService = new RelayService(context, mCopies, mServers, this::watches);
+        mRelayService = new RelayService(context, mCopies, mServers, this::isWatching);
         mRoutingReader =
                 new RoutingReader(
                         context,
@@ -95,7 +95,7 @@
                         mRouting,
                         mRestoreTracker::isSettled,
                         this::onStoreUpdate);
-        mRestoreTracker.addSettledListener((era, hadBefore) -> mRoutingReader.settled(hadBefore));
+        mRestoreTracker.addSettledListener((era, settled) -> mRoutingReader.settled(settled));
         mRelayed = new RelayedCopies(mCopies.values(), mTime);
     }
 
@@ -104,23 +104,23 @@
         mCopies.put(category, copy);
         SettleTimes settle = SettleTimes.of(category, context.settings().calls(), this::isUrgent);
         Consumer<Moment> listed =
-                before -> {
+                requested -> {
                     if (category == Category.ROUTING) {
-                        mRoutingReader.listed(before);
+                        mRoutingReader.listed(requested);
                     }
                 };
         mFollowers.add(
                 new CategoryFollower(context, copy, settle, mHealth, this::onStoreUpdate, listed));
     }
 
-    /** A new server's report follows its entry, and must not wait for a burst to settle. */
+    /** The report of a new server follows its entry and must not wait for a burst to settle. */
     private boolean isUrgent() {
         Duration within = mContext.settings().calls().serverSettleLimit();
         return mServers.awaitsReport(within, mTime.monotonicNanos());
     }
 
     /**
-     * Adds a listener of outages, after the replica itself.
+     * Adds a listener for store outages, which is notified after the replica itself.
      *
      * @param listener the listener
      */
@@ -129,11 +129,11 @@
     }
 
     /**
-     * Uses peers from now on: their news while the store is lost, and their revisions as a sign
-     * that a wait has gone silent. To be called before {@link #start}.
+     * Enables peers: their changes while the store is lost, and their revisions to detect a dead
+     * watch. Must be called before {@link #start}.
      *
      * @param peers the peers
-     * @param client asks them
+     * @param client the client for requests to them
      * @param zone the availability zone of this instance
      * @param region its region
      */
@@ -150,11 +150,10 @@
     }
 
     /**
-     * Lets the instances of the availability zone share watching the store. To be called before
-     * {@link #start}.
+     * Shares watching the store within the availability zone. Must be called before {@link #start}.
      *
-     * @param zone says who watches
-     * @param client asks them
+     * @param zone selects the watchers
+     * @param client the client for requests to them
      */
     public void shareWatching(WatcherSelector zone, RelayClient client) {
         shareWatching(zone, (RelayLink) client);
@@ -171,18 +170,18 @@
                                     mRelayed,
                                     () -> mUsable && !mHealth.isFailing() && !mLeaving,
                                     this::onPeerUpdate,
-                                    this::relayTurned));
+                                    this::relayModeChanged));
         }
     }
 
-    /** Tells those that rely on this instance that they must not, since it will stop. */
+    /** Notifies the instances that follow this one that it will stop. */
     public void leave() {
         mLeaving = true;
         mRelayService.changed();
     }
 
     /**
-     * Gives what reads the routing configuration again, to prove that the one in force is current.
+     * Returns the reader that proves that the routing configuration in force is current.
      *
      * @return the reader
      */
@@ -194,7 +193,7 @@
         return mRelayService;
     }
 
-    private boolean watches() {
+    private boolean isWatching() {
         boolean wasAnswered = mHealth.succeededNanos() - mWatchingSinceNanos >= 0;
         return mUsable
                 && !mLeaving
@@ -208,11 +207,11 @@
         return mRelay.map(RelayFollower::isFollowing).orElse(false);
     }
 
-    private void relayTurned() {
-        boolean relies = isFollowing();
-        mProber.setIdle(relies);
+    private void relayModeChanged() {
+        boolean following = isFollowing();
+        mProber.setIdle(following);
         mWatchingSinceNanos = mTime.monotonicNanos();
-        if (relies) {
+        if (following) {
             mFollowers.forEach(CategoryFollower::pause);
         } else if (!mStopped && !mHealth.isLost()) {
             mFollowers.forEach(CategoryFollower::resume);
@@ -222,7 +221,7 @@
 
     /** Starts reading the store. */
     public void start() {
-        // Until the store has answered once, it counts as failing.
+        // Until the store has answered once, it is considered failing.
         mHealth.failed(mTime.monotonicNanos());
         mFollowers.forEach(CategoryFollower::start);
         mProber.start();
@@ -230,21 +229,21 @@
     }
 
     /**
-     * Gives what follows the store through its returns from older copies.
+     * Returns the tracker of restores of the store from older copies.
      *
-     * @return it, for the control thread
+     * @return the tracker, confined to the control thread
      */
     public StoreRestoreTracker restoreTracker() {
         return mRestoreTracker;
     }
 
     private void checkLag() {
-        mRestoreTracker.look();
+        mRestoreTracker.checkEra();
         long missed = mLag.map(lag -> lag.compare(mRevision)).orElse(0L);
         if (missed == 0) {
             return;
         }
-        sLogger.info("STORE  a peer knows revision {}, checking from {}", missed, mRevision);
+        sLogger.info("STORE  a peer reports revision {}, checking from {}", missed, mRevision);
         mRelay.filter(RelayFollower::isFollowing).ifPresent(RelayFollower::suspend);
         for (CategoryFollower follower : mFollowers) {
             follower.check(missed);
@@ -264,7 +263,7 @@
     }
 
     /**
-     * Gives the newest snapshot. Safe for all threads.
+     * Returns the newest snapshot. Thread-safe.
      *
      * @return the snapshot
      */
@@ -273,8 +272,7 @@
     }
 
     /**
-     * Gives the revision of the newest change that is known, to be told to peers. Safe for all
-     * threads.
+     * Returns the revision of the newest known change, which is reported to peers. Thread-safe.
      *
      * @return the revision, 0 before anything is known
      */
@@ -283,17 +281,17 @@
     }
 
     /**
-     * Tells whether requests can be decided: the routes and the servers have been read once. Safe
-     * for all threads.
+     * Returns whether requests can be routed: the routes and the servers have been read once.
+     * Thread-safe.
      *
-     * @return whether they can
+     * @return whether requests can be routed
      */
     public boolean isUsable() {
         return mUsable;
     }
 
     /**
-     * Tells how current the replica is.
+     * Returns how current the replica is.
      *
      * @return the status
      */
@@ -320,7 +318,7 @@
         mFollowers.forEach(CategoryFollower::pause);
         mRelayService.changed();
         mGraceTimer.run();
-        mServers.keepVanished(false);
+        mServers.setRetainsRemoved(false);
         mProber.probeNow();
         mFallback.ifPresent(RelayFallback::start);
     }
@@ -332,19 +330,19 @@
         }
         boolean mayHaveExpired = outage.compareTo(mSettings.expiryAfter()) >= 0;
         mFallback.ifPresent(RelayFallback::stop);
-        mServers.keepVanished(mayHaveExpired);
+        mServers.setRetainsRemoved(mayHaveExpired);
         if (mayHaveExpired || mServers.unconfirmed() > 0) {
             mGraceTimer.run();
-            mGraceTimer = mScheduler.schedule(mSettings.confirmWithin(), this::endGrace);
+            mGraceTimer = mScheduler.schedule(mSettings.confirmWithin(), this::endGracePeriod);
         }
         mFollowers.forEach(CategoryFollower::resume);
     }
 
-    private void endGrace() {
-        mServers.keepVanished(false);
-        int gone = mServers.unconfirmed();
-        if (gone > 0) {
-            sLogger.info("STORE  {} servers have not come back after the outage", gone);
+    private void endGracePeriod() {
+        mServers.setRetainsRemoved(false);
+        int missing = mServers.unconfirmed();
+        if (missing > 0) {
+            sLogger.info("STORE  {} servers have not registered again after the outage", missing);
             mServers.dropUnconfirmed();
             publish(CopySource.NONE);
         }
@@ -375,7 +373,7 @@
             notifyListener(source, nowNanos);
         }
         mRelayService.changed();
-        mRestoreTracker.look();
+        mRestoreTracker.checkEra();
     }
 
     private void notifyListener(CopySource source, long nowNanos) {
@@ -385,9 +383,9 @@
                         mRouting.routing(),
                         mServers.servers(mRouting::warmUp, nowNanos),
                         mEvacuations.zones());
-        mWarmTimer.run();
+        mWarmUpTimer.run();
         mServers.untilNextDue(mRouting::warmUp, nowNanos)
-                .ifPresent(left -> mWarmTimer = mScheduler.schedule(left, this::notifyWarmUp));
+                .ifPresent(left -> mWarmUpTimer = mScheduler.schedule(left, this::notifyWarmUp));
         mListener.changed(mSnapshot, source);
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/InstanceRegistration.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/InstanceRegistration.java
@@ -11,9 +11,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells the store of this instance once, and reads the other instances from it once.
+ * Registers this instance in the store, and lists the other instances once.
  *
- * <p>Both are tried until done. For the control thread.
+ * <p>Both are retried until they succeed. Confined to the control thread.
  *
  * @since 0.2
  */
@@ -35,12 +35,12 @@
     private boolean mStopped;
 
     /**
-     * Makes a registration.
+     * Creates a registration.
      *
      * @param context the store, clocks and times
-     * @param name the name of the own object
-     * @param content its content, with the era of the store in which the instance has settled
-     * @param listed hears the objects of all instances once, this one's perhaps included
+     * @param name the name of this instance's object
+     * @param content creates its content for the era of the store in which the instance has settled
+     * @param listed receives the objects of all instances once, possibly including this one's
      */
     public InstanceRegistration(
             ReplicaContext context,
@@ -54,13 +54,13 @@
         mRetries = new RetryDelays(FIRST_RETRY, LAST_RETRY, context.random());
     }
 
-    /** Lists the instances. */
+    /** Starts listing the instances. */
     public void start() {
         list();
     }
 
     /**
-     * Writes the own object, at the start and again whenever the store may have lost it.
+     * Writes this instance's object, at the start and again whenever the store may have lost it.
      *
      * @param era the era of the store in which this instance has settled
      */
@@ -70,9 +70,9 @@
     }
 
     /**
-     * Deletes the own object since the instance stops as planned; tried once.
+     * Deletes this instance's object on a planned stop; not retried.
      *
-     * @param done runs when the store has answered or failed
+     * @param done runs when the call has succeeded or failed
      */
     public void stop(Runnable done) {
         mStopped = true;
@@ -82,7 +82,11 @@
                         mName,
                         result -> {
                             result.peekLeft(
-                                    error -> sLogger.warn("STORE  the own entry stays: {}", error));
+                                    error ->
+                                            sLogger.warn(
+                                                    "STORE  this instance's entry could not be"
+                                                            + " deleted: {}",
+                                                    error));
                             done.run();
                         });
     }
@@ -113,7 +117,7 @@
 
     private void put(Either<FeedError, Void> result) {
         if (result.isRight()) {
-            sLogger.info("STORE  entered as {}", mName);
+            sLogger.info("STORE  registered as {}", mName);
             return;
         }
         mPutFailures++;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/KnownZonesTranslator.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/KnownZonesTranslator.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * Takes servers of the deployment's own zones only. Nobody could evacuate another zone, nor say
- * which region its requests are bound to. Safe for all threads.
+ * {@link DocumentTranslator} that accepts only servers in the zones of the deployment. An unknown
+ * zone could not be evacuated, and the region of its requests would be undefined. Thread-safe.
  *
  * @since 0.2
  */
@@ -20,7 +20,7 @@
     private final Set<ZoneId> mZones;
 
     /**
-     * Bounds a translator.
+     * Creates a translator that restricts another one.
      *
      * @param translator reads the documents
      * @param zones the availability zones of the deployment
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/PeerLag.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/PeerLag.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * Notices that a peer has known more than this instance for some time though the store answers, so
- * that a wait of this instance may have gone silent. For the control thread.
+ * Detector of a peer that has been ahead of this instance for some time although the store answers,
+ * which means that a watch of this instance may no longer deliver. Confined to the control thread.
  */
 final class PeerLag {
 
     private final PeerRevisions mPeers;
-    private long mSeen;
-    private long mChecked;
+    private long mNewest;
+    private long mLastReturned;
 
     /**
-     * Makes it.
+     * Creates an instance.
      *
      * @param peers the peers
      */
@@ -22,19 +22,19 @@
     }
 
     /**
-     * Compares; to be called now and then.
+     * Compares the revisions of the peers with the local one; called periodically.
      *
-     * @param known the newest revision that is known here
-     * @return the revision that a peer has reported at least since the last call though it is not
-     *     known here, once; else 0
+     * @param known the newest local revision
+     * @return the revision that a peer has reported since the last call or earlier and that is
+     *     still unknown here, returned once; otherwise 0
      */
     long compare(long known) {
         List<RelayPeer> peers = mPeers.alive();
         long newest = peers.stream().mapToLong(RelayPeer::revision).max().orElse(0);
-        boolean wasAhead = mSeen > known && mSeen > mChecked;
-        long missed = wasAhead ? mSeen : 0;
-        mChecked = Math.max(mChecked, missed);
-        mSeen = newest;
+        boolean wasAhead = mNewest > known && mNewest > mLastReturned;
+        long missed = wasAhead ? mNewest : 0;
+        mLastReturned = Math.max(mLastReturned, missed);
+        mNewest = newest;
         return missed;
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/PeerRevisions.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/PeerRevisions.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * Tells which peers are alive and how far each is.
+ * Strategy interface for finding the live peers and their revisions.
  *
  * @since 0.2
  */
 public interface PeerRevisions {
 
     /**
-     * Gives the peers heard from lately, this instance not included.
+     * Returns the peers that have recently sent a message, excluding this instance.
      *
      * @return the peers
      */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayClient.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayClient.java
@@ -24,7 +24,8 @@
 import java.util.function.Consumer;
 
 /**
- * Asks peers over TCP, with one connection for each ask. Runs on the control thread.
+ * {@link RelayLink} over TCP that opens one connection for each request. Confined to the control
+ * thread.
  *
  * @since 0.2
  */
@@ -35,7 +36,7 @@
     private final EventLoop mLoop;
 
     /**
-     * Makes a client.
+     * Creates a client.
      *
      * @param loop the control thread
      */
@@ -46,15 +47,15 @@
     @Override
     public void request(
             ServerAddress address,
-            RelayAsk ask,
+            RelayAsk request,
             Duration timeout,
             Consumer<Either<String, RelayAnswer>> result) {
         byte[] ip = NetUtil.createByteArrayFromIpAddressString(address.ip());
         if (ip == null) {
-            result.accept(Either.left("The address of the peer is no IP address."));
+            result.accept(Either.left("The address of the peer is not an IP address."));
             return;
         }
-        Exchange exchange = new Exchange(ask, result);
+        Exchange exchange = new Exchange(request, result);
         Bootstrap bootstrap =
                 new Bootstrap()
                         .group(mLoop)
@@ -71,13 +72,13 @@
                                     }
                                 });
         Channel channel = bootstrap.connect(socketAddress(ip, address.port())).channel();
-        Future<?> limit =
+        Future<?> timeoutTask =
                 mLoop.schedule(() -> channel.close(), timeout.toMillis(), TimeUnit.MILLISECONDS);
         channel.closeFuture()
                 .addListener(
                         closed -> {
-                            limit.cancel(false);
-                            exchange.end(Either.left("The peer gave no answer."));
+                            timeoutTask.cancel(false);
+                            exchange.complete(Either.left("The peer gave no answer."));
                         });
     }
 
@@ -89,34 +90,34 @@
         }
     }
 
-    /** Sends the ask and hears the answer. */
+    /** Channel handler that sends the request and receives the answer. */
     private static final class Exchange extends SimpleChannelInboundHandler<ByteBuf> {
 
-        private final RelayAsk mAsk;
+        private final RelayAsk mRequest;
         private final Consumer<Either<String, RelayAnswer>> mResult;
-        private boolean mEnded;
+        private boolean mCompleted;
 
-        Exchange(RelayAsk ask, Consumer<Either<String, RelayAnswer>> result) {
-            mAsk = ask;
+        Exchange(RelayAsk request, Consumer<Either<String, RelayAnswer>> result) {
+            mRequest = request;
             mResult = result;
         }
 
-        void end(Either<String, RelayAnswer> result) {
-            if (mEnded) {
+        void complete(Either<String, RelayAnswer> result) {
+            if (mCompleted) {
                 return;
             }
-            mEnded = true;
+            mCompleted = true;
             mResult.accept(result);
         }
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            context.writeAndFlush(RelayFrames.write(context.alloc(), mAsk));
+            context.writeAndFlush(RelayFrames.write(context.alloc(), mRequest));
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) {
-            end(RelayFrames.read(RelayAnswer.parser(), frame));
+            complete(RelayFrames.read(RelayAnswer.parser(), frame));
             context.close();
         }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayCodec.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayCodec.java
@@ -15,19 +15,19 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Turns parts of copies into messages and back. */
+/** Codec for parts of copies in relay messages. */
 final class RelayCodec {
 
-    /** Made when it is first needed, since most instances never relay. */
+    /** Holder for lazy initialization, since most instances never relay. */
     private static final class Json {
         private static final ObjectMapper MAPPER = new ObjectMapper();
     }
 
     /**
-     * Finds a category that may be relayed.
+     * Returns the category that may be relayed under a name.
      *
      * @param name the name on the wire
-     * @return the category, or empty if it is unknown here
+     * @return the category, or empty if it is unknown or not relayed
      */
     Optional<Category> category(String name) {
         for (Category category : Category.values()) {
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Writes a part.
+     * Encodes a part.
      *
      * @param part the part
      * @param nowNanos the monotonic time
@@ -51,20 +51,20 @@
                         .setCategory(part.category().name())
                         .setRevision(part.revision())
                         .setWhole(part.whole());
-        for (TimestampedDocument told : part.documents()) {
-            answer.addDocuments(document(told, nowNanos));
+        for (TimestampedDocument timestamped : part.documents()) {
+            answer.addDocuments(document(timestamped, nowNanos));
         }
         return answer.build();
     }
 
-    private RelayedDocument document(TimestampedDocument told, long nowNanos) {
-        StoredDocument document = told.document();
+    private RelayedDocument document(TimestampedDocument timestamped, long nowNanos) {
+        StoredDocument document = timestamped.document();
         RelayedDocument.Builder message =
                 RelayedDocument.newBuilder()
                         .setName(document.name())
                         .setRevision(document.revision())
                         .setDeleted(document.deleted())
-                        .setAgeMs(Duration.ofNanos(nowNanos - told.stateNanos()).toMillis());
+                        .setAgeMs(Duration.ofNanos(nowNanos - timestamped.stateNanos()).toMillis());
         if (!document.deleted()) {
             message.setContent(content(document.content()));
         }
@@ -80,12 +80,12 @@
     }
 
     /**
-     * Reads a part.
+     * Decodes a part.
      *
      * @param category its category
      * @param answer the message
      * @param nowNanos the monotonic time
-     * @return the part, or one sentence that says what is wrong with it
+     * @return the part, or one sentence that describes the error
      */
     Either<String, CopyPart> read(Category category, CategoryAnswer answer, long nowNanos) {
         if (answer.getRevision() < 0) {
@@ -100,7 +100,7 @@
             try {
                 documents.add(timestamped(category, document, nowNanos));
             } catch (IOException exception) {
-                return Either.left("A document is no JSON.");
+                return Either.left("A document is not valid JSON.");
             }
         }
         return Either.right(
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayFallback.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayFallback.java
@@ -16,10 +16,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Asks peers for what has changed while the store is lost to this instance.
+ * Fallback that requests changes from peers while this instance cannot reach the store.
  *
- * <p>A peer that reports more than is known here is asked at once, else one peer now and then; the
- * nearest first. For the control thread.
+ * <p>A peer that reports a newer revision is queried at once, otherwise one peer at intervals; the
+ * nearest first. Confined to the control thread.
  */
 final class RelayFallback {
 
@@ -34,21 +34,21 @@
     private final Runnable mApplied;
     private final Comparator<RelayPeer> mOrder;
     private final Map<ServerAddress, Long> mAvoidedUntil = new HashMap<>();
-    private int mAsk;
-    private boolean mAsking;
-    private long mAskedNanos;
+    private int mRequestNumber;
+    private boolean mRequestPending;
+    private long mLastRequestNanos;
     private boolean mActive;
     private Runnable mTimer = () -> {};
 
     /**
-     * Makes a fallback.
+     * Creates a fallback.
      *
      * @param context the clocks and times
      * @param peers the peers
-     * @param link carries the asks
-     * @param copies what the answers are put into
+     * @param link the link for the requests
+     * @param copies the copies to which the answers are applied
      * @param place the place of this instance
-     * @param applied hears that the copies have taken an answer
+     * @param applied runs after an answer was applied to the copies
      */
     RelayFallback(
             ReplicaContext context,
@@ -70,31 +70,31 @@
                         .thenComparing(RelayPeer::revision, Comparator.reverseOrder());
     }
 
-    /** Asks from now on. */
+    /** Starts querying peers. */
     void start() {
         mActive = true;
-        mAskedNanos = mTime.monotonicNanos() - mSettings.pollEvery().toNanos();
-        look();
+        mLastRequestNanos = mTime.monotonicNanos() - mSettings.pollEvery().toNanos();
+        checkPeers();
     }
 
-    /** Asks no more; an answer on its way is still taken. */
+    /** Stops querying peers; the answer to a pending request is still applied. */
     void stop() {
         mActive = false;
         mTimer.run();
     }
 
-    private void look() {
+    private void checkPeers() {
         if (!mActive) {
             return;
         }
         mTimer.run();
-        mTimer = mScheduler.schedule(mSettings.lookEvery(), this::look);
-        if (!mAsking) {
-            choose().ifPresent(this::poll);
+        mTimer = mScheduler.schedule(mSettings.checkEvery(), this::checkPeers);
+        if (!mRequestPending) {
+            selectPeer().ifPresent(this::poll);
         }
     }
 
-    private Optional<RelayPeer> choose() {
+    private Optional<RelayPeer> selectPeer() {
         long nowNanos = mTime.monotonicNanos();
         mAvoidedUntil.values().removeIf(untilNanos -> nowNanos - untilNanos >= 0);
         List<RelayPeer> peers =
@@ -102,10 +102,10 @@
                         .filter(peer -> !mAvoidedUntil.containsKey(peer.address()))
                         .sorted(mOrder)
                         .toList();
-        long known = mCopies.known();
+        long knownRevision = mCopies.knownRevision();
         Optional<RelayPeer> ahead =
-                peers.stream().filter(peer -> peer.revision() > known).findFirst();
-        boolean isDue = nowNanos - mAskedNanos >= mSettings.pollEvery().toNanos();
+                peers.stream().filter(peer -> peer.revision() > knownRevision).findFirst();
+        boolean isDue = nowNanos - mLastRequestNanos >= mSettings.pollEvery().toNanos();
         if (ahead.isPresent() || !isDue) {
             return ahead;
         }
@@ -113,46 +113,48 @@
     }
 
     private void poll(RelayPeer peer) {
-        mAsking = true;
-        mAskedNanos = mTime.monotonicNanos();
-        int number = ++mAsk;
+        mRequestPending = true;
+        mLastRequestNanos = mTime.monotonicNanos();
+        int number = ++mRequestNumber;
         mLink.request(
                 peer.address(),
                 mCopies.buildRequest(Duration.ZERO),
                 mSettings.timeout(),
                 result -> {
-                    if (number == mAsk && mAsking) {
-                        mAsking = false;
-                        answered(peer, result);
+                    if (number == mRequestNumber && mRequestPending) {
+                        mRequestPending = false;
+                        handleAnswer(peer, result);
                     }
                 });
     }
 
-    private void answered(RelayPeer peer, Either<String, RelayAnswer> result) {
+    private void handleAnswer(RelayPeer peer, Either<String, RelayAnswer> result) {
         if (result.isLeft()) {
             avoid(peer, result.getLeft());
-            look();
+            checkPeers();
             return;
         }
-        long known = mCopies.known();
-        mCopies.take(result.get()).ifPresent(fault -> avoid(peer, fault));
-        if (mCopies.known() < peer.revision()) {
-            // It cannot give now what it reports, for instance since it doubts it itself.
-            avoid(peer, "It gave less than it reports.");
+        long knownRevision = mCopies.knownRevision();
+        mCopies.apply(result.get()).ifPresent(error -> avoid(peer, error));
+        if (mCopies.knownRevision() < peer.revision()) {
+            // It cannot send what it reports now, for instance since its own entries are uncertain.
+            avoid(peer, "The answer is older than the reported revision.");
         }
-        if (mCopies.known() > known) {
+        if (mCopies.knownRevision() > knownRevision) {
             sLogger.info(
-                    "STORE  peer {} told of changes up to {}", peer.address(), mCopies.known());
+                    "STORE  received changes from peer {} up to revision {}",
+                    peer.address(),
+                    mCopies.knownRevision());
         }
         mApplied.run();
     }
 
     private void avoid(RelayPeer peer, String reason) {
-        sLogger.debug("STORE  peer {} is passed over for a while: {}", peer.address(), reason);
+        sLogger.debug("STORE  avoiding peer {} for a while: {}", peer.address(), reason);
         long untilNanos = mTime.monotonicNanos() + mSettings.avoidFor().toNanos();
         mAvoidedUntil.put(peer.address(), untilNanos);
     }
 
-    /** Where an instance is. */
+    /** Location of an instance. */
     record Place(ZoneId zone, RegionId region) {}
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayFollower.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayFollower.java
@@ -12,172 +12,178 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Hears the changes of the store from the watchers of this availability zone, so that this instance
- * need not watch it.
+ * Follower that receives the changes of the store from the watchers of this availability zone, so
+ * that this instance need not watch the store.
  *
- * <p>An ask is held at each watcher at the same time, so that the failure of one delays nothing.
- * When none is left that watches and answers, this instance watches by itself at once. For the
+ * <p>A request is held at each watcher at the same time, so that the failure of one causes no
+ * delay. When no healthy watcher is left, this instance watches by itself at once. Confined to the
  * control thread.
  */
 final class RelayFollower {
 
     private static final Logger sLogger = LoggerFactory.getLogger(RelayFollower.class);
 
-    private final WatcherSelector mZone;
+    private final WatcherSelector mSelector;
     private final RelayLink mLink;
     private final RelayedCopies mCopies;
     private final ReplicaContext mContext;
     private final ReplicaSettings.Watching mSettings;
     private final BooleanSupplier mMayFollow;
     private final Runnable mApplied;
-    private final Runnable mTurned;
-    private final Map<ServerAddress, WatcherPoller> mLines = new HashMap<>();
+    private final Runnable mFollowingChanged;
+    private final Map<ServerAddress, WatcherPoller> mPollers = new HashMap<>();
     private boolean mFollowing;
-    private long mOwnUntilNanos;
+    private long mOwnWatchUntilNanos;
     private Runnable mTimer = () -> {};
 
     /**
-     * Makes a follower that does not rely on anybody yet.
+     * Creates a follower that does not rely on any watcher yet.
      *
      * @param context the clocks and times
-     * @param zone says who watches
-     * @param link carries the asks
-     * @param copies what the answers are put into
-     * @param mayRely tells whether this instance is served well by the store, so that it may stop
-     *     asking it
-     * @param applied hears that the copies have taken an answer
-     * @param turned hears that this instance has begun or ceased to rely on the watchers
+     * @param zone selects the watchers
+     * @param link the link for the requests
+     * @param copies the copies to which the answers are applied
+     * @param mayFollow returns whether the store answers this instance reliably, so that it may
+     *     stop watching the store
+     * @param applied runs after an answer was applied to the copies
+     * @param followingChanged runs when this instance has started or stopped relying on the
+     *     watchers
      */
     RelayFollower(
             ReplicaContext context,
             WatcherSelector zone,
             RelayLink link,
             RelayedCopies copies,
-            BooleanSupplier mayRely,
+            BooleanSupplier mayFollow,
             Runnable applied,
-            Runnable turned) {
+            Runnable followingChanged) {
         mContext = context;
-        mZone = zone;
+        mSelector = zone;
         mLink = link;
         mCopies = copies;
         mSettings = context.settings().watching();
-        mMayFollow = mayRely;
+        mMayFollow = mayFollow;
         mApplied = applied;
-        mTurned = turned;
-        mOwnUntilNanos = context.time().monotonicNanos();
+        mFollowingChanged = followingChanged;
+        mOwnWatchUntilNanos = context.time().monotonicNanos();
     }
 
-    /** Tells whether this instance relies on the watchers and asks the store nothing. */
+    /** Returns whether this instance relies on the watchers and makes no calls to the store. */
     boolean isFollowing() {
         return mFollowing;
     }
 
-    /** Looks at the zone now and then from now on. */
+    /** Starts periodic checks of the zone. */
     void start() {
-        look();
+        checkWatchers();
     }
 
-    /** Asks nobody any more; what this instance relies on stays as it is. */
+    /** Stops querying watchers; whether this instance relies on them does not change. */
     void stop() {
         mTimer.run();
-        mLines.clear();
+        mPollers.clear();
     }
 
-    /** Watches by itself for a while, since what the watchers tell is in doubt. */
+    /** Watches by itself for a while, since the answers of the watchers are uncertain. */
     void suspend() {
-        mOwnUntilNanos = mContext.time().monotonicNanos() + mSettings.ownWatchFor().toNanos();
-        turn(false);
+        mOwnWatchUntilNanos = mContext.time().monotonicNanos() + mSettings.ownWatchFor().toNanos();
+        setFollowing(false);
     }
 
-    private void look() {
+    private void checkWatchers() {
         mTimer.run();
-        mTimer = mContext.scheduler().schedule(mSettings.lookEvery(), this::look);
+        mTimer = mContext.scheduler().schedule(mSettings.checkEvery(), this::checkWatchers);
         List<ServerAddress> wanted =
-                mZone.watchers(mSettings.watchersInZone()).stream()
+                mSelector.watchers(mSettings.watchersInZone()).stream()
                         .map(RelayMember::address)
                         .toList();
-        mLines.keySet().retainAll(wanted);
+        mPollers.keySet().retainAll(wanted);
         for (ServerAddress address : wanted) {
-            if (!mLines.containsKey(address)) {
-                WatcherPoller line = new WatcherPoller(address);
-                mLines.put(address, line);
-                line.poll();
+            if (!mPollers.containsKey(address)) {
+                WatcherPoller poller = new WatcherPoller(address);
+                mPollers.put(address, poller);
+                poller.poll();
             }
         }
-        settle();
+        update();
     }
 
-    private void settle() {
-        boolean hasSound = mLines.values().stream().anyMatch(line -> line.mSound);
-        boolean areSound = hasSound && mLines.values().stream().allMatch(line -> line.mSound);
-        if (mFollowing && mLines.isEmpty()) {
-            turn(false);
-        } else if (mFollowing && !hasSound) {
+    private void update() {
+        boolean hasHealthy = mPollers.values().stream().anyMatch(poller -> poller.mHealthy);
+        boolean areHealthy =
+                hasHealthy && mPollers.values().stream().allMatch(poller -> poller.mHealthy);
+        if (mFollowing && mPollers.isEmpty()) {
+            setFollowing(false);
+        } else if (mFollowing && !hasHealthy) {
             suspend();
-        } else if (!mFollowing && areSound && mMayFollow.getAsBoolean()) {
-            boolean isOver = mContext.time().monotonicNanos() - mOwnUntilNanos >= 0;
-            turn(isOver);
+        } else if (!mFollowing && areHealthy && mMayFollow.getAsBoolean()) {
+            boolean isOver = mContext.time().monotonicNanos() - mOwnWatchUntilNanos >= 0;
+            setFollowing(isOver);
         }
     }
 
-    private void turn(boolean relies) {
-        if (mFollowing != relies) {
-            mFollowing = relies;
-            sLogger.info("STORE  {}", relies ? "watched by others of the zone" : "watched here");
-            mTurned.run();
+    private void setFollowing(boolean following) {
+        if (mFollowing != following) {
+            mFollowing = following;
+            sLogger.info(
+                    "STORE  {}",
+                    following
+                            ? "watched by other instances of the zone"
+                            : "watched by this instance");
+            mFollowingChanged.run();
         }
     }
 
-    /** The asks of one watcher, one at a time. */
+    /** Poller of one watcher, with one request at a time. */
     private final class WatcherPoller {
 
         private final ServerAddress mAddress;
-        private boolean mSound;
+        private boolean mHealthy;
 
         WatcherPoller(ServerAddress address) {
             mAddress = address;
         }
 
         private boolean isWanted() {
-            return mLines.get(mAddress) == this;
+            return mPollers.get(mAddress) == this;
         }
 
         void poll() {
             if (!isWanted()) {
                 return;
             }
-            // The first ask only shows whether the watcher is sound.
-            Duration hold = mSound ? mSettings.hold() : Duration.ofMillis(1);
+            // The first request only checks whether the watcher is healthy.
+            Duration hold = mHealthy ? mSettings.hold() : Duration.ofMillis(1);
             long startNanos = mContext.time().monotonicNanos();
             mLink.request(
                     mAddress,
                     mCopies.buildRequest(hold),
                     hold.plus(mSettings.margin()),
-                    result -> answered(startNanos, result));
+                    result -> handleAnswer(startNanos, result));
         }
 
-        private void answered(long startNanos, Either<String, RelayAnswer> result) {
+        private void handleAnswer(long startNanos, Either<String, RelayAnswer> result) {
             if (!isWanted()) {
                 return;
             }
-            long known = mCopies.known();
-            boolean isTaken = result.isRight() && mCopies.take(result.get()).isEmpty();
-            mSound = isTaken && result.get().getWatches();
-            if (isTaken) {
+            long knownRevision = mCopies.knownRevision();
+            boolean isApplied = result.isRight() && mCopies.apply(result.get()).isEmpty();
+            mHealthy = isApplied && result.get().getWatches();
+            if (isApplied) {
                 mApplied.run();
             }
-            boolean isNew = mCopies.known() > known;
+            boolean isNew = mCopies.knownRevision() > knownRevision;
             long heldNanos = mContext.time().monotonicNanos() - startNanos;
-            boolean isEarly = heldNanos < mSettings.lookEvery().toNanos();
+            boolean isEarly = heldNanos < mSettings.checkEvery().toNanos();
             Duration pause = Duration.ZERO;
-            if (!mSound) {
+            if (!mHealthy) {
                 pause = mSettings.avoidFor();
             } else if (isEarly && !isNew) {
-                // A watcher that answers without news must not be asked without a pause.
+                // Avoids a busy loop on a watcher that answers early without changes.
                 pause = mContext.settings().calls().serverSettle();
             }
             mContext.scheduler().schedule(pause, this::poll);
-            settle();
+            update();
         }
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayFrames.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayFrames.java
@@ -9,7 +9,7 @@
 import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
 import io.vavr.control.Either;
 
-/** Frames on a relay connection: four bytes of length, then a message. */
+/** Utility methods for the frames of a relay connection: a length of four bytes, then a message. */
 final class RelayFrames {
 
     private static final int LENGTH_BYTES = 4;
@@ -17,20 +17,20 @@
     private RelayFrames() {}
 
     /**
-     * Makes a decoder that gives the bytes of each message.
+     * Creates a decoder that extracts the bytes of each message.
      *
-     * @param maximumBytes the greatest message
+     * @param maxBytes the maximum size of a message
      * @return the decoder
      */
-    static LengthFieldBasedFrameDecoder decoder(int maximumBytes) {
+    static LengthFieldBasedFrameDecoder decoder(int maxBytes) {
         return new LengthFieldBasedFrameDecoder(
-                maximumBytes + LENGTH_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES);
+                maxBytes + LENGTH_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES);
     }
 
     /**
-     * Writes a frame.
+     * Encodes a message as a frame.
      *
-     * @param allocator gives the buffer
+     * @param allocator the allocator of the buffer
      * @param message the message
      * @return the frame, to be released by its reader
      */
@@ -41,12 +41,12 @@
     }
 
     /**
-     * Reads a message.
+     * Decodes a message.
      *
-     * @param <T> the message
+     * @param <T> the type of the message
      * @param parser its parser
      * @param frame its bytes, not released here
-     * @return the message, or one sentence that says what is wrong with it
+     * @return the message, or one sentence that describes the error
      */
     static <T> Either<String, T> read(Parser<T> parser, ByteBuf frame) {
         try {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayLink.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayLink.java
@@ -7,20 +7,20 @@
 import java.time.Duration;
 import java.util.function.Consumer;
 
-/** Carries an ask to a peer and brings its answer back, on the control thread. */
+/** Strategy interface for sending a request to a peer. Confined to the control thread. */
 interface RelayLink {
 
     /**
-     * Asks a peer.
+     * Sends a request to a peer.
      *
      * @param address the peer
-     * @param ask the ask
-     * @param timeout how long the whole may take
-     * @param result hears the answer or one sentence that says why there is none, once
+     * @param request the request
+     * @param timeout the timeout of the whole exchange
+     * @param result receives the answer, or one sentence that describes the failure, exactly once
      */
     void request(
             ServerAddress address,
-            RelayAsk ask,
+            RelayAsk request,
             Duration timeout,
             Consumer<Either<String, RelayAnswer>> result);
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayMember.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayMember.java
@@ -5,15 +5,15 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * An instance of this availability zone that may watch the store for the others.
+ * Instance of this availability zone that may watch the store on behalf of the others.
  *
- * @param id its name
- * @param address where it serves its peers
+ * @param id its id
+ * @param address the address at which it serves its peers
  * @since 0.2
  */
 public record RelayMember(InstanceId id, ServerAddress address) {
 
-    /** Checks that the parts are given. */
+    /** Checks that no component is {@code null}. */
     public RelayMember {
         Assert.notNull(id, "An instance id");
         Assert.notNull(address, "An address");
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayServer.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayServer.java
@@ -23,9 +23,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Gives peers what this instance knows, over TCP.
+ * TCP server that gives peers the documents known to this instance.
  *
- * <p>One ask and one answer, which may be held, for each connection. Runs on the control thread.
+ * <p>Each connection carries one request and one answer; the answer may be held back until there is
+ * a change. Confined to the control thread.
  *
  * @since 0.2
  */
@@ -43,10 +44,10 @@
     private int mConnections;
 
     /**
-     * Makes a server.
+     * Creates a server.
      *
      * @param loop the control thread
-     * @param replica what is given to peers
+     * @param replica the replica that is served to peers
      */
     public RelayServer(EventLoop loop, FleetReplica replica) {
         this(loop, replica.relaySource());
@@ -58,10 +59,10 @@
     }
 
     /**
-     * Starts to listen.
+     * Starts listening.
      *
      * @param address the address and port
-     * @param result hears the bound address or why there is none, on the control thread
+     * @param result receives the bound address or the reason for the failure, on the control thread
      */
     public void start(
             InetSocketAddress address, Consumer<Either<String, InetSocketAddress>> result) {
@@ -87,7 +88,7 @@
                                         : Either.left(String.valueOf(done.cause()))));
     }
 
-    /** Stops to listen. */
+    /** Stops listening. */
     public void stop() {
         if (mChannel != null) {
             mChannel.close();
@@ -100,45 +101,45 @@
             return;
         }
         mConnections++;
-        Future<?> limit =
+        Future<?> timeoutTask =
                 mLoop.schedule(
                         () -> channel.close(), CONNECTION_LIFE.toMillis(), TimeUnit.MILLISECONDS);
         channel.closeFuture()
                 .addListener(
                         closed -> {
                             mConnections--;
-                            limit.cancel(false);
+                            timeoutTask.cancel(false);
                         });
         channel.pipeline()
                 .addLast(RelayFrames.decoder(MAXIMUM_REQUEST_BYTES), new RelayRequestHandler());
     }
 
-    /** Answers the one ask of a connection. */
+    /** Channel handler that answers the single request of a connection. */
     private final class RelayRequestHandler extends SimpleChannelInboundHandler<ByteBuf> {
 
         private boolean mAnswered;
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) {
-            Either<String, RelayAsk> ask = RelayFrames.read(RelayAsk.parser(), frame);
-            if (mAnswered || ask.isLeft()) {
+            Either<String, RelayAsk> request = RelayFrames.read(RelayAsk.parser(), frame);
+            if (mAnswered || request.isLeft()) {
                 context.close();
                 return;
             }
             mAnswered = true;
-            Runnable forget =
+            Runnable cancel =
                     mSource.hold(
-                            ask.get(),
+                            request.get(),
                             answer ->
                                     context.writeAndFlush(
                                                     RelayFrames.write(context.alloc(), answer))
                                             .addListener(ChannelFutureListener.CLOSE));
-            context.channel().closeFuture().addListener(closed -> forget.run());
+            context.channel().closeFuture().addListener(closed -> cancel.run());
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            sLogger.debug("STORE  a peer's ask failed: {}", String.valueOf(cause));
+            sLogger.debug("STORE  a relay request of a peer failed: {}", String.valueOf(cause));
             context.close();
         }
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayService.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayService.java
@@ -14,48 +14,49 @@
 import java.util.function.Consumer;
 
 /**
- * Answers peers from the copies of this instance, and holds the asks of those that rely on its
- * watching while it has nothing new. For the control thread.
+ * Default implementation of {@link RelaySource} that answers peers from the local copies, and holds
+ * the requests of those that follow this instance while it has no change for them. Confined to the
+ * control thread.
  */
 final class RelayService implements RelaySource {
 
-    private static final long NOTHING = -1;
+    private static final long NO_REVISION = -1;
 
     private final TimeSource mTime;
     private final Map<Category, CategoryCopy> mCopies;
     private final ServerDocuments mServers;
     private final Scheduler mScheduler;
-    private final BooleanSupplier mWatches;
-    private final Duration mLongestWait;
+    private final BooleanSupplier mWatching;
+    private final Duration mMaxWait;
     private final Set<HeldRequest> mHeld = new LinkedHashSet<>();
     private final RelayCodec mCodec = new RelayCodec();
 
     /**
-     * Makes a service.
+     * Creates a service.
      *
      * @param context the clocks and times
      * @param copies the copies by category
-     * @param servers tells whether entries are in doubt
-     * @param watches tells whether this instance watches the store itself, and reaches it
+     * @param servers the servers, whose entries may be uncertain
+     * @param isWatching returns whether this instance watches the store itself and can reach it
      */
     RelayService(
             ReplicaContext context,
             Map<Category, CategoryCopy> copies,
             ServerDocuments servers,
-            BooleanSupplier watches) {
+            BooleanSupplier isWatching) {
         mTime = context.time();
         mScheduler = context.scheduler();
-        mLongestWait = context.settings().watching().hold();
-        mWatches = watches;
+        mMaxWait = context.settings().watching().hold();
+        mWatching = isWatching;
         mCopies = copies;
         mServers = servers;
     }
 
     @Override
-    public RelayAnswer answer(RelayAsk ask) {
-        RelayAnswer.Builder answer = RelayAnswer.newBuilder().setWatches(watches());
+    public RelayAnswer answer(RelayAsk request) {
+        RelayAnswer.Builder answer = RelayAnswer.newBuilder().setWatches(isWatching());
         long nowNanos = mTime.monotonicNanos();
-        for (CategoryAsk part : ask.getCategoriesList()) {
+        for (CategoryAsk part : request.getCategoriesList()) {
             Optional<CategoryCopy> copy = copy(part.getCategory());
             if (copy.isEmpty()) {
                 continue;
@@ -66,31 +67,34 @@
     }
 
     @Override
-    public Runnable hold(RelayAsk ask, Consumer<RelayAnswer> result) {
-        if (ask.getWaitMs() <= 0 || mustAnswer(ask)) {
-            result.accept(answer(ask));
+    public Runnable hold(RelayAsk request, Consumer<RelayAnswer> result) {
+        if (request.getWaitMs() <= 0 || mustAnswer(request)) {
+            result.accept(answer(request));
             return () -> {};
         }
-        Duration asked = Duration.ofMillis(ask.getWaitMs());
-        Duration wait = asked.compareTo(mLongestWait) < 0 ? asked : mLongestWait;
-        HeldRequest held = new HeldRequest(ask, result);
+        Duration requested = Duration.ofMillis(request.getWaitMs());
+        Duration wait = requested.compareTo(mMaxWait) < 0 ? requested : mMaxWait;
+        HeldRequest held = new HeldRequest(request, result);
         mHeld.add(held);
         held.mTimer = mScheduler.schedule(wait, () -> end(held));
-        return () -> forget(held);
+        return () -> cancel(held);
     }
 
-    /** Answers the held asks for which there is something new, or on which nobody may rely. */
+    /**
+     * Answers the held requests for which there is a change, or all if this instance must not be
+     * followed.
+     */
     void changed() {
         for (HeldRequest held : List.copyOf(mHeld)) {
-            if (mustAnswer(held.mAsk)) {
+            if (mustAnswer(held.mRequest)) {
                 end(held);
             }
         }
     }
 
-    private boolean mustAnswer(RelayAsk ask) {
-        return !watches()
-                || ask.getCategoriesList().stream()
+    private boolean mustAnswer(RelayAsk request) {
+        return !isWatching()
+                || request.getCategoriesList().stream()
                         .anyMatch(
                                 part ->
                                         copy(part.getCategory())
@@ -98,23 +102,23 @@
                                                 .isPresent());
     }
 
-    private boolean watches() {
-        return mServers.unconfirmed() == 0 && mWatches.getAsBoolean();
+    private boolean isWatching() {
+        return mServers.unconfirmed() == 0 && mWatching.getAsBoolean();
     }
 
     private void end(HeldRequest held) {
-        if (forget(held)) {
-            held.mResult.accept(answer(held.mAsk));
+        if (cancel(held)) {
+            held.mResult.accept(answer(held.mRequest));
         }
     }
 
-    private boolean forget(HeldRequest held) {
+    private boolean cancel(HeldRequest held) {
         held.mTimer.run();
         return mHeld.remove(held);
     }
 
     private static long after(CategoryAsk part) {
-        return part.hasAfterRevision() ? part.getAfterRevision() : NOTHING;
+        return part.hasAfterRevision() ? part.getAfterRevision() : NO_REVISION;
     }
 
     private Optional<CategoryCopy> copy(String name) {
@@ -124,20 +128,20 @@
                 .filter(copy -> !isUncertain(copy));
     }
 
-    /** An entry that may come back must not be told of as gone. */
+    /** An entry that may be written again must not be reported as removed. */
     private boolean isUncertain(CategoryCopy copy) {
         return copy.category() == Category.BACKEND_SERVERS && mServers.unconfirmed() > 0;
     }
 
-    /** An ask that waits for news. */
+    /** Request that waits for a change. */
     private static final class HeldRequest {
 
-        private final RelayAsk mAsk;
+        private final RelayAsk mRequest;
         private final Consumer<RelayAnswer> mResult;
         private Runnable mTimer = () -> {};
 
-        HeldRequest(RelayAsk ask, Consumer<RelayAnswer> result) {
-            mAsk = ask;
+        HeldRequest(RelayAsk request, Consumer<RelayAnswer> result) {
+            mRequest = request;
             mResult = result;
         }
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelaySource.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelaySource.java
@@ -4,26 +4,26 @@
 import io.masticpond.protocol.generated.relay.RelayAsk;
 import java.util.function.Consumer;
 
-/** Answers asks of peers, on the control thread. */
+/** Strategy interface for answering requests of peers. Confined to the control thread. */
 interface RelaySource {
 
     /**
-     * Answers an ask.
+     * Answers a request at once.
      *
-     * @param ask the ask
-     * @return what the asker lacks
+     * @param request the request
+     * @return the changes that the requester lacks
      */
-    RelayAnswer answer(RelayAsk ask);
+    RelayAnswer answer(RelayAsk request);
 
     /**
-     * Answers an ask now, or as soon as there is something new if the asker waits for it.
+     * Answers a request at once, or as soon as there is a change if the requester waits for it.
      *
-     * @param ask the ask
-     * @param result hears what the asker lacks, once
-     * @return forgets the ask when run
+     * @param request the request
+     * @param result receives the changes that the requester lacks, exactly once
+     * @return cancels the request when run
      */
-    default Runnable hold(RelayAsk ask, Consumer<RelayAnswer> result) {
-        result.accept(answer(ask));
+    default Runnable hold(RelayAsk request, Consumer<RelayAnswer> result) {
+        result.accept(answer(request));
         return () -> {};
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayedCopies.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayedCopies.java
@@ -11,7 +11,10 @@
 import java.util.Collection;
 import java.util.Optional;
 
-/** The copies of this instance as it asks peers for what they lack. For the control thread. */
+/**
+ * Local copies as the source of relay requests and the target of the answers. Confined to the
+ * control thread.
+ */
 final class RelayedCopies {
 
     private final Collection<CategoryCopy> mCopies;
@@ -19,9 +22,9 @@
     private final RelayCodec mCodec = new RelayCodec();
 
     /**
-     * Makes it.
+     * Creates an instance.
      *
-     * @param copies what the answers are put into
+     * @param copies the copies to which the answers are applied
      * @param time the clocks
      */
     RelayedCopies(Collection<CategoryCopy> copies, TimeSource time) {
@@ -29,45 +32,45 @@
         mTime = time;
     }
 
-    /** Gives the revision of the newest document or deletion that is known. */
-    long known() {
+    /** Returns the revision of the newest known document or deletion. */
+    long knownRevision() {
         return mCopies.stream().mapToLong(CategoryCopy::contentRevision).max().orElse(0);
     }
 
     /**
-     * Writes an ask.
+     * Builds a request for the changes that the copies lack.
      *
-     * @param wait how long its answer may be held
-     * @return the ask
+     * @param wait how long its answer may be held back
+     * @return the request
      */
     RelayAsk buildRequest(Duration wait) {
-        RelayAsk.Builder ask = RelayAsk.newBuilder().setWaitMs((int) wait.toMillis());
+        RelayAsk.Builder request = RelayAsk.newBuilder().setWaitMs((int) wait.toMillis());
         for (CategoryCopy copy : mCopies) {
             CategoryAsk.Builder part = CategoryAsk.newBuilder().setCategory(copy.category().name());
             if (copy.isListed()) {
                 part.setAfterRevision(copy.revision());
             }
-            ask.addCategories(part);
+            request.addCategories(part);
         }
-        return ask.build();
+        return request.build();
     }
 
     /**
-     * Takes what is sound of an answer.
+     * Applies the valid parts of an answer.
      *
      * @param answer the answer
-     * @return one sentence that says what is wrong with it, or empty
+     * @return one sentence that describes the first invalid part, or empty
      */
-    Optional<String> take(RelayAnswer answer) {
-        Optional<String> fault = Optional.empty();
+    Optional<String> apply(RelayAnswer answer) {
+        Optional<String> error = Optional.empty();
         for (CategoryAnswer part : answer.getCategoriesList()) {
-            Optional<String> wrong = take(part);
-            fault = fault.isPresent() ? fault : wrong;
+            Optional<String> partError = apply(part);
+            error = error.isPresent() ? error : partError;
         }
-        return fault;
+        return error;
     }
 
-    private Optional<String> take(CategoryAnswer answer) {
+    private Optional<String> apply(CategoryAnswer answer) {
         long nowNanos = mTime.monotonicNanos();
         Optional<CategoryCopy> copy =
                 mCodec.category(answer.getCategory())
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/ReplicaContext.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/ReplicaContext.java
@@ -5,13 +5,13 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * What all parts of a replica work with.
+ * Shared collaborators and settings of all parts of a replica.
  *
  * @param feed the platform's store
  * @param scheduler runs tasks on the control thread
  * @param time the clocks
  * @param random the source of jitter
- * @param settings the times
+ * @param settings the settings
  * @since 0.2
  */
 public record ReplicaContext(
@@ -21,7 +21,7 @@
         UniformRandomProvider random,
         ReplicaSettings settings) {
 
-    /** Checks that the parts are given. */
+    /** Checks that no component is {@code null}. */
     public ReplicaContext {
         Assert.notNull(feed, "A store feed");
         Assert.notNull(scheduler, "A scheduler");
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/ReplicaSettings.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/ReplicaSettings.java
@@ -4,17 +4,17 @@
 import java.time.Duration;
 
 /**
- * The times of a replica.
+ * Settings of a replica.
  *
- * @param calls the times of calls to the store
- * @param outage the times of outages of the store
- * @param relay the times of asking peers
- * @param watching how the instances of an availability zone share watching the store
+ * @param calls the settings of calls to the store
+ * @param outage the settings for outages of the store
+ * @param relay the settings of requests to peers
+ * @param watching the settings of shared watching within an availability zone
  * @since 0.2
  */
 public record ReplicaSettings(Calls calls, Outage outage, Relay relay, Watching watching) {
 
-    /** Times that suit a store which answers within some milliseconds. */
+    /** Default settings, for a store that answers within some milliseconds. */
     public static final ReplicaSettings DEFAULT =
             new ReplicaSettings(
                     new Calls(
@@ -46,7 +46,7 @@
                             Duration.ofSeconds(1),
                             Duration.ofSeconds(3)));
 
-    /** Checks that the parts are given. */
+    /** Checks that no component is {@code null}. */
     public ReplicaSettings {
         Assert.notNull(calls, "The times of calls");
         Assert.notNull(outage, "The times of outages");
@@ -55,9 +55,9 @@
     }
 
     /**
-     * Gives the same settings with another number of watchers.
+     * Returns a copy of the settings with another number of watchers.
      *
-     * @param count how many ready instances of an availability zone watch the store
+     * @param count the number of ready instances of an availability zone that watch the store
      * @return the settings
      */
     public ReplicaSettings withWatchersInZone(int count) {
@@ -66,18 +66,19 @@
                         count,
                         watching.hold(),
                         watching.margin(),
-                        watching.lookEvery(),
+                        watching.checkEvery(),
                         watching.avoidFor(),
                         watching.ownWatchFor());
         return new ReplicaSettings(calls, outage, relay, changed);
     }
 
     /**
-     * Gives settings under which news is never later than a bound. Watchers that all fall silent at
-     * once delay it by one ask and one call, so where that is too long, each instance watches.
+     * Returns settings under which no update is delayed beyond a bound. If all watchers become
+     * unresponsive at once, an update is delayed by one request and one call; if that is too long,
+     * each instance watches the store by itself.
      *
-     * @param bound the shortest time in which a change must be in force
-     * @return the settings, without watchers for others if need be
+     * @param bound the shortest time within which a change must be in force
+     * @return the settings, without shared watching if necessary
      */
     public ReplicaSettings within(Duration bound) {
         Duration latest = watching.hold().plus(watching.margin()).plus(calls.callTimeout());
@@ -85,16 +86,16 @@
     }
 
     /**
-     * The times of calls to the store.
+     * Settings of calls to the store.
      *
      * @param watchWait how long the store may hold a watch
-     * @param callTimeout how long a call that is not held may take
-     * @param listTimeout how long a list may take, page after page
-     * @param firstRetry the bound of the first delay after a failure
-     * @param lastRetry the greatest bound of such delays
+     * @param callTimeout the timeout of a call that is not held
+     * @param listTimeout the timeout of a list with all its pages
+     * @param firstRetry the upper bound of the first delay after a failure
+     * @param lastRetry the maximum upper bound of such delays
      * @param settle how long to wait after changes before the next watch
      * @param serverSettle the same for backend servers
-     * @param serverSettleLimit how long that wait may grow while changes come without a pause
+     * @param serverSettleLimit the maximum of that wait while changes arrive without a pause
      * @since 0.2
      */
     public record Calls(
@@ -124,15 +125,15 @@
     }
 
     /**
-     * The times of outages of the store.
+     * Settings for outages of the store.
      *
-     * @param lostAfter how long the store must have failed to count as lost
-     * @param expiryAfter how long an outage must last for entries to have expired meanwhile
-     * @param confirmWithin how long after the store's return such entries may come back
-     * @param checkEvery how often a silent store is checked, by a cheap probe and by peers
-     * @param acceptRestoredAfter how long after the store came back from an older copy an entry
-     *     counts again that had been deleted, longer than entries of silent servers last
-     * @param tombstoneKept how long deletions are remembered for peers
+     * @param lostAfter how long the store must have failed to be considered lost
+     * @param expiryAfter the minimum duration of an outage during which entries may have expired
+     * @param confirmWithin how long after the store's recovery such entries may be written again
+     * @param checkEvery how often an unresponsive store is checked, by a cheap probe and by peers
+     * @param acceptRestoredAfter how long after a restore of the store from an older copy an entry
+     *     that had been deleted is accepted again, longer than entries of unresponsive servers last
+     * @param tombstoneKept how long deletions are kept for peers
      * @since 0.2
      */
     public record Outage(
@@ -145,65 +146,68 @@
 
         /** Checks that the times are positive. */
         public Outage {
-            Assert.positive(lostAfter.toMillis(), "The time after which a store counts as lost");
+            Assert.positive(
+                    lostAfter.toMillis(), "The time after which a store is considered lost");
             Assert.positive(expiryAfter.toMillis(), "The time after which entries expire");
-            Assert.positive(confirmWithin.toMillis(), "The time for entries to come back");
+            Assert.positive(confirmWithin.toMillis(), "The time for entries to be written again");
             Assert.positive(checkEvery.toMillis(), "The time between checks");
-            Assert.positive(acceptRestoredAfter.toMillis(), "The time until deleted entries count");
-            Assert.positive(tombstoneKept.toMillis(), "The time that deletions are remembered");
+            Assert.positive(
+                    acceptRestoredAfter.toMillis(), "The time until deleted entries are accepted");
+            Assert.positive(tombstoneKept.toMillis(), "The time for which deletions are kept");
         }
     }
 
     /**
-     * The times of asking peers while the store is lost.
+     * Settings of requests to peers while the store is lost.
      *
-     * @param lookEvery how often the revisions of peers are looked at
-     * @param pollEvery how often a peer is asked though none reports more than is known
-     * @param timeout how long a peer may take
-     * @param avoidFor how long a peer that failed is passed over
+     * @param checkEvery how often the revisions of peers are checked
+     * @param pollEvery how often a peer is queried although none reports a newer revision
+     * @param timeout the timeout of a request to a peer
+     * @param avoidFor how long a peer that failed is not queried
      * @since 0.2
      */
     public record Relay(
-            Duration lookEvery, Duration pollEvery, Duration timeout, Duration avoidFor) {
+            Duration checkEvery, Duration pollEvery, Duration timeout, Duration avoidFor) {
 
         /** Checks that the times are positive. */
         public Relay {
-            Assert.positive(lookEvery.toMillis(), "The time between looks at peers");
-            Assert.positive(pollEvery.toMillis(), "The time between asks of peers");
+            Assert.positive(checkEvery.toMillis(), "The time between checks of peers");
+            Assert.positive(pollEvery.toMillis(), "The time between requests to peers");
             Assert.positive(timeout.toMillis(), "The timeout of a peer");
-            Assert.positive(avoidFor.toMillis(), "The time to pass over a peer");
+            Assert.positive(avoidFor.toMillis(), "The time to avoid a peer");
         }
     }
 
     /**
-     * How the instances of an availability zone share watching the store.
+     * Settings of the shared watching of the store by the instances of an availability zone.
      *
-     * @param watchersInZone how many ready instances of a zone watch it while the others hear from
-     *     them; 0 if all watch it
-     * @param hold how long a watcher may hold an ask when there is nothing new
-     * @param margin how much later its answer may come before the connection counts as silent
-     * @param lookEvery how often the instances of the zone are looked at
-     * @param avoidFor how long a watcher that failed is not asked again
-     * @param ownWatchFor how long an instance watches by itself at least once its watchers have
-     *     failed
+     * @param watchersInZone the number of ready instances of a zone that watch the store for the
+     *     others; 0 if all instances watch it
+     * @param hold how long a watcher may hold a request while there is no change
+     * @param margin how much later its answer may arrive before the connection is considered
+     *     unresponsive
+     * @param checkEvery how often the instances of the zone are checked
+     * @param avoidFor how long a watcher that failed is not queried
+     * @param ownWatchFor the minimum time for which an instance watches by itself once its watchers
+     *     have failed
      * @since 0.2
      */
     public record Watching(
             int watchersInZone,
             Duration hold,
             Duration margin,
-            Duration lookEvery,
+            Duration checkEvery,
             Duration avoidFor,
             Duration ownWatchFor) {
 
         /** Checks that the count is not negative and the times are positive. */
         public Watching {
             Assert.notNegative(watchersInZone, "A number of watchers");
-            Assert.positive(hold.toMillis(), "The time that an ask is held");
-            Assert.positive(margin.toMillis(), "The margin of a held ask");
-            Assert.positive(lookEvery.toMillis(), "The time between looks at a zone");
-            Assert.positive(avoidFor.toMillis(), "The time to pass over a watcher");
-            Assert.positive(ownWatchFor.toMillis(), "The time of an own watch");
+            Assert.positive(hold.toMillis(), "The time for which a request is held");
+            Assert.positive(margin.toMillis(), "The margin of a held request");
+            Assert.positive(checkEvery.toMillis(), "The time between checks of a zone");
+            Assert.positive(avoidFor.toMillis(), "The time to avoid a watcher");
+            Assert.positive(ownWatchFor.toMillis(), "The time of watching by itself");
         }
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/ReplicaStatus.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/ReplicaStatus.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * How current a replica is, for logs and metrics.
+ * Snapshot of how current a replica is, for logs and metrics.
  *
- * @param usable whether requests can be decided on it
- * @param storeLost whether the store counts as lost
+ * @param usable whether requests can be routed by it
+ * @param storeLost whether the store is considered lost
  * @param storeStateAge for how long the store's calls have failed or succeeded
- * @param unconfirmedServers how many servers are kept though their entries are gone
- * @param unreadableEntries how many entries of servers cannot be read now
- * @param unreadableSeen how many changes of entries could not be read since the start
- * @param categories the copies
+ * @param unconfirmedServers the number of servers that are kept although their entries were removed
+ * @param unreadableEntries the number of server entries that are currently unreadable
+ * @param unreadableSeen the number of unreadable changes of entries since the start
+ * @param categories the status of each copy
  * @since 0.2
  */
 public record ReplicaStatus(
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RetryDelays.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RetryDelays.java
@@ -4,7 +4,10 @@
 import java.time.Duration;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Spreads retries: between half a bound and the bound, which doubles with each failure. */
+/**
+ * Exponential backoff with jitter: a delay is between half a bound and the bound, which doubles
+ * with each failure.
+ */
 final class RetryDelays {
 
     private static final int MAXIMUM_DOUBLINGS = 16;
@@ -14,10 +17,10 @@
     private final UniformRandomProvider mRandom;
 
     /**
-     * Makes the delays.
+     * Creates the delays.
      *
-     * @param first the bound of the first delay, positive
-     * @param last the greatest bound
+     * @param first the upper bound of the first delay, positive
+     * @param last the maximum upper bound
      * @param random the source of the jitter
      */
     RetryDelays(Duration first, Duration last, UniformRandomProvider random) {
@@ -29,7 +32,7 @@
     /**
      * Draws the delay before the next attempt.
      *
-     * @param failures how many attempts have failed in a row, at least 1
+     * @param failures the number of consecutive failed attempts, at least 1
      * @return the delay
      */
     Duration after(int failures) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RoutingReader.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RoutingReader.java
@@ -7,9 +7,9 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the routing configuration again, so that this instance can prove that it has the newest. A
- * watch cannot show that: one that tells nothing may be dead, and one that is answered may have
- * been deaf. For the control thread.
+ * Reader that lists the routing configuration again, so that this instance can prove that it has
+ * the newest one. A watch cannot prove that: one without changes may be dead, and one that is
+ * answered may have missed changes. Confined to the control thread.
  *
  * @since 0.2
  */
@@ -19,9 +19,9 @@
     private final CategoryCopy mCopy;
     private final RoutingTable mTable;
     private final Runnable mApplied;
-    private final BooleanSupplier mIsSettled;
-    private Moment mWithheld;
-    private Consumer<FreshnessProof> mProven = proof -> {};
+    private final BooleanSupplier mSettled;
+    private Moment mUnprovenRequest;
+    private Consumer<FreshnessProof> mProofListener = proof -> {};
 
     RoutingReader(
             ReplicaContext context,
@@ -29,7 +29,7 @@
             RoutingTable table,
             BooleanSupplier isSettled,
             Runnable applied) {
-        mIsSettled = isSettled;
+        mSettled = isSettled;
         mContext = context;
         mCopy = copy;
         mTable = table;
@@ -37,16 +37,16 @@
     }
 
     /**
-     * Says who hears of proofs, those of lists that were made for another reason included.
+     * Sets the listener for proofs, including those from lists that were made for another reason.
      *
      * @param listener the listener, on the control thread
      */
     public void setProofListener(Consumer<FreshnessProof> listener) {
-        mProven = listener;
+        mProofListener = listener;
     }
 
     /**
-     * Gives the revision of the newest configuration that could be read.
+     * Returns the revision of the newest readable configuration.
      *
      * @return the revision, 0 before there is one
      */
@@ -57,19 +57,19 @@
     /**
      * Reads the configuration once.
      *
-     * @param ended hears whether it could be read
+     * @param completed receives whether it could be read
      */
-    public void read(Consumer<Boolean> ended) {
-        Moment before = Moment.of(mContext.time());
+    public void read(Consumer<Boolean> completed) {
+        Moment requested = Moment.of(mContext.time());
         mContext.feed()
                 .list(
                         Category.ROUTING,
                         mContext.settings().calls().callTimeout(),
-                        result -> take(before, result, ended));
+                        result -> apply(requested, result, completed));
     }
 
-    private void take(
-            Moment before, Either<FeedError, FeedResult> result, Consumer<Boolean> ended) {
+    private void apply(
+            Moment requested, Either<FeedError, FeedResult> result, Consumer<Boolean> completed) {
         result.peek(
                 content -> {
                     long now = mContext.time().monotonicNanos();
@@ -79,33 +79,35 @@
                             CopySource.STORE,
                             now);
                     mApplied.run();
-                    listed(before);
+                    listed(requested);
                 });
-        ended.accept(result.isRight());
+        completed.accept(result.isRight());
     }
 
     /**
-     * Hears that the copy has taken a list that was asked for at a moment. What a store says that
-     * has come back from an older copy proves nothing until its writers have written again.
+     * Records that a list requested at the given moment was applied to the copy. The contents of a
+     * store that was restored from an older copy prove nothing until its writers have written
+     * again.
      */
-    void listed(Moment before) {
-        if (mIsSettled.getAsBoolean()) {
-            mProven.accept(new FreshnessProof(before, mCopy.contentRevision()));
+    void listed(Moment requested) {
+        if (mSettled.getAsBoolean()) {
+            mProofListener.accept(new FreshnessProof(requested, mCopy.contentRevision()));
         } else {
-            mWithheld = before;
+            mUnprovenRequest = requested;
         }
     }
 
     /**
-     * Hears that the store's word counts now.
+     * Records that the contents of the store are authoritative now.
      *
-     * @param hadBefore whether it has counted all along, so that what was read is a proof
+     * @param settledBeforeStart whether they were authoritative before this instance started, so
+     *     that a previous read is a proof
      */
-    void settled(boolean hadBefore) {
-        Moment withheld = mWithheld;
-        mWithheld = null;
-        if (hadBefore && withheld != null) {
-            listed(withheld);
+    void settled(boolean settledBeforeStart) {
+        Moment unproven = mUnprovenRequest;
+        mUnprovenRequest = null;
+        if (settledBeforeStart && unproven != null) {
+            listed(unproven);
         }
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RoutingTable.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RoutingTable.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The routing configuration in force, which only moves to higher versions. */
+/** Routing configuration in force, which is replaced only by higher versions. */
 final class RoutingTable implements CopyListener {
 
     private static final Logger sLogger = LoggerFactory.getLogger(RoutingTable.class);
@@ -20,7 +20,7 @@
     private long mRevision;
 
     /**
-     * Makes a table without a configuration.
+     * Creates a table without a configuration.
      *
      * @param translator reads the documents
      */
@@ -32,12 +32,15 @@
         return Optional.ofNullable(mRouting);
     }
 
-    /** Gives the revision of the newest document that could be read, 0 before there is one. */
+    /** Returns the revision of the newest readable document, 0 before there is one. */
     long revision() {
         return mRevision;
     }
 
-    /** Gives how long servers of a service are cold after their start; zero if it is unknown. */
+    /**
+     * Returns how long servers of a service are cold after their start; zero if the service is
+     * unknown.
+     */
     Duration warmUp(ServiceId service) {
         return routing()
                 .map(routing -> routing.services().get(service))
@@ -45,7 +48,7 @@
                 .orElse(Duration.ZERO);
     }
 
-    /** Tells once whether anything has changed since the last call. */
+    /** Returns whether anything has changed since the last call, and resets that state. */
     boolean takeChanged() {
         boolean changed = mChanged;
         mChanged = false;
@@ -58,7 +61,8 @@
                 DocumentParsing.guard(() -> mTranslator.routing(document.content()));
         if (read.isLeft()) {
             sLogger.warn(
-                    "STORE  routing {} at revision {} is unreadable, the last good one stays: {}",
+                    "STORE  routing {} at revision {} is unreadable, keeping the last valid one:"
+                            + " {}",
                     document.name(),
                     document.revision(),
                     read.getLeft());
@@ -74,7 +78,7 @@
     }
 
     @Override
-    public boolean isOvertaken(StoredDocument document, StoredDocument other) {
+    public boolean isSuperseded(StoredDocument document, StoredDocument other) {
         return !document.content().equals(other.content()) && version(document) < version(other);
     }
 
@@ -83,7 +87,9 @@
         mRevision = Math.max(mRevision, revision);
     }
 
-    /** Gives the version that the operator gave it, below all others if it cannot be read. */
+    /**
+     * Returns the version set by the operator, or the lowest value if the document is unreadable.
+     */
     private long version(StoredDocument document) {
         return DocumentParsing.guard(() -> mTranslator.routing(document.content()))
                 .map(RoutingConfiguration::version)
@@ -92,6 +98,6 @@
 
     @Override
     public void removed(String name, long revision) {
-        sLogger.warn("STORE  routing {} was deleted, the last good one stays", name);
+        sLogger.warn("STORE  routing {} was deleted, keeping the last valid one", name);
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/Scheduler.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/Scheduler.java
@@ -3,18 +3,18 @@
 import java.time.Duration;
 
 /**
- * Runs tasks later on the thread that asks for it.
+ * Strategy interface for running delayed tasks on the calling thread.
  *
  * @since 0.2
  */
 public interface Scheduler {
 
     /**
-     * Runs a task once.
+     * Schedules a task to run once.
      *
-     * @param delay the least time until it runs; zero for as soon as the thread is free
+     * @param delay the minimum time until it runs; zero to run as soon as the thread is free
      * @param task the task
-     * @return stops the task from running when run; harmless when it has run
+     * @return cancels the task when run; has no effect if the task has already run
      */
     Runnable schedule(Duration delay, Runnable task);
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/ServerDocuments.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/ServerDocuments.java
@@ -19,20 +19,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The backend servers whose documents can be read.
+ * Table of the backend servers with readable documents.
  *
- * <p>A document that cannot be read names no server, also where a good one stood before it. One
- * that was overtaken by a later run of its server changes nothing, unless the server lets it stand.
- * A server whose entry is gone though it did not leave is kept for a while if the store may have
- * let it expire while nobody could renew it. A server that has not reported yet is left out while
- * others of its service have, and is cold where none has; one that never reports is not used. For
- * the control thread.
+ * <p>An unreadable document removes its server, even if an earlier one was readable. A document
+ * that was overtaken by a later run of its server changes nothing, unless the server does not
+ * replace it. A server whose entry was removed without the server leaving is kept for a while if
+ * the entry may have expired while the store was unavailable for renewal. A server that has not
+ * reported yet is omitted while others of its service have, and is cold if none has; one that never
+ * reports is not used. Confined to the control thread.
  */
 final class ServerDocuments implements CopyListener {
 
     private static final Logger sLogger = LoggerFactory.getLogger(ServerDocuments.class);
 
-    /** A living server renews its entry several times within this. */
+    /** A running server renews its entry several times within this period. */
     private static final long OVERTAKEN_NANOS = TimeUnit.SECONDS.toNanos(5);
 
     private final DocumentTranslator mTranslator;
@@ -44,17 +44,17 @@
     private final Map<String, Long> mUnreportedSince = new HashMap<>();
 
     /**
-     * Servers that started again, of whose present run one entry was seen. It may still hold the
-     * state of the run before, so they count as cold until the next, or for as long as a start
-     * takes.
+     * Restarted servers with a single entry of their current run so far. That entry may still hold
+     * the state of the previous run, so they are cold until the next entry, or for the warm-up
+     * time.
      */
-    private final Map<String, Long> mStartedAgainSince = new HashMap<>();
+    private final Map<String, Long> mRestartedSince = new HashMap<>();
 
-    private boolean mKeepsVanished;
+    private boolean mRetainsRemoved;
     private boolean mChanged;
 
     /**
-     * Makes an empty table.
+     * Creates an empty table.
      *
      * @param translator reads the documents
      */
@@ -63,27 +63,27 @@
     }
 
     /**
-     * Says whether entries that vanish may have expired while the store was away.
+     * Sets whether removed entries may have expired while the store was unavailable.
      *
-     * @param keepsVanished whether to keep them until {@link #dropUnconfirmed}
+     * @param retainsRemoved whether to keep them until {@link #dropUnconfirmed}
      */
-    void keepVanished(boolean keepsVanished) {
-        mKeepsVanished = keepsVanished;
+    void setRetainsRemoved(boolean retainsRemoved) {
+        mRetainsRemoved = retainsRemoved;
     }
 
     int unconfirmed() {
         return mUnconfirmed.size();
     }
 
-    /** Drops the servers whose entries have not come back. */
+    /** Removes the servers whose entries have not been written again. */
     void dropUnconfirmed() {
         for (String name : mUnconfirmed) {
-            forget(name);
+            discard(name);
         }
         mUnconfirmed.clear();
     }
 
-    /** Tells once whether anything has changed since the last call. */
+    /** Returns whether anything has changed since the last call, and resets that state. */
     boolean takeChanged() {
         boolean changed = mChanged;
         mChanged = false;
@@ -91,9 +91,9 @@
     }
 
     /**
-     * Gives the servers that may get requests, by their ids.
+     * Returns the servers that may receive requests, by id.
      *
-     * @param warmUp how long a server of a service is cold after its start at most
+     * @param warmUp the maximum time for which a server of a service is cold after its start
      * @param nowNanos the monotonic time
      * @return the servers
      */
@@ -104,7 +104,7 @@
         Map<BackendServerId, RegisteredServer> servers = new HashMap<>();
         for (Map.Entry<String, RegisteredServer> entry : mServers.entrySet()) {
             RegisteredServer server = entry.getValue();
-            Long startedNanos = mStartedAgainSince.get(entry.getKey());
+            Long startedNanos = mRestartedSince.get(entry.getKey());
             if (startedNanos != null) {
                 long warmNanos = warmNanos(server, startedNanos, warmUp);
                 server = server.isCold(warmNanos) ? server : server.withColdUntil(warmNanos);
@@ -138,15 +138,15 @@
     }
 
     /**
-     * Tells when time alone changes the servers: one that has not reported is not waited for any
-     * longer, or a document that seemed to be overtaken has stood.
+     * Returns when the next time-based change of the servers is due: the wait for a server's first
+     * report ends, or a document that seemed overtaken is accepted.
      *
-     * @param warmUp how long a server of a service is cold after its start at most
+     * @param warmUp the maximum time for which a server of a service is cold after its start
      * @param nowNanos the monotonic time
-     * @return the time until the next, or empty if there is none
+     * @return the time until the next change, or empty if there is none
      */
     Optional<Duration> untilNextDue(Function<ServiceId, Duration> warmUp, long nowNanos) {
-        Stream<Long> silent =
+        Stream<Long> unreported =
                 mUnreportedSince.entrySet().stream()
                         .map(
                                 each ->
@@ -155,13 +155,16 @@
                                                 each.getValue(),
                                                 warmUp));
         Stream<Long> overtaken = mOvertaken.values().stream().map(Overtaken::untilNanos);
-        return Stream.concat(silent, overtaken)
+        return Stream.concat(unreported, overtaken)
                 .filter(dueNanos -> dueNanos - nowNanos > 0)
                 .map(dueNanos -> Duration.ofNanos(dueNanos - nowNanos))
                 .min(Comparator.naturalOrder());
     }
 
-    /** Takes the documents that their servers let stand: then it was the clock that went back. */
+    /**
+     * Accepts the documents that their servers have not replaced: in that case the server's clock
+     * was set back.
+     */
     private void acceptOvertaken(long nowNanos) {
         Iterator<Overtaken> overtaken = mOvertaken.values().iterator();
         while (overtaken.hasNext()) {
@@ -170,16 +173,16 @@
                 overtaken.remove();
                 StoredDocument document = each.document();
                 mRuns.acceptOvertaken(document.name(), mTranslator.report(document.content()));
-                startedAgain(document);
+                restarted(document);
                 put(document, each.server(), each.stateNanos());
             }
         }
     }
 
     /**
-     * Tells whether a server was first seen lately whose report must be about to come.
+     * Returns whether the first report of a recently registered server is expected soon.
      *
-     * @param within how long ago at most
+     * @param within the maximum time since the server was first seen
      * @param nowNanos the monotonic time
      * @return whether there is one
      */
@@ -198,15 +201,15 @@
                         () -> mTranslator.server(name, document.content(), stateNanos));
         if (read.isLeft()) {
             mUnreadable.add(document, read.getLeft());
-            forget(name);
+            discard(name);
             return;
         }
         mUnreadable.remove(name);
         ServerReport report = mTranslator.report(document.content());
-        ServerRuns.Verdict verdict = mRuns.take(name, report);
+        ServerRuns.Verdict verdict = mRuns.update(name, report);
         if (verdict == ServerRuns.Verdict.OVERTAKEN) {
             sLogger.info(
-                    "STORE  server {} at revision {} was overtaken: {}",
+                    "STORE  ignored an overtaken entry of server {} at revision {}: {}",
                     name,
                     document.revision(),
                     report);
@@ -214,19 +217,19 @@
             mChanged = true;
             return;
         }
-        mChanged |= mStartedAgainSince.remove(name) != null;
+        mChanged |= mRestartedSince.remove(name) != null;
         if (verdict == ServerRuns.Verdict.STARTED_AGAIN) {
-            startedAgain(document);
-            mStartedAgainSince.put(name, stateNanos);
+            restarted(document);
+            mRestartedSince.put(name, stateNanos);
         }
         put(document, read.get(), stateNanos);
     }
 
-    private void startedAgain(StoredDocument document) {
+    private void restarted(StoredDocument document) {
         mUnreportedSince.remove(document.name());
         mServers.remove(document.name());
         sLogger.info(
-                "STORE  server {} started again, seen at revision {}",
+                "STORE  server {} has restarted, detected at revision {}",
                 document.name(),
                 document.revision());
     }
@@ -244,7 +247,7 @@
         mChanged |= !server.equals(before);
     }
 
-    /** An entry that came back without its report does not undo what was reported before. */
+    /** An entry that was written again without a report does not discard the earlier report. */
     private RegisteredServer unreported(
             String name, RegisteredServer server, RegisteredServer before, long stateNanos) {
         if (before != null && !mUnreportedSince.containsKey(name)) {
@@ -262,26 +265,26 @@
         if (server == null) {
             return;
         }
-        if (mKeepsVanished && !server.leaving()) {
+        if (mRetainsRemoved && !server.leaving()) {
             mUnconfirmed.add(name);
             return;
         }
         mUnconfirmed.remove(name);
-        forget(name);
+        discard(name);
     }
 
-    private void forget(String name) {
+    private void discard(String name) {
         mChanged |= mServers.remove(name) != null;
         mUnreportedSince.remove(name);
-        mStartedAgainSince.remove(name);
+        mRestartedSince.remove(name);
     }
 
-    /** Gives the entries that cannot be read. */
+    /** Returns the unreadable entries. */
     UnreadableEntries unreadable() {
         return mUnreadable;
     }
 
-    /** A document that seems to be of a run that ended before. */
+    /** Document that seems to be of a run that has already ended. */
     private record Overtaken(StoredDocument document, RegisteredServer server, long stateNanos) {
 
         long untilNanos() {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/ServerRuns.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/ServerRuns.java
@@ -7,127 +7,133 @@
 import java.util.OptionalLong;
 
 /**
- * Tells the runs of servers apart that start again under their ids.
+ * Registry that distinguishes the runs of servers that restart under the same id.
  *
- * <p>Another time of birth is another run, also an earlier one, since clocks are set back; but a
- * time that belonged to a run before is a late word of it. Without a time of birth, a count of
- * reports that goes back is another run. For the control thread.
+ * <p>A different start time denotes a new run, even if it is earlier, since clocks are set back;
+ * but the start time of a former run denotes a late statement of that run. Without a start time, a
+ * decreasing report count denotes a new run. Confined to the control thread.
  */
 final class ServerRuns {
 
-    /** Which run an entry is of. */
+    /** Run to which an entry belongs. */
     enum Verdict {
-        /** The run that is known. */
+        /** The known run. */
         CURRENT,
-        /** A run that was not seen before. */
+        /** A run that has not been seen before. */
         STARTED_AGAIN,
-        /** The run that is known, or one before it, in an entry that was overtaken. */
+        /** The known run or a former one, in an entry that was overtaken by a later one. */
         OVERTAKEN
     }
 
     /**
-     * Ids whose runs are remembered, so that what registers without end takes bounded memory; ten
-     * times the servers of a large deployment.
+     * Maximum number of ids whose runs are kept, which bounds the memory if new servers keep
+     * registering; ten times the servers of a large deployment.
      */
-    private static final int MAXIMUM_REMEMBERED = 8_192;
+    private static final int MAXIMUM_SERVERS = 8_192;
 
-    /** Runs before the current one whose late words are known for what they are. */
-    private static final int FORMER_REMEMBERED = 4;
+    /** Maximum number of former runs whose late statements are recognized. */
+    private static final int MAXIMUM_FORMER_RUNS = 4;
 
     private final Map<String, Run> mRuns =
             new LinkedHashMap<>() {
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, Run> eldest) {
-                    return size() > MAXIMUM_REMEMBERED;
+                    return size() > MAXIMUM_SERVERS;
                 }
             };
 
     /**
-     * Takes an entry.
+     * Evaluates and records an entry.
      *
      * @param name the id of the server
-     * @param report what the entry says of its run
-     * @return which run it is of; one that was overtaken changes nothing here
+     * @param report the statement of the entry about its run
+     * @return the run to which it belongs; an overtaken entry changes nothing here
      */
-    Verdict take(String name, ServerReport report) {
+    Verdict update(String name, ServerReport report) {
         Run run = mRuns.get(name);
         if (run == null) {
             mRuns.put(name, new Run(report));
             return Verdict.CURRENT;
         }
-        Verdict verdict = run.judge(report);
+        Verdict verdict = run.evaluate(report);
         if (verdict == Verdict.CURRENT) {
-            run.goOn(report);
+            run.continueRun(report);
         } else if (verdict == Verdict.STARTED_AGAIN) {
-            run.startAgain(report);
+            run.restart(report);
         }
         return verdict;
     }
 
     /**
-     * Takes an entry that was held for overtaken, since its server has not contradicted it.
+     * Accepts an entry that was considered overtaken, since its server has not contradicted it.
      *
      * @param name the id of the server
-     * @param report what the entry says of its run
+     * @param report the statement of the entry about its run
      */
     void acceptOvertaken(String name, ServerReport report) {
-        mRuns.computeIfAbsent(name, absent -> new Run(report)).startAgain(report);
+        mRuns.computeIfAbsent(name, absent -> new Run(report)).restart(report);
     }
 
-    /** Counts the runs of a server that were seen before the current one. */
+    /** Returns the number of runs of a server that were seen before the current one. */
     int restartCount(String name) {
         Run run = mRuns.get(name);
-        return run == null ? 0 : run.mNumber;
+        return run == null ? 0 : run.mRestartCount;
     }
 
-    /** What is known of one server. */
+    /** Known state of one server. */
     private static final class Run {
 
-        private final Deque<Long> mFormer = new ArrayDeque<>();
-        private OptionalLong mBorn;
+        private final Deque<Long> mFormerStartMillis = new ArrayDeque<>();
+        private OptionalLong mStartMillis;
         private OptionalLong mSequence;
-        private int mNumber;
+        private int mRestartCount;
 
         Run(ServerReport report) {
-            mBorn = report.bornMillis();
+            mStartMillis = report.bornMillis();
             mSequence = report.sequence();
         }
 
-        Verdict judge(ServerReport report) {
+        Verdict evaluate(ServerReport report) {
             boolean comparable = mSequence.isPresent() && report.sequence().isPresent();
-            boolean goesBack = comparable && report.sequence().getAsLong() < mSequence.getAsLong();
-            if (mBorn.isEmpty() || report.bornMillis().isEmpty()) {
-                return goesBack ? Verdict.STARTED_AGAIN : Verdict.CURRENT;
+            boolean isDecreasing =
+                    comparable && report.sequence().getAsLong() < mSequence.getAsLong();
+            if (mStartMillis.isEmpty() || report.bornMillis().isEmpty()) {
+                return isDecreasing ? Verdict.STARTED_AGAIN : Verdict.CURRENT;
             }
-            long born = report.bornMillis().getAsLong();
-            if (born == mBorn.getAsLong()) {
-                return goesBack ? Verdict.OVERTAKEN : Verdict.CURRENT;
+            long startMillis = report.bornMillis().getAsLong();
+            if (startMillis == mStartMillis.getAsLong()) {
+                return isDecreasing ? Verdict.OVERTAKEN : Verdict.CURRENT;
             }
-            return mFormer.contains(born) ? Verdict.OVERTAKEN : Verdict.STARTED_AGAIN;
+            return mFormerStartMillis.contains(startMillis)
+                    ? Verdict.OVERTAKEN
+                    : Verdict.STARTED_AGAIN;
         }
 
-        /** Counts start anew, so one that goes on was left in the entry by the run before. */
-        private boolean isOfTheFormerRun(OptionalLong sequence) {
+        /**
+         * Counts restart with each run, so one that continues was left in the entry by the previous
+         * run.
+         */
+        private boolean isLeftByFormerRun(OptionalLong sequence) {
             return sequence.isPresent()
                     && mSequence.isPresent()
                     && sequence.getAsLong() >= mSequence.getAsLong();
         }
 
-        void goOn(ServerReport report) {
-            mBorn = report.bornMillis().isPresent() ? report.bornMillis() : mBorn;
+        void continueRun(ServerReport report) {
+            mStartMillis = report.bornMillis().isPresent() ? report.bornMillis() : mStartMillis;
             mSequence = report.sequence().isPresent() ? report.sequence() : mSequence;
         }
 
-        void startAgain(ServerReport report) {
-            mBorn.ifPresent(mFormer::addLast);
-            if (mFormer.size() > FORMER_REMEMBERED) {
-                mFormer.removeFirst();
+        void restart(ServerReport report) {
+            mStartMillis.ifPresent(mFormerStartMillis::addLast);
+            if (mFormerStartMillis.size() > MAXIMUM_FORMER_RUNS) {
+                mFormerStartMillis.removeFirst();
             }
-            report.bornMillis().ifPresent(mFormer::remove);
-            mBorn = report.bornMillis();
+            report.bornMillis().ifPresent(mFormerStartMillis::remove);
+            mStartMillis = report.bornMillis();
             mSequence =
-                    isOfTheFormerRun(report.sequence()) ? OptionalLong.empty() : report.sequence();
-            mNumber++;
+                    isLeftByFormerRun(report.sequence()) ? OptionalLong.empty() : report.sequence();
+            mRestartCount++;
         }
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/SettleTimes.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/SettleTimes.java
@@ -4,38 +4,38 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Says how long to wait after changes before the next watch, so that a burst costs few calls.
+ * Delays between changes and the next watch, which limit the calls made during a burst.
  *
- * <p>The wait doubles while changes come without a pause, up to a limit, but stays at the shortest
- * while more news are urgent.
+ * <p>The wait doubles while changes arrive without a pause, up to a limit, but stays at the minimum
+ * while further updates are urgent.
  */
 final class SettleTimes {
 
-    private final Duration mShortest;
-    private final Duration mLongest;
+    private final Duration mMin;
+    private final Duration mMax;
     private final BooleanSupplier mUrgent;
     private Duration mNext;
 
     /**
-     * Makes the times.
+     * Creates the times.
      *
-     * @param shortest the wait after a single change
-     * @param longest the limit while changes go on
-     * @param urgent tells whether more news are waited for
+     * @param min the wait after a single change
+     * @param max the limit while changes continue
+     * @param urgent returns whether further updates are expected soon
      */
-    SettleTimes(Duration shortest, Duration longest, BooleanSupplier urgent) {
-        mShortest = shortest;
-        mLongest = longest;
+    SettleTimes(Duration min, Duration max, BooleanSupplier urgent) {
+        mMin = min;
+        mMax = max;
         mUrgent = urgent;
-        mNext = shortest;
+        mNext = min;
     }
 
     /**
-     * Makes the times of a category.
+     * Creates the times for a category.
      *
      * @param category the category
      * @param settings the settings
-     * @param urgent tells whether more news of backend servers are waited for
+     * @param urgent returns whether further updates of backend servers are expected soon
      * @return the times
      */
     static SettleTimes of(
@@ -46,26 +46,26 @@
     }
 
     /**
-     * Gives the wait after a watch.
+     * Returns the wait after a watch.
      *
-     * @param changes how many changes it brought
+     * @param changes the number of changes that it returned
      * @param held how long it was held
-     * @return the wait before the next
+     * @return the wait before the next watch
      */
     Duration after(int changes, Duration held) {
         if (changes == 0) {
-            mNext = mShortest;
+            mNext = mMin;
             return Duration.ZERO;
         }
         if (mUrgent.getAsBoolean()) {
-            return mShortest;
+            return mMin;
         }
-        if (held.compareTo(mLongest) > 0) {
-            mNext = mShortest;
+        if (held.compareTo(mMax) > 0) {
+            mNext = mMin;
         }
         Duration wait = mNext;
         Duration doubled = mNext.multipliedBy(2);
-        mNext = doubled.compareTo(mLongest) > 0 ? mLongest : doubled;
+        mNext = doubled.compareTo(mMax) > 0 ? mMax : doubled;
         return wait;
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/SettledListener.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/SettledListener.java
@@ -1,7 +1,7 @@
 package io.masticpond.entry.replica;
 
 /**
- * Hears from when on the store's word counts.
+ * Callback interface for the moment from which the contents of the store are authoritative.
  *
  * @since 0.3
  */
@@ -9,11 +9,11 @@
 public interface SettledListener {
 
     /**
-     * The writers have had time to write again what the store may have lost.
+     * Called when the writers have had time to write again what the store may have lost.
      *
      * @param era the era of the store
-     * @param hadBefore whether that was so before this instance started, so that what it has read
-     *     counts
+     * @param settledBeforeStart whether the store had settled before this instance started, so that
+     *     what it has read so far is valid
      */
-    void settled(long era, boolean hadBefore);
+    void settled(long era, boolean settledBeforeStart);
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/SnapshotListener.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/SnapshotListener.java
@@ -3,17 +3,18 @@
 import io.masticpond.core.fleet.FleetSnapshot;
 
 /**
- * Hears each new snapshot of routes, servers and evacuations, on the control thread.
+ * Callback interface for new snapshots of routes, servers and evacuations. Called on the control
+ * thread.
  *
  * @since 0.2
  */
 public interface SnapshotListener {
 
     /**
-     * Hears a snapshot.
+     * Called with a new snapshot.
      *
      * @param snapshot the snapshot in force from now on
-     * @param source who told what is new in it, none if this instance's own clock made it
+     * @param source the source of its changes, {@link CopySource#NONE} if only time has passed
      */
     void changed(FleetSnapshot snapshot, CopySource source);
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/StoreEra.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/StoreEra.java
@@ -7,9 +7,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The newest era that an answer of the store has told. Each time the store comes back from an older
- * copy, its era rises; answers of an earlier one that arrive late are of a state that is no more.
- * For the control thread.
+ * Newest era that an answer of the store has reported. The era rises each time the store is
+ * restored from an older copy; late answers of an earlier era describe a state that no longer
+ * exists. Confined to the control thread.
  *
  * @since 0.3
  */
@@ -24,11 +24,11 @@
     private boolean mHasWarned;
 
     /**
-     * Takes what the head of an answer says.
+     * Evaluates the era header of an answer.
      *
      * @param values all values of the header, none if it is absent
-     * @return whether the answer is of the newest era, as far as it tells; one that tells nothing
-     *     is taken for current
+     * @return whether the answer is of the newest era; an answer without a valid era is considered
+     *     current
      */
     public boolean isCurrent(List<String> values) {
         if (values.isEmpty()) {
@@ -40,32 +40,32 @@
                         && NUMBER.matcher(text).matches()
                         && Long.parseLong(text) <= StoreRevision.LAST_ERA;
         if (!isEra) {
-            warn(text);
+            warnOnce(text);
             return true;
         }
-        return take(Long.parseLong(text));
+        return update(Long.parseLong(text));
     }
 
-    private boolean take(long era) {
+    private boolean update(long era) {
         if (mHasReceived && era > mNewest) {
-            sLogger.warn("STORE  came back from an older copy: era {} after {}", era, mNewest);
+            sLogger.warn("STORE  restored from an older copy: era {} after {}", era, mNewest);
         }
         mHasReceived = true;
         mNewest = Math.max(mNewest, era);
         return era == mNewest;
     }
 
-    private void warn(String text) {
+    private void warnOnce(String text) {
         if (!mHasWarned) {
             mHasWarned = true;
-            sLogger.warn("STORE  tells an era that is none: {} characters", text.length());
+            sLogger.warn("STORE  sent an invalid era of {} characters", text.length());
         }
     }
 
     /**
-     * Gives the newest era.
+     * Returns the newest era.
      *
-     * @return the era, 0 if none was told
+     * @return the era, 0 if none was reported
      */
     public long newest() {
         return mNewest;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/StoreFeed.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/StoreFeed.java
@@ -6,17 +6,17 @@
 import java.util.function.Consumer;
 
 /**
- * The platform's store as an instance uses it. Calls come from the control thread (one event loop)
- * and their results are given on it; no call blocks.
+ * Strategy interface for access to the platform's store. Called from the control thread (one event
+ * loop), on which results are also delivered; no call blocks.
  *
  * @since 0.2
  */
 public interface StoreFeed {
 
     /**
-     * Tells which era of the store its answers are of.
+     * Returns the era of the store.
      *
-     * @return the newest that any answer has told, 0 if none has
+     * @return the newest era that any answer has reported, 0 if none has
      */
     default long era() {
         return 0;
@@ -27,18 +27,18 @@
      *
      * @param category the kind
      * @param timeout how long the whole list may take
-     * @param result hears the objects or why there are none
+     * @param result receives the objects or the reason for the failure
      */
     void list(Category category, Duration timeout, Consumer<Either<FeedError, FeedResult>> result);
 
     /**
-     * Waits for changes of a kind.
+     * Watches a kind for changes.
      *
      * @param category the kind
      * @param afterRevision the revision seen last
      * @param wait how long the store may hold the call when nothing changes
-     * @param result hears the changes, possibly none, or why there is no answer
-     * @return cancels the wait when run; the result is then not heard
+     * @param result receives the changes, possibly none, or the reason for the failure
+     * @return cancels the watch when run; no result is then delivered
      */
     Runnable watch(
             Category category,
@@ -47,12 +47,12 @@
             Consumer<Either<FeedError, FeedResult>> result);
 
     /**
-     * Writes an object of the system's own, whether it exists or not.
+     * Creates or replaces an object owned by this system.
      *
      * @param category the kind; {@link Category#INSTANCES}
      * @param name the name
      * @param content the content
-     * @param result hears nothing but success, or why it failed
+     * @param result receives the success or the reason for the failure
      */
     void put(
             Category category,
@@ -61,11 +61,11 @@
             Consumer<Either<FeedError, Void>> result);
 
     /**
-     * Deletes an object of the system's own, if it exists.
+     * Deletes an object owned by this system, if it exists.
      *
      * @param category the kind; {@link Category#INSTANCES}
      * @param name the name
-     * @param result hears nothing but success, or why it failed
+     * @param result receives the success or the reason for the failure
      */
     void delete(Category category, String name, Consumer<Either<FeedError, Void>> result);
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/StoreHealth.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/StoreHealth.java
@@ -7,7 +7,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Judges by the ends of calls whether the store can be reached. For the control thread. */
+/** Detector of store outages based on the outcome of calls. Confined to the control thread. */
 final class StoreHealth {
 
     private static final Logger sLogger = LoggerFactory.getLogger(StoreHealth.class);
@@ -23,11 +23,11 @@
     private Runnable mTimer = () -> {};
 
     /**
-     * Starts with a store that has not failed yet.
+     * Creates a detector in the healthy state.
      *
      * @param time the clocks
      * @param scheduler runs the timer
-     * @param lostAfter how long the store must have failed to count as lost
+     * @param lostAfter how long the store must have failed to be considered lost
      */
     StoreHealth(TimeSource time, Scheduler scheduler, Duration lostAfter) {
         mTime = time;
@@ -45,7 +45,9 @@
         return mLost;
     }
 
-    /** Gives the time since which calls have failed, or have succeeded after failures. */
+    /**
+     * Returns the monotonic time since which calls have failed, or have succeeded after failures.
+     */
     long sinceNanos() {
         return mSinceNanos;
     }
@@ -58,7 +60,7 @@
         return mSucceededNanos;
     }
 
-    /** Hears that the store has answered a call. */
+    /** Records that the store has answered a call. */
     void succeeded() {
         mSucceededNanos = mTime.monotonicNanos();
         if (!mFailing) {
@@ -77,7 +79,7 @@
     }
 
     /**
-     * Hears that a call has failed.
+     * Records that a call has failed.
      *
      * @param sinceNanos the monotonic time from which the store did not answer
      */
@@ -88,10 +90,10 @@
         mFailing = true;
         mSinceNanos = sinceNanos;
         long leftNanos = mLostAfter.toNanos() - (mTime.monotonicNanos() - sinceNanos);
-        mTimer = mScheduler.schedule(Duration.ofNanos(Math.max(0, leftNanos)), this::lose);
+        mTimer = mScheduler.schedule(Duration.ofNanos(Math.max(0, leftNanos)), this::markLost);
     }
 
-    private void lose() {
+    private void markLost() {
         if (!mFailing || mLost) {
             return;
         }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/StoreListener.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/StoreListener.java
@@ -3,19 +3,20 @@
 import java.time.Duration;
 
 /**
- * Hears when the platform's store is lost to this instance and when it is back.
+ * Callback interface for the loss and the recovery of this instance's access to the platform's
+ * store.
  *
  * @since 0.2
  */
 public interface StoreListener {
 
-    /** Hears that no call to the store has succeeded for a while. */
+    /** Called when no call to the store has succeeded for a while. */
     void storeLost();
 
     /**
-     * Hears that a call to the store has succeeded again.
+     * Called when a call to the store has succeeded again.
      *
-     * @param outage for how long none did
+     * @param outage how long no call succeeded
      */
     void storeRegained(Duration outage);
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/StoreProbe.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/StoreProbe.java
@@ -5,9 +5,9 @@
 import java.util.function.Consumer;
 
 /**
- * Asks the store something small, only to see whether it answers this instance.
+ * Strategy interface for a small call that shows whether the store answers this instance.
  *
- * <p>Calls come from the control thread and results are given on it.
+ * <p>Called from the control thread, on which results are also delivered.
  *
  * @since 0.2
  */
@@ -17,14 +17,14 @@
      * Makes the call.
      *
      * @param timeout how long it may take
-     * @param result hears nothing but success, or why there is no answer
+     * @param result receives the success or the reason for the failure
      */
     void probe(Duration timeout, Consumer<Either<FeedError, Void>> result);
 
     /**
-     * Tells whether the call costs so little that it may be made every second.
+     * Returns whether the call is cheap enough to be made every second.
      *
-     * @return whether it does; if not, it is made only while the store fails
+     * @return whether it is cheap; if not, it is made only while the store is failing
      */
     boolean isCheap();
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/StoreProber.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/StoreProber.java
@@ -5,8 +5,8 @@
 import java.time.Duration;
 
 /**
- * Looks whether the store still answers while all calls wait, and whether it is back when it was
- * lost. For the control thread.
+ * Prober that checks whether the store still answers while all watches are held, and whether a lost
+ * store is reachable again. Confined to the control thread.
  */
 final class StoreProber {
 
@@ -16,24 +16,24 @@
     private final TimeSource mTime;
     private final ReplicaSettings mSettings;
     private final RetryDelays mRetries;
-    private final Runnable mOnLook;
+    private final Runnable mOnCheck;
     private int mCall;
     private int mFailures;
     private boolean mIdle;
     private Runnable mTimer = () -> {};
 
     /**
-     * Makes a scout.
+     * Creates a prober.
      *
      * @param context the clocks and times
      * @param probe the call to make
-     * @param health hears how the calls end
-     * @param onLook runs now and then while the store is not lost
+     * @param health records the outcome of the calls
+     * @param onCheck runs at each check while the store is not lost
      */
-    StoreProber(ReplicaContext context, StoreProbe probe, StoreHealth health, Runnable onLook) {
+    StoreProber(ReplicaContext context, StoreProbe probe, StoreHealth health, Runnable onCheck) {
         mProbe = probe;
         mHealth = health;
-        mOnLook = onLook;
+        mOnCheck = onCheck;
         mScheduler = context.scheduler();
         mTime = context.time();
         mSettings = context.settings();
@@ -41,70 +41,73 @@
         mRetries = new RetryDelays(calls.firstRetry(), calls.lastRetry(), context.random());
     }
 
-    /** Looks now and then from now on. */
+    /** Starts periodic checks. */
     void start() {
-        schedule(mSettings.outage().checkEvery(), this::look);
+        schedule(mSettings.outage().checkEvery(), this::check);
     }
 
-    /** Makes no further call. */
+    /** Stops all checks. */
     void stop() {
         mCall++;
         mTimer.run();
     }
 
     /**
-     * Says whether others watch the store for this instance, so that its answers do not matter.
+     * Sets whether other instances watch the store for this one, so that its answers are not
+     * needed.
      *
-     * @param quiet whether to make no call while the store is not lost
+     * @param idle whether to skip probes while the store is not lost
      */
-    void setIdle(boolean quiet) {
-        mIdle = quiet;
+    void setIdle(boolean idle) {
+        mIdle = idle;
     }
 
-    /** Looks at once, and often from now on, since the store is lost. */
+    /** Probes at once, and repeatedly from now on, since the store is lost. */
     void probeNow() {
         mFailures = 0;
-        look();
+        check();
     }
 
-    private void look() {
+    private void check() {
         if (!mHealth.isLost()) {
-            mOnLook.run();
+            mOnCheck.run();
         }
         Duration every = mSettings.outage().checkEvery();
-        boolean wasHeard = mTime.monotonicNanos() - mHealth.succeededNanos() < every.toNanos();
-        boolean isNeeded = mHealth.isLost() || (mProbe.isCheap() && !wasHeard && !mIdle);
+        boolean hasRecentSuccess =
+                mTime.monotonicNanos() - mHealth.succeededNanos() < every.toNanos();
+        boolean isNeeded = mHealth.isLost() || (mProbe.isCheap() && !hasRecentSuccess && !mIdle);
         if (!isNeeded) {
-            schedule(every, this::look);
+            schedule(every, this::check);
             return;
         }
         Duration timeout = mSettings.calls().callTimeout();
         int call = ++mCall;
         long startNanos = mTime.monotonicNanos();
-        schedule(timeout.multipliedBy(2), () -> end(call, startNanos, false));
-        mProbe.probe(timeout, result -> ended(call, startNanos, result));
+        schedule(timeout.multipliedBy(2), () -> complete(call, startNanos, false));
+        mProbe.probe(timeout, result -> probeCompleted(call, startNanos, result));
     }
 
-    private void ended(int call, long startNanos, Either<FeedError, Void> result) {
-        end(call, startNanos, result.isRight());
+    private void probeCompleted(int call, long startNanos, Either<FeedError, Void> result) {
+        complete(call, startNanos, result.isRight());
     }
 
-    private void end(int call, long startNanos, boolean isAnswered) {
+    private void complete(int call, long startNanos, boolean isAnswered) {
         if (call != mCall) {
             return;
         }
         mCall++;
         if (isAnswered) {
             mFailures = 0;
-            schedule(mSettings.outage().checkEvery(), this::look);
+            schedule(mSettings.outage().checkEvery(), this::check);
             mHealth.succeeded();
             return;
         }
         mFailures++;
-        long heldNanos = mTime.monotonicNanos() - startNanos;
-        boolean wasSilent = heldNanos >= mSettings.calls().callTimeout().toNanos();
-        // A silent call has been a pause in itself; a longer one only hides the store's return.
-        schedule(wasSilent ? Duration.ZERO : mRetries.after(mFailures), this::look);
+        long elapsedNanos = mTime.monotonicNanos() - startNanos;
+        boolean hasTimedOut = elapsedNanos >= mSettings.calls().callTimeout().toNanos();
+        // A call that timed out was a pause in itself; a longer one would only delay detecting the
+        // recovery.
+        schedule(hasTimedOut ? Duration.ZERO : mRetries.after(mFailures), this::check);
         mHealth.failed(startNanos);
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/StoreRestoreTracker.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/StoreRestoreTracker.java
@@ -8,19 +8,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the store through its returns from older copies: has all categories listed in the new
- * era, gives the writers time to write again what was lost, and then takes the store's word. For
- * the control thread.
+ * Tracker of restores of the store from older copies: has all categories listed in the new era,
+ * gives the writers time to write again what was lost, and then accepts the contents of the store
+ * as authoritative. Confined to the control thread.
  *
- * <p>An instance that starts cannot know when the store has come back. The entries of others tell:
- * they are written when their instances have settled in an era, so one of the present era says that
- * its writers are done.
+ * <p>An instance that starts cannot know when the store was restored. The entries of other
+ * instances show it: they are written when their instances have settled in an era, so an entry of
+ * the current era means that the writers have finished.
  *
  * @since 0.3
  */
 public final class StoreRestoreTracker {
 
-    /** Stands for an era that no entry of an instance tells. */
+    /** Era value if no entry of an instance reports one. */
     public static final long UNREPORTED = -1;
 
     private static final Logger sLogger = LoggerFactory.getLogger(StoreRestoreTracker.class);
@@ -38,12 +38,12 @@
     private Runnable mAcceptTimer = () -> {};
 
     /**
-     * Begins in the era of the first answer.
+     * Creates a tracker that starts in the era of the first answer.
      *
      * @param context the store, clocks and times
      * @param copies all copies
-     * @param followers what follows them in the store
-     * @param applied hears that the copies may have changed
+     * @param followers the followers of the copies in the store
+     * @param applied runs when the copies may have changed
      */
     StoreRestoreTracker(
             ReplicaContext context,
@@ -57,45 +57,48 @@
     }
 
     /**
-     * Adds a listener of returns.
+     * Adds a listener for restores of the store.
      *
-     * @param listener hears of each
+     * @param listener runs at each restore
      */
     public void addRestoreListener(Runnable listener) {
         mListeners.add(listener);
     }
 
     /**
-     * Adds a listener of the moments from which the store's word counts.
+     * Adds a listener for the moments from which the contents of the store are authoritative.
      *
-     * @param listener hears it at the start and after each return
+     * @param listener notified at the start and after each restore
      */
     public void addSettledListener(SettledListener listener) {
         mSettledListeners.add(listener);
     }
 
     /**
-     * Hears what the entries of all instances tell, which were read at the start.
+     * Evaluates the entries of all instances, which were listed at the start.
      *
      * @param newestEra the newest era in which an instance has settled, or {@link #UNREPORTED}
      */
     public void instancesListed(long newestEra) {
-        look();
+        checkEra();
         boolean isSettledElsewhere = newestEra == UNREPORTED || newestEra >= mEra;
-        boolean isReturning = mCopies.stream().anyMatch(CategoryCopy::isRestoring);
-        if (!mIsSettled && !isReturning && isSettledElsewhere) {
+        boolean isRestoring = mCopies.stream().anyMatch(CategoryCopy::isRestoring);
+        if (!mIsSettled && !isRestoring && isSettledElsewhere) {
             stop();
             becomeSettled(true);
         }
     }
 
-    /** Tells whether the store's word counts: its writers have had time to write again. */
+    /**
+     * Returns whether the contents of the store are authoritative: its writers have had time to
+     * write again.
+     */
     boolean isSettled() {
         return mIsSettled;
     }
 
-    /** Looks whether any answer, or any peer, has told of another era. */
-    void look() {
+    /** Checks whether any answer or any peer has reported a new era. */
+    void checkEra() {
         long era = mContext.feed().era();
         for (CategoryCopy copy : mCopies) {
             era = Math.max(era, StoreRevision.era(copy.revision()));
@@ -119,7 +122,8 @@
     }
 
     private void onRestored() {
-        sLogger.warn("STORE  era {}: what is in force stays until writers have written", mEra);
+        sLogger.warn(
+                "STORE  era {}: the current state is kept until writers have written again", mEra);
         stop();
         mIsSettled = false;
         startSettling();
@@ -134,10 +138,10 @@
                 mContext.scheduler().schedule(times.acceptRestoredAfter(), this::acceptRestored);
     }
 
-    private void becomeSettled(boolean hadBefore) {
+    private void becomeSettled(boolean settledBeforeStart) {
         mIsSettled = true;
         mIsSettling = false;
-        mSettledListeners.forEach(listener -> listener.settled(mEra, hadBefore));
+        mSettledListeners.forEach(listener -> listener.settled(mEra, settledBeforeStart));
     }
 
     void stop() {
@@ -149,9 +153,9 @@
         long nowNanos = mContext.time().monotonicNanos();
         int kept = 0;
         for (CategoryCopy copy : mCopies) {
-            kept += copy.keptOverRestore();
+            kept += copy.countKeptAfterRestore();
             copy.settle(nowNanos);
-            // Servers that have left do not write; their entries expire.
+            // Servers that have left do not write again; their entries expire.
             if (copy.category() != Category.BACKEND_SERVERS) {
                 copy.acceptRestored(nowNanos);
             }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/StoredDocument.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/StoredDocument.java
@@ -3,13 +3,13 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * An object of the store, opaque but for its name and revision.
+ * Object of the store, opaque except for its name and revision.
  *
  * @param category its kind
  * @param name its name
  * @param revision the revision of its last change
  * @param deleted whether it has been deleted, with {@code revision} then that of the deletion
- * @param content the platform's document, passed between instances as it is
+ * @param content the platform's document, passed between instances unchanged
  * @since 0.2
  */
 public record StoredDocument(
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/UnreadableEntries.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/UnreadableEntries.java
@@ -6,14 +6,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Counts and tells of the entries that cannot be read, each once until it can be read again. For
- * the control thread.
+ * Counter and log of unreadable entries. Each entry is logged once until it is readable again.
+ * Confined to the control thread.
  */
 final class UnreadableEntries {
 
     private static final Logger sLogger = LoggerFactory.getLogger(UnreadableEntries.class);
 
-    /** Lines at most, so that a writer of garbage cannot fill the log; the counts go on. */
+    /**
+     * Maximum number of log lines, so that a writer of garbage cannot fill the log; counting
+     * continues.
+     */
     private static final int MAXIMUM_LINES = 200;
 
     private final Set<String> mNames = new HashSet<>();
@@ -21,10 +24,10 @@
     private int mLines;
 
     /**
-     * Takes an entry that cannot be read.
+     * Records an unreadable entry.
      *
      * @param document the entry
-     * @param reason one sentence that says what is wrong
+     * @param reason one sentence that describes the error
      */
     void add(StoredDocument document, String reason) {
         mSeen++;
@@ -39,17 +42,17 @@
         }
     }
 
-    /** Takes that an entry is good again, or gone. */
+    /** Records that an entry is readable again or was removed. */
     void remove(String name) {
         mNames.remove(name);
     }
 
-    /** Counts all changes that could not be read. */
+    /** Returns the number of all unreadable changes since the start. */
     long seen() {
         return mSeen;
     }
 
-    /** Counts the entries that lie in the store now and cannot be read. */
+    /** Returns the number of entries in the store that are currently unreadable. */
     int held() {
         return mNames.size();
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/WatcherSelector.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/WatcherSelector.java
@@ -11,10 +11,11 @@
 import java.util.function.Supplier;
 
 /**
- * Says which instances of this availability zone watch the store.
+ * Selector of the instances of this availability zone that watch the store.
  *
- * <p>They are drawn by rendezvous hashing among the ready ones, without messages. Instances that
- * see different members may draw different watchers; who is asked and does not watch says so.
+ * <p>They are chosen by rendezvous hashing among the ready instances, without messages. Instances
+ * that see different members may choose different watchers; an instance that is queried but does
+ * not watch says so in its answer.
  *
  * @since 0.2
  */
@@ -25,12 +26,12 @@
     private final Supplier<List<RelayMember>> mReady;
 
     /**
-     * Makes it.
+     * Creates an instance.
      *
      * @param zone the availability zone
      * @param self this instance
-     * @param ready gives the ready instances of the zone that are in no doubt, this one among them
-     *     if it is ready
+     * @param ready supplies the ready instances of the zone whose state is certain, including this
+     *     one if it is ready
      */
     public WatcherSelector(ZoneId zone, InstanceId self, Supplier<List<RelayMember>> ready) {
         mZone = Assert.notNull(zone, "An availability zone");
@@ -39,10 +40,10 @@
     }
 
     /**
-     * Names the watchers that this instance hears from.
+     * Returns the watchers that this instance follows.
      *
-     * @param count how many instances of a zone watch
-     * @return the watchers; none if this instance is to watch by itself
+     * @param count the number of instances of a zone that watch
+     * @return the watchers; empty if this instance must watch by itself
      */
     List<RelayMember> watchers(int count) {
         Map<InstanceId, RelayMember> members = new HashMap<>();
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/package-info.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/package-info.java
@@ -1,5 +1,5 @@
 /**
- * This instance's copy of what lies in the platform's store, kept by lists, watches and peers; must
- * know nothing of how the platform spells it.
+ * Local replica of the platform's store, maintained by lists, watches and peers; must not depend on
+ * the platform's document format.
  */
 package io.masticpond.entry.replica;
--- a/masticpond-entry/src/test/java/io/masticpond/entry/replica/CategoryCopyTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/replica/CategoryCopyTest.java
@@ -15,62 +15,66 @@
 
 class CategoryCopyTest implements CopyListener {
 
-    private final List<String> mHeard = new ArrayList<>();
+    private final List<String> mReceived = new ArrayList<>();
     private final CategoryCopy mCopy = new CategoryCopy(Category.BACKEND_SERVERS, this);
 
     @Override
     public void changed(StoredDocument document, long stateNanos) {
-        mHeard.add(document.name() + "@" + document.revision());
+        mReceived.add(document.name() + "@" + document.revision());
     }
 
     @Override
     public void removed(String name, long revision) {
-        mHeard.add("-" + name);
+        mReceived.add("-" + name);
     }
 
     @Example
-    void ignoresListsOlderThanWhatItHas() {
+    void ignoresListsOlderThanTheCopy() {
         mCopy.applyList(List.of(live("a", 5)), 10, CopySource.STORE, 0);
         mCopy.applyList(List.of(live("a", 4), live("b", 8)), 9, CopySource.PEER, 0);
-        assertThat(mHeard).containsExactly("a@5");
+        assertThat(mReceived).containsExactly("a@5");
         assertThat(mCopy.revision()).isEqualTo(10);
     }
 
     @Example
-    void tombstonesOutliveOldWordsAndYieldToNewerEntries() {
+    void tombstonesOverrideOlderEntriesAndYieldToNewerOnes() {
         mCopy.applyList(List.of(live("a", 5)), 10, CopySource.STORE, 0);
-        mCopy.applyChanges(List.of(gone("a", 12)), 12, CopySource.STORE, 0);
+        mCopy.applyChanges(List.of(deletion("a", 12)), 12, CopySource.STORE, 0);
         mCopy.applyChanges(List.of(live("a", 11)), 12, CopySource.PEER, 0);
         assertThat(mCopy.status(0).documents()).isZero();
         mCopy.applyChanges(List.of(live("a", 13)), 13, CopySource.STORE, 0);
-        assertThat(mHeard).containsExactly("a@5", "-a", "a@13");
+        assertThat(mReceived).containsExactly("a@5", "-a", "a@13");
     }
 
     @Example
-    void keepsWhatOnePageToldAheadOfTheRevisionOfItsList() {
+    void keepsDocumentsNewerThanTheRevisionOfTheirList() {
         mCopy.applyList(List.of(live("a", 5), live("b", 14)), 10, CopySource.STORE, 0);
         mCopy.applyList(List.of(live("a", 5)), 12, CopySource.PEER, 0);
-        assertThat(mHeard).containsExactly("a@5", "b@14");
+        assertThat(mReceived).containsExactly("a@5", "b@14");
         mCopy.applyList(List.of(live("a", 5)), 15, CopySource.STORE, 0);
-        assertThat(mHeard).last().isEqualTo("-b");
+        assertThat(mReceived).last().isEqualTo("-b");
     }
 
     @Example
-    void givesOnlyTheChangesWhileItRemembersDeletionsAndThenTheWhole() {
+    void returnsChangesWhileTombstonesAreKeptAndThenTheCompleteContent() {
         mCopy.applyList(List.of(live("a", 5), live("b", 6)), 10, CopySource.STORE, 0);
-        mCopy.applyChanges(List.of(gone("a", 12)), 12, CopySource.STORE, 100);
+        mCopy.applyChanges(List.of(deletion("a", 12)), 12, CopySource.STORE, 100);
         CopyPart changes = mCopy.since(10, 100);
         assertThat(changes.whole()).isFalse();
-        assertThat(changes.documents()).singleElement().matches(told -> told.document().deleted());
+        assertThat(changes.documents())
+                .singleElement()
+                .matches(timestamped -> timestamped.document().deleted());
         mCopy.forgetTombstones(101);
         CopyPart whole = mCopy.since(10, 200);
         assertThat(whole.whole()).isTrue();
-        assertThat(whole.documents()).singleElement().matches(told -> named(told, "b"));
+        assertThat(whole.documents())
+                .singleElement()
+                .matches(timestamped -> hasName(timestamped, "b"));
         assertThat(mCopy.since(12, 200).documents()).isEmpty();
     }
 
     @Property(seed = "20", tries = 200)
-    void endsAsThePeerThatFeedsIt(
+    void convergesToThePeerThatFeedsIt(
             @ForAll @Size(max = 30) List<@IntRange(max = 9) Integer> steps,
             @ForAll @IntRange(max = 30) int fedAfter) {
         CategoryCopy peer = new CategoryCopy(Category.BACKEND_SERVERS, this);
@@ -80,8 +84,9 @@
         for (int step : steps) {
             revision++;
             String name = "n" + step / 2;
-            TimestampedDocument told = step % 2 == 0 ? live(name, revision) : gone(name, revision);
-            peer.applyChanges(List.of(told), revision, CopySource.STORE, 0);
+            TimestampedDocument timestamped =
+                    step % 2 == 0 ? live(name, revision) : deletion(name, revision);
+            peer.applyChanges(List.of(timestamped), revision, CopySource.STORE, 0);
             if (revision % (fedAfter + 1) == 0) {
                 feed(peer, other);
             }
@@ -97,24 +102,28 @@
 
     private static List<String> names(CategoryCopy copy) {
         return copy.since(-1, 0).documents().stream()
-                .map(told -> told.document().name() + "@" + told.document().revision())
+                .map(
+                        timestamped ->
+                                timestamped.document().name()
+                                        + "@"
+                                        + timestamped.document().revision())
                 .sorted()
                 .toList();
     }
 
-    private static boolean named(TimestampedDocument told, String name) {
-        return told.document().name().equals(name);
+    private static boolean hasName(TimestampedDocument timestamped, String name) {
+        return timestamped.document().name().equals(name);
     }
 
     private static TimestampedDocument live(String name, long revision) {
-        return told(name, revision, false);
+        return timestamped(name, revision, false);
     }
 
-    private static TimestampedDocument gone(String name, long revision) {
-        return told(name, revision, true);
+    private static TimestampedDocument deletion(String name, long revision) {
+        return timestamped(name, revision, true);
     }
 
-    private static TimestampedDocument told(String name, long revision, boolean deleted) {
+    private static TimestampedDocument timestamped(String name, long revision, boolean deleted) {
         return new TimestampedDocument(
                 new StoredDocument(
                         Category.BACKEND_SERVERS,
--- a/masticpond-entry/src/test/java/io/masticpond/entry/replica/FakeStore.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/replica/FakeStore.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** A store with one revision counter, and a view of it for each instance. */
+/** Store in memory with one revision counter and a feed for each instance. */
 final class FakeStore {
 
     private static final Duration DELAY = Duration.ofMillis(4);
@@ -20,11 +20,11 @@
     private final Map<String, StoredDocument> mDocuments = new LinkedHashMap<>();
     private final List<StoredDocument> mHistory = new ArrayList<>();
     private final List<Feed> mFeeds = new ArrayList<>();
-    private final Map<String, StoredDocument> mCopy = new LinkedHashMap<>();
+    private final Map<String, StoredDocument> mSavedDocuments = new LinkedHashMap<>();
     private long mRevision = 10;
     private long mHorizon;
     private long mEra;
-    private long mCopyRevision;
+    private long mSavedRevision;
 
     FakeStore(Scheduler scheduler) {
         mScheduler = scheduler;
@@ -40,19 +40,19 @@
         return StoreRevision.of(mEra, mRevision);
     }
 
-    /** Makes the copy from which the store may come back. */
-    void keepCopy() {
-        mCopy.clear();
-        mCopy.putAll(mDocuments);
-        mCopyRevision = mRevision;
+    /** Saves the copy from which the store may be restored. */
+    void saveCopy() {
+        mSavedDocuments.clear();
+        mSavedDocuments.putAll(mDocuments);
+        mSavedRevision = mRevision;
     }
 
-    /** Comes back from the copy in a new era; all waits are cut, or left dead. */
+    /** Restores the copy in a new era; all watches are cut, or left dead. */
     void restoreCopy(boolean cuts) {
         mEra++;
-        mRevision = mCopyRevision;
+        mRevision = mSavedRevision;
         mDocuments.clear();
-        mCopy.forEach(
+        mSavedDocuments.forEach(
                 (key, document) ->
                         mDocuments.put(
                                 key,
@@ -62,10 +62,10 @@
                                                 StoreRevision.revision(document.revision())))));
         mHistory.clear();
         mHorizon = revision();
-        mFeeds.forEach(cuts ? Feed::cut : Feed::loseWaits);
+        mFeeds.forEach(cuts ? Feed::cutWatches : Feed::dropWatches);
     }
 
-    private long next() {
+    private long nextRevision() {
         mRevision++;
         return revision();
     }
@@ -79,17 +79,17 @@
     }
 
     void put(Category category, String name, JsonNode content) {
-        change(new StoredDocument(category, name, next(), false, content));
+        change(new StoredDocument(category, name, nextRevision(), false, content));
     }
 
     void delete(Category category, String name) {
-        change(new StoredDocument(category, name, next(), true, null));
+        change(new StoredDocument(category, name, nextRevision(), true, null));
     }
 
-    /** Drops the history and cuts all waits. */
+    /** Drops the history and cuts all watches. */
     void compact() {
         mHorizon = revision();
-        mFeeds.forEach(Feed::cut);
+        mFeeds.forEach(Feed::cutWatches);
     }
 
     private void change(StoredDocument document) {
@@ -109,19 +109,19 @@
                 revision());
     }
 
-    /** What becomes of an instance's calls. */
+    /** Fault of an instance's calls. */
     enum Fault {
         NONE,
         REFUSED,
         SILENT
     }
 
-    /** The store as one instance sees it. */
+    /** Access of one instance to the store. */
     final class Feed implements StoreFeed {
 
-        private final List<Wait> mWaits = new ArrayList<>();
+        private final List<Watch> mWatches = new ArrayList<>();
         private Fault mFault = Fault.NONE;
-        private boolean mMuted;
+        private boolean mDropsEvents;
         private int mCalls;
         private long mKnownEra;
 
@@ -129,26 +129,29 @@
             return mCalls;
         }
 
-        /** Changes the fault; refusing cuts the waits, silence leaves them dead. */
+        /**
+         * Changes the fault; {@link Fault#REFUSED} cuts the watches, {@link Fault#SILENT} leaves
+         * them dead.
+         */
         void fault(Fault fault) {
             mFault = fault;
             if (fault == Fault.REFUSED) {
-                cut();
+                cutWatches();
             } else if (fault == Fault.SILENT) {
-                mWaits.clear();
+                mWatches.clear();
             }
         }
 
-        /** Lets waits hear nothing of changes for good, though they are held. */
-        void dropEvents(boolean muted) {
-            mMuted = muted;
-            if (muted) {
-                mWaits.clear();
+        /** Sets whether watches are held without ever receiving changes. */
+        void dropEvents(boolean dropsEvents) {
+            mDropsEvents = dropsEvents;
+            if (dropsEvents) {
+                mWatches.clear();
             }
         }
 
-        void loseWaits() {
-            mWaits.clear();
+        void dropWatches() {
+            mWatches.clear();
         }
 
         @Override
@@ -156,21 +159,21 @@
             return mKnownEra;
         }
 
-        void cut() {
-            List<Wait> waits = List.copyOf(mWaits);
-            mWaits.clear();
-            waits.forEach(wait -> wait.result().accept(Either.left(FeedError.UNREACHABLE)));
+        void cutWatches() {
+            List<Watch> watches = List.copyOf(mWatches);
+            mWatches.clear();
+            watches.forEach(watch -> watch.result().accept(Either.left(FeedError.UNREACHABLE)));
         }
 
         void deliver() {
-            for (Wait wait : List.copyOf(mWaits)) {
-                List<StoredDocument> changes = changes(wait);
-                if (!changes.isEmpty() && mWaits.remove(wait)) {
+            for (Watch watch : List.copyOf(mWatches)) {
+                List<StoredDocument> changes = changes(watch);
+                if (!changes.isEmpty() && mWatches.remove(watch)) {
                     long revision = revision();
                     mScheduler.schedule(
                             DELAY,
                             () ->
-                                    wait.result()
+                                    watch.result()
                                             .accept(
                                                     Either.right(
                                                             new FeedResult(changes, revision))));
@@ -192,25 +195,25 @@
                 long afterRevision,
                 Duration wait,
                 Consumer<Either<FeedError, FeedResult>> result) {
-            Wait entry = new Wait(category, afterRevision, result);
+            Watch entry = new Watch(category, afterRevision, result);
             call(Duration.ofDays(1), result, () -> hold(entry, wait));
-            return () -> mWaits.remove(entry);
+            return () -> mWatches.remove(entry);
         }
 
-        private void hold(Wait entry, Duration wait) {
+        private void hold(Watch entry, Duration wait) {
             boolean isOfThisEra = StoreRevision.era(entry.afterRevision()) == mEra;
             if (entry.afterRevision() < mHorizon || !isOfThisEra) {
                 entry.result().accept(Either.left(FeedError.HISTORY_GONE));
                 return;
             }
-            if (mMuted) {
+            if (mDropsEvents) {
                 return;
             }
-            mWaits.add(entry);
+            mWatches.add(entry);
             mScheduler.schedule(
                     wait,
                     () -> {
-                        if (mWaits.remove(entry)) {
+                        if (mWatches.remove(entry)) {
                             entry.result()
                                     .accept(Either.right(new FeedResult(List.of(), revision())));
                         }
@@ -218,10 +221,10 @@
             deliver();
         }
 
-        private List<StoredDocument> changes(Wait wait) {
+        private List<StoredDocument> changes(Watch watch) {
             return mHistory.stream()
-                    .filter(d -> d.category() == wait.category())
-                    .filter(d -> d.revision() > wait.afterRevision())
+                    .filter(d -> d.category() == watch.category())
+                    .filter(d -> d.revision() > watch.afterRevision())
                     .toList();
         }
 
@@ -274,7 +277,7 @@
         }
     }
 
-    private record Wait(
+    private record Watch(
             Category category,
             long afterRevision,
             Consumer<Either<FeedError, FeedResult>> result) {}
--- a/masticpond-entry/src/test/java/io/masticpond/entry/replica/FakeTranslator.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/replica/FakeTranslator.java
@@ -18,8 +18,8 @@
 import java.util.stream.Stream;
 
 /**
- * Reads "ready", "leaving", "new" and "cold:" with seconds as servers, after which may stand
- * "born:" and "seq:" with numbers; numbers as configurations.
+ * Translator that reads "ready", "leaving", "new" and "cold:" with seconds as servers, optionally
+ * followed by "born:" and "seq:" with numbers, and reads numbers as configurations.
  */
 final class FakeTranslator implements DocumentTranslator {
 
@@ -57,7 +57,7 @@
                                 List.of(),
                                 Map.of(ORDERS, RULES),
                                 RequestLimits.DEFAULT))
-                : Either.left("It is no number.");
+                : Either.left("It is not a number.");
     }
 
     @Override
--- a/masticpond-entry/src/test/java/io/masticpond/entry/replica/FleetReplicaTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/replica/FleetReplicaTest.java
@@ -18,7 +18,7 @@
     private final FakeStore mStore = mFixture.mStore;
 
     @Example
-    void readsAllAtItsStartAndFollowsChangesWithinTheirBounds() {
+    void listsAllCategoriesAtTheStartAndAppliesChangesWithinTheirBounds() {
         Instance instance = mFixture.start();
         assertThat(instance.mReplica.isUsable()).isTrue();
         assertThat(instance.servers()).containsExactlyInAnyOrder("s1", "s2");
@@ -39,7 +39,7 @@
     }
 
     @Example
-    void costsThreeCallsForEachWaitWhenNothingChanges() {
+    void makesOneCallPerCategoryAndWatchPeriodWhenNothingChanges() {
         Instance instance = mFixture.start();
         int atStart = instance.mFeed.calls();
         assertThat(atStart).isEqualTo(6);
@@ -48,7 +48,7 @@
     }
 
     @Example
-    void paysFewCallsForBurstsAndStillHearsOfLeavingServersInTime() {
+    void makesFewCallsInBurstsAndStillReceivesLeavingServersInTime() {
         Instance instance = mFixture.start();
         int before = instance.mFeed.calls();
         for (int change = 0; change < 500; change++) {
@@ -62,7 +62,7 @@
     }
 
     @Example
-    void listsAtOnceWhenItsWaitIsCutAndTheHistoryGone() {
+    void listsAtOnceWhenItsWatchIsCutAndTheHistoryDropped() {
         Instance instance = mFixture.start();
         mFixture.pass(5_000);
         instance.mFeed.dropEvents(true);
@@ -75,7 +75,8 @@
         mStore.compact();
         mFixture.pass(30);
         assertThat(other.servers()).containsExactly("s2");
-        // The waits of the first are dead, so that only the words of its peer tell it.
+        // The watches of the first instance are dead, so only the revision of its peer shows the
+        // change.
         mFixture.pass(2_500);
         assertThat(instance.servers()).containsExactly("s2");
         assertThat(instance.version()).isEqualTo(9);
@@ -83,7 +84,7 @@
     }
 
     @Example
-    void listsWithinMomentsOfTheCutOfAllWaits() {
+    void listsWithin250MillisecondsWhenAllWatchesAreCut() {
         Instance instance = mFixture.start();
         mFixture.pass(5_000);
         mStore.server("s3", "ready");
@@ -95,7 +96,7 @@
     }
 
     @Example
-    void keepsEntriesThatExpiredInAnOutageUntilTheyAreBackOrAreNotInTime() {
+    void keepsEntriesExpiredInAnOutageUntilRewrittenOrTheGracePeriodEnds() {
         Instance instance = mFixture.start();
         mStore.server("s3", "leaving");
         mFixture.pass(500);
@@ -120,7 +121,7 @@
     }
 
     @Example
-    void keepsExpiredEntriesAlsoWhenTheHistoryIsGoneAfterTheOutage() {
+    void keepsExpiredEntriesWhenTheHistoryWasDroppedInTheOutage() {
         Instance instance = mFixture.start();
         instance.mFeed.fault(Fault.SILENT);
         mFixture.pass(35_000);
@@ -136,7 +137,7 @@
     }
 
     @Property(tries = 60, seed = "20261202")
-    void noticesSilentStoresByCheapProbesAndHearsOfChangesSoonAfterTheirReturn(
+    void detectsUnresponsiveStoreByCheapProbesAndReceivesChangesSoonAfterRecovery(
             @ForAll @IntRange(max = 2_000) int phase, @ForAll @IntRange(max = 8_000) int more) {
         Instance instance = mFixture.start(Fault.NONE, true);
         mFixture.pass(10_000 + phase);
@@ -152,7 +153,7 @@
     }
 
     @Example
-    void asksTheLostStoreAboutOnceEachSecond() {
+    void callsTheLostStoreAboutOncePerSecond() {
         Instance instance = mFixture.start();
         instance.mFeed.fault(Fault.REFUSED);
         mFixture.pass(2_000);
@@ -162,7 +163,7 @@
     }
 
     @Example
-    void keepsTheLastGoodRoutesAndUsesNoServerOfAnUnreadableDocument() {
+    void keepsLastValidRoutesAndRemovesServersWithUnreadableDocuments() {
         Instance instance = mFixture.start();
         mStore.server("s1", "broken");
         mStore.put(Category.ROUTING, "main", JsonNodeFactory.instance.textNode("none"));
@@ -175,7 +176,7 @@
     }
 
     @Example
-    void neverGoesBackToLowerVersions() {
+    void neverRevertsToLowerVersions() {
         Instance instance = mFixture.start();
         mStore.routing(7);
         mFixture.pass(500);
@@ -185,7 +186,7 @@
     }
 
     @Example
-    void countsTheColdTimeFromTheNewestDocumentOnly() {
+    void measuresColdTimeFromTheNewestDocumentOnly() {
         Instance instance = mFixture.start();
         long beforeNanos = mFixture.mScheduler.time().monotonicNanos();
         mStore.server("s1", "cold:8");
--- a/masticpond-entry/src/test/java/io/masticpond/entry/replica/HostileStoreTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/replica/HostileStoreTest.java
@@ -12,10 +12,13 @@
 import net.jqwik.api.Example;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Stores that would be asked without a pause by a follower that trusts them. */
+/**
+ * Guards against busy loops of calls: stores that answer held watches at once, drop their history
+ * repeatedly, cut watches or reject writes.
+ */
 class HostileStoreTest implements StoreFeed {
 
-    private static final int MOST_CALLS = 120;
+    private static final int MAXIMUM_CALLS = 120;
 
     private final ManualScheduler mScheduler = new ManualScheduler();
     private final List<String> mCalls = new ArrayList<>();
@@ -26,28 +29,28 @@
     private Either<FeedError, Void> mWrite = Either.right(null);
 
     @Example
-    void pausesWhenWaitsAreNotHeld() {
+    void pausesWhenWatchesAreNotHeld() {
         run();
-        assertThat(mCalls.size()).isBetween(3, 3 * MOST_CALLS);
+        assertThat(mCalls.size()).isBetween(3, 3 * MAXIMUM_CALLS);
     }
 
     @Example
-    void pausesWhenTheHistoryIsGoneOverAndOver() {
+    void pausesWhenTheHistoryIsDroppedRepeatedly() {
         mWatch = Either.left(FeedError.HISTORY_GONE);
         mShortWatch = mWatch;
         run();
-        assertThat(mCalls.size()).isBetween(3, 3 * MOST_CALLS);
+        assertThat(mCalls.size()).isBetween(3, 3 * MAXIMUM_CALLS);
     }
 
     @Example
-    void pausesWhenOnlyHeldWaitsAreCut() {
+    void pausesWhenOnlyHeldWatchesAreCut() {
         mWatch = Either.left(FeedError.UNREACHABLE);
         run();
-        assertThat(mCalls.size()).isBetween(3, 3 * MOST_CALLS);
+        assertThat(mCalls.size()).isBetween(3, 3 * MAXIMUM_CALLS);
     }
 
     @Example
-    void takesSlowFirstAnswersAndDoesNotAskAgain() {
+    void acceptsSlowFirstAnswersWithoutRepeatingCalls() {
         mDelay = Duration.ofMillis(900);
         FleetReplica replica =
                 new FleetReplica(
@@ -57,35 +60,35 @@
                         (snapshot, source) -> {});
         replica.start();
         mScheduler.pass(Duration.ofMillis(1_700));
-        // One for each category, and one that looks whether the store is there.
+        // One for each category, and one that probes the store.
         assertThat(mCalls.stream().filter("list"::equals)).hasSize(4);
         assertThat(replica.status().categories()).allMatch(CategoryStatus::listed);
         assertThat(replica.status().storeLost()).isFalse();
     }
 
     @Example
-    void writesItsEntryUntilTheStoreTakesItAndDeletesItAtTheStop() {
+    void retriesItsRegistrationUntilItSucceedsAndDeletesItOnStop() {
         mWrite = Either.left(FeedError.TURNED_AWAY);
         mList = Either.left(FeedError.TURNED_AWAY);
-        List<List<StoredDocument>> heard = new ArrayList<>();
+        List<List<StoredDocument>> received = new ArrayList<>();
         InstanceRegistration registration =
                 new InstanceRegistration(
                         context(),
                         "i-1",
                         era -> JsonNodeFactory.instance.objectNode().put("era", era),
-                        heard::add);
+                        received::add);
         registration.start();
         registration.register(0);
         mScheduler.pass(Duration.ofSeconds(20));
         assertThat(mCalls.stream().filter("put i-1"::equals).count()).isBetween(4L, 12L);
-        assertThat(heard).isEmpty();
+        assertThat(received).isEmpty();
         mWrite = Either.right(null);
         mList = Either.right(new FeedResult(List.of(), 5));
         mScheduler.pass(Duration.ofSeconds(6));
         int before = mCalls.size();
         mScheduler.pass(Duration.ofSeconds(20));
         assertThat(mCalls).hasSize(before);
-        assertThat(heard).hasSize(1);
+        assertThat(received).hasSize(1);
         List<String> done = new ArrayList<>();
         registration.stop(() -> done.add("done"));
         mScheduler.pass(mDelay);
--- a/masticpond-entry/src/test/java/io/masticpond/entry/replica/ListProbe.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/replica/ListProbe.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 
 /**
- * Probes a store by listing its smallest category, where it offers nothing cheaper.
+ * {@link StoreProbe} that lists the smallest category, for stores that offer no cheaper call.
  *
  * @since 0.2
  */
@@ -14,7 +14,7 @@
     private final StoreFeed mFeed;
 
     /**
-     * Makes a probe.
+     * Creates a probe.
      *
      * @param feed the store
      */
