--- a/masticpond-entry/src/test/java/io/masticpond/entry/replica/ManualScheduler.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/replica/ManualScheduler.java
@@ -6,7 +6,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Runs tasks when a manual clock reaches their time. */
+/** {@link Scheduler} that runs tasks when a manual clock reaches their time. */
 public final class ManualScheduler implements Scheduler {
 
     private final ManualTimeSource mTime;
@@ -20,9 +20,9 @@
     }
 
     /**
-     * Makes a scheduler without tasks.
+     * Creates a scheduler without tasks.
      *
-     * @param time the clock, which others may move as well
+     * @param time the clock, which others may advance as well
      */
     public ManualScheduler(ManualTimeSource time) {
         mTime = time;
@@ -40,9 +40,9 @@
     }
 
     /**
-     * Moves time, and runs on the way what falls due.
+     * Advances the clock and runs the tasks that fall due.
      *
-     * @param duration by how much
+     * @param duration the time by which the clock advances
      */
     public void pass(Duration duration) {
         long endNanos = mTime.monotonicNanos() + duration.toNanos();
--- a/masticpond-entry/src/test/java/io/masticpond/entry/replica/RelayLinkTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/replica/RelayLinkTest.java
@@ -38,40 +38,42 @@
     }
 
     @Example
-    void carriesAnAskAndItsAnswer() throws Exception {
+    void carriesRequestAndAnswer() throws Exception {
         int port = serve().getPort();
-        RelayAsk ask =
+        RelayAsk request =
                 RelayAsk.newBuilder()
                         .addCategories(
                                 CategoryAsk.newBuilder().setCategory("c").setAfterRevision(41))
                         .build();
-        RelayAnswer answer = ask(port, ask, TIMEOUT).get();
+        RelayAnswer answer = request(port, request, TIMEOUT).get();
         assertThat(answer.getCategories(0).getRevision()).isEqualTo(42);
     }
 
     @Example
-    void closesConnectionsThatSendNoAsk() throws Exception {
+    void closesConnectionsThatSendNoRequest() throws Exception {
         InetSocketAddress address = serve();
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.setSoTimeout((int) TIMEOUT.toMillis());
             socket.getOutputStream().write("GET / HTTP/1.1\r\n\r\n".getBytes());
             InputStream answer = socket.getInputStream();
-            assertThat(readsTheEnd(answer)).isTrue();
+            assertThat(isAtEnd(answer)).isTrue();
         }
     }
 
     @Example
-    void failsOnceWhenThePeerStaysSilentOrIsGone() throws Exception {
+    void failsOnceWhenThePeerIsUnresponsiveOrTerminated() throws Exception {
         int port;
-        try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = silent.getLocalPort();
-            assertThat(ask(port, RelayAsk.getDefaultInstance(), Duration.ofMillis(200)).isLeft())
+        try (ServerSocket unresponsive = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            port = unresponsive.getLocalPort();
+            assertThat(
+                            request(port, RelayAsk.getDefaultInstance(), Duration.ofMillis(200))
+                                    .isLeft())
                     .isTrue();
         }
-        assertThat(ask(port, RelayAsk.getDefaultInstance(), TIMEOUT).isLeft()).isTrue();
+        assertThat(request(port, RelayAsk.getDefaultInstance(), TIMEOUT).isLeft()).isTrue();
     }
 
-    private static boolean readsTheEnd(InputStream stream) throws IOException {
+    private static boolean isAtEnd(InputStream stream) throws IOException {
         try {
             return stream.read() < 0;
         } catch (java.net.SocketException reset) {
@@ -81,12 +83,12 @@
 
     private InetSocketAddress serve() throws Exception {
         RelaySource source =
-                ask ->
+                request ->
                         RelayAnswer.newBuilder()
                                 .addCategories(
                                         CategoryAnswer.newBuilder()
                                                 .setRevision(
-                                                        ask.getCategories(0).getAfterRevision()
+                                                        request.getCategories(0).getAfterRevision()
                                                                 + 1))
                                 .build();
         RelayServer server = new RelayServer(mLoop, source);
@@ -95,14 +97,14 @@
         return bound.get(TIMEOUT.toMillis(), TimeUnit.MILLISECONDS).get();
     }
 
-    private Either<String, RelayAnswer> ask(int port, RelayAsk ask, Duration timeout)
+    private Either<String, RelayAnswer> request(int port, RelayAsk request, Duration timeout)
             throws Exception {
         CompletableFuture<Either<String, RelayAnswer>> answer = new CompletableFuture<>();
         mLoop.execute(
                 () ->
                         mClient.request(
                                 new ServerAddress("127.0.0.1", port),
-                                ask,
+                                request,
                                 timeout,
                                 answer::complete));
         return answer.get(TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
--- a/masticpond-entry/src/test/java/io/masticpond/entry/replica/RelayTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/replica/RelayTest.java
@@ -12,7 +12,7 @@
     private final FakeStore mStore = mFixture.mStore;
 
     @Example
-    void hearsFromPeersThatAreServedWhileItIsTurnedAway() {
+    void receivesChangesFromPeersWhileTheStoreRejectsItsCalls() {
         Instance served = mFixture.start();
         Instance refused = mFixture.start();
         refused.mFeed.fault(Fault.REFUSED);
@@ -32,12 +32,12 @@
     }
 
     @Example
-    void doesNotAskPeersWhileItsStoreAnswers() {
+    void sendsNoRequestsToPeersWhileItsStoreAnswers() {
         mFixture.start();
         Instance instance = mFixture.start();
         mStore.server("s3", "ready");
         mFixture.pass(30_000);
-        assertThat(instance.mAsked).isEmpty();
+        assertThat(instance.mRequestedPeers).isEmpty();
     }
 
     @Example
@@ -68,7 +68,7 @@
     }
 
     @Example
-    void aPeerThatIsBehindBringsNothingBack() {
+    void peerThatIsBehindRevertsNothing() {
         Instance behind = mFixture.start();
         Instance ahead = mFixture.start();
         behind.mFeed.fault(Fault.SILENT);
@@ -78,13 +78,13 @@
         mFixture.pass(500);
         ahead.mFeed.fault(Fault.REFUSED);
         mFixture.pass(3_000);
-        assertThat(ahead.mAsked).isNotEmpty();
+        assertThat(ahead.mRequestedPeers).isNotEmpty();
         assertThat(ahead.servers()).containsExactly("s2");
         assertThat(ahead.version()).isEqualTo(3);
     }
 
     @Example
-    void doesNotPassOnEntriesInDoubtAsGone() {
+    void doesNotReportUncertainEntriesAsRemoved() {
         Instance first = mFixture.start();
         Instance second = mFixture.start();
         first.mFeed.fault(Fault.REFUSED);
--- a/masticpond-entry/src/test/java/io/masticpond/entry/replica/ReplicaFixture.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/replica/ReplicaFixture.java
@@ -22,7 +22,7 @@
 import java.util.stream.Collectors;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Replicas over one store, linked with each other in memory. */
+/** Fixture with replicas of one store that are linked with each other in memory. */
 final class ReplicaFixture {
 
     final ManualScheduler mScheduler = new ManualScheduler();
@@ -35,7 +35,7 @@
         mStore.server("s2", "ready");
     }
 
-    /** Starts an instance with a store that may be at fault from the start. */
+    /** Starts an instance with a fault of its store access from the start. */
     Instance start(FakeStore.Fault fault) {
         return start(fault, false);
     }
@@ -49,7 +49,7 @@
         return instance;
     }
 
-    /** Starts instances of one zone of which some watch the store for all. */
+    /** Starts instances of one zone, some of which watch the store for all. */
     List<Instance> startSharing(int count, int watchers) {
         List<Instance> instances = new ArrayList<>();
         for (int number = 0; number < count; number++) {
@@ -73,7 +73,7 @@
         mScheduler.pass(Duration.ofMillis(millis));
     }
 
-    /** One instance. */
+    /** Instance with its replica, its access to the store and its links to the others. */
     final class Instance implements StoreListener {
 
         final Feed mFeed = mStore.feed();
@@ -81,18 +81,18 @@
         final List<FleetSnapshot> mSnapshots = new ArrayList<>();
         final List<CopySource> mSources = new ArrayList<>();
         final List<String> mOutages = new ArrayList<>();
-        final List<ServerAddress> mAsked = new ArrayList<>();
+        final List<ServerAddress> mRequestedPeers = new ArrayList<>();
         private final InstanceId mId;
-        private final List<Runnable> mCut = new ArrayList<>();
+        private final List<Runnable> mPendingFailures = new ArrayList<>();
         boolean mReady = true;
         Fault mRelayFault = Fault.NONE;
 
-        Instance(ServerAddress own, boolean isProbeCheap) {
-            this(own, isProbeCheap, 0);
+        Instance(ServerAddress ownAddress, boolean isProbeCheap) {
+            this(ownAddress, isProbeCheap, 0);
         }
 
-        Instance(ServerAddress own, boolean isProbeCheap, int watchers) {
-            mId = new InstanceId("i-" + own.port());
+        Instance(ServerAddress ownAddress, boolean isProbeCheap, int watchers) {
+            mId = new InstanceId("i-" + ownAddress.port());
             ReplicaContext context =
                     new ReplicaContext(
                             mFeed,
@@ -105,8 +105,8 @@
                             context, probe(isProbeCheap), new FakeTranslator(), this::changed);
             mReplica.addStoreListener(this);
             mReplica.usePeers(
-                    () -> peers(own),
-                    this::ask,
+                    () -> peers(ownAddress),
+                    this::request,
                     new RelayFallback.Place(new ZoneId("zone-a"), new RegionId("north")));
         }
 
@@ -115,7 +115,7 @@
             mSources.add(source);
         }
 
-        /** Tells who told the newest snapshot. */
+        /** Returns the source of the newest snapshot. */
         CopySource newestSource() {
             return mSources.get(mSources.size() - 1);
         }
@@ -134,36 +134,36 @@
                                                                     entry.getValue().mId,
                                                                     entry.getKey()))
                                             .toList()),
-                    (RelayLink) this::ask);
+                    (RelayLink) this::request);
         }
 
-        private void ask(
+        private void request(
                 ServerAddress address,
-                RelayAsk ask,
+                RelayAsk request,
                 Duration timeout,
                 Consumer<Either<String, RelayAnswer>> result) {
-            mAsked.add(address);
+            mRequestedPeers.add(address);
             Instance peer = mInstances.get(address);
-            AtomicBoolean ended = new AtomicBoolean();
+            AtomicBoolean completed = new AtomicBoolean();
             Consumer<Either<String, RelayAnswer>> once =
                     answer -> {
-                        if (ended.compareAndSet(false, true)) {
+                        if (completed.compareAndSet(false, true)) {
                             result.accept(answer);
                         }
                     };
-            mScheduler.schedule(timeout, () -> once.accept(Either.left("It is silent.")));
-            peer.mCut.add(() -> once.accept(Either.left("It is gone.")));
+            mScheduler.schedule(timeout, () -> once.accept(Either.left("The peer timed out.")));
+            peer.mPendingFailures.add(() -> once.accept(Either.left("The peer has terminated.")));
             mScheduler.schedule(
                     Duration.ofMillis(1),
                     () -> {
                         if (peer.mRelayFault == Fault.REFUSED) {
-                            once.accept(Either.left("It is gone."));
+                            once.accept(Either.left("The peer has terminated."));
                             return;
                         }
                         peer.mReplica
                                 .relaySource()
                                 .hold(
-                                        ask,
+                                        request,
                                         answer ->
                                                 peer.reply(
                                                         () -> once.accept(Either.right(answer))));
@@ -176,12 +176,12 @@
             }
         }
 
-        /** Lets all asks of this instance end now as those of a killed process do. */
+        /** Fails all requests to this instance now, as the termination of its process does. */
         void killRelay() {
             mRelayFault = Fault.REFUSED;
-            List<Runnable> cut = List.copyOf(mCut);
-            mCut.clear();
-            cut.forEach(Runnable::run);
+            List<Runnable> pending = List.copyOf(mPendingFailures);
+            mPendingFailures.clear();
+            pending.forEach(Runnable::run);
         }
 
         private StoreProbe probe(boolean isCheap) {
@@ -199,9 +199,9 @@
             };
         }
 
-        private List<RelayPeer> peers(ServerAddress own) {
+        private List<RelayPeer> peers(ServerAddress ownAddress) {
             return mInstances.entrySet().stream()
-                    .filter(entry -> !entry.getKey().equals(own))
+                    .filter(entry -> !entry.getKey().equals(ownAddress))
                     .map(
                             entry ->
                                     new RelayPeer(
--- a/masticpond-entry/src/test/java/io/masticpond/entry/replica/ReplicaSettingsTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/replica/ReplicaSettingsTest.java
@@ -5,11 +5,14 @@
 import java.time.Duration;
 import net.jqwik.api.Example;
 
-/** Watches are shared only where news that silent watchers delay is still in time. */
+/**
+ * Verifies that watching is shared only if unresponsive watchers cannot delay updates beyond the
+ * bound.
+ */
 class ReplicaSettingsTest {
 
     @Example
-    void eachInstanceWatchesWhereSilentWatchersWouldDelayNewsBeyondTheBound() {
+    void disablesSharingWhenUnresponsiveWatchersWouldExceedTheBound() {
         ReplicaSettings settings = ReplicaSettings.DEFAULT.withWatchersInZone(2);
         assertThat(watchers(settings.within(Duration.ofMillis(2_399)))).isZero();
         assertThat(watchers(settings.within(Duration.ofMillis(2_400)))).isEqualTo(2);
--- a/masticpond-entry/src/test/java/io/masticpond/entry/replica/StoreEraTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/replica/StoreEraTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.LongRange;
 
-/** Shows which answers of the store are of its newest era. */
+/** Verifies which answers of the store are considered current. */
 class StoreEraTest {
 
     private final StoreEra mEra = new StoreEra();
@@ -23,7 +23,7 @@
     }
 
     @Example
-    void answerThatTellsNoEraIsTakenForCurrent() {
+    void answerWithoutValidEraIsCurrent() {
         mEra.isCurrent(List.of("3"));
         for (String value : List.of("", "-1", "four", "1e9", "9".repeat(18), "9".repeat(400))) {
             assertThat(mEra.isCurrent(List.of(value))).as(value).isTrue();
@@ -34,7 +34,7 @@
     }
 
     @Property(seed = "36")
-    void eraGoesBeforeTheRevision(
+    void eraTakesPrecedenceOverTheRevision(
             @ForAll @LongRange(min = 0, max = 1_000_000) long era,
             @ForAll @LongRange(min = 0, max = 1L << 39) long revision,
             @ForAll @LongRange(min = 0, max = 1L << 39) long other) {
--- a/masticpond-entry/src/test/java/io/masticpond/entry/replica/StoreRelayTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/replica/StoreRelayTest.java
@@ -13,54 +13,57 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Two instances of a zone watch the store; the others hear from them, whatever fails. */
+/**
+ * Guards against changes that arrive late when two instances of a zone watch the store for the
+ * others and any of them, their connections or the store fail.
+ */
 class StoreRelayTest {
 
     private static final int COUNT = 6;
     private static final int WATCHERS = 2;
 
-    /** The least bound that operators state for a leaving backend server. */
+    /** The shortest bound that operators set for a leaving backend server. */
     private static final long BOUND_MILLIS = 2_000;
 
     private ReplicaFixture mFixture;
     private FakeStore mStore;
     private List<Instance> mAll;
 
-    private void begin() {
+    private void createFixture() {
         mFixture = new ReplicaFixture();
         mStore = mFixture.mStore;
     }
 
     private void startZone() {
-        begin();
+        createFixture();
         mAll = mFixture.startSharing(COUNT, WATCHERS);
         mFixture.pass(3_000);
     }
 
-    private static boolean watches(Instance instance) {
+    private static boolean isWatching(Instance instance) {
         return instance.mReplica.relaySource().answer(RelayAsk.getDefaultInstance()).getWatches();
     }
 
     private List<Instance> watchers() {
-        return mAll.stream().filter(StoreRelayTest::watches).toList();
+        return mAll.stream().filter(StoreRelayTest::isWatching).toList();
     }
 
     private List<Instance> others() {
-        return mAll.stream().filter(instance -> !watches(instance)).toList();
+        return mAll.stream().filter(instance -> !isWatching(instance)).toList();
     }
 
     private int calls() {
         return mAll.stream().mapToInt(instance -> instance.mFeed.calls()).sum();
     }
 
-    private void assertAllHearThatItLeaves(String server, List<Instance> instances) {
+    private void assertAllReceiveLeaving(String server, List<Instance> instances) {
         mStore.server(server, "leaving");
         mFixture.pass(300);
         assertThat(instances).allMatch(instance -> instance.isLeaving(server));
     }
 
     @Example
-    void twoWatchAndAllHearWithinMoments() {
+    void twoInstancesWatchAndAllReceiveChangesWithin300Milliseconds() {
         startZone();
         assertThat(watchers()).hasSize(WATCHERS);
         int before = calls();
@@ -80,14 +83,14 @@
                                         .evacuatedZones()
                                         .contains(new ZoneId("zone-b")));
         assertThat(others()).allMatch(instance -> instance.mFeed.calls() == 6);
-        // Two watchers, three changed categories, and two pieces of news of one.
+        // Two watchers, three changed categories, one of them with two updates.
         assertThat(calls() - before).isLessThanOrEqualTo(WATCHERS * 4);
     }
 
     @Example
-    void eachSnapshotSaysWhoToldIt() {
+    void snapshotStatesItsSource() {
         startZone();
-        assertAllHearThatItLeaves("s1", mAll);
+        assertAllReceiveLeaving("s1", mAll);
         assertThat(watchers())
                 .hasSize(WATCHERS)
                 .allMatch(instance -> instance.newestSource() == CopySource.STORE);
@@ -97,7 +100,7 @@
     }
 
     @Example
-    void aQuietHourCostsTheOthersNoCall() {
+    void followersMakeNoCallsWhileNothingChanges() {
         startZone();
         List<Instance> others = others();
         int before = others.stream().mapToInt(instance -> instance.mFeed.calls()).sum();
@@ -108,50 +111,50 @@
     }
 
     @Example
-    void aSmallZoneWatchesAsIfThereWereNoRelay() {
-        begin();
+    void allInstancesOfSmallZoneWatch() {
+        createFixture();
         mAll = mFixture.startSharing(WATCHERS, WATCHERS);
         mFixture.pass(10_000);
         assertThat(watchers()).hasSize(WATCHERS);
-        assertThat(mAll).allMatch(instance -> instance.mAsked.isEmpty());
+        assertThat(mAll).allMatch(instance -> instance.mRequestedPeers.isEmpty());
     }
 
     @Example
-    void allWatchWhereNoNumberIsSet() {
-        begin();
+    void allInstancesWatchWhenSharingIsDisabled() {
+        createFixture();
         mAll = mFixture.startSharing(COUNT, 0);
         mFixture.pass(10_000);
         assertThat(watchers()).hasSize(COUNT);
     }
 
     @Property(tries = 40, seed = "20261203")
-    void theLossOfOneWatcherDelaysNobody(
+    void lossOfOneWatcherCausesNoDelay(
             @ForAll @IntRange(max = 2) int kind, @ForAll @IntRange(max = 2_500) int phase) {
         startZone();
         mFixture.pass(phase);
-        Instance lost = watchers().get(0);
-        List<Instance> sound = mAll.stream().filter(instance -> instance != lost).toList();
+        Instance failed = watchers().get(0);
+        List<Instance> healthy = mAll.stream().filter(instance -> instance != failed).toList();
         if (kind == 0) {
-            lost.killRelay();
+            failed.killRelay();
         } else if (kind == 1) {
-            lost.mRelayFault = Fault.SILENT;
+            failed.mRelayFault = Fault.SILENT;
         } else {
-            lost.mFeed.dropEvents(true);
+            failed.mFeed.dropEvents(true);
         }
         mStore.server("s1", "leaving");
         mFixture.pass(300);
-        assertThat(sound).allMatch(instance -> instance.isLeaving("s1"));
+        assertThat(healthy).allMatch(instance -> instance.isLeaving("s1"));
     }
 
     @Property(tries = 40, seed = "20261204")
-    void theLossOfAllWatchersIsMadeGoodWithinTheBounds(
+    void recoversFromLossOfAllWatchersWithinTheBound(
             @ForAll @IntRange(max = 2) int kind, @ForAll @IntRange(max = 2_500) int phase) {
         startZone();
         mFixture.pass(phase);
-        List<Instance> lost = watchers();
+        List<Instance> failed = watchers();
         List<Instance> others = others();
         assertThat(others).hasSize(COUNT - WATCHERS);
-        for (Instance watcher : lost) {
+        for (Instance watcher : failed) {
             if (kind == 0) {
                 watcher.killRelay();
             } else if (kind == 1) {
@@ -167,7 +170,7 @@
     }
 
     @Example
-    void watchersWhoseStoreFallsSilentAreLeftWhenPeersKnowMore() {
+    void abandonsWatchersWithDeadWatchesWhenPeersAreAhead() {
         startZone();
         List<Instance> others = others();
         Instance elsewhere = mFixture.start();
@@ -182,25 +185,26 @@
     }
 
     @Property(tries = 20, seed = "20261205")
-    void aPlannedStopHandsOverFirst(@ForAll @IntRange(max = 1_000) int phase) {
+    void plannedStopHandsOverFirst(@ForAll @IntRange(max = 1_000) int phase) {
         startZone();
         mFixture.pass(phase);
         List<Instance> leaving = watchers();
         List<Instance> others = others();
-        // Heartbeats have not told of it yet, and what it hears from now on does not count.
+        // Heartbeats have not reported the stop yet, and the leaving instances receive no further
+        // changes.
         leaving.forEach(
                 instance -> {
                     instance.mReplica.leave();
                     instance.mFeed.dropEvents(true);
                 });
-        assertAllHearThatItLeaves("s1", others);
+        assertAllReceiveLeaving("s1", others);
         leaving.forEach(instance -> instance.mReady = false);
         mFixture.pass(10_000);
-        assertThat(others.stream().filter(StoreRelayTest::watches)).hasSize(WATCHERS);
+        assertThat(others.stream().filter(StoreRelayTest::isWatching)).hasSize(WATCHERS);
     }
 
     @Example
-    void nobodyReliesOnAnybodyWhileTheStoreIsAwayAndAllAreBackAfterwards() {
+    void noInstanceWatchesDuringAnOutageAndSharingResumesAfterwards() {
         startZone();
         mAll.forEach(instance -> instance.mFeed.fault(Fault.REFUSED));
         mFixture.pass(6_000);
@@ -213,15 +217,15 @@
         mFixture.pass(10_000);
         assertThat(mAll).allMatch(instance -> instance.servers().size() == 1);
         assertThat(watchers()).hasSize(WATCHERS);
-        assertAllHearThatItLeaves("s2", mAll);
+        assertAllReceiveLeaving("s2", mAll);
     }
 
     @Example
-    void aWatcherThatIsBehindTakesNothingBack() {
+    void watcherThatIsBehindRevertsNothing() {
         startZone();
         Instance behind = watchers().get(0);
         behind.mFeed.dropEvents(true);
-        assertAllHearThatItLeaves(
+        assertAllReceiveLeaving(
                 "s1", mAll.stream().filter(instance -> instance != behind).toList());
         assertThat(behind.isLeaving("s1")).isFalse();
         mFixture.pass(1_000);
@@ -229,20 +233,20 @@
     }
 
     @Example
-    void whoHasBegunToWatchDoesNotSaySoBeforeTheStoreHasAnsweredIt() {
+    void newWatcherReportsWatchingOnlyAfterTheStoreHasAnswered() {
         startZone();
         Instance other = others().get(0);
         other.mFeed.fault(Fault.SILENT);
         watchers().forEach(Instance::killRelay);
         mFixture.pass(100);
-        assertThat(watches(other)).isFalse();
+        assertThat(isWatching(other)).isFalse();
         other.mFeed.fault(Fault.NONE);
         mFixture.pass(3_000);
-        assertThat(watches(other)).isTrue();
+        assertThat(isWatching(other)).isTrue();
     }
 
     @Example
-    void otherWatchersAreDrawnWhenTheReadyChange() {
+    void selectsOtherWatchersWhenReadyInstancesChange() {
         startZone();
         List<Instance> first = watchers();
         first.forEach(instance -> instance.mReady = false);
@@ -250,6 +254,6 @@
         first.forEach(instance -> instance.mReady = true);
         mFixture.pass(8_000);
         assertThat(watchers()).hasSize(WATCHERS);
-        assertAllHearThatItLeaves("s1", mAll);
+        assertAllReceiveLeaving("s1", mAll);
     }
 }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/replica/StoreRestoreTrackerTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/replica/StoreRestoreTrackerTest.java
@@ -17,17 +17,19 @@
 import net.jqwik.api.constraints.Size;
 import net.jqwik.api.lifecycle.BeforeTry;
 
-/** Guards against changes that are missed or taken back when the store comes from an older copy. */
+/**
+ * Guards against changes that are missed or reverted when the store is restored from an older copy.
+ */
 class StoreRestoreTrackerTest {
 
-    /** Within this all writers have written again. */
-    private static final long WRITTEN_AGAIN_MILLIS = 1_500;
+    /** The time within which all writers have written again. */
+    private static final long REWRITE_MILLIS = 1_500;
 
     private ReplicaFixture mFixture;
     private FakeStore mStore;
 
     @BeforeTry
-    void begin() {
+    void createFixture() {
         mFixture = new ReplicaFixture();
         mStore = mFixture.mStore;
     }
@@ -43,16 +45,16 @@
     }
 
     @Example
-    void versionOfTheNewEraIsInForceThoughItsRevisionWasGivenOutBefore() {
+    void appliesVersionOfTheNewEraWithReusedRevision() {
         Instance instance = mFixture.start(FakeStore.Fault.NONE, true);
         mFixture.pass(100);
-        mStore.keepCopy();
+        mStore.saveCopy();
         mStore.routing(5);
         mFixture.pass(500);
         for (boolean cuts : List.of(true, false)) {
             mStore.restoreCopy(cuts);
             mFixture.pass(3_000);
-            assertThat(instance.version()).as("is not taken back").isEqualTo(cuts ? 5 : 6);
+            assertThat(instance.version()).as("is not reverted").isEqualTo(cuts ? 5 : 6);
             mStore.routing(cuts ? 6 : 7);
             mFixture.pass(300);
             assertThat(instance.version()).isEqualTo(cuts ? 6 : 7);
@@ -60,12 +62,12 @@
     }
 
     @Example
-    void whatIsInForceStaysUntilWritersHaveWritten() {
+    void keepsCurrentStateUntilWritersHaveWrittenAgain() {
         Instance instance = mFixture.start();
         evacuate("ended");
         mStore.server("left", "ready");
         mFixture.pass(500);
-        mStore.keepCopy();
+        mStore.saveCopy();
         mStore.delete(Category.EVACUATIONS, "ended");
         mStore.delete(Category.BACKEND_SERVERS, "left");
         evacuate("lost");
@@ -84,30 +86,30 @@
     }
 
     @Example
-    void whatIsNotWrittenAgainIsTakenAsTheStoreHasIt() {
+    void acceptsTheStoresStateForDocumentsNotWrittenAgain() {
         Instance instance = mFixture.start();
         evacuate("ended");
         mStore.server("left", "ready");
         mFixture.pass(500);
-        mStore.keepCopy();
+        mStore.saveCopy();
         mStore.delete(Category.EVACUATIONS, "ended");
         mStore.delete(Category.BACKEND_SERVERS, "left");
         mStore.server("new", "ready");
         mFixture.pass(500);
         mStore.restoreCopy(true);
         mFixture.pass(4_000);
-        assertThat(evacuated(instance)).as("nobody ended it again").containsExactly("ended");
+        assertThat(evacuated(instance)).as("no writer ended it again").containsExactly("ended");
         assertThat(instance.servers())
                 .as("a server that has left does not write, its entry expires")
                 .doesNotContain("left", "new");
         mFixture.pass(4_000);
-        assertThat(instance.servers()).as("whose entry did not expire").contains("left");
+        assertThat(instance.servers()).as("its entry did not expire").contains("left");
     }
 
     @Example
-    void whatIsWrittenInTheNewEraCountsAtOnce() {
+    void appliesWritesOfTheNewEraAtOnce() {
         Instance instance = mFixture.start();
-        mStore.keepCopy();
+        mStore.saveCopy();
         evacuate("again");
         mFixture.pass(500);
         mStore.delete(Category.EVACUATIONS, "again");
@@ -123,10 +125,10 @@
     }
 
     @Example
-    void instanceThatIsCutOffNeitherDragsOthersBackNorIsLeftBehind() {
+    void isolatedInstanceNeitherRevertsOthersNorStaysBehind() {
         Instance cut = mFixture.start();
         Instance other = mFixture.start();
-        mStore.keepCopy();
+        mStore.saveCopy();
         mStore.routing(5);
         mFixture.pass(500);
         cut.mFeed.fault(FakeStore.Fault.SILENT);
@@ -135,19 +137,19 @@
         mStore.routing(6);
         mFixture.pass(6_000);
         assertThat(other.version()).isEqualTo(6);
-        assertThat(cut.version()).as("told by its peer").isEqualTo(6);
+        assertThat(cut.version()).as("received from its peer").isEqualTo(6);
         int calls = other.mFeed.calls();
         mFixture.pass(5_000);
         assertThat(other.mFeed.calls() - calls)
-                .as("checks for a revision that is no more")
+                .as("checks for a revision that no longer exists")
                 .isLessThan(12);
     }
 
     @Example
-    void instanceThatStartsThenTakesTheNewestVersionOfItsPeers() {
+    void instanceStartedAfterRestoreAppliesTheNewestVersionOfItsPeers() {
         List<Instance> zone = mFixture.startSharing(3, 2);
         mFixture.pass(2_000);
-        mStore.keepCopy();
+        mStore.saveCopy();
         mStore.routing(5);
         mFixture.pass(1_000);
         mStore.restoreCopy(true);
@@ -159,11 +161,11 @@
     }
 
     @Example
-    void readOfTheNewEraProvesNothingUntilWritersHaveWritten() {
+    void readOfTheNewEraIsNoProofUntilWritersHaveWrittenAgain() {
         Instance instance = mFixture.start();
         List<FreshnessProof> proofs = new ArrayList<>();
         instance.mReplica.routingReader().setProofListener(proofs::add);
-        mStore.keepCopy();
+        mStore.saveCopy();
         mStore.routing(5);
         mFixture.pass(500);
         mStore.restoreCopy(true);
@@ -177,7 +179,7 @@
         mFixture.pass(100);
         assertThat(proofs).hasSize(1);
         assertThat(proofs.get(0).revision())
-                .as("what is in force is proven by it")
+                .as("the proof covers the configuration in force")
                 .isLessThanOrEqualTo(instance.mReplica.routingReader().revisionInForce());
     }
 
@@ -196,25 +198,27 @@
     }
 
     @Example
-    void instanceThatStartsTakesNoReadForProofUntilWritersHaveWritten() {
+    void startingInstanceAcceptsNoReadAsProofUntilWritersHaveWrittenAgain() {
         mStore.restoreCopy(true);
-        assertThat(proofsAtStart(0, 1_000)).as("others have settled before the return").isEmpty();
-        assertThat(proofsAtStart(0, 3_000)).as("after its own time").isNotEmpty();
+        assertThat(proofsAtStart(0, 1_000)).as("others have settled before the restore").isEmpty();
+        assertThat(proofsAtStart(0, 3_000)).as("after its own settling time").isNotEmpty();
         assertThat(proofsAtStart(1, 0)).as("others have settled since").isNotEmpty();
         assertThat(proofsAtStart(StoreRestoreTracker.UNREPORTED, 0))
-                .as("the first of all")
+                .as("the first instance of all")
                 .isNotEmpty();
     }
 
     @Example
-    void entryOfAnInstanceIsWrittenWhenItHasSettled() {
+    void notifiesSettledListenerAtTheStartAndAfterEachRestore() {
         Instance instance = mFixture.start(FakeStore.Fault.NONE, false);
         List<Long> eras = new ArrayList<>();
-        instance.mReplica.restoreTracker().addSettledListener((era, hadBefore) -> eras.add(era));
+        instance.mReplica
+                .restoreTracker()
+                .addSettledListener((era, settledBeforeStart) -> eras.add(era));
         mFixture.pass(20);
         instance.mReplica.restoreTracker().instancesListed(StoreRestoreTracker.UNREPORTED);
         assertThat(eras).containsExactly(0L);
-        mStore.keepCopy();
+        mStore.saveCopy();
         mStore.restoreCopy(true);
         mFixture.pass(1_500);
         assertThat(eras).hasSize(1);
@@ -222,29 +226,29 @@
         assertThat(eras).containsExactly(0L, 1L);
     }
 
-    /** What may happen in a step. */
+    /** Events of a step. */
     enum Step {
         CONFIGURE,
         EVACUATE,
         END_EVACUATION,
         REGISTER,
         UNREGISTER,
-        KEEP_COPY,
-        RETURN,
-        RETURN_SILENTLY,
-        FORGET_HISTORY,
-        CUT_FIRST,
+        SAVE_COPY,
+        RESTORE,
+        RESTORE_SILENTLY,
+        DROP_HISTORY,
+        ISOLATE_FIRST,
         HEAL,
         WAIT
     }
 
-    /** The operator's and the servers' last word, and what they write again after a return. */
+    /** The last writes of the operator and the servers, which are repeated after a restore. */
     private final class Writers {
 
         private final Set<String> mZones = new TreeSet<>();
         private final Set<String> mServers = new TreeSet<>(Set.of("s1", "s2"));
         private long mVersion = 1;
-        private boolean mHasReturned;
+        private boolean mIsRestored;
 
         void play(Step step, int number, List<Instance> instances) {
             String name = "n" + number % 3;
@@ -266,24 +270,24 @@
                     mServers.remove(name);
                     mStore.delete(Category.BACKEND_SERVERS, name);
                 }
-                case KEEP_COPY -> mStore.keepCopy();
-                case RETURN, RETURN_SILENTLY -> {
-                    mStore.restoreCopy(step == Step.RETURN);
-                    mHasReturned = true;
+                case SAVE_COPY -> mStore.saveCopy();
+                case RESTORE, RESTORE_SILENTLY -> {
+                    mStore.restoreCopy(step == Step.RESTORE);
+                    mIsRestored = true;
                 }
-                case FORGET_HISTORY -> mStore.compact();
-                case CUT_FIRST -> instances.get(0).mFeed.fault(FakeStore.Fault.SILENT);
+                case DROP_HISTORY -> mStore.compact();
+                case ISOLATE_FIRST -> instances.get(0).mFeed.fault(FakeStore.Fault.SILENT);
                 case HEAL -> instances.get(0).mFeed.fault(FakeStore.Fault.NONE);
                 default -> {}
             }
         }
 
-        /** Writes all again, as writers do that have noticed. */
+        /** Writes everything again, as writers do that have noticed the restore. */
         void writeAgain() {
-            if (!mHasReturned) {
+            if (!mIsRestored) {
                 return;
             }
-            mHasReturned = false;
+            mIsRestored = false;
             mStore.routing(mVersion);
             for (String name : List.of("n0", "n1", "n2", "s1", "s2")) {
                 if (mZones.contains(name)) {
@@ -301,16 +305,16 @@
     }
 
     @Property(seed = "20261203", tries = 300)
-    void noVersionIsTakenBackAndTheLastWordOfWritersHolds(
+    void noVersionIsRevertedAndTheLastWritesApply(
             @ForAll @Size(min = 4, max = 16) List<Step> steps) {
-        mStore.keepCopy();
+        mStore.saveCopy();
         List<Instance> instances = new ArrayList<>(mFixture.startSharing(3, 1));
         mFixture.pass(1_500);
         Writers writers = new Writers();
         int number = 0;
         for (Step step : steps) {
             writers.play(step, number++, instances);
-            mFixture.pass(number % 4 == 0 ? WRITTEN_AGAIN_MILLIS : 150);
+            mFixture.pass(number % 4 == 0 ? REWRITE_MILLIS : 150);
             writers.writeAgain();
             mFixture.pass(100);
         }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/replica/UnreadableEntryTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/replica/UnreadableEntryTest.java
@@ -7,14 +7,17 @@
 import java.util.Set;
 import net.jqwik.api.Example;
 
-/** An entry that cannot be read names no server; the others hold. */
+/**
+ * Guards against servers that stay in use after their entry became unreadable, and against
+ * unreadable entries that affect other servers.
+ */
 class UnreadableEntryTest {
 
     private final ReplicaFixture mFixture = new ReplicaFixture();
     private final FakeStore mStore = mFixture.mStore;
 
     @Example
-    void namesNoServerUntilItIsGoodAgain() {
+    void removesItsServerUntilItIsReadableAgain() {
         Instance instance = mFixture.start();
         mStore.server("s1", "broken");
         mFixture.pass(500);
@@ -25,7 +28,7 @@
     }
 
     @Example
-    void oneAmongOthersCostsThemNothing() {
+    void doesNotAffectOtherEntries() {
         mStore.server("s0", "broken");
         mStore.server("s3", "broken");
         Instance instance = mFixture.start();
@@ -39,7 +42,7 @@
     }
 
     @Example
-    void doesNotStayAfterAnOutageAsIfItsServerWereThere() {
+    void removesItsServerAfterAnOutage() {
         Instance instance = mFixture.start();
         instance.mFeed.fault(FakeStore.Fault.REFUSED);
         mFixture.pass(6_000);
@@ -50,7 +53,7 @@
     }
 
     @Example
-    void aServerOfAnUnknownZoneIsNone() {
+    void rejectsServerOfAnUnknownZone() {
         KnownZonesTranslator known =
                 new KnownZonesTranslator(new FakeTranslator(), Set.of(new ZoneId("zone-a")));
         KnownZonesTranslator unknown =
--- a/masticpond-entry/src/test/java/io/masticpond/entry/replica/UnreportedServerTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/replica/UnreportedServerTest.java
@@ -6,7 +6,10 @@
 import io.masticpond.entry.replica.ReplicaFixture.Instance;
 import net.jqwik.api.Example;
 
-/** A backend server may register before it reports whether it is cold. */
+/**
+ * Guards against requests to a cold backend server that has registered but not yet reported its
+ * state, and against services left empty while waiting for such reports.
+ */
 class UnreportedServerTest {
 
     private static final long WARM_UP_MILLIS = 4_000;
@@ -19,7 +22,7 @@
     }
 
     @Example
-    void isLeftOutUntilItReportsWhileOthersOfItsServiceHave() {
+    void omitsServerUntilItReportsWhileOthersOfItsServiceHave() {
         Instance instance = mFixture.start();
         mStore.server("s3", "new");
         mFixture.pass(500);
@@ -31,7 +34,7 @@
     }
 
     @Example
-    void isHeardOfSoonAlsoAmidOtherNews() {
+    void receivesReportSoonDuringBurstsOfOtherChanges() {
         Instance instance = mFixture.start();
         for (int change = 0; change < 300; change++) {
             mStore.server("s2", "cold:" + (change + 1));
@@ -48,7 +51,7 @@
     }
 
     @Example
-    void aWholeServiceWithoutReportsIsColdAndNotEmpty() {
+    void serviceWithoutAnyReportsIsColdAndNotEmpty() {
         mStore.server("s1", "new");
         mStore.server("s2", "new");
         Instance late = mFixture.start();
@@ -60,7 +63,7 @@
     }
 
     @Example
-    void isNeverUsedIfItDoesNotReport() {
+    void neverUsesServerThatDoesNotReport() {
         Instance instance = mFixture.start();
         mStore.server("s3", "new");
         mFixture.pass(WARM_UP_MILLIS - 100);
@@ -75,7 +78,7 @@
     }
 
     @Example
-    void wholeServiceIsWaitedForNoLongerThanItCanBeCold() {
+    void waitsForReportsOfServiceNoLongerThanTheWarmUp() {
         mStore.server("s1", "new");
         mStore.server("s2", "new");
         Instance instance = mFixture.start();
@@ -87,7 +90,7 @@
     }
 
     @Example
-    void keepsWhatItReportedWhenItsEntryComesBackAfterAnOutage() {
+    void keepsEarlierReportWhenAnEntryIsWrittenAgainAfterAnOutage() {
         Instance instance = mFixture.start();
         instance.mFeed.fault(Fault.REFUSED);
         mFixture.pass(6_000);
@@ -102,7 +105,7 @@
     }
 
     @Example
-    void costsFewCallsWhenItNeverReports() {
+    void makesFewCallsWhenServerNeverReports() {
         Instance instance = mFixture.start();
         int before = instance.mFeed.calls();
         mStore.server("s3", "new");
