--- a/masticpond-core/src/main/java/io/masticpond/core/membership/Admitters.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/Admitters.java
@@ -5,7 +5,8 @@
 import java.util.List;
 
 /**
- * Says which instances may admit work to a shard, the first choice first.
+ * Strategy interface for determining the instances that may admit work to a shard, in order of
+ * preference.
  *
  * @since 0.1
  * @see MembershipView
@@ -14,11 +15,11 @@
 public interface Admitters {
 
     /**
-     * Orders the instances that may admit work to a shard: those of its region by rendezvous; if
-     * the region has none, those of all regions.
+     * Returns the instances that may admit work to a shard: those of its region, ordered by
+     * rendezvous hashing, or those of all regions if its region has none.
      *
      * @param shard the shard
-     * @return the instances in order of choice; empty if none may admit
+     * @return the instances in order of preference, or an empty list if none may admit work
      */
     List<InstanceId> order(Shard shard);
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/DigestComparison.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/DigestComparison.java
@@ -4,30 +4,36 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Decides when a neighbor whose digest differs gets all that is known here. */
+/**
+ * Determines when a neighbor whose digest differs is sent the full membership state of this
+ * instance.
+ */
 final class DigestComparison {
 
-    private static final int DIFFERENCES = 3;
-    private static final int HEARTBEATS_APART = 10;
+    private static final int DIFFERENCES_BEFORE_SEND = 3;
+    private static final int HEARTBEATS_BETWEEN_SENDS = 10;
 
-    private final Map<InstanceId, Integer> mDifferences = new HashMap<>();
+    private final Map<InstanceId, Integer> mConsecutiveDifferences = new HashMap<>();
 
-    /** Takes the digests of one heartbeat; returns whether all must be sent to the neighbor. */
+    /**
+     * Compares the digests of one heartbeat and returns whether the full state must be sent to the
+     * neighbor.
+     */
     boolean differs(InstanceId from, long own, long other) {
         if (own == other) {
-            mDifferences.remove(from);
+            mConsecutiveDifferences.remove(from);
             return false;
         }
-        int count = mDifferences.merge(from, 1, Integer::sum);
-        if (count < DIFFERENCES) {
+        int count = mConsecutiveDifferences.merge(from, 1, Integer::sum);
+        if (count < DIFFERENCES_BEFORE_SEND) {
             return false;
         }
-        mDifferences.put(from, DIFFERENCES - HEARTBEATS_APART);
+        mConsecutiveDifferences.put(from, DIFFERENCES_BEFORE_SEND - HEARTBEATS_BETWEEN_SENDS);
         return true;
     }
 
-    /** Forgets an instance. */
+    /** Removes the state kept for an instance. */
     void forget(InstanceId id) {
-        mDifferences.remove(id);
+        mConsecutiveDifferences.remove(id);
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/FailureDetector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/FailureDetector.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** Says what the silence of a member means. */
+/** Evaluates the inactivity of members. */
 final class FailureDetector {
 
     private final MembershipTimings mTimings;
@@ -12,13 +12,14 @@
     }
 
     /**
-     * Judges a member.
+     * Evaluates a member.
      *
      * @param record the member
-     * @param watched whether it should send heartbeats to this instance; only those who watch a
-     *     member may suspect it, and all bury a suspect that stayed silent
-     * @param now the elapsed time
-     * @return what to claim of it now, or empty if nothing changes
+     * @param watched whether it is expected to send heartbeats to this instance; only an instance
+     *     that watches a member may suspect it, but every instance declares a suspect dead that
+     *     remained unresponsive
+     * @param now the current monotonic time in nanoseconds
+     * @return the new claim about the member, or empty if its state does not change
      */
     Optional<MemberClaim> evaluate(MemberRecord record, boolean watched, long now) {
         return switch (record.state()) {
@@ -28,14 +29,16 @@
         };
     }
 
-    /** Tells whether others should be asked for newer news of a watched member. */
+    /**
+     * Determines whether other instances should be queried for a newer update of a watched member.
+     */
     boolean mustRequestUpdate(MemberRecord record, long now) {
         return record.state().isReachable()
                 && record.inactivityNanos(now) >= mTimings.updateRequest().toNanos()
                 && record.sinceUpdateRequested(now) >= mTimings.heartbeat().toNanos();
     }
 
-    /** Tells whether a dead member is dead for so long that it can be forgotten. */
+    /** Determines whether a member has been dead for long enough to remove its record. */
     boolean mustForget(MemberRecord record, long now) {
         return record.state() == MemberState.DEAD
                 && record.sinceClaim(now) >= mTimings.forget().toNanos();
@@ -45,18 +48,16 @@
         if (isProcessTerminated(record, now)) {
             return Optional.of(MemberClaim.TERMINATED);
         }
-        boolean silent = record.inactivityNanos(now) >= mTimings.suspect().toNanos();
-        return silent ? Optional.of(MemberClaim.SUSPECT) : Optional.empty();
+        boolean unresponsive = record.inactivityNanos(now) >= mTimings.suspect().toNanos();
+        return unresponsive ? Optional.of(MemberClaim.SUSPECT) : Optional.empty();
     }
 
     private Optional<MemberClaim> evaluateSuspect(MemberRecord record, boolean watched, long now) {
         if (watched && isProcessTerminated(record, now)) {
             return Optional.of(MemberClaim.TERMINATED);
         }
-        long patience = mTimings.dead().minus(mTimings.suspect()).toNanos();
-        return record.sinceClaim(now) >= patience
-                ? Optional.of(MemberClaim.DEAD)
-                : Optional.empty();
+        long timeout = mTimings.dead().minus(mTimings.suspect()).toNanos();
+        return record.sinceClaim(now) >= timeout ? Optional.of(MemberClaim.DEAD) : Optional.empty();
     }
 
     private boolean isProcessTerminated(MemberRecord record, long now) {
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/Member.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/Member.java
@@ -7,15 +7,15 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * What is known of one instance.
+ * Immutable snapshot of what this instance knows of one instance.
  *
  * @param incarnation the run of the instance
  * @param zone its availability zone
- * @param linkAddress where other instances reach it, as "ip:port"
- * @param callerAddress where callers reach it, as "ip:port"
- * @param operatorAddress where operators reach it, as "ip:port"
+ * @param linkAddress the address at which other instances reach it, as "ip:port"
+ * @param callerAddress the address at which callers reach it, as "ip:port"
+ * @param operatorAddress the address at which operators reach it, as "ip:port"
  * @param state the state
- * @param configuration the configuration version that it said it has in force
+ * @param configuration the configuration version that the instance last reported as in force
  * @since 0.1
  */
 public record Member(
@@ -27,7 +27,7 @@
         MemberState state,
         ConfigurationVersion configuration) {
 
-    /** Checks that all parts are given. */
+    /** Validates that all components are non-null. */
     public Member {
         Assert.notNull(incarnation, "An incarnation");
         Assert.notNull(zone, "An availability zone id");
@@ -39,18 +39,18 @@
     }
 
     /**
-     * Gives the instance without its incarnation.
+     * Returns the id of the instance, without its incarnation.
      *
-     * @return the instance
+     * @return the instance id
      */
     public InstanceId id() {
         return incarnation.instance();
     }
 
     /**
-     * Tells whether the instance said that it has a configuration in force.
+     * Determines whether the instance has reported a configuration as in force.
      *
-     * @return whether it can take requests
+     * @return {@code true} if it can accept requests
      */
     public boolean isConfigured() {
         return configuration.isAfter(ConfigurationVersion.NONE);
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MemberClaim.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MemberClaim.java
@@ -1,18 +1,20 @@
 package io.masticpond.core.membership;
 
 /**
- * What news says about a run of an instance, from the best to the worst.
+ * Claim that an update makes about a run of an instance, ordered from the best to the worst.
  *
  * @since 0.1
  */
 public enum MemberClaim {
-    /** It sent the heartbeat with the sequence of the news. */
+    /** The run sent the heartbeat with the sequence of the update. */
     LIVE(false),
-    /** A watcher has heard nothing since the sequence of the news. */
+    /**
+     * An instance that watches the run has received no heartbeat since the sequence of the update.
+     */
     SUSPECT(false),
-    /** It stayed silent through the time that it had to refute the suspicion. */
+    /** The run remained unresponsive for the time that it had to override the suspicion. */
     DEAD(true),
-    /** Its process has ended: it said so itself, or its address refused a connection. */
+    /** The process has terminated: it reported so itself, or its address refused a connection. */
     TERMINATED(true);
 
     private final boolean mEnd;
@@ -22,9 +24,9 @@
     }
 
     /**
-     * Tells whether the run takes no part any more.
+     * Determines whether the run no longer takes part.
      *
-     * @return whether it is dead or gone
+     * @return {@code true} if it is dead or terminated
      */
     public boolean isEnd() {
         return mEnd;
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MemberDigest.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MemberDigest.java
@@ -1,6 +1,6 @@
 package io.masticpond.core.membership;
 
-/** Sums up a run and its leaving flag in one number; sums of them do not depend on the order. */
+/** Hash of a run and its leaving flag. The sum of several hashes does not depend on their order. */
 final class MemberDigest {
 
     private static final long FACTOR = 0x9e3779b97f4a7c15L;
@@ -8,10 +8,10 @@
 
     private MemberDigest() {}
 
-    static long of(MemberUpdate news) {
-        long mixed = news.id().value().hashCode() * FACTOR;
-        mixed = (mixed ^ news.incarnation().number()) * FACTOR;
-        mixed = (mixed ^ (news.leaving() ? 1 : 0)) * FACTOR;
+    static long of(MemberUpdate update) {
+        long mixed = update.id().value().hashCode() * FACTOR;
+        mixed = (mixed ^ update.incarnation().number()) * FACTOR;
+        mixed = (mixed ^ (update.leaving() ? 1 : 0)) * FACTOR;
         return mixed ^ (mixed >>> SHIFT);
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MemberRecord.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MemberRecord.java
@@ -4,10 +4,10 @@
 import io.masticpond.core.id.Incarnation;
 import io.masticpond.core.id.InstanceId;
 
-/** All that a {@link MembershipTable} keeps of one other instance. */
+/** Mutable record that a {@link MembershipTable} keeps of one other instance. */
 final class MemberRecord {
 
-    /** Stands for the run of an instance that is listed but not heard from. */
+    /** Placeholder for the run of an instance that is listed but has not sent a heartbeat. */
     private static final long UNKNOWN_RUN = 1;
 
     private final InstanceId mId;
@@ -21,7 +21,7 @@
     private long mClaimNanos;
     private long mUpdateRequestedNanos;
 
-    /** Makes the record of an instance that the platform lists. */
+    /** Creates the record of an instance that the platform lists. */
     MemberRecord(ListedMember listed, long now) {
         this(
                 new MemberUpdate(
@@ -37,10 +37,10 @@
                 now);
     }
 
-    /** Makes the record of an instance that another one told of. */
-    MemberRecord(MemberUpdate news, long now) {
-        mId = news.id();
-        mUpdate = news;
+    /** Creates the record of an instance that another instance reported. */
+    MemberRecord(MemberUpdate update, long now) {
+        mId = update.id();
+        mUpdate = update;
         mLastActivityNanos = now;
         mClaimNanos = now;
         mUpdateRequestedNanos = now;
@@ -66,12 +66,12 @@
         };
     }
 
-    /** Tells whether the process of the run has ended. */
+    /** Determines whether the process of the run has terminated. */
     boolean isTerminated() {
         return mHasReceivedUpdate && mUpdate.claim() == MemberClaim.TERMINATED;
     }
 
-    /** Gives the share of this member in the digest of all. */
+    /** Returns the contribution of this member to the digest of all members. */
     long digest() {
         return mHasReceivedUpdate && !mUpdate.claim().isEnd() ? MemberDigest.of(mUpdate) : 0;
     }
@@ -96,8 +96,9 @@
     }
 
     /**
-     * Tells whether the member certainly takes no part: its process has ended. An instance that is
-     * silent or not heard from may be at work behind a cut.
+     * Determines whether the activity of the member is known: it is live, or its process has
+     * certainly terminated. An instance that is unresponsive, or from which no heartbeat was
+     * received, may be working on the other side of a network partition.
      */
     boolean isAccountedFor() {
         return switch (state()) {
@@ -108,33 +109,36 @@
         };
     }
 
-    /** A run that ended is followed by one with a lower number if the wall clock went back. */
-    boolean isRestartWithEarlierClock(MemberUpdate news, InstanceId teller) {
+    /**
+     * Determines whether the update is from a restart with a lower run number. A run that ended is
+     * followed by one with a lower number if the wall clock was set back.
+     */
+    boolean isRestartWithEarlierClock(MemberUpdate update, InstanceId reporter) {
         return mUpdate.claim().isEnd()
-                && news.id().equals(teller)
-                && news.incarnation().number() < mUpdate.incarnation().number();
+                && update.id().equals(reporter)
+                && update.incarnation().number() < mUpdate.incarnation().number();
     }
 
     /**
-     * Takes newer news; returns whether the run, the state or an address is another than before, or
-     * the run got its first configuration.
+     * Applies a newer update and returns whether the run, the state or an address has changed, or
+     * the run has its first configuration.
      */
-    boolean apply(MemberUpdate news, long now) {
+    boolean apply(MemberUpdate update, long now) {
         Member before = member();
         boolean advances =
                 !mHasReceivedUpdate
-                        || news.incarnation().number() > mUpdate.incarnation().number()
-                        || news.sequence() > mUpdate.sequence();
-        if (advances && news.claim() == MemberClaim.LIVE) {
+                        || update.incarnation().number() > mUpdate.incarnation().number()
+                        || update.sequence() > mUpdate.sequence();
+        if (advances && update.claim() == MemberClaim.LIVE) {
             mLastActivityNanos = now;
             mDisconnected = false;
             mConnectionRefused = false;
         }
-        if (news.claim() != mUpdate.claim()) {
+        if (update.claim() != mUpdate.claim()) {
             mClaimNanos = now;
         }
         mHasReceivedUpdate = true;
-        mUpdate = news;
+        mUpdate = update;
         Member after = member();
         return before.state() != after.state()
                 || before.isConfigured() != after.isConfigured()
@@ -143,7 +147,7 @@
                 || !before.callerAddress().equals(after.callerAddress());
     }
 
-    /** Takes what the platform's list says; returns whether the state is another than before. */
+    /** Applies an entry of the platform's list and returns whether the state has changed. */
     boolean apply(ListedMember listed) {
         MemberState before = state();
         mListed = true;
@@ -155,7 +159,7 @@
         return before != state();
     }
 
-    /** Makes the record of the same instance with its last run forgotten. */
+    /** Creates a record of the same instance without its last run. */
     MemberRecord expectedAgain(long now) {
         MemberRecord expected =
                 new MemberRecord(
@@ -189,13 +193,16 @@
         mUpdateRequestedNanos = now;
     }
 
-    /** Starts the silence anew, because this process itself could not listen. */
+    /**
+     * Restarts the measurement of inactivity because this process itself could not receive
+     * heartbeats.
+     */
     void resetInactivity(long now) {
         mLastActivityNanos = now;
         mClaimNanos = now;
     }
 
-    /** Notes that the last connection broke. */
+    /** Records that the last connection was closed. */
     void markDisconnected() {
         mDisconnected = true;
     }
@@ -204,7 +211,7 @@
         return mDisconnected;
     }
 
-    /** Notes that the address refused a connection. */
+    /** Records that the address refused a connection. */
     void markConnectionRefused() {
         mConnectionRefused = true;
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MemberState.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MemberState.java
@@ -6,15 +6,18 @@
  * @since 0.1
  */
 public enum MemberState {
-    /** Named by the platform's list, not heard from yet. */
+    /** Listed by the platform, but no heartbeat has been received yet. */
     EXPECTED(false, false),
-    /** Heard from a short time ago. */
+    /** A heartbeat was received recently. */
     LIVE(true, true),
-    /** Heard from, but not for some time. */
+    /** Heartbeats were received, but none for longer than the suspect timeout. */
     SUSPECT(false, false),
-    /** Heard from, and stopping as planned: it finishes work but takes no new callers. */
+    /**
+     * Heartbeats are received, and the instance is stopping as planned: it finishes its work but
+     * accepts no new callers.
+     */
     LEAVING(false, true),
-    /** Gone. */
+    /** Declared dead, or known to have terminated. */
     DEAD(false, false);
 
     private final boolean mAdmits;
@@ -26,18 +29,18 @@
     }
 
     /**
-     * Tells whether the instance may be named in look-ups and admit work.
+     * Determines whether the instance may be returned by lookups and admit work.
      *
-     * @return whether it takes new work
+     * @return {@code true} if it accepts new work
      */
     public boolean admits() {
         return mAdmits;
     }
 
     /**
-     * Tells whether messages to the instance are expected to arrive.
+     * Determines whether messages to the instance are expected to be delivered.
      *
-     * @return whether it is reachable
+     * @return {@code true} if it is reachable
      */
     public boolean isReachable() {
         return mReachable;
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MemberUpdate.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MemberUpdate.java
@@ -7,19 +7,20 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * What one instance tells another about a run of an instance.
+ * Update about a run of an instance, as sent from one instance to another.
  *
- * <p>Everything but the claim was stated by the run itself in the heartbeat with this sequence.
+ * <p>All components except the claim were reported by the run itself in the heartbeat with this
+ * sequence.
  *
  * @param incarnation the run
- * @param sequence the number of its heartbeat, which grows within a run
+ * @param sequence the sequence number of its heartbeat, which increases within a run
  * @param zone its availability zone
- * @param linkAddress where other instances reach it, as "ip:port"
- * @param callerAddress where callers reach it, as "ip:port"
- * @param operatorAddress where operators reach it, as "ip:port"
- * @param leaving whether it stops as planned
+ * @param linkAddress the address at which other instances reach it, as "ip:port"
+ * @param callerAddress the address at which callers reach it, as "ip:port"
+ * @param operatorAddress the address at which operators reach it, as "ip:port"
+ * @param leaving whether it is stopping as planned
  * @param configuration the configuration version that it has in force
- * @param claim what the teller says about it
+ * @param claim the claim of the reporting instance about it
  * @since 0.1
  */
 public record MemberUpdate(
@@ -33,7 +34,7 @@
         ConfigurationVersion configuration,
         MemberClaim claim) {
 
-    /** Checks that all parts are given. */
+    /** Validates that all components are non-null. */
     public MemberUpdate {
         Assert.notNull(incarnation, "An incarnation");
         Assert.notNegative(sequence, "A heartbeat sequence");
@@ -46,20 +47,20 @@
     }
 
     /**
-     * Gives the instance without its incarnation.
+     * Returns the id of the instance, without its incarnation.
      *
-     * @return the instance
+     * @return the instance id
      */
     public InstanceId id() {
         return incarnation.instance();
     }
 
     /**
-     * Tells whether this is newer than other news of the same instance: a later run, then a later
-     * heartbeat, then the worse claim.
+     * Determines whether this update supersedes another update of the same instance: the later run
+     * prevails, then the later heartbeat, then the worse claim.
      *
-     * @param other the other news
-     * @return whether this takes its place
+     * @param other the other update
+     * @return {@code true} if this update replaces the other
      */
     public boolean supersedes(MemberUpdate other) {
         if (incarnation.number() != other.incarnation.number()) {
@@ -72,11 +73,12 @@
     }
 
     /**
-     * Tells whether this is worth telling to one who knows of a run up to a heartbeat.
+     * Determines whether this update is new to an instance that knows a run up to a heartbeat.
      *
      * @param known the run
-     * @param knownSequence the heartbeat
-     * @return whether this is of a later run or heartbeat, or says that the run ended
+     * @param knownSequence the sequence of the heartbeat
+     * @return {@code true} if this update is of a later run or heartbeat, or claims that the run
+     *     ended
      */
     boolean isNewerThan(Incarnation known, long knownSequence) {
         return incarnation.number() > known.number()
@@ -84,10 +86,10 @@
     }
 
     /**
-     * Gives the same news with another claim.
+     * Returns a copy of this update with another claim.
      *
      * @param newClaim the claim
-     * @return the news
+     * @return the update
      */
     public MemberUpdate withClaim(MemberClaim newClaim) {
         return new MemberUpdate(
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipSink.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipSink.java
@@ -5,45 +5,47 @@
 import java.util.List;
 
 /**
- * Takes what a {@link MembershipTable} decides to send and what it learns.
+ * Callback interface for the messages that a {@link MembershipTable} sends and the changes that it
+ * detects.
  *
- * <p>Called on the thread of the table, from within its methods.
+ * <p>The methods are called on the thread of the table, from within the table's methods.
  *
  * @since 0.1
  */
 public interface MembershipSink {
 
     /**
-     * Sends this instance's own heartbeat, and news of others with it.
+     * Sends the heartbeat of this instance together with updates of other members.
      *
      * @param to the receiver
      * @param own this instance's heartbeat
-     * @param others news of others, often none
+     * @param others updates of other members, often none
      */
     void send(InstanceId to, MemberUpdate own, List<MemberUpdate> others);
 
     /**
-     * Sends this instance's own heartbeat, and news of all others that it knows.
+     * Sends the heartbeat of this instance together with updates of all other members that it
+     * knows.
      *
      * @param to the receiver
      * @param own this instance's heartbeat
-     * @param others news of all others
+     * @param others updates of all other members
      */
     void sendAll(InstanceId to, MemberUpdate own, List<MemberUpdate> others);
 
     /**
-     * Asks an instance for newer news of a run.
+     * Requests a newer update of a run from an instance.
      *
-     * @param to the instance asked
+     * @param to the instance that is queried
      * @param run the run
-     * @param sequence the newest heartbeat of it that is known here
+     * @param sequence the sequence of the newest heartbeat of the run that this instance knows
      */
     void requestUpdate(InstanceId to, Incarnation run, long sequence);
 
     /**
-     * Tells that a member is new or has another state, run or address than before.
+     * Handles a member that is new or whose state, run, address or first configuration has changed.
      *
-     * @param member the member as it is now
+     * @param member the current snapshot of the member
      */
     void memberChanged(Member member);
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTable.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTable.java
@@ -17,11 +17,11 @@
 import java.util.function.Function;
 
 /**
- * Keeps which instances are live, from heartbeats, news that others pass on, and the platform's
- * list; see docs/design/membership.md for the states.
+ * State machine that tracks which instances are live from heartbeats, relayed updates and the
+ * platform's list; see docs/design/membership.md for the states.
  *
- * <p>A state machine for one thread: it never blocks and reads time only from the clock that it was
- * given, and of that only elapsed time. What it wants sent it tells a {@link MembershipSink}.
+ * <p>Not thread-safe. The table never blocks and reads only the monotonic time of its time source.
+ * It passes messages to be sent to a {@link MembershipSink}.
  *
  * @since 0.1
  */
@@ -45,12 +45,12 @@
     private long mOthersDigest;
 
     /**
-     * Makes a table that knows this instance only.
+     * Creates a table that contains this instance only.
      *
-     * @param self what this instance states about itself
-     * @param timings the times
-     * @param timeSource the clock
-     * @param sink takes what is to be sent and what was learned
+     * @param self the state that this instance reports about itself
+     * @param timings the timeouts of the membership protocol
+     * @param timeSource the source of the monotonic time
+     * @param sink the callback for messages to send and for changed members
      */
     public MembershipTable(
             OwnState self, MembershipTimings timings, TimeSource timeSource, MembershipSink sink) {
@@ -65,34 +65,26 @@
     }
 
     /**
-     * Takes how availability zones belong to regions.
+     * Sets the assignment of availability zones to regions.
      *
-     * @param regions gives the region of an availability zone, or empty if there is none
+     * @param regions returns the region of an availability zone, or empty if there is none
      */
     public void setRegions(Function<ZoneId, Optional<RegionId>> regions) {
         mRegions = Assert.notNull(regions, "The regions of availability zones");
     }
 
-    /**
-     * Says whether this instance stops as planned; heartbeats tell it from now on.
-     *
-     * @param leaving whether it does
-     */
+    /** Sets whether this instance is stopping as planned, which subsequent heartbeats report. */
     public void setLeaving(boolean leaving) {
         mSelf.setLeaving(leaving);
     }
 
-    /**
-     * Says which configuration this instance has in force; heartbeats tell it from now on.
-     *
-     * @param version the version
-     */
+    /** Sets the configuration version in force here, which subsequent heartbeats report. */
     public void setConfiguration(ConfigurationVersion version) {
         mSelf.setConfiguration(version);
     }
 
     /**
-     * Takes the platform's list of instances in place of the one before.
+     * Replaces the platform's list of instances.
      *
      * @param listed the entries
      */
@@ -120,11 +112,11 @@
     }
 
     /**
-     * Takes a heartbeat that came directly from a run of an instance.
+     * Processes a heartbeat that was received directly from a run of an instance.
      *
-     * @param own what the sender states about itself
-     * @param others news that it passes on
-     * @param all whether the news are all that the sender knows, and so need not be passed on
+     * @param own the state that the sender reports about itself
+     * @param others updates of other members that it relays
+     * @param all whether the updates are the full state of the sender, which is not relayed
      * @param digest the digest of the sender
      */
     public void receiveHeartbeat(
@@ -135,7 +127,7 @@
         mRosterKnown |= all;
         boolean newRun = !isKnownRun(own);
         merge(own, own.id(), true);
-        others.forEach(news -> merge(news, own.id(), !all));
+        others.forEach(update -> merge(update, own.id(), !all));
         mDisseminator.flush(neighbors());
         if (!isKnownRun(own)) {
             return;
@@ -147,11 +139,13 @@
     }
 
     /**
-     * Takes the question of an instance for newer news of a run; answers it, or asks the run.
+     * Processes an instance's request for a newer update of a run: answers it, or relays it to the
+     * run.
      *
-     * @param from who asks
+     * @param from the requesting instance
      * @param run the run
-     * @param sequence the newest heartbeat of it that the asker knows
+     * @param sequence the sequence of the newest heartbeat of the run that the requesting instance
+     *     knows
      */
     public void receiveUpdateRequest(InstanceId from, Incarnation run, long sequence) {
         MemberRecord record = mRecords.get(run.instance());
@@ -166,7 +160,8 @@
     }
 
     /**
-     * Notes that the last connection to a run of an instance broke; a heartbeat finds out why.
+     * Records that the last connection to a run of an instance was closed, and sends a heartbeat to
+     * determine whether the run has terminated.
      *
      * @param run the run
      */
@@ -180,7 +175,7 @@
     }
 
     /**
-     * Notes that nothing listens at the address of an instance.
+     * Records that the address of an instance refused a connection.
      *
      * @param id the instance
      */
@@ -193,7 +188,10 @@
         }
     }
 
-    /** Lets time act: notices an own pause, asks, suspects, buries and forgets. */
+    /**
+     * Evaluates all timeouts: detects a pause of this process, requests updates, suspects members,
+     * declares suspects dead and removes the records of dead members.
+     */
     public void advance() {
         long now = mTimeSource.monotonicNanos();
         if (mPauseDetector.advance(now)) {
@@ -213,7 +211,7 @@
     }
 
     /**
-     * Sends a heartbeat to one instance, which may not know of this one.
+     * Sends a heartbeat to one instance, which may not know this instance yet.
      *
      * @param to the instance
      */
@@ -221,26 +219,23 @@
         mSink.send(to, mSelf.next(), List.of());
     }
 
-    /** Tells every neighbor that this run ends now. */
+    /** Notifies every neighbor that this run is terminating. */
     public void announceTermination() {
         MemberUpdate own = mSelf.next().withClaim(MemberClaim.TERMINATED);
         neighbors().forEach(id -> mSink.send(id, own, List.of()));
     }
 
     /**
-     * Sums up who is a member, so that two instances can compare what they know.
+     * Returns a digest of the members, with which two instances compare their views.
      *
-     * @return the same number for the same runs with the same ends and leaving flags
+     * @return a digest that is equal for the same set of runs that have not ended, with the same
+     *     leaving flags
      */
     public long digest() {
         return mOthersDigest + MemberDigest.of(mSelf.current());
     }
 
-    /**
-     * Gives what is known now.
-     *
-     * @return an immutable copy
-     */
+    /** Returns an immutable snapshot of the current view. */
     public MembershipView view() {
         Map<InstanceId, Member> members = new TreeMap<>();
         Set<InstanceId> missing = new HashSet<>();
@@ -261,20 +256,17 @@
     }
 
     /**
-     * Tells whether this process stood still and has not yet heard from a majority of the others of
-     * its region since: its view is old, and another may have taken its work over.
+     * Determines whether this process was paused and has not yet received heartbeats from a
+     * majority of the other instances of its region since. Its view is stale then, and another
+     * instance may have taken over its work.
      *
-     * @return whether the own view is not to be trusted
+     * @return {@code true} if the view of this instance is stale
      */
     public boolean isSelfPaused() {
         return mPauseDetector.isPaused(this::othersOfOwnRegion);
     }
 
-    /**
-     * Gives the instances that this one exchanges heartbeats with.
-     *
-     * @return a copy
-     */
+    /** Returns the instances with which this instance exchanges heartbeats. */
     public Set<InstanceId> neighbors() {
         return mNeighborhood.of(mRecords.values(), mTimeSource.monotonicNanos());
     }
@@ -283,8 +275,8 @@
         Optional<RegionId> own = mRegions.apply(mSelf.zone());
         Set<InstanceId> others = new HashSet<>();
         for (MemberRecord record : mRecords.values()) {
-            boolean near = mRegions.apply(record.update().zone()).equals(own);
-            if (near && record.hasReceivedUpdate() && record.state() != MemberState.DEAD) {
+            boolean inOwnRegion = mRegions.apply(record.update().zone()).equals(own);
+            if (inOwnRegion && record.hasReceivedUpdate() && record.state() != MemberState.DEAD) {
                 others.add(record.id());
             }
         }
@@ -301,11 +293,11 @@
         return neighbors().contains(record.id());
     }
 
-    private boolean isKnownRun(MemberUpdate news) {
-        MemberRecord record = mRecords.get(news.id());
+    private boolean isKnownRun(MemberUpdate update) {
+        MemberRecord record = mRecords.get(update.id());
         return record != null
                 && record.hasReceivedUpdate()
-                && record.update().incarnation().equals(news.incarnation());
+                && record.update().incarnation().equals(update.incarnation());
     }
 
     private void sendAllTo(InstanceId to) {
@@ -318,47 +310,48 @@
         mSink.sendAll(to, mSelf.next(), all);
     }
 
-    private void merge(MemberUpdate news, InstanceId teller, boolean spread) {
-        if (news.id().equals(mSelf.id())) {
-            mergeAboutSelf(news);
+    private void merge(MemberUpdate update, InstanceId reporter, boolean disseminate) {
+        if (update.id().equals(mSelf.id())) {
+            mergeAboutSelf(update);
             return;
         }
         long now = mTimeSource.monotonicNanos();
-        MemberRecord record = mRecords.get(news.id());
+        MemberRecord record = mRecords.get(update.id());
         if (record == null) {
-            if (!news.claim().isEnd()) {
-                accept(add(new MemberRecord(news, now)), news, teller, spread);
+            if (!update.claim().isEnd()) {
+                accept(add(new MemberRecord(update, now)), update, reporter, disseminate);
             }
         } else if (!record.hasReceivedUpdate()
-                || news.supersedes(record.update())
-                || record.isRestartWithEarlierClock(news, teller)) {
-            accept(record, news, teller, spread);
+                || update.supersedes(record.update())
+                || record.isRestartWithEarlierClock(update, reporter)) {
+            accept(record, update, reporter, disseminate);
         }
     }
 
-    private void accept(MemberRecord record, MemberUpdate news, InstanceId teller, boolean spread) {
-        boolean wasGone = record.isTerminated();
+    private void accept(
+            MemberRecord record, MemberUpdate update, InstanceId reporter, boolean disseminate) {
+        boolean wasTerminated = record.isTerminated();
         mOthersDigest -= record.digest();
-        boolean changed = record.apply(news, mTimeSource.monotonicNanos());
+        boolean changed = record.apply(update, mTimeSource.monotonicNanos());
         mOthersDigest += record.digest();
-        if (wasGone != record.isTerminated()) {
+        if (wasTerminated != record.isTerminated()) {
             mNeighborhood.membersChanged();
         }
-        mDisseminator.answerRequesters(news);
+        mDisseminator.answerRequesters(update);
         if (changed) {
             mSink.memberChanged(record.member());
         }
-        if (changed && spread) {
-            mDisseminator.disseminate(news, teller);
+        if (changed && disseminate) {
+            mDisseminator.disseminate(update, reporter);
         }
     }
 
-    private void mergeAboutSelf(MemberUpdate news) {
+    private void mergeAboutSelf(MemberUpdate update) {
         Incarnation own = mSelf.state().incarnation();
-        if (news.incarnation().number() > own.number()) {
-            mSuperseded |= !news.claim().isEnd();
-        } else if (news.incarnation().equals(own) && news.claim() != MemberClaim.LIVE) {
-            mSelf.supersede(news.sequence());
+        if (update.incarnation().number() > own.number()) {
+            mSuperseded |= !update.claim().isEnd();
+        } else if (update.incarnation().equals(own) && update.claim() != MemberClaim.LIVE) {
+            mSelf.supersede(update.sequence());
             sendHeartbeats();
         }
     }
@@ -389,14 +382,14 @@
 
     private void requestUpdateFromNeighbors(MemberRecord record) {
         Incarnation run = record.update().incarnation();
-        int asked = 0;
+        int requested = 0;
         for (InstanceId id : Rendezvous.order(run.toString(), neighbors())) {
             if (id.equals(record.id()) || !mRecords.get(id).state().isReachable()) {
                 continue;
             }
             mSink.requestUpdate(id, run, record.update().sequence());
-            asked++;
-            if (asked == UPDATE_REQUEST_FANOUT) {
+            requested++;
+            if (requested == UPDATE_REQUEST_FANOUT) {
                 return;
             }
         }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTimings.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTimings.java
@@ -4,14 +4,15 @@
 import java.time.Duration;
 
 /**
- * The times of membership, all counted from the last heartbeat of a run.
+ * Timeouts of the membership protocol, measured from the last heartbeat of a run.
  *
- * @param heartbeat the time from one heartbeat to the next
- * @param updateRequest after how long without a heartbeat other instances are asked
- * @param suspect after how long a run is suspected and takes no new work
- * @param dead after how long it counts as dead
- * @param forget after how long a dead run that the platform does not list is forgotten
- * @param pause how long this process must have stood still to distrust its own view
+ * @param heartbeat the interval between heartbeats
+ * @param updateRequest the inactivity after which other instances are queried for an update
+ * @param suspect the inactivity after which a run is suspected and receives no new work
+ * @param dead the inactivity after which a run is declared dead
+ * @param forget the time after which the record of a dead run that the platform does not list is
+ *     removed
+ * @param pause the length of a pause of this process from which it considers its own view stale
  * @since 0.1
  */
 public record MembershipTimings(
@@ -22,7 +23,7 @@
         Duration forget,
         Duration pause) {
 
-    /** A dead process is noticed within three seconds of its last heartbeat. */
+    /** Defaults that detect a dead process within three seconds of its last heartbeat. */
     public static final MembershipTimings DEFAULT =
             new MembershipTimings(
                     Duration.ofSeconds(1),
@@ -32,12 +33,12 @@
                     Duration.ofSeconds(60),
                     Duration.ofSeconds(1));
 
-    /** Checks the order of the times. */
+    /** Validates the order of the timeouts. */
     public MembershipTimings {
         Assert.isTrue(
                 heartbeat.compareTo(updateRequest) < 0
                         && updateRequest.compareTo(suspect) < 0
                         && suspect.compareTo(dead) < 0,
-                "The times must grow from heartbeat over ask and suspect to dead.");
+                "The timings must increase in the order heartbeat, updateRequest, suspect, dead.");
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipView.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipView.java
@@ -12,14 +12,14 @@
 import java.util.function.Function;
 
 /**
- * What a {@link MembershipTable} knew at one moment; immutable, and so safe for all threads.
+ * Immutable snapshot of a {@link MembershipTable}, safe for use by multiple threads.
  *
  * @param self this run of this instance
- * @param members all members, this instance among them, in the order of ids
- * @param missing the members that may be at work out of sight
- * @param upToDate whether this instance trusts its own view
+ * @param members all members including this instance, ordered by id
+ * @param missing the members that may still be working although this instance cannot reach them
+ * @param upToDate whether this instance considers its own view current
  * @param superseded whether a later run of this instance exists
- * @param regions gives the region of an availability zone
+ * @param regions the function that returns the region of an availability zone
  * @since 0.1
  */
 public record MembershipView(
@@ -40,27 +40,30 @@
     }
 
     /**
-     * Gives what is seen of a region.
+     * Returns the view of one region.
      *
      * @param region the region
      * @return the view of the region
      */
     public RegionView region(RegionId region) {
-        List<Member> near =
+        List<Member> ofRegion =
                 members.stream()
                         .filter(member -> regions.apply(member.zone()).equals(Optional.of(region)))
                         .toList();
         return new RegionView(
                 region,
-                near.stream().filter(member -> member.state().admits()).map(Member::id).toList(),
-                near.stream().map(Member::id).filter(missing::contains).toList(),
+                ofRegion.stream()
+                        .filter(member -> member.state().admits())
+                        .map(Member::id)
+                        .toList(),
+                ofRegion.stream().map(Member::id).filter(missing::contains).toList(),
                 upToDate);
     }
 
     /**
-     * Gives the members that take new work, of all regions.
+     * Returns the members of all regions that accept new work.
      *
-     * @return the members in the order of ids
+     * @return the members, ordered by id
      */
     public List<Member> live() {
         return members.stream().filter(member -> member.state().admits()).toList();
@@ -78,9 +81,9 @@
 
     @Override
     public List<InstanceId> order(Shard shard) {
-        List<InstanceId> near = region(shard.region()).admitting();
+        List<InstanceId> ofRegion = region(shard.region()).admitting();
         List<InstanceId> candidates =
-                near.isEmpty() ? live().stream().map(Member::id).toList() : near;
+                ofRegion.isEmpty() ? live().stream().map(Member::id).toList() : ofRegion;
         return Rendezvous.order(shard.toString(), candidates);
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/Neighborhood.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/Neighborhood.java
@@ -8,10 +8,11 @@
 import java.util.Set;
 
 /**
- * The neighbors of this instance, picked again when members come or go.
+ * Neighbors of this instance, selected anew when members join or terminate.
  *
- * <p>A member that is dead because it was silent stays a neighbor: it may be behind a cut, and the
- * heartbeats sent to it find out when the cut ends.
+ * <p>A member that was declared dead because it was unresponsive remains a neighbor: it may be on
+ * the other side of a network partition, and the heartbeats sent to it detect the end of the
+ * partition.
  */
 final class Neighborhood {
 
@@ -25,25 +26,25 @@
         mZone = zone;
     }
 
-    /** Notes that a member came or went. */
+    /** Invalidates the selected neighbors because a member joined or terminated. */
     void membersChanged() {
         mStale = true;
     }
 
-    /** Gives the neighbors; a new one has its silence counted from now. */
+    /** Returns the neighbors. The inactivity of a new neighbor is measured from {@code now}. */
     Set<InstanceId> of(Collection<MemberRecord> records, long now) {
         if (!mStale) {
             return mNeighbors;
         }
-        Map<InstanceId, ZoneId> alive = new HashMap<>();
-        alive.put(mSelf, mZone);
+        Map<InstanceId, ZoneId> candidates = new HashMap<>();
+        candidates.put(mSelf, mZone);
         for (MemberRecord record : records) {
             if (!record.isTerminated()) {
-                alive.put(record.id(), record.update().zone());
+                candidates.put(record.id(), record.update().zone());
             }
         }
         Set<InstanceId> before = mNeighbors;
-        mNeighbors = Neighbors.of(mSelf, alive);
+        mNeighbors = Neighbors.of(mSelf, candidates);
         mStale = false;
         records.stream()
                 .filter(record -> mNeighbors.contains(record.id()))
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/Neighbors.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/Neighbors.java
@@ -11,19 +11,20 @@
 import java.util.TreeMap;
 
 /**
- * Picks the instances that exchange heartbeats, so that all who see the same members agree.
+ * Selection of the instances that exchange heartbeats. Instances that know the same members make
+ * the same selection.
  *
- * <p>Few instances all exchange heartbeats with each other. Many are joined by a graph of small
- * degree: each picks two others of its availability zone and one of another zone, and a pair
- * exchanges heartbeats if either picked the other. Random graphs like this stay connected and have
- * a diameter that grows with the logarithm of the members.
+ * <p>A small number of instances form a full mesh. A larger number form a graph of small degree:
+ * each instance selects two others of its availability zone and one of another zone, and a pair
+ * exchanges heartbeats if either selected the other. Random graphs like this stay connected and
+ * have a diameter that grows with the logarithm of the members.
  */
 final class Neighbors {
 
-    /** Up to so many members, all are neighbors of each other. */
-    static final int FULL_MESH = 10;
+    /** Maximum number of members that form a full mesh. */
+    static final int MAXIMUM_FULL_MESH_MEMBERS = 10;
 
-    private static final int PICKED_IN_ZONE = 2;
+    private static final int SELECTED_IN_ZONE = 2;
 
     private final Map<ZoneId, List<InstanceId>> mZones = new TreeMap<>();
 
@@ -33,36 +34,37 @@
     }
 
     /**
-     * Picks the neighbors of one instance.
+     * Selects the neighbors of one instance.
      *
      * @param self the instance
-     * @param members all members that may be alive, with their zones, itself among them
-     * @return its neighbors, without itself
+     * @param members all members that may be alive with their zones, including the instance itself
+     * @return its neighbors, excluding the instance itself
      */
     static Set<InstanceId> of(InstanceId self, Map<InstanceId, ZoneId> members) {
         Set<InstanceId> found = new HashSet<>();
-        if (members.size() <= FULL_MESH) {
+        if (members.size() <= MAXIMUM_FULL_MESH_MEMBERS) {
             found.addAll(members.keySet());
         } else {
-            found.addAll(new Neighbors(members).around(self, members.get(self)));
+            found.addAll(new Neighbors(members).neighborsOf(self, members.get(self)));
         }
         found.remove(self);
         return found;
     }
 
-    private Set<InstanceId> around(InstanceId self, ZoneId ownZone) {
-        Set<InstanceId> found = new HashSet<>(picksInZone(self, ownZone));
+    private Set<InstanceId> neighborsOf(InstanceId self, ZoneId ownZone) {
+        Set<InstanceId> found = new HashSet<>(selectInZone(self, ownZone));
         for (InstanceId other : mZones.get(ownZone)) {
-            if (!other.equals(self) && picksInZone(other, ownZone).contains(self)) {
+            if (!other.equals(self) && selectInZone(other, ownZone).contains(self)) {
                 found.add(other);
             }
         }
-        mZones.forEach((zone, others) -> addThoseAcross(self, ownZone, zone, others, found));
-        pickAcross(self, ownZone).ifPresent(found::add);
+        mZones.forEach(
+                (zone, others) -> addNeighborsOfOtherZone(self, ownZone, zone, others, found));
+        selectInOtherZone(self, ownZone).ifPresent(found::add);
         return found;
     }
 
-    private void addThoseAcross(
+    private void addNeighborsOfOtherZone(
             InstanceId self,
             ZoneId ownZone,
             ZoneId zone,
@@ -72,27 +74,29 @@
             return;
         }
         for (InstanceId other : others) {
-            boolean picksOwnZone = zoneAcross(other, zone).equals(Optional.of(ownZone));
-            if (picksOwnZone && first(other, mZones.get(ownZone), List.of()).equals(self)) {
+            boolean selectsOwnZone = selectOtherZone(other, zone).equals(Optional.of(ownZone));
+            if (selectsOwnZone
+                    && highestWeight(other, mZones.get(ownZone), List.of()).equals(self)) {
                 found.add(other);
             }
         }
     }
 
-    private List<InstanceId> picksInZone(InstanceId from, ZoneId zone) {
-        List<InstanceId> picked = new ArrayList<>(List.of(from));
+    private List<InstanceId> selectInZone(InstanceId from, ZoneId zone) {
+        List<InstanceId> selected = new ArrayList<>(List.of(from));
         List<InstanceId> candidates = mZones.get(zone);
-        while (picked.size() <= PICKED_IN_ZONE && picked.size() < candidates.size()) {
-            picked.add(first(from, candidates, picked));
+        while (selected.size() <= SELECTED_IN_ZONE && selected.size() < candidates.size()) {
+            selected.add(highestWeight(from, candidates, selected));
         }
-        return picked.subList(1, picked.size());
+        return selected.subList(1, selected.size());
     }
 
-    private Optional<InstanceId> pickAcross(InstanceId from, ZoneId zone) {
-        return zoneAcross(from, zone).map(other -> first(from, mZones.get(other), List.of()));
+    private Optional<InstanceId> selectInOtherZone(InstanceId from, ZoneId zone) {
+        return selectOtherZone(from, zone)
+                .map(other -> highestWeight(from, mZones.get(other), List.of()));
     }
 
-    private Optional<ZoneId> zoneAcross(InstanceId from, ZoneId zone) {
+    private Optional<ZoneId> selectOtherZone(InstanceId from, ZoneId zone) {
         ZoneId best = null;
         long bestWeight = 0;
         for (ZoneId candidate : mZones.keySet()) {
@@ -105,13 +109,13 @@
         return Optional.ofNullable(best);
     }
 
-    private static InstanceId first(
-            InstanceId from, List<InstanceId> candidates, List<InstanceId> without) {
+    private static InstanceId highestWeight(
+            InstanceId from, List<InstanceId> candidates, List<InstanceId> excluded) {
         InstanceId best = null;
         long bestWeight = 0;
         for (InstanceId candidate : candidates) {
             long weight = Rendezvous.weight(from.value(), candidate.value());
-            if (!without.contains(candidate) && (best == null || weight > bestWeight)) {
+            if (!excluded.contains(candidate) && (best == null || weight > bestWeight)) {
                 best = candidate;
                 bestWeight = weight;
             }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/OwnHeartbeat.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/OwnHeartbeat.java
@@ -5,7 +5,10 @@
 import io.masticpond.core.id.ZoneId;
 import io.masticpond.core.support.Assert;
 
-/** What an instance says about itself, with the sequence of its heartbeats. */
+/**
+ * Heartbeat state of this instance: what it reports about itself, and the sequence of its
+ * heartbeats.
+ */
 final class OwnHeartbeat {
 
     private final OwnState mState;
@@ -37,18 +40,21 @@
         mConfiguration = Assert.notNull(version, "A configuration version");
     }
 
-    /** Makes the next heartbeat. */
+    /** Increments the sequence and returns the next heartbeat. */
     MemberUpdate next() {
         mSequence++;
         return current();
     }
 
-    /** Gives what the last heartbeat would say now. */
+    /** Returns the last heartbeat with the current state of this instance. */
     MemberUpdate current() {
         return mState.heartbeat(mSequence, mLeaving, mConfiguration);
     }
 
-    /** Lets the next heartbeat refute news with a sequence. */
+    /**
+     * Advances the sequence so that the next heartbeat supersedes an update with the given
+     * sequence.
+     */
     void supersede(long sequence) {
         mSequence = Math.max(mSequence, sequence);
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/OwnState.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/OwnState.java
@@ -6,13 +6,13 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * What an instance states about itself at its start.
+ * State that an instance reports about itself and that is fixed when it starts.
  *
  * @param incarnation this run of this instance
  * @param zone its availability zone
- * @param linkAddress where other instances reach it, as "ip:port"
- * @param callerAddress where callers reach it, as "ip:port"
- * @param operatorAddress where operators reach it, as "ip:port"
+ * @param linkAddress the address at which other instances reach it, as "ip:port"
+ * @param callerAddress the address at which callers reach it, as "ip:port"
+ * @param operatorAddress the address at which operators reach it, as "ip:port"
  * @since 0.1
  */
 public record OwnState(
@@ -22,7 +22,7 @@
         String callerAddress,
         String operatorAddress) {
 
-    /** Checks that all parts are given. */
+    /** Validates that all components are non-null. */
     public OwnState {
         Assert.notNull(incarnation, "An incarnation");
         Assert.notNull(zone, "An availability zone id");
@@ -31,7 +31,7 @@
         Assert.notNull(operatorAddress, "An operator address");
     }
 
-    /** Makes the news of one heartbeat. */
+    /** Creates the update for one heartbeat. */
     MemberUpdate heartbeat(long sequence, boolean leaving, ConfigurationVersion configuration) {
         return new MemberUpdate(
                 incarnation,
@@ -45,7 +45,7 @@
                 MemberClaim.LIVE);
     }
 
-    /** Makes the member that this instance is in its own view. */
+    /** Creates the member that represents this instance in its own view. */
     Member member(boolean leaving, ConfigurationVersion configuration) {
         return new Member(
                 incarnation,
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/PauseDetector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/PauseDetector.java
@@ -6,10 +6,12 @@
 import java.util.function.Supplier;
 
 /**
- * Notices that this process stood still, by a gap in elapsed time between two calls.
+ * Detector of pauses of this process, which recognizes a pause by the time that elapsed between two
+ * calls of {@link #advance}.
  *
- * <p>Until it has heard from a majority of those it knew, its view is older than it seems. What
- * arrives right after it wakes does not count: it may have waited in a buffer since before.
+ * <p>Until the process has received heartbeats from a majority of the instances that it knew, its
+ * view is older than it seems. A heartbeat that arrives right after the process resumes does not
+ * count, since it may have waited in a buffer since before the pause.
  */
 final class PauseDetector {
 
@@ -26,33 +28,39 @@
         mLastNanos = now;
     }
 
-    /** Looks at the clock; returns whether the process has just woken. */
+    /**
+     * Compares the time with that of the previous call and returns whether the process has just
+     * resumed after a pause.
+     */
     boolean advance(long now) {
-        boolean woke = now - mLastNanos >= mPauseNanos;
+        boolean resumed = now - mLastNanos >= mPauseNanos;
         mLastNanos = now;
-        if (woke) {
+        if (resumed) {
             mPaused = true;
             mResumedNanos = now;
             mReceivedSinceResume.clear();
         }
-        return woke;
+        return resumed;
     }
 
-    /** Notes a heartbeat. */
+    /** Records a heartbeat. */
     void receiveHeartbeat(InstanceId id, long now) {
         if (mPaused && now - mResumedNanos >= mSettleNanos) {
             mReceivedSinceResume.add(id);
         }
     }
 
-    /** Tells whether too few of the others were heard from since the process woke. */
-    boolean isPaused(Supplier<Set<InstanceId>> all) {
+    /**
+     * Determines whether heartbeats from a majority of the other instances are still outstanding
+     * since the process resumed.
+     */
+    boolean isPaused(Supplier<Set<InstanceId>> otherInstances) {
         if (!mPaused) {
             return false;
         }
-        Set<InstanceId> others = all.get();
-        long heard = others.stream().filter(mReceivedSinceResume::contains).count();
-        mPaused = !others.isEmpty() && heard * 2 <= others.size();
+        Set<InstanceId> others = otherInstances.get();
+        long received = others.stream().filter(mReceivedSinceResume::contains).count();
+        mPaused = !others.isEmpty() && received * 2 <= others.size();
         return mPaused;
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/RegionView.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/RegionView.java
@@ -5,13 +5,14 @@
 import java.util.List;
 
 /**
- * What an instance sees of the instances of a region.
+ * Immutable snapshot of what an instance knows of the instances of a region.
  *
  * @param region the region
- * @param admitting the instances that may admit work, in the order of their ids
- * @param missing the instances that may be at work out of sight: silent, suspected or expected
- * @param upToDate whether this instance trusts its own view: it did not just wake from a pause, and
- *     it has learned who the members are
+ * @param admitting the instances that may admit work, ordered by id
+ * @param missing the instances that may still be working although this instance cannot reach them:
+ *     unresponsive, suspected or expected
+ * @param upToDate whether this instance considers its own view current: it has not just resumed
+ *     after a pause, and it has received the list of members
  * @since 0.1
  */
 public record RegionView(
@@ -24,9 +25,11 @@
     }
 
     /**
-     * Tells whether no other instance can be admitting out of sight.
+     * Determines whether no other instance of the region can admit work without the knowledge of
+     * this instance.
      *
-     * @return whether every instance of the region is heard from or certainly gone
+     * @return {@code true} if the view is current and every instance of the region is either live
+     *     or has certainly terminated
      */
     public boolean isComplete() {
         return upToDate && missing.isEmpty();
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/Rendezvous.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/Rendezvous.java
@@ -9,10 +9,11 @@
 import java.util.zip.CRC32C;
 
 /**
- * Orders instances for a key so that all who see the same instances agree, without messages.
+ * Rendezvous hashing: orders instances for a key so that all processes that know the same instances
+ * determine the same order without exchanging messages.
  *
- * <p>Highest random weight (Thaler and Ravishankar, 1998): an instance that goes changes only the
- * keys that it was first for.
+ * <p>Uses the highest random weight (Thaler and Ravishankar, 1998): the removal of an instance
+ * changes the first choice only for those keys whose first choice it was.
  *
  * @since 0.1
  */
@@ -21,11 +22,11 @@
     private Rendezvous() {}
 
     /**
-     * Orders instances for a key, the first choice first.
+     * Orders instances for a key by descending preference.
      *
      * @param key the key, such as the text of a shard
      * @param instances the instances
-     * @return the instances in order
+     * @return the ordered instances
      */
     public static List<InstanceId> order(String key, Collection<InstanceId> instances) {
         return instances.stream()
@@ -36,7 +37,10 @@
                 .toList();
     }
 
-    /** Weighs a candidate for a key; the greatest weight is the first choice. */
+    /**
+     * Returns the weight of a candidate for a key. The candidate with the greatest weight is
+     * preferred.
+     */
     static long weight(String key, String candidate) {
         CRC32C checksum = new CRC32C();
         checksum.update(key.getBytes(StandardCharsets.UTF_8));
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/UpdateDisseminator.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/UpdateDisseminator.java
@@ -7,52 +7,55 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Passes news on to the neighbors, in one message each for all news of one call. */
+/**
+ * Sends updates to the neighbors and to requesters, combining all updates of one call into one
+ * message for each receiver.
+ */
 final class UpdateDisseminator {
 
-    /** News and who told it; that instance need not hear it again. */
+    /** Update to disseminate and the instance that reported it, to which it is not sent back. */
     private record PendingUpdate(MemberUpdate update, InstanceId reporter) {}
 
     private final OwnHeartbeat mSelf;
     private final MembershipSink mSink;
     private final UpdateRequestRelay mRequestRelay;
-    private final List<PendingUpdate> mWaiting = new ArrayList<>();
-    private final Map<InstanceId, List<MemberUpdate>> mAnswers = new HashMap<>();
+    private final List<PendingUpdate> mPendingUpdates = new ArrayList<>();
+    private final Map<InstanceId, List<MemberUpdate>> mMessages = new HashMap<>();
 
-    UpdateDisseminator(OwnHeartbeat self, MembershipSink sink, UpdateRequestRelay askRelay) {
+    UpdateDisseminator(OwnHeartbeat self, MembershipSink sink, UpdateRequestRelay requestRelay) {
         mSelf = self;
         mSink = sink;
-        mRequestRelay = askRelay;
+        mRequestRelay = requestRelay;
     }
 
-    /** Takes news for all neighbors. */
-    void disseminate(MemberUpdate news, InstanceId teller) {
-        mWaiting.add(new PendingUpdate(news, teller));
+    /** Adds an update to be sent to all neighbors. */
+    void disseminate(MemberUpdate update, InstanceId reporter) {
+        mPendingUpdates.add(new PendingUpdate(update, reporter));
     }
 
-    /** Takes news for those who asked for it, if anybody did. */
-    void answerRequesters(MemberUpdate news) {
-        for (InstanceId asker : mRequestRelay.take(news.id())) {
-            mAnswers.computeIfAbsent(asker, key -> new ArrayList<>()).add(news);
+    /** Adds an update to be sent to the instances that requested it, if any. */
+    void answerRequesters(MemberUpdate update) {
+        for (InstanceId requester : mRequestRelay.take(update.id())) {
+            mMessages.computeIfAbsent(requester, key -> new ArrayList<>()).add(update);
         }
     }
 
-    /** Sends what was taken. */
+    /** Sends the added updates. */
     void flush(Set<InstanceId> neighbors) {
-        if (!mWaiting.isEmpty()) {
+        if (!mPendingUpdates.isEmpty()) {
             neighbors.forEach(this::collect);
-            mWaiting.clear();
+            mPendingUpdates.clear();
         }
-        if (!mAnswers.isEmpty()) {
-            mAnswers.forEach((to, news) -> mSink.send(to, mSelf.next(), List.copyOf(news)));
-            mAnswers.clear();
+        if (!mMessages.isEmpty()) {
+            mMessages.forEach((to, updates) -> mSink.send(to, mSelf.next(), List.copyOf(updates)));
+            mMessages.clear();
         }
     }
 
     private void collect(InstanceId to) {
-        for (PendingUpdate told : mWaiting) {
-            if (!to.equals(told.reporter()) && !to.equals(told.update().id())) {
-                mAnswers.computeIfAbsent(to, key -> new ArrayList<>()).add(told.update());
+        for (PendingUpdate pending : mPendingUpdates) {
+            if (!to.equals(pending.reporter()) && !to.equals(pending.update().id())) {
+                mMessages.computeIfAbsent(to, key -> new ArrayList<>()).add(pending.update());
             }
         }
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/UpdateRequestRelay.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/UpdateRequestRelay.java
@@ -6,31 +6,31 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Remembers who waits for news of whom, for a bounded time. */
+/** Tracks which instances are waiting for an update of which member, for a bounded time. */
 final class UpdateRequestRelay {
 
     private final long mTimeoutNanos;
     private final Map<InstanceId, Set<InstanceId>> mRequesters = new HashMap<>();
     private final Map<InstanceId, Long> mSinceNanos = new HashMap<>();
 
-    UpdateRequestRelay(long patienceNanos) {
-        mTimeoutNanos = patienceNanos;
+    UpdateRequestRelay(long timeoutNanos) {
+        mTimeoutNanos = timeoutNanos;
     }
 
-    /** Notes an asker; returns whether it is the first for this subject. */
-    boolean add(InstanceId subject, InstanceId asker, long now) {
-        mRequesters.computeIfAbsent(subject, key -> new HashSet<>()).add(asker);
+    /** Adds a requester and returns whether it is the first for this member. */
+    boolean add(InstanceId subject, InstanceId requester, long now) {
+        mRequesters.computeIfAbsent(subject, key -> new HashSet<>()).add(requester);
         return mSinceNanos.putIfAbsent(subject, now) == null;
     }
 
-    /** Gives those who wait for news of an instance, and forgets them. */
+    /** Removes and returns the requesters that are waiting for an update of a member. */
     Set<InstanceId> take(InstanceId subject) {
         mSinceNanos.remove(subject);
-        Set<InstanceId> askers = mRequesters.remove(subject);
-        return askers == null ? Set.of() : askers;
+        Set<InstanceId> requesters = mRequesters.remove(subject);
+        return requesters == null ? Set.of() : requesters;
     }
 
-    /** Forgets those who waited for too long. */
+    /** Removes the requests that have been pending for longer than the timeout. */
     void expire(long now) {
         mSinceNanos.values().removeIf(since -> now - since > mTimeoutNanos);
         mRequesters.keySet().retainAll(mSinceNanos.keySet());
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/package-info.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/package-info.java
@@ -1,2 +1,5 @@
-/** Which instances are live, and which of them admits work to a shard; no I/O. */
+/**
+ * Membership: detection of live instances, and selection of the instances that admit work to a
+ * shard. Performs no I/O.
+ */
 package io.masticpond.core.membership;
--- a/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipFixture.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipFixture.java
@@ -18,7 +18,10 @@
 import java.util.TreeMap;
 import java.util.function.BiPredicate;
 
-/** Tables that send to each other in memory, in order and at once, save where a test cuts them. */
+/**
+ * Tables that exchange messages in memory, in order and without delay, except where a test cuts the
+ * connection.
+ */
 final class MembershipFixture {
 
     static final Duration TICK = Duration.ofMillis(100);
@@ -66,7 +69,7 @@
         return table;
     }
 
-    /** Gives every table the list of all instances that were ever started. */
+    /** Updates every table with the list of all instances that were ever started. */
     MembershipFixture list() {
         List<ListedMember> listed = new ArrayList<>();
         mStates.forEach(
@@ -80,7 +83,7 @@
         mCut = cut;
     }
 
-    /** Ends a process: what is sent to it is refused from now on. */
+    /** Terminates a process: connections to it are refused from now on. */
     void kill(InstanceId id) {
         mTables.remove(id);
         Incarnation run = mStates.get(id).incarnation();
@@ -115,12 +118,13 @@
         }
     }
 
-    /** Runs until something holds, and tells how long it took. */
-    Duration runUntil(Duration longest, java.util.function.BooleanSupplier condition) {
+    /** Runs until a condition holds, and returns the time that it took. */
+    Duration runUntil(Duration timeout, java.util.function.BooleanSupplier condition) {
         Duration passed = Duration.ZERO;
         while (!condition.getAsBoolean()) {
-            if (passed.compareTo(longest) >= 0) {
-                throw new AssertionError("It did not become true within " + longest + ".");
+            if (passed.compareTo(timeout) >= 0) {
+                throw new AssertionError(
+                        "The condition did not become true within " + timeout + ".");
             }
             run(TICK);
             passed = passed.plus(TICK);
@@ -134,7 +138,7 @@
         }
     }
 
-    /** Carries messages of one table. */
+    /** Delivers the messages of one table. */
     private final class Wire implements MembershipSink {
 
         private final InstanceId mFrom;
@@ -146,18 +150,18 @@
         @Override
         public void send(InstanceId to, MemberUpdate own, List<MemberUpdate> others) {
             long digest = mTables.get(mFrom).digest();
-            carry(to, table -> table.receiveHeartbeat(own, others, false, digest));
+            deliverTo(to, table -> table.receiveHeartbeat(own, others, false, digest));
         }
 
         @Override
         public void sendAll(InstanceId to, MemberUpdate own, List<MemberUpdate> others) {
             long digest = mTables.get(mFrom).digest();
-            carry(to, table -> table.receiveHeartbeat(own, others, true, digest));
+            deliverTo(to, table -> table.receiveHeartbeat(own, others, true, digest));
         }
 
         @Override
         public void requestUpdate(InstanceId to, Incarnation run, long sequence) {
-            carry(to, table -> table.receiveUpdateRequest(mFrom, run, sequence));
+            deliverTo(to, table -> table.receiveUpdateRequest(mFrom, run, sequence));
         }
 
         @Override
@@ -165,7 +169,8 @@
             mChanged.add(member);
         }
 
-        private void carry(InstanceId to, java.util.function.Consumer<MembershipTable> message) {
+        private void deliverTo(
+                InstanceId to, java.util.function.Consumer<MembershipTable> message) {
             mWire.add(
                     () -> {
                         mMessages++;
--- a/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipFleetTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipFleetTest.java
@@ -8,14 +8,16 @@
 import java.util.IntSummaryStatistics;
 import net.jqwik.api.Example;
 
-/** The fleet that is planned for: 410 instances in 16 zones of 5 regions. */
+/**
+ * Tests of {@link MembershipTable} with the planned fleet: 410 instances in 16 zones of 5 regions.
+ */
 class MembershipFleetTest {
 
     private static final int ZONES = 16;
     private static final int INSTANCES = 410;
     private static final int MAXIMUM_NEIGHBORS = 16;
     private static final InstanceId OBSERVER = id("region01", 3);
-    private static final Duration NOTICED = Duration.ofSeconds(3);
+    private static final Duration DETECTION_TIME = Duration.ofSeconds(3);
 
     private final MembershipFixture mFixture = new MembershipFixture();
 
@@ -36,14 +38,14 @@
     }
 
     @Example
-    void oneDeathAndTheCutOfOneZoneReachAllThroughFewNeighbors() {
+    void deathAndZonePartitionReachAllInstancesThroughFewNeighbors() {
         start();
-        allLearnedOfAllThroughFewNeighbors();
-        oneDeathReachesAll();
-        theCutOfOneZoneReachesAll();
+        assertAllInstancesKnownThroughFewNeighbors();
+        assertDeathReachesAllInstances();
+        assertZonePartitionReachesAllInstances();
     }
 
-    private void allLearnedOfAllThroughFewNeighbors() {
+    private void assertAllInstancesKnownThroughFewNeighbors() {
         IntSummaryStatistics neighbors =
                 mFixture.mTables.values().stream()
                         .mapToInt(table -> table.neighbors().size())
@@ -52,15 +54,15 @@
         assertThat(mFixture.view(OBSERVER).live()).hasSize(INSTANCES);
     }
 
-    private void oneDeathReachesAll() {
+    private void assertDeathReachesAllInstances() {
         InstanceId dead = id("region42", 5);
         mFixture.mPaused.add(dead);
-        mFixture.runUntil(NOTICED, () -> seenBy(dead, MemberState.DEAD) == INSTANCES - 1);
+        mFixture.runUntil(DETECTION_TIME, () -> seenBy(dead, MemberState.DEAD) == INSTANCES - 1);
         mFixture.mPaused.clear();
-        mFixture.runUntil(NOTICED, () -> seenBy(dead, MemberState.LIVE) == INSTANCES - 1);
+        mFixture.runUntil(DETECTION_TIME, () -> seenBy(dead, MemberState.LIVE) == INSTANCES - 1);
     }
 
-    private void theCutOfOneZoneReachesAll() {
+    private void assertZonePartitionReachesAllInstances() {
         mFixture.cut(
                 (from, to) ->
                         from.value().startsWith("region00-") != to.value().startsWith("region00-"));
--- a/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipTableTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipTableTest.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 import net.jqwik.api.Example;
 
-/** A small deployment, all of whose instances exchange heartbeats with each other. */
+/** Tests of {@link MembershipTable} with a small deployment whose instances form a full mesh. */
 class MembershipTableTest {
 
     private static final RegionId CASA = new RegionId("casa");
@@ -22,8 +22,8 @@
     private static final InstanceId B = id("casa1", 1);
     private static final InstanceId C = id("casa2", 0);
     private static final InstanceId FAR = id("fes1", 0);
-    private static final Duration NOTICED = Duration.ofSeconds(3);
-    private static final Duration AGES = Duration.ofMinutes(2);
+    private static final Duration DETECTION_TIME = Duration.ofSeconds(3);
+    private static final Duration BEYOND_FORGET_TIME = Duration.ofMinutes(2);
 
     private final MembershipFixture mFixture =
             new MembershipFixture().zone("casa1", 2).zone("casa2", 1).zone("fes1", 1).list();
@@ -38,7 +38,7 @@
     }
 
     @Example
-    void aListedInstanceIsExpectedUntilItIsHeard() {
+    void listedInstanceIsExpectedUntilItsFirstHeartbeat() {
         assertThat(mFixture.state(A, B)).isEqualTo(MemberState.EXPECTED);
         assertThat(mFixture.view(A).region(CASA).isComplete()).isFalse();
         settle();
@@ -46,23 +46,23 @@
     }
 
     @Example
-    void anInstanceThatGetsItsFirstConfigurationIsToldAndLaterVersionsAreNot() {
+    void notifiesOfFirstConfigurationOfInstanceButNotOfLaterVersions() {
         settle();
         mFixture.mChanged.clear();
         mFixture.mTables.get(B).setConfiguration(new ConfigurationVersion(1));
-        mFixture.run(NOTICED);
+        mFixture.run(DETECTION_TIME);
         assertThat(mFixture.mChanged).extracting(Member::id).containsOnly(B);
         assertThat(mFixture.mChanged)
                 .extracting(member -> member.configuration().number())
                 .containsOnly(1L);
         mFixture.mChanged.clear();
         mFixture.mTables.get(B).setConfiguration(new ConfigurationVersion(2));
-        mFixture.run(NOTICED);
+        mFixture.run(DETECTION_TIME);
         assertThat(mFixture.mChanged).isEmpty();
     }
 
     @Example
-    void aKilledProcessIsGoneAtOnceWhereItsAddressRefuses() {
+    void killedProcessIsDeadAtOnceWhenItsAddressRefusesConnections() {
         settle();
         mFixture.kill(C);
         assertThat(mFixture.state(A, C)).isEqualTo(MemberState.DEAD);
@@ -72,26 +72,26 @@
     }
 
     @Example
-    void aSilentInstanceIsDeadWithinThreeSecondsYetMayBeAtWork() {
+    void unresponsiveInstanceIsDeadWithinThreeSecondsButCountsAsMissing() {
         settle();
         mFixture.mPaused.add(C);
-        mFixture.runUntil(NOTICED, () -> mFixture.state(A, C) == MemberState.DEAD);
+        mFixture.runUntil(DETECTION_TIME, () -> mFixture.state(A, C) == MemberState.DEAD);
         assertThat(mFixture.view(A).region(CASA).missing()).containsExactly(C);
         assertThat(mFixture.view(A).region(CASA).isComplete()).isFalse();
     }
 
     @Example
-    void aFalseSuspicionIsHealedByTheNextHeartbeat() {
+    void nextHeartbeatOverridesFalseSuspicion() {
         settle();
         mFixture.cut((from, to) -> from.equals(C));
-        mFixture.runUntil(NOTICED, () -> mFixture.state(A, C) == MemberState.SUSPECT);
+        mFixture.runUntil(DETECTION_TIME, () -> mFixture.state(A, C) == MemberState.SUSPECT);
         mFixture.cut((from, to) -> false);
         mFixture.runUntil(Duration.ofSeconds(1), () -> mFixture.state(A, C) == MemberState.LIVE);
         assertThat(mFixture.view(A).region(CASA).isComplete()).isTrue();
     }
 
     @Example
-    void anAsymmetricCutBetweenTwoLeavesBothLiveThroughTheOthers() {
+    void instancesRemainLiveDuringAsymmetricPartitionThroughRelayedUpdates() {
         settle();
         mFixture.cut((from, to) -> from.equals(C) && to.equals(A));
         for (int i = 0; i < 100; i++) {
@@ -102,47 +102,47 @@
     }
 
     @Example
-    void aCutOffZoneKeepsItselfAndDistrustsItsViewOfTheRegion() {
+    void partitionedZoneAdmitsItsOwnInstancesWithIncompleteViewOfRegion() {
         settle();
         mFixture.cut((from, to) -> isOneOf(from, C) != isOneOf(to, C));
-        mFixture.run(NOTICED);
+        mFixture.run(DETECTION_TIME);
         assertThat(mFixture.view(C).region(CASA).admitting()).containsExactly(C);
         assertThat(mFixture.view(C).region(CASA).missing()).containsExactly(A, B);
         assertThat(mFixture.view(A).region(CASA).admitting()).containsExactly(A, B);
         assertThat(mFixture.view(A).region(CASA).missing()).containsExactly(C);
         mFixture.cut((from, to) -> false);
-        mFixture.run(NOTICED);
+        mFixture.run(DETECTION_TIME);
         assertThat(mFixture.view(C).region(CASA).isComplete()).isTrue();
         assertThat(mFixture.view(A).region(CASA).isComplete()).isTrue();
     }
 
     @Example
-    void aRestartAtTheSameAddressIsTheLaterRun() {
+    void restartAtSameAddressReplacesEarlierRun() {
         settle();
         mFixture.kill(C);
         mFixture.start(C, "casa2", 2);
         mFixture.list();
-        mFixture.run(NOTICED);
+        mFixture.run(DETECTION_TIME);
         assertThat(mFixture.view(A).member(C).orElseThrow().incarnation())
                 .isEqualTo(new Incarnation(C, 2));
         assertThat(mFixture.state(A, C)).isEqualTo(MemberState.LIVE);
     }
 
     @Example
-    void newsOfAnEarlierRunIsIgnored() {
+    void ignoresUpdateOfEarlierRun() {
         settle();
         MembershipTable table = mFixture.mTables.get(A);
-        MemberUpdate earlier = news(C, 1, 99, MemberClaim.LIVE);
+        MemberUpdate earlier = update(C, 1, 99, MemberClaim.LIVE);
         mFixture.kill(C);
         mFixture.start(C, "casa2", 2);
         mFixture.list();
-        mFixture.run(NOTICED);
-        table.receiveHeartbeat(news(B, 1, 999, MemberClaim.LIVE), List.of(earlier), false, 0);
+        mFixture.run(DETECTION_TIME);
+        table.receiveHeartbeat(update(B, 1, 999, MemberClaim.LIVE), List.of(earlier), false, 0);
         assertThat(mFixture.view(A).member(C).orElseThrow().incarnation().number()).isEqualTo(2);
     }
 
     @Example
-    void aRunWithAnEarlierNumberReplacesOneThatEnded() {
+    void runWithLowerNumberReplacesRunThatEnded() {
         mFixture.kill(C);
         mFixture.start(C, "casa2", 7);
         mFixture.list();
@@ -150,18 +150,18 @@
         mFixture.kill(C);
         mFixture.start(C, "casa2", 5);
         mFixture.list();
-        mFixture.run(NOTICED);
+        mFixture.run(DETECTION_TIME);
         assertThat(mFixture.view(A).member(C).orElseThrow().incarnation().number()).isEqualTo(5);
         assertThat(mFixture.state(A, C)).isEqualTo(MemberState.LIVE);
     }
 
     @Example
-    void aRunThatWasReplacedLearnsIt() {
+    void replacedRunDetectsThatItIsSuperseded() {
         settle();
         MembershipTable old = mFixture.mTables.get(C);
         old.receiveHeartbeat(
-                news(B, 1, 999, MemberClaim.LIVE),
-                List.of(news(C, 2, 1, MemberClaim.LIVE)),
+                update(B, 1, 999, MemberClaim.LIVE),
+                List.of(update(C, 2, 1, MemberClaim.LIVE)),
                 false,
                 0);
         assertThat(old.view().superseded()).isTrue();
@@ -169,7 +169,7 @@
     }
 
     @Example
-    void aPausedProcessThatWakesDistrustsItsViewUntilItHearsFromMost() {
+    void resumedProcessConsidersItsViewStaleUntilMajoritySentHeartbeats() {
         settle();
         mFixture.mPaused.add(A);
         mFixture.run(Duration.ofSeconds(10));
@@ -182,13 +182,13 @@
         mFixture.mTables.get(C).sendHeartbeats();
         mFixture.run(MembershipFixture.TICK);
         assertThat(mFixture.mTables.get(A).isSelfPaused()).isTrue();
-        mFixture.run(NOTICED);
+        mFixture.run(DETECTION_TIME);
         assertThat(mFixture.view(A).region(CASA).isComplete()).isTrue();
         assertThat(mFixture.state(B, A)).isEqualTo(MemberState.LIVE);
     }
 
     @Example
-    void aPausedProcessThatWakesBehindTheCutNeverTrustsItsView() {
+    void processThatResumesDuringPartitionNeverConsidersItsViewCurrent() {
         settle();
         mFixture.mPaused.add(A);
         mFixture.run(Duration.ofSeconds(1));
@@ -202,7 +202,7 @@
     }
 
     @Example
-    void stepsOfTheWallClockChangeNothing() {
+    void wallClockStepsDoNotAffectMembership() {
         settle();
         for (int hours : List.of(-5, 8, -1)) {
             mFixture.mTime.stepWallClock(Duration.ofHours(hours));
@@ -213,7 +213,7 @@
     }
 
     @Example
-    void aLeavingInstanceTakesNoNewWorkAndMayComeBack() {
+    void leavingInstanceAcceptsNoNewWorkAndMayReturn() {
         settle();
         mFixture.mTables.get(C).setLeaving(true);
         mFixture.run(Duration.ofSeconds(1));
@@ -226,7 +226,7 @@
     }
 
     @Example
-    void aFarewellEndsTheRunWithoutSuspicion() {
+    void announcedTerminationEndsRunWithoutSuspicion() {
         settle();
         mFixture.mTables.get(C).announceTermination();
         mFixture.run(MembershipFixture.TICK);
@@ -235,18 +235,18 @@
     }
 
     @Example
-    void aMemberThatThePlatformStopsListingIsForgottenOnceDead() {
+    void removesDeadMemberThatPlatformNoLongerLists() {
         settle();
         mFixture.mPaused.add(C);
-        mFixture.run(NOTICED);
+        mFixture.run(DETECTION_TIME);
         mFixture.mTables.get(A).updateListedMembers(List.of());
         assertThat(mFixture.state(A, B)).isEqualTo(MemberState.LIVE);
-        mFixture.run(AGES);
+        mFixture.run(BEYOND_FORGET_TIME);
         assertThat(mFixture.view(A).member(C)).isEmpty();
     }
 
     @Example
-    void aNewcomerLearnsAllFromOneMember() {
+    void newInstanceDiscoversAllMembersFromOneMember() {
         settle();
         InstanceId newcomer = id("fes2", 0);
         MembershipTable table = mFixture.start(newcomer, "fes2", 1);
@@ -258,12 +258,12 @@
                                 new io.masticpond.core.id.ZoneId("fes1"),
                                 "10.0.0.1:1",
                                 false)));
-        mFixture.run(NOTICED);
+        mFixture.run(DETECTION_TIME);
         assertThat(mFixture.view(newcomer).live()).hasSize(5);
         assertThat(mFixture.view(A).live()).hasSize(5);
     }
 
-    private MemberUpdate news(InstanceId id, long run, long sequence, MemberClaim claim) {
+    private MemberUpdate update(InstanceId id, long run, long sequence, MemberClaim claim) {
         Member known = mFixture.view(A).member(id).orElseThrow();
         return new MemberUpdate(
                 new Incarnation(id, run),
