--- a/masticpond-core/src/main/java/io/masticpond/core/fleet/FleetSnapshot.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/fleet/FleetSnapshot.java
@@ -9,12 +9,13 @@
 import java.util.Set;
 
 /**
- * All that an instance believes about routes and backend servers at one moment. Immutable.
+ * Immutable snapshot of the routes and backend servers that an instance knows.
  *
- * @param revision the revision of the platform's store that it rests on; higher is newer
+ * @param revision the revision of the platform's store from which it was built; a higher revision
+ *     is newer
  * @param routing the routes in force, or empty before the first version is known
- * @param servers the registered servers by id, leaving ones included
- * @param evacuatedZones zones whose servers must get nothing
+ * @param servers the registered servers by id, including those that are leaving
+ * @param evacuatedZones the zones whose servers must receive no requests
  * @since 0.2
  */
 public record FleetSnapshot(
@@ -23,11 +24,11 @@
         Map<BackendServerId, RegisteredServer> servers,
         Set<ZoneId> evacuatedZones) {
 
-    /** The snapshot of an instance that knows nothing yet. */
+    /** The snapshot of an instance that has received no data yet. */
     public static final FleetSnapshot EMPTY =
             new FleetSnapshot(0, Optional.empty(), Map.of(), Set.of());
 
-    /** Checks the parts and copies the collections. */
+    /** Validates the components and copies the collections. */
     public FleetSnapshot {
         Assert.notNegative(revision, "A revision");
         Assert.notNull(routing, "A routing configuration");
--- a/masticpond-core/src/main/java/io/masticpond/core/fleet/RegisteredServer.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/fleet/RegisteredServer.java
@@ -6,18 +6,18 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * A backend server as the registry of the platform tells of it.
+ * Entry of a backend server in the platform's registry.
  *
- * @param id the id of the server; it may start again under the same one
+ * @param id the id of the server; it may restart under the same id
  * @param service the service that it serves
- * @param address where it listens
+ * @param address the address on which it listens
  * @param zone its availability zone
- * @param slots how many requests it runs at one time
- * @param leaving whether it wants no new requests
- * @param coldUntilNanos until when it is cold, on this process's monotonic clock; in the past or
- *     present if it is warm. Set when the news arrived.
- * @param run counts the runs that were seen under this id, from 0; what was learnt of a server
- *     holds for one run only
+ * @param slots the maximum number of requests that it runs concurrently
+ * @param leaving whether it accepts no new requests
+ * @param coldUntilNanos the time until which it is cold, on this process's monotonic clock; in the
+ *     past or present if it is warm. Set when the update was received.
+ * @param run the number of the run under this id, counted from 0 by this process; statistics
+ *     collected for a server are valid for one run only
  * @since 0.2
  */
 public record RegisteredServer(
@@ -30,7 +30,7 @@
         long coldUntilNanos,
         int run) {
 
-    /** Checks that the parts are given. */
+    /** Validates the components. */
     public RegisteredServer {
         Assert.notNull(id, "A backend server id");
         Assert.notNull(service, "A service");
@@ -41,15 +41,15 @@
     }
 
     /**
-     * Makes a server of which one run was seen.
+     * Creates an entry for the first observed run of a server.
      *
      * @param id the id
      * @param service the service that it serves
-     * @param address where it listens
+     * @param address the address on which it listens
      * @param zone its availability zone
-     * @param slots how many requests it runs at one time
-     * @param leaving whether it wants no new requests
-     * @param coldUntilNanos until when it is cold, on this process's monotonic clock
+     * @param slots the maximum number of requests that it runs concurrently
+     * @param leaving whether it accepts no new requests
+     * @param coldUntilNanos the time until which it is cold, on this process's monotonic clock
      */
     public RegisteredServer(
             BackendServerId id,
@@ -63,30 +63,30 @@
     }
 
     /**
-     * Tells whether the server is cold.
+     * Determines whether the server is cold.
      *
-     * @param nowNanos the monotonic time
-     * @return whether it is
+     * @param nowNanos the current monotonic time in nanoseconds
+     * @return {@code true} if the server is cold
      */
     public boolean isCold(long nowNanos) {
         return coldUntilNanos - nowNanos > 0;
     }
 
     /**
-     * Gives the same server, cold until another time.
+     * Returns a copy of this entry that is cold until another time.
      *
-     * @param nanos until when, on this process's monotonic clock
-     * @return the server
+     * @param nanos the time until which it is cold, on this process's monotonic clock
+     * @return the copy
      */
     public RegisteredServer withColdUntil(long nanos) {
         return new RegisteredServer(id, service, address, zone, slots, leaving, nanos, run);
     }
 
     /**
-     * Gives the same server in another run.
+     * Returns a copy of this entry for another run.
      *
-     * @param number the count of the run
-     * @return the server
+     * @param number the number of the run
+     * @return the copy
      */
     public RegisteredServer withRun(int number) {
         return new RegisteredServer(
@@ -94,16 +94,20 @@
     }
 
     /**
-     * Tells whether another entry is of the same run, so that what was learnt still holds.
+     * Determines whether another entry describes the same run, so that statistics collected for it
+     * remain valid.
      *
      * @param other the other entry
-     * @return whether id and run are the same
+     * @return {@code true} if id and run are equal
      */
     public boolean isSameRun(RegisteredServer other) {
         return run == other.run && id.equals(other.id);
     }
 
-    /** Written out, since the one that records get is linked at its first use, in a start. */
+    /**
+     * Implemented explicitly because the {@code equals} that the compiler generates for a record is
+     * linked at its first use, which costs time during startup.
+     */
     @Override
     public boolean equals(Object other) {
         return other instanceof RegisteredServer server
--- a/masticpond-core/src/main/java/io/masticpond/core/fleet/ServerAddress.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/fleet/ServerAddress.java
@@ -3,20 +3,20 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * An IP address and port.
+ * IP address and port of a backend server.
  *
- * @param ip the address in text, never a name to be looked up
+ * @param ip the IP address as text, never a host name that requires resolution
  * @param port the port, 1 to 65535
  * @since 0.2
  */
 public record ServerAddress(String ip, int port) {
 
     private static final int MAXIMUM_PORT = 65_535;
-    private static final int PARTS = 4;
-    private static final int LONGEST_PART = 3;
-    private static final int MAXIMUM_PART = 255;
+    private static final int OCTETS = 4;
+    private static final int MAXIMUM_OCTET_DIGITS = 3;
+    private static final int MAXIMUM_OCTET = 255;
 
-    /** Checks the address. */
+    /** Validates the address and the port. */
     public ServerAddress {
         Assert.hasText(ip, "An IP address");
         Assert.isTrue(
@@ -26,10 +26,11 @@
     }
 
     /**
-     * Reads "ip:port" with an address of IPv4 in digits.
+     * Parses an address in the form "ip:port" with a numeric IPv4 address.
      *
      * @param text the text
      * @return the address
+     * @throws IllegalArgumentException if the text has another form or the port is out of range
      */
     public static ServerAddress parse(String text) {
         int colon = text.lastIndexOf(':');
@@ -42,20 +43,24 @@
     }
 
     private static boolean isNumeric(String ip) {
-        String[] parts = ip.split("\\.", -1);
-        for (String part : parts) {
-            boolean digits = part.chars().allMatch(each -> each >= '0' && each <= '9');
-            if (!digits || part.isEmpty() || part.length() > LONGEST_PART) {
+        String[] octets = ip.split("\\.", -1);
+        for (String octet : octets) {
+            boolean digits =
+                    octet.chars().allMatch(character -> character >= '0' && character <= '9');
+            if (!digits || octet.isEmpty() || octet.length() > MAXIMUM_OCTET_DIGITS) {
                 return false;
             }
-            if (Integer.parseInt(part) > MAXIMUM_PART) {
+            if (Integer.parseInt(octet) > MAXIMUM_OCTET) {
                 return false;
             }
         }
-        return parts.length == PARTS;
+        return octets.length == OCTETS;
     }
 
-    /** Written out, since the one that records get is linked at its first use, in a start. */
+    /**
+     * Implemented explicitly because the {@code equals} that the compiler generates for a record is
+     * linked at its first use, which costs time during startup.
+     */
     @Override
     public boolean equals(Object other) {
         return other instanceof ServerAddress
--- a/masticpond-core/src/main/java/io/masticpond/core/fleet/StoreRevision.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/fleet/StoreRevision.java
@@ -1,63 +1,63 @@
 package io.masticpond.core.fleet;
 
 /**
- * Revisions of the store, joined with the era that gave them out into one number that only ever
- * rises: a store that comes back from an older copy counts on from a lower revision, in a later
- * era.
+ * Utility methods that combine a revision of the store and its era into one number that never
+ * decreases. A store that is restored from an older copy continues from a lower revision, but in a
+ * later era.
  *
  * @since 0.3
  */
 public final class StoreRevision {
 
-    /** Leaves revisions for eighty years of four hundred changes a second. */
+    /** 40 bits hold the revisions of eighty years at four hundred changes per second. */
     private static final int ERA_SHIFT = 40;
 
     private static final long REVISION_MASK = (1L << ERA_SHIFT) - 1;
 
-    /** The last era that can be told apart. */
+    /** The highest era that can be represented. */
     public static final long LAST_ERA = Long.MAX_VALUE >> ERA_SHIFT;
 
     private StoreRevision() {}
 
     /**
-     * Joins the two.
+     * Combines an era and a revision.
      *
-     * @param era the era, 0 for a store that tells none
-     * @param revision the revision as the store gave it out
-     * @return both, ordered by the era first
+     * @param era the era, or 0 for a store that reports none
+     * @param revision the revision as assigned by the store
+     * @return the combined revision, ordered by era first
      */
     public static long of(long era, long revision) {
         return era << ERA_SHIFT | revision & REVISION_MASK;
     }
 
     /**
-     * Gives the era.
+     * Returns the era of a combined revision.
      *
-     * @param joined both
+     * @param combined the combined revision
      * @return the era
      */
-    public static long era(long joined) {
-        return joined >> ERA_SHIFT;
+    public static long era(long combined) {
+        return combined >> ERA_SHIFT;
     }
 
     /**
-     * Gives the revision as the store knows it.
+     * Returns the revision as assigned by the store.
      *
-     * @param joined both
+     * @param combined the combined revision
      * @return the revision
      */
-    public static long revision(long joined) {
-        return joined & REVISION_MASK;
+    public static long revision(long combined) {
+        return combined & REVISION_MASK;
     }
 
     /**
-     * Tells whether one is of an earlier era than another.
+     * Determines whether a combined revision is of an earlier era than another.
      *
-     * @param joined the one
-     * @param other the other
-     * @return whether it is
+     * @param combined the combined revision
+     * @param other the combined revision to compare with
+     * @return {@code true} if its era is earlier
      */
-    public static boolean isOfEarlierEra(long joined, long other) {
-        return era(joined) < era(other);
+    public static boolean isOfEarlierEra(long combined, long other) {
+        return era(combined) < era(other);
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/fleet/package-info.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What an instance believes about backend servers, zones and routes at one moment; must know
- * nothing of where the news came from.
+ * Snapshots of the backend servers, zones and routes that an instance knows. This package must not
+ * depend on the source of the updates.
  */
 package io.masticpond.core.fleet;
--- a/masticpond-core/src/test/java/io/masticpond/core/fleet/RegisteredServerTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/fleet/RegisteredServerTest.java
@@ -17,8 +17,8 @@
     private static final ZoneId ZONE = new ZoneId("a-1");
 
     @Example
-    void eachPartCountsForEquality() {
-        ServerAddress elsewhere = new ServerAddress("10.0.0.2", 80);
+    void everyComponentIsPartOfEquality() {
+        ServerAddress otherAddress = new ServerAddress("10.0.0.2", 80);
         RegisteredServer server = new RegisteredServer(ID, SERVICE, ADDRESS, ZONE, 4, false, 7);
         List<RegisteredServer> others =
                 List.of(
@@ -26,7 +26,7 @@
                                 new BackendServerId("i-2"), SERVICE, ADDRESS, ZONE, 4, false, 7),
                         new RegisteredServer(
                                 ID, new ServiceId("write"), ADDRESS, ZONE, 4, false, 7),
-                        new RegisteredServer(ID, SERVICE, elsewhere, ZONE, 4, false, 7),
+                        new RegisteredServer(ID, SERVICE, otherAddress, ZONE, 4, false, 7),
                         new RegisteredServer(ID, SERVICE, ADDRESS, new ZoneId("a-2"), 4, false, 7),
                         new RegisteredServer(ID, SERVICE, ADDRESS, ZONE, 5, false, 7),
                         new RegisteredServer(ID, SERVICE, ADDRESS, ZONE, 4, true, 7),
@@ -38,7 +38,7 @@
     }
 
     @Example
-    void equalPartsMakeEqualServers() {
+    void serversWithEqualComponentsAreEqual() {
         RegisteredServer server = new RegisteredServer(ID, SERVICE, ADDRESS, ZONE, 4, false, 7);
 
         assertThat(server.withColdUntil(8).withColdUntil(7))
