--- a/masticpond-core/src/main/java/io/masticpond/core/freshness/FreshnessProof.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/freshness/FreshnessProof.java
@@ -4,26 +4,26 @@
 import io.masticpond.core.time.Moment;
 
 /**
- * Proves that at a moment the newest routing configuration was the one of a revision: the moment
- * lies before the read of the store that showed it.
+ * Proof that the newest routing configuration at a given moment was that of a given revision. The
+ * moment precedes the read of the store that returned the revision.
  *
- * @param moment the moment
- * @param revision the revision of the document that the store then held, 0 if it held none
+ * @param moment the moment for which the proof holds
+ * @param revision the revision of the document that the store contained, or 0 if it contained none
  * @since 0.2
  */
 public record FreshnessProof(Moment moment, long revision) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public FreshnessProof {
         Assert.notNull(moment, "A moment");
         Assert.notNegative(revision, "A revision");
     }
 
     /**
-     * Tells how old the proof is.
+     * Returns the age of the proof.
      *
-     * @param now the present moment
-     * @return its age in nanoseconds
+     * @param now the current moment
+     * @return the age in nanoseconds
      */
     public long ageNanos(Moment now) {
         return moment.nanosUntil(now);
--- a/masticpond-core/src/main/java/io/masticpond/core/freshness/FreshnessTracker.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/freshness/FreshnessTracker.java
@@ -6,51 +6,61 @@
 import java.util.Optional;
 
 /**
- * Keeps the youngest proof that this instance's routing configuration is current, and says when it
- * must be renewed and by whom. A state machine for one thread.
+ * State machine that keeps the most recent proof that the routing configuration of this instance is
+ * current, and determines when this instance must renew it. Not thread-safe.
  *
- * <p>A proof holds here once the revision that it names is in force here; until then it waits. One
- * instance of a region reads the store for all of them; each further one in the region's order does
- * so only when the proof has grown older than those before it should have let it.
+ * <p>A proof becomes effective once its revision is in force in this instance; until then it is
+ * pending. One instance of a region reads the store for all instances of the region. Each further
+ * instance in the region's order does so only when the proof is older than it would be if the
+ * instances before it had renewed it.
  *
  * @since 0.2
  */
 public final class FreshnessTracker {
 
-    /** The age at which the first of a region renews its proof. */
+    /** The age of the proof at which the first instance of a region renews it. */
     static final Duration RENEWAL_AGE = Duration.ofMillis(900);
 
-    /** The age from which those who do not read ask who does. */
+    /**
+     * The age of the proof from which the other instances query the first instance of the region.
+     */
     private static final long REGION_QUERY_AGE = Duration.ofMillis(700).toNanos();
 
-    /** By so much later each of the next few does. */
+    /**
+     * The additional age for each rank, up to {@link #MAXIMUM_DELAY_RANK}, at which an instance
+     * renews the proof.
+     */
     private static final Duration DELAY_PER_RANK = Duration.ofMillis(700);
 
     /**
-     * From this rank on all wait equally long, so that a lost store is not asked by all at once.
+     * The rank from which the delay no longer grows. Combined with {@link #READ_INTERVAL}, it keeps
+     * all instances from reading an unavailable store at once.
      */
-    private static final int LAST_RANK = 4;
+    private static final int MAXIMUM_DELAY_RANK = 4;
 
-    /** Who is not the first reads no more often than this while nothing comes of it. */
+    /**
+     * The minimum interval between reads of an instance that is not the first, while its reads
+     * fail.
+     */
     private static final Duration READ_INTERVAL = Duration.ofSeconds(4);
 
-    /** The age from which peers of other regions are asked too. */
+    /** The age of the proof from which peers of other regions are queried as well. */
     private static final Duration OTHER_REGIONS_QUERY_AGE = Duration.ofMillis(1_800);
 
     private FreshnessProof mYoungest;
     private FreshnessProof mPending;
-    private long mInForce;
-    private Moment mRead;
+    private long mAppliedRevision;
+    private Moment mLastRead;
 
     /**
-     * Takes a proof, own or heard.
+     * Adds a proof that this instance obtained or received from a peer.
      *
      * @param proof the proof
-     * @param now the present moment
+     * @param now the current moment
      */
     public void addProof(FreshnessProof proof, Moment now) {
         Assert.notNull(proof, "A proof");
-        if (proof.revision() <= mInForce) {
+        if (proof.revision() <= mAppliedRevision) {
             mYoungest = younger(mYoungest, proof, now);
         } else {
             mPending = younger(mPending, proof, now);
@@ -58,65 +68,70 @@
     }
 
     /**
-     * Hears which revision of the configuration is in force here.
+     * Handles the application of a revision of the configuration by this instance.
      *
-     * @param revision the revision, never lower than before
-     * @param now the present moment
+     * @param revision the revision now in force; a lower one than before is ignored
+     * @param now the current moment
      */
     public void onRevisionApplied(long revision, Moment now) {
-        mInForce = Math.max(mInForce, revision);
-        if (mPending != null && mPending.revision() <= mInForce) {
+        mAppliedRevision = Math.max(mAppliedRevision, revision);
+        if (mPending != null && mPending.revision() <= mAppliedRevision) {
             mYoungest = younger(mYoungest, mPending, now);
             mPending = null;
         }
     }
 
-    private static FreshnessProof younger(FreshnessProof one, FreshnessProof other, Moment now) {
-        return one == null || other.ageNanos(now) < one.ageNanos(now) ? other : one;
+    private static FreshnessProof younger(
+            FreshnessProof current, FreshnessProof candidate, Moment now) {
+        return current == null || candidate.ageNanos(now) < current.ageNanos(now)
+                ? candidate
+                : current;
     }
 
     /**
-     * Gives the youngest proof.
+     * Returns the most recent effective proof.
      *
-     * @return the proof, if there ever was one
+     * @return the proof, or empty if there is none yet
      */
     public Optional<FreshnessProof> youngestProof() {
         return Optional.ofNullable(mYoungest);
     }
 
     /**
-     * Tells whether this instance must read the store now; if so, it counts as having done it.
+     * Determines whether this instance must read the store now. If so, the read is recorded as
+     * started.
      *
-     * @param rank its place in the order of its region, 0 being the first
-     * @param now the present moment
-     * @return whether it must
+     * @param rank the position of this instance in the order of its region, starting at 0
+     * @param now the current moment
+     * @return {@code true} if it must
      */
     public boolean mustReadStore(int rank, Moment now) {
-        long waits = Math.min(rank, LAST_RANK) * DELAY_PER_RANK.toNanos();
-        Duration between = rank == 0 ? RENEWAL_AGE : READ_INTERVAL;
-        boolean isTooSoon = mRead != null && mRead.nanosUntil(now) < between.toNanos();
-        if (isTooSoon || !isOlder(RENEWAL_AGE.toNanos() + waits, now)) {
+        long delayNanos = Math.min(rank, MAXIMUM_DELAY_RANK) * DELAY_PER_RANK.toNanos();
+        Duration interval = rank == 0 ? RENEWAL_AGE : READ_INTERVAL;
+        boolean isTooSoon = mLastRead != null && mLastRead.nanosUntil(now) < interval.toNanos();
+        if (isTooSoon || !isOlder(RENEWAL_AGE.toNanos() + delayNanos, now)) {
             return false;
         }
-        mRead = now;
+        mLastRead = now;
         return true;
     }
 
     /**
-     * Tells whether the first of the region must be asked: it may have renewed its proof since.
+     * Determines whether the first instance of the region must be queried, since it may have
+     * renewed the proof.
      *
-     * @param now the present moment
-     * @return whether it must
+     * @param now the current moment
+     * @return {@code true} if it must
      */
     public boolean mustQueryRegion(Moment now) {
         return isOlder(REGION_QUERY_AGE, now);
     }
 
     /**
-     * Tells whether peers of other regions must be asked.
+     * Determines whether peers of other regions must be queried.
      *
-     * @param now the present moment
-     * @return whether they must
+     * @param now the current moment
+     * @return {@code true} if they must be queried
      */
     public boolean mustQueryOtherRegions(Moment now) {
         return isOlder(OTHER_REGIONS_QUERY_AGE.toNanos(), now);
--- a/masticpond-core/src/main/java/io/masticpond/core/freshness/package-info.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/freshness/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Whether what an instance believes is still what the platform's store holds: proofs, their age,
- * and who renews them; must know nothing of connections.
+ * Freshness of an instance's routing configuration relative to the platform's store: proofs, their
+ * age, and their renewal. This package must not depend on connections.
  */
 package io.masticpond.core.freshness;
--- a/masticpond-core/src/test/java/io/masticpond/core/freshness/FreshnessTrackerTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/freshness/FreshnessTrackerTest.java
@@ -9,55 +9,56 @@
 import java.util.concurrent.TimeUnit;
 import net.jqwik.api.Example;
 
-/** Proofs only ever look as old as they are, or older. */
+/** Tests of {@link FreshnessTracker}: a proof never appears more recent than it is. */
 class FreshnessTrackerTest {
 
     private final ManualTimeSource mTime = new ManualTimeSource(Instant.EPOCH);
-    private final FreshnessTracker mKeeper = new FreshnessTracker();
+    private final FreshnessTracker mTracker = new FreshnessTracker();
 
     private Moment now() {
         return Moment.of(mTime);
     }
 
     private long ageMillis() {
-        return TimeUnit.NANOSECONDS.toMillis(mKeeper.youngestProof().orElseThrow().ageNanos(now()));
+        return TimeUnit.NANOSECONDS.toMillis(
+                mTracker.youngestProof().orElseThrow().ageNanos(now()));
     }
 
     private void prove(long revision) {
-        mKeeper.addProof(new FreshnessProof(now(), revision), now());
+        mTracker.addProof(new FreshnessProof(now(), revision), now());
     }
 
     @Example
-    void proofOfWhatIsNotInForceHereWaits() {
-        mKeeper.onRevisionApplied(4, now());
+    void proofOfRevisionThatIsNotInForceIsPending() {
+        mTracker.onRevisionApplied(4, now());
         prove(5);
-        assertThat(mKeeper.youngestProof()).isEmpty();
+        assertThat(mTracker.youngestProof()).isEmpty();
         mTime.advance(Duration.ofMillis(300));
-        mKeeper.onRevisionApplied(5, now());
+        mTracker.onRevisionApplied(5, now());
         assertThat(ageMillis()).isEqualTo(300);
     }
 
     @Example
-    void proofHeardLateDoesNotReplaceYoungerOne() {
-        mKeeper.onRevisionApplied(5, now());
+    void proofReceivedLateDoesNotReplaceMoreRecentProof() {
+        mTracker.onRevisionApplied(5, now());
         Moment early = now();
         mTime.advance(Duration.ofSeconds(2));
         prove(5);
-        mKeeper.addProof(new FreshnessProof(early, 5), now());
+        mTracker.addProof(new FreshnessProof(early, 5), now());
         assertThat(ageMillis()).isZero();
     }
 
     @Example
-    void suspensionCounts() {
-        mKeeper.onRevisionApplied(5, now());
+    void suspensionOfMachineIncreasesAge() {
+        mTracker.onRevisionApplied(5, now());
         prove(5);
         mTime.stepWallClock(Duration.ofSeconds(7));
         assertThat(ageMillis()).isEqualTo(7_000);
     }
 
     @Example
-    void wallClockThatIsSetBackMakesNoProofYounger() {
-        mKeeper.onRevisionApplied(5, now());
+    void settingWallClockBackDoesNotReduceAge() {
+        mTracker.onRevisionApplied(5, now());
         prove(5);
         mTime.advance(Duration.ofSeconds(3));
         mTime.stepWallClock(Duration.ofSeconds(-3));
@@ -65,21 +66,21 @@
     }
 
     @Example
-    void secondOfRegionReadsOnlyWhenTheFirstHasNot() {
-        mKeeper.onRevisionApplied(5, now());
+    void secondInstanceOfRegionReadsOnlyWhenFirstHasNot() {
+        mTracker.onRevisionApplied(5, now());
         prove(5);
         mTime.advance(FreshnessTracker.RENEWAL_AGE);
-        assertThat(mKeeper.mustReadStore(1, now())).as("the first does").isFalse();
+        assertThat(mTracker.mustReadStore(1, now())).as("the first instance reads").isFalse();
         mTime.advance(Duration.ofSeconds(1));
-        assertThat(mKeeper.mustReadStore(1, now())).as("the first has not").isTrue();
+        assertThat(mTracker.mustReadStore(1, now())).as("the first instance has not read").isTrue();
     }
 
     @Example
-    void lostStoreIsNotAskedWithoutPause() {
+    void unavailableStoreIsNotReadWithoutPause() {
         int reads = 0;
-        for (int look = 0; look < 100; look++) {
+        for (int attempt = 0; attempt < 100; attempt++) {
             mTime.advance(Duration.ofMillis(100));
-            reads += mKeeper.mustReadStore(3, now()) ? 1 : 0;
+            reads += mTracker.mustReadStore(3, now()) ? 1 : 0;
         }
         assertThat(reads).isLessThanOrEqualTo(5);
     }
