--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/AcceptedPlan.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/AcceptedPlan.java
@@ -5,7 +5,7 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * A plan with the version that it became.
+ * Accepted plan with the configuration version that it produced.
  *
  * @param plan the plan
  * @param version the version
@@ -13,7 +13,7 @@
  */
 public record AcceptedPlan(PlanId plan, ConfigurationVersion version) {
 
-    /** Checks that both parts are given. */
+    /** Validates that both components are non-null. */
     public AcceptedPlan {
         Assert.notNull(plan, "A plan id");
         Assert.notNull(version, "A configuration version");
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/AddressFamily.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/AddressFamily.java
@@ -1,7 +1,7 @@
 package io.masticpond.core.configuration;
 
 /**
- * The version of the Internet Protocol that an address belongs to.
+ * Version of the Internet Protocol to which an address belongs.
  *
  * @since 0.1
  */
@@ -18,7 +18,7 @@
     }
 
     /**
-     * Counts the bits of an address.
+     * Returns the number of bits of an address.
      *
      * @return 32 or 128
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/BackendServerSpecification.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/BackendServerSpecification.java
@@ -5,13 +5,13 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * A backend server of a service.
+ * Specification of a backend server of a service.
  *
  * @param id the backend server
  * @param zone its availability zone
  * @param address its address as "ip:port"
- * @param slots how many requests it works on at a time
- * @param connections how many connections it takes
+ * @param slots the maximum number of requests that it processes concurrently
+ * @param connections the maximum number of connections that it accepts
  * @param leaving whether operators are draining it
  * @since 0.1
  */
@@ -23,7 +23,7 @@
         int connections,
         boolean leaving) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public BackendServerSpecification {
         Assert.notNull(id, "A backend server id");
         Assert.notNull(zone, "An availability zone id");
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ClientBlock.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ClientBlock.java
@@ -5,12 +5,13 @@
 import java.nio.ByteBuffer;
 
 /**
- * A block of client addresses, or one address as the block that holds only itself.
+ * Block of client addresses. A single address is represented as the block that contains only
+ * itself.
  *
  * @param family the address family
- * @param high the first 64 bits of the first address; of IPv4 the address is in the upper 32
+ * @param high the first 64 bits of the first address; an IPv4 address is in the upper 32
  * @param low the last 64 bits of the first address; 0 for IPv4
- * @param length how many leading bits all addresses of the block share
+ * @param length the number of leading bits that all addresses of the block share
  * @since 0.1
  */
 public record ClientBlock(AddressFamily family, long high, long low, int length)
@@ -21,7 +22,7 @@
     private static final int IPV4_BYTES = 4;
 
     /**
-     * Checks the parts.
+     * Validates the components.
      *
      * @throws IllegalArgumentException if the length is out of range or a bit after it is set
      */
@@ -39,29 +40,30 @@
     }
 
     /**
-     * Reads an address or a block in CIDR notation (RFC 4632, RFC 4291); never asks a name server.
+     * Parses an address or a block in CIDR notation (RFC 4632, RFC 4291). Never queries a name
+     * server.
      *
      * @param text such as "10.1.0.0/16", "2001:db8::/32" or "10.1.2.3"
-     * @return the block, or one sentence that says what is wrong with the text
+     * @return the block, or a sentence that describes the error in the text
      */
     public static Either<String, ClientBlock> parse(String text) {
         return ClientBlockParser.parse(text);
     }
 
     /**
-     * Tells whether a text is an IP number, without asking any name server.
+     * Determines whether a text is a numeric IP address, without querying a name server.
      *
      * @param text the text
-     * @return whether it is
+     * @return {@code true} if the text is a numeric IP address
      */
     public static boolean isAddress(String text) {
         return ClientBlockParser.address(text) != null;
     }
 
     /**
-     * Makes the block of one address or of the addresses that share a prefix with it.
+     * Creates the block of the addresses that share a prefix with the given address.
      *
-     * @param address the 4 or 16 bytes of an address; bits after the prefix are dropped
+     * @param address the 4 or 16 bytes of an address; bits after the prefix are cleared
      * @param length the length of the prefix in bits
      * @return the block
      */
@@ -78,10 +80,10 @@
     }
 
     /**
-     * Tells whether every address of another block is in this one.
+     * Determines whether this block contains every address of another block.
      *
      * @param other the other block
-     * @return whether it is the same block or inside this one
+     * @return {@code true} if the other block is equal to this one or contained in it
      */
     public boolean contains(ClientBlock other) {
         return family == other.family
@@ -90,14 +92,15 @@
     }
 
     /**
-     * Tells whether a block has an address, both in the parts of {@link ClientBlock}.
+     * Determines whether a block contains an address, both given in the components of {@link
+     * ClientBlock}.
      *
      * @param high the first 64 bits of the block
      * @param low its last 64 bits
      * @param length the length of its prefix
      * @param otherHigh the first 64 bits of the address
      * @param otherLow its last 64 bits
-     * @return whether the address is in the block
+     * @return {@code true} if the address is in the block
      */
     public static boolean contains(long high, long low, int length, long otherHigh, long otherLow) {
         return ((high ^ otherHigh) & highMask(length)) == 0
@@ -115,7 +118,10 @@
         return length <= HALF_BITS ? 0 : -1L << (2 * HALF_BITS - length);
     }
 
-    /** Orders by family, first address and length, so that a block comes before those inside. */
+    /**
+     * Compares by family, first address and length, so that a block precedes the blocks that it
+     * contains.
+     */
     @Override
     public int compareTo(ClientBlock other) {
         if (family != other.family) {
@@ -126,13 +132,14 @@
     }
 
     /**
-     * Compares two addresses of one family, given as in {@link ClientBlock}.
+     * Compares two addresses of the same family, given in the components of {@link ClientBlock}.
      *
-     * @param high the first 64 bits of the one
+     * @param high the first 64 bits of the first address
      * @param low its last 64 bits
-     * @param otherHigh the first 64 bits of the other
+     * @param otherHigh the first 64 bits of the second address
      * @param otherLow its last 64 bits
-     * @return below, at or above 0 as the one is below, at or above the other
+     * @return a negative number, 0 or a positive number if the first address is lower than, equal
+     *     to or higher than the second
      */
     public static int compare(long high, long low, long otherHigh, long otherLow) {
         int order = Long.compareUnsigned(high, otherHigh);
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ClientBlockParser.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ClientBlockParser.java
@@ -7,14 +7,14 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads and writes blocks in CIDR notation.
+ * Parser and formatter of blocks in CIDR notation.
  *
- * <p>The text is checked to be numeric before {@link InetAddress} sees it, so that no name server
- * is ever asked.
+ * <p>The text is verified to be numeric before it is passed to {@link InetAddress}, so that no name
+ * server is ever queried.
  */
 final class ClientBlockParser {
 
-    private static final int LONGEST_TEXT = 49;
+    private static final int MAXIMUM_TEXT_LENGTH = 49;
     private static final int IPV4_BYTES = 4;
     private static final int IPV6_BYTES = 16;
     private static final int MAPPED_PREFIX_BITS = 96;
@@ -26,7 +26,7 @@
     private ClientBlockParser() {}
 
     static Either<String, ClientBlock> parse(String text) {
-        if (text == null || text.isEmpty() || text.length() > LONGEST_TEXT) {
+        if (text == null || text.isEmpty() || text.length() > MAXIMUM_TEXT_LENGTH) {
             return Either.left("The text of a client block is empty or too long.");
         }
         int slash = text.indexOf('/');
@@ -60,7 +60,7 @@
         return Either.right(block);
     }
 
-    /** Tells whether an IPv4 address was written as an IPv6 address (RFC 4291, 2.5.5.2). */
+    /** Determines whether an IPv4 address was written as an IPv6 address (RFC 4291, 2.5.5.2). */
     private static boolean isMapped(String text, byte[] address) {
         return address.length == IPV4_BYTES && text.indexOf(':') >= 0;
     }
@@ -70,7 +70,7 @@
         return ClientBlock.compare(block.high(), block.low(), single.high(), single.low()) != 0;
     }
 
-    /** Gives the bytes of an address, or null if the text is no IP number. */
+    /** Returns the bytes of an address, or {@code null} if the text is not a numeric IP address. */
     static byte[] address(String text) {
         boolean numeric = IPV4.matcher(text).matches() || IPV6.matcher(text).matches();
         if (!numeric) {
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ClientBlockSpecification.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ClientBlockSpecification.java
@@ -4,7 +4,7 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * The site that a block of client addresses is near.
+ * Assignment of a block of client addresses to the site to which it is near.
  *
  * @param block the block in CIDR notation (RFC 4632, RFC 4291), such as "10.1.0.0/16"
  * @param site the site
@@ -12,7 +12,7 @@
  */
 public record ClientBlockSpecification(String block, SiteId site) {
 
-    /** Checks that the parts are given; the block's syntax is checked by the planner. */
+    /** Validates that the components are given. The planner validates the syntax of the block. */
     public ClientBlockSpecification {
         Assert.hasText(block, "A client block");
         Assert.notNull(site, "A site id");
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/Configuration.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/Configuration.java
@@ -10,13 +10,13 @@
 import java.util.Optional;
 
 /**
- * One accepted configuration: everything that operators state, under one version.
+ * Accepted configuration: everything that operators configure, under one version.
  *
- * <p>Immutable, and so safe for all threads.
+ * <p>Immutable and therefore thread-safe.
  *
- * @param version the place of this configuration in the chain
- * @param plan the confirmed plan that wrote it; empty only for {@link #EMPTY}
- * @param content what operators stated
+ * @param version the position of this configuration in the chain of versions
+ * @param plan the confirmed plan from which it was written; empty only for {@link #EMPTY}
+ * @param content the content as configured by operators
  * @since 0.1
  */
 public record Configuration(
@@ -27,7 +27,7 @@
             new Configuration(
                     ConfigurationVersion.NONE, Optional.empty(), ConfigurationContent.EMPTY);
 
-    /** Checks that all parts are given. */
+    /** Validates that all components are non-null. */
     public Configuration {
         Assert.notNull(version, "A configuration version");
         Assert.notNull(plan, "A plan id");
@@ -35,20 +35,20 @@
     }
 
     /**
-     * Finds a service.
+     * Returns the service with the given id.
      *
      * @param id the service
-     * @return the service, or empty if operators stated no such service
+     * @return the service, or empty if no such service is configured
      */
     public Optional<ServiceSpecification> service(ServiceId id) {
         return content.services().stream().filter(service -> service.id().equals(id)).findFirst();
     }
 
     /**
-     * Finds the region that holds an availability zone.
+     * Returns the region that contains an availability zone.
      *
      * @param zone the availability zone
-     * @return the region, or empty if operators stated no such availability zone
+     * @return the region, or empty if no such availability zone is configured
      */
     public Optional<RegionId> regionOf(ZoneId zone) {
         return content.regions().stream()
@@ -58,7 +58,7 @@
     }
 
     /**
-     * Lists the backend servers of a service in a region, in the order stated.
+     * Returns the backend servers of a service in a region, in the configured order.
      *
      * @param service the service
      * @param region the region
@@ -66,7 +66,7 @@
      */
     public List<BackendServerSpecification> backendServers(ServiceId service, RegionId region) {
         return service(service).stream()
-                .flatMap(found -> found.backendServers().stream())
+                .flatMap(specification -> specification.backendServers().stream())
                 .filter(server -> regionOf(server.zone()).filter(region::equals).isPresent())
                 .toList();
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationChange.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationChange.java
@@ -9,33 +9,34 @@
 import java.util.function.Function;
 
 /**
- * A merge change: entries to put, each as a whole under its name, and entries to take away.
+ * Change that is merged into a content: entries to put, each as a whole under its name, and entries
+ * to remove.
  *
- * <p>An entry is a region, link, service, site or client block. A put entry replaces the one of the
- * same name where that stands, and is appended if there is none. The change is also what instances
- * send each other in place of the whole content.
+ * <p>An entry is a region, link, service, site or client block. An entry to put replaces the entry
+ * of the same name at its position, or is appended if there is none. Instances also send each other
+ * changes in place of the whole content.
  *
  * @param put the entries to put
- * @param remove the entries to take away
+ * @param remove the entries to remove
  * @since 0.1
  */
 public record ConfigurationChange(ConfigurationContent put, ConfigurationRemoval remove) {
 
-    /** Changes nothing. */
+    /** The change without any entries. */
     public static final ConfigurationChange NONE =
             new ConfigurationChange(ConfigurationContent.EMPTY, ConfigurationRemoval.NONE);
 
-    /** Replaces parts that are not given by empty ones. */
+    /** Replaces components that are {@code null} by empty ones. */
     public ConfigurationChange {
         put = put == null ? ConfigurationContent.EMPTY : put;
         remove = remove == null ? ConfigurationRemoval.NONE : remove;
     }
 
     /**
-     * Finds the change from one content to another.
+     * Computes the change from one content to another.
      *
-     * <p>Applying the change to {@code before} gives the entries of {@code after}; entries that
-     * both have keep the order of {@code before}.
+     * <p>Applying the change to {@code before} results in the entries of {@code after}. Entries
+     * that both contain keep the order of {@code before}.
      *
      * @param before the content before
      * @param after the content after
@@ -67,7 +68,7 @@
     }
 
     /**
-     * Applies the change.
+     * Applies the change to a content.
      *
      * @param base the content to change
      * @return the changed content
@@ -86,9 +87,9 @@
     }
 
     /**
-     * Tells whether the change does nothing.
+     * Determines whether the change has no entries.
      *
-     * @return whether it neither puts nor removes
+     * @return {@code true} if the change neither puts nor removes entries
      */
     public boolean isEmpty() {
         return equals(NONE);
@@ -113,11 +114,11 @@
     }
 
     private static <T, K> List<K> removed(List<T> before, List<T> after, Function<T, K> key) {
-        Set<K> kept = new HashSet<>();
-        after.forEach(entry -> kept.add(key.apply(entry)));
+        Set<K> remaining = new HashSet<>();
+        after.forEach(entry -> remaining.add(key.apply(entry)));
         List<K> removed = new ArrayList<>();
         for (T entry : before) {
-            if (!kept.contains(key.apply(entry))) {
+            if (!remaining.contains(key.apply(entry))) {
                 removed.add(key.apply(entry));
             }
         }
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationCheckpoint.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationCheckpoint.java
@@ -5,10 +5,11 @@
 import java.util.List;
 
 /**
- * A whole content that the chain's log builds on, kept in parts of their own.
+ * Checkpoint of the chain of versions: a whole content that is stored in separate parts and to
+ * which the entries of the chain's log apply.
  *
  * @param version the version of the content
- * @param plan the plan that it came from, or "" for the empty content
+ * @param plan the plan from which it was written, or "" for the empty content
  * @param parts the names of the parts, in order; none for the empty content
  * @since 0.1
  */
@@ -19,7 +20,7 @@
     public static final ConfigurationCheckpoint EMPTY =
             new ConfigurationCheckpoint(ConfigurationVersion.NONE, "", List.of());
 
-    /** Checks the parts and copies the list. */
+    /** Validates the components and copies the list. */
     public ConfigurationCheckpoint {
         Assert.notNull(version, "A configuration version");
         plan = plan == null ? "" : plan;
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationConfirmation.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationConfirmation.java
@@ -12,26 +12,28 @@
 import java.util.Optional;
 
 /**
- * Confirms one plan: appends it to the chain by a conditional write of the head.
+ * State machine that confirms one plan by appending it to the chain with a conditional write of the
+ * head.
  *
- * <p>A lost answer is settled by reading the head back: the plan's id is in it if the write took
- * effect, and the write can no longer take effect once the object has another version. A plan that
- * was accepted before is accepted again with the same version, so a confirmation may be repeated at
- * any instance. A state machine for one thread; it has no clock, its owner bounds the steps.
+ * <p>If the response to a write is lost, the head is read to determine its outcome: it contains the
+ * plan's id if the write took effect, and the write can no longer take effect once the object has
+ * another version. A plan that was accepted before is accepted again with the same version, so that
+ * a confirmation may be repeated at any instance. Not thread-safe. It has no clock: the caller must
+ * limit the time of the steps.
  *
  * @since 0.1
  */
 public final class ConfigurationConfirmation {
 
-    /** How a write of the head ended. */
+    /** Outcome of a write of the head. */
     public enum WriteOutcome {
-        /** It took effect. */
+        /** The write took effect. */
         WRITTEN,
-        /** The object had another version; it had no effect. */
+        /** The object had another version, so the write had no effect. */
         CONFLICT,
-        /** It may have taken effect or may still. */
+        /** The write may have taken effect or may still take effect. */
         UNCERTAIN,
-        /** It had no effect, since the platform is away. */
+        /** The write had no effect because the platform is unavailable. */
         UNAVAILABLE
     }
 
@@ -43,11 +45,12 @@
     private boolean mUncertain;
 
     /**
-     * Starts a confirmation.
+     * Creates a confirmation of a plan.
      *
      * @param plan the plan
-     * @param limits how long the log of the head may grow
-     * @param maximumReads how often the head is read before the confirmation gives up, positive
+     * @param limits the limits of the size of the head's log
+     * @param maximumReads the maximum number of reads of the head before the confirmation ends
+     *     without a result, positive
      */
     public ConfigurationConfirmation(Plan plan, ConfigurationLogLimits limits, int maximumReads) {
         mPlan = Assert.notNull(plan, "A plan");
@@ -57,7 +60,7 @@
     }
 
     /**
-     * Gives the first step.
+     * Returns the first step.
      *
      * @return the step
      */
@@ -66,7 +69,7 @@
     }
 
     /**
-     * Takes the head as it was read.
+     * Handles the head that was read.
      *
      * @param head the head, {@link ConfigurationHead#EMPTY} if there is no object
      * @param objectVersion the version of the object, 0 if there is none
@@ -78,7 +81,7 @@
             return new Accepted(accepted.get());
         }
         if (!head.version().equals(mPlan.base())) {
-            return otherVersion(head);
+            return resolveBaseMismatch(head);
         }
         if (mLastWrite.isPresent() && mLastWrite.get().expectedObjectVersion() != objectVersion) {
             mUncertain = false;
@@ -89,7 +92,7 @@
     }
 
     /**
-     * Takes note that the head could not be read.
+     * Handles a failed read of the head.
      *
      * @return the next step
      */
@@ -98,14 +101,14 @@
     }
 
     /**
-     * Takes the end of a write.
+     * Handles the outcome of a write.
      *
-     * @param end how it ended
+     * @param outcome the outcome
      * @return the next step
      */
-    public ConfirmationStep onWrite(WriteOutcome end) {
+    public ConfirmationStep onWrite(WriteOutcome outcome) {
         WriteHead write = mLastWrite.orElseThrow(() -> new IllegalStateException("No write ran."));
-        return switch (end) {
+        return switch (outcome) {
             case WRITTEN -> new Accepted(write.head().version());
             case CONFLICT -> read();
             case UNCERTAIN -> {
@@ -116,9 +119,12 @@
         };
     }
 
-    /** An old plan that is not remembered may have been accepted long ago. */
-    private ConfirmationStep otherVersion(ConfigurationHead head) {
-        if (mPlan.base().isAfter(head.version()) || !head.remembersSince(mPlan.base())) {
+    /**
+     * Returns the step for a head whose version differs from the plan's base. If the recent plans
+     * of the head do not reach back to the base, the plan may have been accepted long ago.
+     */
+    private ConfirmationStep resolveBaseMismatch(ConfigurationHead head) {
+        if (mPlan.base().isAfter(head.version()) || !head.hasAllPlansSince(mPlan.base())) {
             return new Unsettled(mPlan.id());
         }
         return new BaseChanged(head.version(), head.since(mPlan.base()).orElse(List.of()));
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationContent.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationContent.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * What operators state: places, links, services and client blocks.
+ * Content of a configuration: regions, links, services, sites and client blocks.
  *
  * @param regions the regions with their availability zones
  * @param links the links between regions
  * @param services the services
- * @param sites the places near clients that client blocks point to
- * @param clientBlocks which site each block of client addresses is near
+ * @param sites the sites near clients, to which client blocks are assigned
+ * @param clientBlocks the assignment of blocks of client addresses to sites
  * @since 0.1
  */
 public record ConfigurationContent(
@@ -19,11 +19,11 @@
         List<SiteSpecification> sites,
         List<ClientBlockSpecification> clientBlocks) {
 
-    /** Nothing stated. */
+    /** The empty content. */
     public static final ConfigurationContent EMPTY =
             new ConfigurationContent(List.of(), List.of(), List.of(), List.of(), List.of());
 
-    /** Copies the lists; a list that is not given is empty. */
+    /** Copies the lists. A list that is {@code null} becomes an empty one. */
     public ConfigurationContent {
         regions = copyOf(regions);
         links = copyOf(links);
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationDifference.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationDifference.java
@@ -3,27 +3,27 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * One difference between two configurations.
+ * Difference between two configurations in one place.
  *
  * @param path the place, such as "services[reader].backendServers[reader-1].slots"
- * @param kind what happened there
+ * @param kind the kind of the difference
  * @param before the value before, or "" if there was none
  * @param after the value after, or "" if there is none
  * @since 0.1
  */
 public record ConfigurationDifference(String path, Kind kind, String before, String after) {
 
-    /** What happened at a place. */
+    /** Kind of a difference. */
     public enum Kind {
-        /** There was nothing before. */
+        /** The place had no value before. */
         ADDED,
-        /** There is nothing after. */
+        /** The place has no value after the change. */
         REMOVED,
-        /** The value is another one. */
+        /** The value has changed. */
         CHANGED
     }
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public ConfigurationDifference {
         Assert.hasText(path, "A path");
         Assert.notNull(kind, "A kind of difference");
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationDifferences.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationDifferences.java
@@ -11,26 +11,26 @@
 import java.util.Optional;
 
 /**
- * Lists the differences between two contents, field by field.
+ * Field-by-field comparison of two contents.
  *
  * <p>Entries of a list are matched by name: the first component of their record, or both regions of
- * a link. At most {@link #MAXIMUM} differences are listed.
+ * a link. At most {@link #MAXIMUM} differences are returned.
  *
  * @since 0.1
  */
 public final class ConfigurationDifferences {
 
-    /** How many differences are listed at most. */
+    /** The maximum number of differences that are returned. */
     public static final int MAXIMUM = 1_000;
 
-    private static final int MAXIMUM_TEXT = 200;
+    private static final int MAXIMUM_TEXT_LENGTH = 200;
 
-    private final List<ConfigurationDifference> mFound = new ArrayList<>();
+    private final List<ConfigurationDifference> mDifferences = new ArrayList<>();
 
     private ConfigurationDifferences() {}
 
     /**
-     * Lists the differences.
+     * Returns the differences between two contents.
      *
      * @param before the content before
      * @param after the content after
@@ -40,14 +40,14 @@
             ConfigurationContent before, ConfigurationContent after) {
         ConfigurationDifferences differences = new ConfigurationDifferences();
         differences.compareRecords("", before, after);
-        return List.copyOf(differences.mFound);
+        return List.copyOf(differences.mDifferences);
     }
 
     /**
-     * Lists what changes put and take away, without knowing what stood before.
+     * Returns the entries that changes put and remove, without knowledge of the content before.
      *
      * @param entries the changes in order
-     * @return the differences; what is put is told as added
+     * @return the differences; entries to put are returned as added
      */
     public static List<ConfigurationDifference> of(List<ConfigurationLogEntry> entries) {
         ConfigurationDifferences differences = new ConfigurationDifferences();
@@ -56,11 +56,11 @@
             differences.compareRecords("", ConfigurationContent.EMPTY, change.put());
             differences.compareRecords("", change.remove(), ConfigurationRemoval.NONE);
         }
-        return List.copyOf(differences.mFound);
+        return List.copyOf(differences.mDifferences);
     }
 
     private void compare(String path, Object before, Object after) {
-        if (Objects.equals(before, after) || mFound.size() >= MAXIMUM) {
+        if (Objects.equals(before, after) || mDifferences.size() >= MAXIMUM) {
             return;
         }
         if (before instanceof Optional<?> first && after instanceof Optional<?> second) {
@@ -92,30 +92,30 @@
     }
 
     private void compareLists(String path, List<?> before, List<?> after) {
-        int found = mFound.size();
+        int countBefore = mDifferences.size();
         Map<String, Object> left = byName(before);
         Map<String, Object> right = byName(after);
-        left.forEach((name, entry) -> compare(at(path, name), entry, right.remove(name)));
-        right.forEach((name, entry) -> compare(at(path, name), null, entry));
-        if (mFound.size() == found) {
+        left.forEach((name, entry) -> compare(entryPath(path, name), entry, right.remove(name)));
+        right.forEach((name, entry) -> compare(entryPath(path, name), null, entry));
+        if (mDifferences.size() == countBefore) {
             add(path, Kind.CHANGED, "the order", "another order");
         }
     }
 
-    private static String at(String path, String name) {
+    private static String entryPath(String path, String name) {
         return path + "[" + name + "]";
     }
 
     private void add(String path, Kind kind, Object before, Object after) {
-        if (mFound.size() < MAXIMUM) {
-            mFound.add(new ConfigurationDifference(path, kind, text(before), text(after)));
+        if (mDifferences.size() < MAXIMUM) {
+            mDifferences.add(new ConfigurationDifference(path, kind, text(before), text(after)));
         }
     }
 
     private static Map<String, Object> byName(List<?> entries) {
-        Map<String, Object> named = new LinkedHashMap<>();
-        entries.forEach(entry -> named.put(name(entry), entry));
-        return named;
+        Map<String, Object> entriesByName = new LinkedHashMap<>();
+        entries.forEach(entry -> entriesByName.put(name(entry), entry));
+        return entriesByName;
     }
 
     private static String name(Object entry) {
@@ -128,7 +128,10 @@
         return entry.toString();
     }
 
-    /** Ids are records too, but have no fields worth a path. */
+    /**
+     * Determines whether a value is a record of this package. Ids are records too, but are compared
+     * as a whole.
+     */
     private static boolean isSpecification(Object value) {
         return value instanceof Record
                 && value.getClass().getPackage().equals(ConfigurationContent.class.getPackage());
@@ -147,6 +150,8 @@
             return "";
         }
         String text = value.toString();
-        return text.length() <= MAXIMUM_TEXT ? text : text.substring(0, MAXIMUM_TEXT) + "…";
+        return text.length() <= MAXIMUM_TEXT_LENGTH
+                ? text
+                : text.substring(0, MAXIMUM_TEXT_LENGTH) + "…";
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationDistribution.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationDistribution.java
@@ -14,11 +14,13 @@
 import java.util.TreeSet;
 
 /**
- * Says who watches the platform and who is told of a new version; all who see the same members
- * agree, without messages.
+ * Strategy that determines which instances watch the platform and which instances are notified of a
+ * new version. All instances that know the same members make the same decisions without exchanging
+ * messages.
  *
- * <p>Two instances in each availability zone watch. One that watches tells its availability zone
- * and the watching instances of the others, so that a zone cut off from the platform hears of it.
+ * <p>Two instances in each availability zone watch the platform. A watching instance notifies its
+ * own availability zone and the watching instances of the other zones, so that a zone that is
+ * partitioned from the platform also receives the version.
  *
  * @param self this instance
  * @param zone its availability zone
@@ -26,54 +28,56 @@
  */
 public record ConfigurationDistribution(InstanceId self, ZoneId zone) {
 
-    /** How many instances of an availability zone watch the platform. */
+    /** The number of instances of an availability zone that watch the platform. */
     public static final int WATCHERS_PER_ZONE = 2;
 
     private static final String KEY = "configuration-watch";
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public ConfigurationDistribution {
         Assert.notNull(self, "An instance id");
         Assert.notNull(zone, "An availability zone id");
     }
 
     /**
-     * Tells whether this instance watches the platform.
+     * Determines whether this instance watches the platform.
      *
-     * @param members the other instances as this one sees them
-     * @return whether it does
+     * @param members the other instances as known to this instance
+     * @return {@code true} if this instance watches the platform
      */
     public boolean isWatcher(Collection<Member> members) {
         return watchers(zone, members).contains(self);
     }
 
     /**
-     * Lists who this instance tells of a new version.
+     * Returns the instances that this instance notifies of a new version.
      *
-     * @param members the other instances as this one sees them
-     * @param version the new version; who is known to have it is not told
+     * @param members the other instances as known to this instance
+     * @param version the new version; instances that are known to have it are not notified
      * @return the instances, those of other availability zones last
      */
     public List<InstanceId> recipients(Collection<Member> members, ConfigurationVersion version) {
-        List<InstanceId> told = new ArrayList<>();
+        List<InstanceId> recipients = new ArrayList<>();
         for (Member member : members) {
-            if (member.zone().equals(zone) && lacks(member, version)) {
-                told.add(member.id());
+            if (member.zone().equals(zone) && isMissingVersion(member, version)) {
+                recipients.add(member.id());
             }
         }
-        Map<ZoneId, List<InstanceId>> watching = new HashMap<>();
+        Map<ZoneId, List<InstanceId>> watchersByZone = new HashMap<>();
         for (Member member : members) {
             if (!member.zone().equals(zone)
-                    && lacks(member, version)
-                    && watching.computeIfAbsent(member.zone(), each -> watchers(each, members))
+                    && isMissingVersion(member, version)
+                    && watchersByZone
+                            .computeIfAbsent(
+                                    member.zone(), otherZone -> watchers(otherZone, members))
                             .contains(member.id())) {
-                told.add(member.id());
+                recipients.add(member.id());
             }
         }
-        return told;
+        return recipients;
     }
 
-    private boolean lacks(Member member, ConfigurationVersion version) {
+    private boolean isMissingVersion(Member member, ConfigurationVersion version) {
         return !member.id().equals(self)
                 && member.state().isReachable()
                 && version.isAfter(member.configuration());
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationHead.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationHead.java
@@ -8,17 +8,19 @@
 import java.util.Optional;
 
 /**
- * The head of the chain of versions: the one object at the platform that decides what is accepted.
+ * Head of the chain of versions: the single object at the platform that determines which plans are
+ * accepted.
  *
- * <p>It holds the newest version, the log of the last changes, the checkpoint that the log builds
- * on, and the plans accepted lately with their versions. A small change is thus one conditional
- * write of the head; a content is written as a whole only when the log has grown long.
+ * <p>It contains the newest version, the log of the last changes, the checkpoint to which the log
+ * applies, and the recently accepted plans with their versions. A small change therefore requires
+ * only one conditional write of the head; the whole content is written only when the log has become
+ * long.
  *
  * @param version the newest accepted version
- * @param checkpoint the content that the log builds on
- * @param log the last changes without a gap, the last of them leading to {@code version}; it
+ * @param checkpoint the content to which the log applies
+ * @param log the last changes without a gap, the last of which results in {@code version}; it
  *     reaches back at least to the checkpoint
- * @param recentPlans the plans accepted lately, the newest last
+ * @param recentPlans the recently accepted plans, the newest last
  * @since 0.1
  */
 public record ConfigurationHead(
@@ -27,7 +29,7 @@
         List<ConfigurationLogEntry> log,
         List<AcceptedPlan> recentPlans) {
 
-    /** How many accepted plans are remembered. */
+    /** The maximum number of accepted plans in the head. */
     public static final int RECENT_PLANS = 512;
 
     /** The head before the first version. */
@@ -35,7 +37,7 @@
             new ConfigurationHead(
                     ConfigurationVersion.NONE, ConfigurationCheckpoint.EMPTY, List.of(), List.of());
 
-    /** Checks that the log has no gap and reaches from the checkpoint to the version. */
+    /** Validates that the log has no gap and reaches from the checkpoint to the version. */
     public ConfigurationHead {
         Assert.notNull(version, "A configuration version");
         checkpoint = checkpoint == null ? ConfigurationCheckpoint.EMPTY : checkpoint;
@@ -59,7 +61,7 @@
     }
 
     /**
-     * Finds the version that a plan became.
+     * Returns the version that a plan produced.
      *
      * @param plan the plan
      * @return the version, or empty if the plan is not among the recent ones
@@ -72,20 +74,22 @@
     }
 
     /**
-     * Tells whether a plan made on a version would be among the recent ones, had it been accepted.
+     * Determines whether a plan that was made on a version would be among the recent plans if it
+     * had been accepted.
      *
      * @param base the version that the plan was made on
-     * @return whether its absence proves that it was not accepted
+     * @return {@code true} if the absence of the plan proves that it was not accepted
      */
-    public boolean remembersSince(ConfigurationVersion base) {
+    public boolean hasAllPlansSince(ConfigurationVersion base) {
         return version.number() - recentPlans.size() <= base.number();
     }
 
     /**
-     * Lists the changes since a version.
+     * Returns the changes since a version.
      *
      * @param known the version
-     * @return the changes, empty if there are none; or empty if the log does not reach back so far
+     * @return the changes, an empty list if there are none, or an empty optional if the log does
+     *     not reach back to the version
      */
     public Optional<List<ConfigurationLogEntry>> since(ConfigurationVersion known) {
         long missing = version.number() - known.number();
@@ -96,10 +100,11 @@
     }
 
     /**
-     * Brings a known configuration up to this head.
+     * Advances a known configuration to the version of this head.
      *
-     * @param known a configuration of the chain, not after this head
-     * @return the configuration of this head, or empty if the log does not reach back so far
+     * @param known a configuration of the chain, not later than this head
+     * @return the configuration of this head, or empty if the log does not reach back to the known
+     *     version or that version is later
      */
     public Optional<Configuration> advance(Configuration known) {
         Optional<List<ConfigurationLogEntry>> entries = since(known.version());
@@ -117,7 +122,7 @@
      * Appends a plan whose base is the version of this head.
      *
      * @param plan the plan
-     * @param limits how long the log may grow
+     * @param limits the limits of the log's size
      * @return the next head; its checkpoint has the next version if a whole content must be written
      *     first
      */
@@ -129,25 +134,26 @@
                 plan.base(),
                 version);
         ConfigurationVersion next = version.next();
-        List<ConfigurationLogEntry> grown = new ArrayList<>(log);
-        grown.add(new ConfigurationLogEntry(next, plan.id(), plan.change()));
+        List<ConfigurationLogEntry> extendedLog = new ArrayList<>(log);
+        extendedLog.add(new ConfigurationLogEntry(next, plan.id(), plan.change()));
         List<AcceptedPlan> plans = new ArrayList<>(recentPlans);
         plans.add(new AcceptedPlan(plan.id(), next));
-        List<AcceptedPlan> kept = newest(plans, RECENT_PLANS);
-        List<ConfigurationLogEntry> trimmed = limits.trim(grown);
+        List<AcceptedPlan> retainedPlans = newest(plans, RECENT_PLANS);
+        List<ConfigurationLogEntry> trimmed = limits.trim(extendedLog);
         if (next.number() - trimmed.size() <= checkpoint.version().number()) {
-            return new ConfigurationHead(next, checkpoint, trimmed, kept);
+            return new ConfigurationHead(next, checkpoint, trimmed, retainedPlans);
         }
-        ConfigurationCheckpoint due =
+        ConfigurationCheckpoint newCheckpoint =
                 new ConfigurationCheckpoint(next, plan.id().value(), List.of());
-        return new ConfigurationHead(next, due, trimmed, kept);
+        return new ConfigurationHead(next, newCheckpoint, trimmed, retainedPlans);
     }
 
     /**
-     * Names the parts of the checkpoint once they are written.
+     * Returns a copy of this head with the names of the parts of its checkpoint, once these are
+     * written.
      *
-     * @param parts the names
-     * @return the same head with the names
+     * @param parts the names of the parts
+     * @return the copy
      */
     public ConfigurationHead withCheckpointParts(List<String> parts) {
         return new ConfigurationHead(
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationIntent.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationIntent.java
@@ -4,22 +4,22 @@
 import java.util.List;
 
 /**
- * What an operator wants, before a plan was made of it.
+ * Intent of an operator, from which a plan is made.
  *
  * @since 0.1
  */
 public sealed interface ConfigurationIntent {
 
     /**
-     * Tells the content that the operator wants.
+     * Returns the content that results from applying the intent.
      *
      * @param base the content in force
-     * @return the content wanted
+     * @return the resulting content
      */
     ConfigurationContent resultOn(ConfigurationContent base);
 
     /**
-     * Finds what is wrong with the intent itself, whatever it is applied to.
+     * Returns the errors of the intent itself, regardless of the content to which it is applied.
      *
      * @return the faults
      */
@@ -28,13 +28,14 @@
     }
 
     /**
-     * The whole content; entries that it does not have go away.
+     * Intent that replaces the whole content; entries that the new content does not contain are
+     * removed.
      *
      * @param content the content
      */
     record Replace(ConfigurationContent content) implements ConfigurationIntent {
 
-        /** Checks that the content is given. */
+        /** Validates that the content is non-null. */
         public Replace {
             Assert.notNull(content, "A configuration content");
         }
@@ -46,13 +47,13 @@
     }
 
     /**
-     * A merge change; entries that it does not name stay.
+     * Intent that merges a change; entries that the change does not name are unchanged.
      *
      * @param change the change
      */
     record Merge(ConfigurationChange change) implements ConfigurationIntent {
 
-        /** Checks that the change is given. */
+        /** Validates that the change is non-null. */
         public Merge {
             Assert.notNull(change, "A configuration change");
         }
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationLogEntry.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationLogEntry.java
@@ -6,17 +6,17 @@
 import java.util.Optional;
 
 /**
- * The step from the version before to one version.
+ * Log entry with the change from the preceding version to one version.
  *
- * @param version the version that it leads to
- * @param plan the plan that it came from
- * @param change what changed
+ * @param version the version that results from the change
+ * @param plan the plan from which it was written
+ * @param change the change
  * @since 0.1
  */
 public record ConfigurationLogEntry(
         ConfigurationVersion version, PlanId plan, ConfigurationChange change) {
 
-    /** Checks that all parts are given. */
+    /** Validates that all components are non-null. */
     public ConfigurationLogEntry {
         Assert.notNull(version, "A configuration version");
         Assert.notNull(plan, "A plan id");
@@ -24,9 +24,9 @@
     }
 
     /**
-     * Takes the step.
+     * Applies the change to the preceding configuration.
      *
-     * @param before the configuration of the version before
+     * @param before the configuration of the preceding version
      * @return the configuration of this version
      */
     public Configuration applyTo(Configuration before) {
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationLogLimits.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationLogLimits.java
@@ -5,23 +5,23 @@
 import java.util.function.ToLongFunction;
 
 /**
- * How long a log of changes may grow.
+ * Limits of the size of a log of changes.
  *
- * @param maximumBytes how many bytes the changes of a log may have together
- * @param size tells the bytes of a change as it is written
+ * @param maximumBytes the maximum total size in bytes of the changes of a log
+ * @param size the function that returns the size in bytes of a change as it is written
  * @since 0.1
  */
 public record ConfigurationLogLimits(long maximumBytes, ToLongFunction<ConfigurationChange> size) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public ConfigurationLogLimits {
         Assert.positive(maximumBytes, "The size of a log");
         Assert.notNull(size, "A size of changes");
     }
 
     /**
-     * Drops the oldest entries of a log that is too long, down to half of what it may have, so that
-     * the next entries find room.
+     * Removes the oldest entries of a log that exceeds the maximum, until the log has at most half
+     * of the maximum size, so that there is room for the next entries.
      *
      * @param log the log
      * @return the newest entries
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationPlanner.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationPlanner.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 
 /**
- * Makes plans of intents; safe for all threads.
+ * Creates plans from intents. Thread-safe.
  *
  * @since 0.1
  */
@@ -18,23 +18,23 @@
     private final PlanObservations mObservations;
 
     /**
-     * Makes a planner.
+     * Creates a planner.
      *
-     * @param observations what is known of load and spending
+     * @param observations the observations of load and spending
      */
     public ConfigurationPlanner(PlanObservations observations) {
         mObservations = Assert.notNull(observations, "Observations");
     }
 
     /**
-     * Makes a plan of an intent.
+     * Creates a plan from an intent.
      *
-     * @param intent what the operator wants
-     * @param base the configuration to make it on
-     * @param id the name of the plan
+     * @param intent the operator's intent
+     * @param base the configuration on which the plan is based
+     * @param id the id of the plan
      * @param operator the name of the operator's token
-     * @param expires until when the plan can be confirmed
-     * @return the plan, or all faults of the content that it would lead to
+     * @param expires the time until which the plan can be confirmed
+     * @return the plan, or all errors of the content that would result from it
      */
     public Either<List<ConfigurationFault>, Plan> plan(
             ConfigurationIntent intent,
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationRemoval.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationRemoval.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /**
- * The entries that a change takes away, by name.
+ * Names of the entries that a change removes.
  *
  * @param regions the regions
  * @param links the links
@@ -22,11 +22,11 @@
         List<SiteId> sites,
         List<String> clientBlocks) {
 
-    /** Takes nothing away. */
+    /** The removal without any entries. */
     public static final ConfigurationRemoval NONE =
             new ConfigurationRemoval(List.of(), List.of(), List.of(), List.of(), List.of());
 
-    /** Copies the lists; a list that is not given is empty. */
+    /** Copies the lists. A list that is {@code null} becomes an empty one. */
     public ConfigurationRemoval {
         regions = ConfigurationContent.copyOf(regions);
         links = ConfigurationContent.copyOf(links);
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationReplica.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationReplica.java
@@ -7,20 +7,23 @@
 import java.util.Optional;
 
 /**
- * The configuration at one instance: takes only higher versions, and keeps the last changes so that
- * it can tell them to others. A state machine for one thread.
+ * Replica of the configuration at one instance. It accepts only higher versions, and keeps the last
+ * changes so that it can send them to other instances. Not thread-safe.
  *
  * @since 0.1
  */
 public final class ConfigurationReplica {
 
-    /** What became of news. */
+    /** Result of applying an update. */
     public enum ApplyResult {
-        /** A higher version is in force now. */
+        /** The update put a higher version in force. */
         NEWER,
-        /** The version in force is as high or higher. */
+        /** The version in force is equal to or higher than that of the update. */
         KNOWN,
-        /** Changes are missing in between; the whole must be asked for. */
+        /**
+         * Changes before those of the update are missing; the whole configuration must be
+         * requested.
+         */
         GAP
     }
 
@@ -29,16 +32,16 @@
     private List<ConfigurationLogEntry> mLog = List.of();
 
     /**
-     * Starts with the empty configuration.
+     * Creates a replica with the empty configuration.
      *
-     * @param limits how many changes are kept
+     * @param limits the limits of the log of changes that are kept
      */
     public ConfigurationReplica(ConfigurationLogLimits limits) {
         mLimits = Assert.notNull(limits, "Limits of the log");
     }
 
     /**
-     * Gives the configuration in force.
+     * Returns the configuration in force.
      *
      * @return the configuration
      */
@@ -47,23 +50,23 @@
     }
 
     /**
-     * Takes news of a peer or of the platform.
+     * Applies an update from a peer or the platform.
      *
-     * @param news the news
-     * @return what became of them
+     * @param update the update
+     * @return the result
      */
-    public ApplyResult apply(ConfigurationUpdate news) {
-        if (news.whole().isPresent()) {
-            return applyFull(news.whole().get());
+    public ApplyResult apply(ConfigurationUpdate update) {
+        if (update.whole().isPresent()) {
+            return applyFull(update.whole().get());
         }
-        return applyEntries(news.entries());
+        return applyEntries(update.entries());
     }
 
     /**
-     * Tells what an instance with a lower version lacks.
+     * Returns the update that an instance with a lower version requires.
      *
      * @param known the version of the other instance
-     * @return the news, or empty if the other instance lacks nothing
+     * @return the update, or empty if the version of the other instance is not lower
      */
     public Optional<ConfigurationUpdate> updateSince(ConfigurationVersion known) {
         if (!mCurrent.version().isAfter(known)) {
@@ -87,7 +90,7 @@
     }
 
     private ApplyResult applyEntries(List<ConfigurationLogEntry> entries) {
-        ApplyResult taken = ApplyResult.KNOWN;
+        ApplyResult result = ApplyResult.KNOWN;
         for (ConfigurationLogEntry entry : entries) {
             if (!entry.version().isAfter(mCurrent.version())) {
                 continue;
@@ -96,11 +99,11 @@
                 return ApplyResult.GAP;
             }
             mCurrent = entry.applyTo(mCurrent);
-            List<ConfigurationLogEntry> grown = new ArrayList<>(mLog);
-            grown.add(entry);
-            mLog = List.copyOf(mLimits.trim(grown));
-            taken = ApplyResult.NEWER;
+            List<ConfigurationLogEntry> extendedLog = new ArrayList<>(mLog);
+            extendedLog.add(entry);
+            mLog = List.copyOf(mLimits.trim(extendedLog));
+            result = ApplyResult.NEWER;
         }
-        return taken;
+        return result;
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationUpdate.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationUpdate.java
@@ -5,22 +5,23 @@
 import java.util.Optional;
 
 /**
- * What one instance tells another of the configuration: the last changes, or the whole content.
+ * Update of the configuration that one instance sends to another: the last changes, or the whole
+ * configuration.
  *
- * @param whole the whole configuration, if the changes alone would not do
+ * @param whole the whole configuration, if the changes alone are not sufficient
  * @param entries the changes in order without a gap, if there is no whole configuration
  * @since 0.1
  */
 public record ConfigurationUpdate(
         Optional<Configuration> whole, List<ConfigurationLogEntry> entries) {
 
-    /** Checks that there is one of both, and that the changes have no gap. */
+    /** Validates that exactly one of both is given, and that the changes have no gap. */
     public ConfigurationUpdate {
         whole = whole == null ? Optional.empty() : whole;
         entries = ConfigurationContent.copyOf(entries);
         Assert.isTrue(
                 whole.isPresent() == entries.isEmpty(),
-                "News must have either a whole configuration or changes.");
+                "An update must have either a whole configuration or changes.");
         for (int i = 1; i < entries.size(); i++) {
             Assert.isTrue(
                     entries.get(i).version().equals(entries.get(i - 1).version().next()),
@@ -30,20 +31,20 @@
     }
 
     /**
-     * Tells of a whole configuration.
+     * Creates an update with a whole configuration.
      *
      * @param configuration the configuration
-     * @return the news
+     * @return the update
      */
     public static ConfigurationUpdate of(Configuration configuration) {
         return new ConfigurationUpdate(Optional.of(configuration), List.of());
     }
 
     /**
-     * Tells of changes.
+     * Creates an update with changes.
      *
      * @param entries the changes, at least one
-     * @return the news
+     * @return the update
      */
     public static ConfigurationUpdate of(List<ConfigurationLogEntry> entries) {
         return new ConfigurationUpdate(Optional.empty(), entries);
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationValidator.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationValidator.java
@@ -11,9 +11,9 @@
 import java.util.function.Function;
 
 /**
- * Checks a content as a whole: references, duplicates, addresses, blocks, time zones and shifts.
+ * Validator of a whole content: references, duplicates, addresses, blocks, time zones and shifts.
  *
- * <p>All faults are told at once, with their paths.
+ * <p>All errors are reported together, with their paths.
  *
  * @since 0.1
  */
@@ -30,10 +30,10 @@
     }
 
     /**
-     * Checks a content.
+     * Validates a content.
      *
      * @param content the content
-     * @return the faults; empty if the content may come into force
+     * @return the errors; an empty list if the content is valid
      */
     public static List<ConfigurationFault> validate(ConfigurationContent content) {
         ConfigurationValidator validator = new ConfigurationValidator(content);
@@ -45,7 +45,7 @@
         return List.copyOf(validator.mFaults);
     }
 
-    /** Finds entries that are stated twice; the rest of the content is not checked. */
+    /** Returns an error for each duplicate entry, without other validation of the content. */
     static List<ConfigurationFault> duplicates(ConfigurationContent content) {
         ConfigurationValidator validator = new ConfigurationValidator(content);
         validator.checkUnique("$.regions", content.regions(), RegionSpecification::id);
@@ -98,7 +98,7 @@
     }
 
     private void checkClientBlocks() {
-        Set<ClientBlock> seen = new HashSet<>();
+        Set<ClientBlock> known = new HashSet<>();
         for (int i = 0; i < mContent.clientBlocks().size(); i++) {
             String path = "$.clientBlocks[" + i + "]";
             ClientBlockSpecification specification = mContent.clientBlocks().get(i);
@@ -112,14 +112,17 @@
                     .peek(
                             block ->
                                     check(
-                                            seen.add(block),
+                                            known.add(block),
                                             path + ".block",
                                             "The client block %s is stated twice.",
                                             specification.block()));
         }
     }
 
-    /** What operators state is always a block; only clients are single addresses. */
+    /**
+     * Parses a block as operators configure it. In contrast to the addresses of clients, it must
+     * have a prefix length.
+     */
     private static Either<String, ClientBlock> block(String text) {
         return text.indexOf('/') < 0
                 ? Either.left("A client block needs a slash and a prefix length.")
@@ -144,10 +147,10 @@
     }
 
     <T> void checkUnique(String path, List<T> entries, Function<T, ?> name) {
-        Set<Object> seen = new HashSet<>();
+        Set<Object> known = new HashSet<>();
         for (int i = 0; i < entries.size(); i++) {
             Object key = name.apply(entries.get(i));
-            check(seen.add(key), path + "[" + i + "]", "The name %s is stated twice.", key);
+            check(known.add(key), path + "[" + i + "]", "The name %s is stated twice.", key);
         }
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfirmationStep.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfirmationStep.java
@@ -5,29 +5,32 @@
 import java.util.List;
 
 /**
- * What a confirmation asks its owner to do next, or how it ended.
+ * Step of a {@link ConfigurationConfirmation}: an action that its caller must perform next, or the
+ * result of the confirmation.
  *
  * @since 0.1
  */
 public sealed interface ConfirmationStep {
 
-    /** Read the head of the chain and report it. */
+    /** Requires the caller to read the head of the chain and pass it to the confirmation. */
     record ReadHead() implements ConfirmationStep {}
 
     /**
-     * Write the head if its object still has the expected version, and report how that ended. A
-     * checkpoint of the same version without parts is written first.
+     * Requires the caller to write the head if its object still has the expected version, and to
+     * pass the outcome to the confirmation. A checkpoint of the same version without parts must be
+     * written first.
      *
      * @param head the head to write
-     * @param expectedObjectVersion the version that the object must have
+     * @param expectedObjectVersion the version that the object must have for the write to take
+     *     effect
      */
     record WriteHead(ConfigurationHead head, long expectedObjectVersion)
             implements ConfirmationStep {
 
         /**
-         * Tells whether the whole content must be written to parts first.
+         * Determines whether the whole content must be written to parts first.
          *
-         * @return whether the checkpoint is of the version to write
+         * @return {@code true} if the checkpoint has the version of the head to write
          */
         public boolean needsCheckpoint() {
             return head.checkpoint().version().equals(head.version());
@@ -35,26 +38,28 @@
     }
 
     /**
-     * The plan was accepted.
+     * Result: the plan was accepted.
      *
-     * @param version the version that it became
+     * @param version the version that the plan produced
      */
     record Accepted(ConfigurationVersion version) implements ConfirmationStep {}
 
     /**
-     * The plan was not accepted and never will be, since another one was.
+     * Result: the plan was not accepted and never will be, because another plan was accepted.
      *
-     * @param current the version that stands now
-     * @param entries the changes since the plan's base, as far as they are known
+     * @param current the current version
+     * @param entries the changes since the plan's base, or an empty list if they are no longer
+     *     known
      */
     record BaseChanged(ConfigurationVersion current, List<ConfigurationLogEntry> entries)
             implements ConfirmationStep {}
 
-    /** Nothing was written, since the platform is away. */
+    /** Result: nothing was written because the platform is unavailable. */
     record Unavailable() implements ConfirmationStep {}
 
     /**
-     * The plan may have been accepted or may still be; confirming it again tells.
+     * Result: the plan may have been accepted or may still be accepted. Confirming it again
+     * determines the outcome.
      *
      * @param plan the plan
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/LinkKey.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/LinkKey.java
@@ -4,15 +4,15 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * Names the link between two regions; the order of the regions does not matter.
+ * Key of the link between two regions, independent of the order of the regions.
  *
- * @param from the region whose name comes first
+ * @param from the region whose name is lower in lexicographic order
  * @param to the other region
  * @since 0.1
  */
 public record LinkKey(RegionId from, RegionId to) {
 
-    /** Checks the parts and puts them in order. */
+    /** Validates the components and sorts them. */
     public LinkKey {
         Assert.notNull(from, "A region id");
         Assert.notNull(to, "A region id");
@@ -24,10 +24,10 @@
     }
 
     /**
-     * Names the link of a specification.
+     * Returns the key of a link.
      *
-     * @param link the specification
-     * @return its name
+     * @param link the specification of the link
+     * @return the key
      */
     public static LinkKey of(LinkSpecification link) {
         return new LinkKey(link.from(), link.to());
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/LinkSpecification.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/LinkSpecification.java
@@ -4,18 +4,18 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * The link between two regions, the same in both directions.
+ * Specification of a link between two regions, with the same properties in both directions.
  *
  * @param from one region
  * @param to the other region
  * @param oneWayMicros the one-way delay in microseconds
- * @param requestsPerSecond how many requests may cross each second; 0 for no limit
+ * @param requestsPerSecond the maximum number of requests per second over the link; 0 for no limit
  * @since 0.1
  */
 public record LinkSpecification(
         RegionId from, RegionId to, long oneWayMicros, long requestsPerSecond) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public LinkSpecification {
         Assert.notNull(from, "A region id");
         Assert.notNull(to, "A region id");
@@ -24,11 +24,11 @@
     }
 
     /**
-     * Tells whether the link is between two regions, in either order.
+     * Determines whether the link connects two regions, in either order.
      *
      * @param first one region
      * @param second the other region
-     * @return whether it joins them
+     * @return {@code true} if the link connects them
      */
     public boolean joins(RegionId first, RegionId second) {
         return (from.equals(first) && to.equals(second))
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/OperationSpecification.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/OperationSpecification.java
@@ -6,19 +6,19 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * An operation of a service: the requests with one method below one path.
+ * Specification of an operation of a service: the requests with a method and a path prefix.
  *
  * @param name the operation
  * @param method the HTTP method in capitals
- * @param pathPrefix the start of the path, from a slash
- * @param kind what a repeat would do
- * @param priority the value of the work, 0 to 9; a higher number is refused later
+ * @param pathPrefix the prefix of the path, which starts with a slash
+ * @param kind the kind of the operation, which determines the effect of repeating it
+ * @param priority the priority of the work, 0 to 9; requests with a higher number are refused later
  * @since 0.1
  */
 public record OperationSpecification(
         OperationName name, String method, String pathPrefix, OperationKind kind, int priority) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public OperationSpecification {
         Assert.notNull(name, "An operation name");
         Assert.hasText(method, "A method");
@@ -34,11 +34,11 @@
     }
 
     /**
-     * Tells whether a request asks for this operation.
+     * Determines whether a request matches this operation.
      *
      * @param requestMethod the HTTP method in capitals
      * @param path the path below the service
-     * @return whether method and path match
+     * @return {@code true} if method and path match
      */
     public boolean matches(String requestMethod, String path) {
         return method.equals(requestMethod) && path.startsWith(pathPrefix);
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/Plan.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/Plan.java
@@ -7,17 +7,18 @@
 import java.util.List;
 
 /**
- * What would happen if an operator's intent came into force; nothing changes until it is confirmed.
+ * Plan for an operator's intent with the predicted effects. Nothing changes until the plan is
+ * confirmed.
  *
  * @param id the plan
- * @param base the version that the plan was made on; it can be confirmed on this one only
- * @param change what is written when the plan is confirmed
+ * @param base the version on which the plan was made; it can be confirmed on this version only
+ * @param change the change that is written when the plan is confirmed
  * @param differences the differences to the base
  * @param loads the predicted load of each service in each region
  * @param spendings the predicted spending of each shift
- * @param warnings what the operator should weigh, one sentence each
+ * @param warnings the warnings that the operator should consider, one sentence each
  * @param operator the name of the operator's token
- * @param expires until when the plan can be confirmed, by the wall clock
+ * @param expires the wall clock time until which the plan can be confirmed
  * @since 0.1
  */
 public record Plan(
@@ -31,7 +32,7 @@
         String operator,
         Instant expires) {
 
-    /** Checks the parts and copies the lists. */
+    /** Validates the components and copies the lists. */
     public Plan {
         Assert.notNull(id, "A plan id");
         Assert.notNull(base, "A configuration version");
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/PlanObservations.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/PlanObservations.java
@@ -6,13 +6,14 @@
 import java.util.OptionalLong;
 
 /**
- * What is known of the system when a plan is made; every value may be missing or old.
+ * Strategy interface for observations of the running system for plans. Every value may be missing
+ * or outdated.
  *
  * @since 0.1
  */
 public interface PlanObservations {
 
-    /** Knows nothing. */
+    /** The implementation without any observations. */
     PlanObservations NONE =
             new PlanObservations() {
                 @Override
@@ -32,29 +33,29 @@
             };
 
     /**
-     * Tells how many slots of a service are in use in a region.
+     * Returns the number of slots of a service that are in use in a region.
      *
      * @param service the service
      * @param region the region
-     * @return the slots, or empty if that is not known
+     * @return the number of slots, or empty if it is not known
      */
     OptionalDouble slotsInUse(ServiceId service, RegionId region);
 
     /**
-     * Tells how many requests of a service a region gets.
+     * Returns the request rate of a service in a region.
      *
      * @param service the service
      * @param region the region
-     * @return the requests a second, or empty if that is not known
+     * @return the requests per second, or empty if the rate is not known
      */
     OptionalDouble requestsPerSecond(ServiceId service, RegionId region);
 
     /**
-     * Tells how much of the running shift's cap instances hold or have spent.
+     * Returns the amount of the current shift's cap that instances hold or have spent.
      *
      * @param service the service
      * @param shift the name of the shift
-     * @return the amount in millionths of the unit of money, or empty if that is not known
+     * @return the amount in millionths of the unit of money, or empty if it is not known
      */
     OptionalLong allottedMicros(ServiceId service, String shift);
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/PlanPredictor.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/PlanPredictor.java
@@ -11,19 +11,20 @@
 import java.util.OptionalLong;
 
 /**
- * Predicts load and spending of a planned content, and warns of what an operator should weigh.
+ * Predictor of the load and spending of a planned content, which also collects warnings for the
+ * operator.
  *
- * <p>The slots in use of a service are taken from observations; a region that was not observed is
- * assumed to use {@link #ASSUMED_USE} of its slots. Use above a region's slots moves to the other
- * regions in proportion to their free slots.
+ * <p>The number of slots in use is taken from observations. A region without observations is
+ * assumed to use the fraction {@link #ASSUMED_USE} of its slots. Use that exceeds a region's slots
+ * is distributed among the other regions in proportion to their free slots.
  */
 final class PlanPredictor {
 
-    /** The assumed use of slots where none was observed. */
+    /** The fraction of slots that is assumed to be in use without an observation. */
     static final double ASSUMED_USE = 0.7;
 
-    /** A region planned above this use is warned of. */
-    private static final double HIGH_USE = 0.9;
+    /** The fraction of slots in use above which a warning is added for a region. */
+    private static final double HIGH_USE_FRACTION = 0.9;
 
     private static final long DAY_SECONDS = Duration.ofDays(1).toSeconds();
 
@@ -61,7 +62,10 @@
         return spendings;
     }
 
-    /** Gives the warnings that predicting found; call it after the other two. */
+    /**
+     * Returns the warnings of the predictions. Must be called after {@link #loads} and {@link
+     * #spendings}.
+     */
     List<String> warnings() {
         mBefore.content().services().stream()
                 .filter(service -> mAfter.service(service.id()).isEmpty())
@@ -76,15 +80,15 @@
             slots.put(region.id(), slots(mAfter, service, region.id()));
             uses.put(region.id(), use(service, region.id()));
         }
-        double goneUse =
+        double removedUse =
                 mBefore.content().regions().stream()
                         .filter(region -> !uses.containsKey(region.id()))
                         .mapToDouble(region -> use(service, region.id()))
                         .sum();
-        Map<RegionId, Double> spread = spread(slots, uses, goneUse);
-        warnOfHighUse(service, slots, spread);
-        warnOfRegionLoss(service, slots, spread);
-        return spread.entrySet().stream()
+        Map<RegionId, Double> distributed = distribute(slots, uses, removedUse);
+        warnOfHighUse(service, slots, distributed);
+        warnOfRegionLoss(service, slots, distributed);
+        return distributed.entrySet().stream()
                 .map(
                         entry ->
                                 new PredictedLoad(
@@ -118,50 +122,53 @@
                                                         : slots(mAfter, service, region)));
     }
 
-    /** Moves use above a region's slots to the free slots of the others. */
-    private static Map<RegionId, Double> spread(
-            Map<RegionId, Long> slots, Map<RegionId, Double> uses, double goneUse) {
-        double over = goneUse;
-        double free = 0;
+    /**
+     * Distributes the use that exceeds the slots of its region among the free slots of the other
+     * regions.
+     */
+    private static Map<RegionId, Double> distribute(
+            Map<RegionId, Long> slots, Map<RegionId, Double> uses, double removedUse) {
+        double excess = removedUse;
+        double freeSlots = 0;
         for (Map.Entry<RegionId, Double> use : uses.entrySet()) {
-            long own = slots.get(use.getKey());
-            over += Math.max(0, use.getValue() - (double) own);
-            free += Math.max(0, (double) own - use.getValue());
+            long regionSlots = slots.get(use.getKey());
+            excess += Math.max(0, use.getValue() - (double) regionSlots);
+            freeSlots += Math.max(0, (double) regionSlots - use.getValue());
         }
-        Map<RegionId, Double> spread = new LinkedHashMap<>();
+        Map<RegionId, Double> distributed = new LinkedHashMap<>();
         for (Map.Entry<RegionId, Double> use : uses.entrySet()) {
-            long own = slots.get(use.getKey());
-            double room = Math.max(0, (double) own - use.getValue());
-            double share = free == 0 ? 0 : over * room / free;
-            spread.put(use.getKey(), Math.min((double) own, use.getValue()) + share);
+            long regionSlots = slots.get(use.getKey());
+            double regionFreeSlots = Math.max(0, (double) regionSlots - use.getValue());
+            double share = freeSlots == 0 ? 0 : excess * regionFreeSlots / freeSlots;
+            distributed.put(use.getKey(), Math.min((double) regionSlots, use.getValue()) + share);
         }
-        return spread;
+        return distributed;
     }
 
     private void warnOfHighUse(
             ServiceId service, Map<RegionId, Long> slots, Map<RegionId, Double> uses) {
         uses.forEach(
                 (region, use) -> {
-                    long own = slots.get(region);
-                    if (use > (double) own * HIGH_USE && use > 0) {
+                    long regionSlots = slots.get(region);
+                    if (use > (double) regionSlots * HIGH_USE_FRACTION && use > 0) {
                         warn(
                                 "Region %s would use %.1f of %d slots of the service %s.",
-                                region, use, own, service);
+                                region, use, regionSlots, service);
                     }
                 });
     }
 
     private void warnOfRegionLoss(
             ServiceId service, Map<RegionId, Long> slots, Map<RegionId, Double> uses) {
-        double total = uses.values().stream().mapToDouble(Double::doubleValue).sum();
-        long all = slots.values().stream().mapToLong(Long::longValue).sum();
+        double totalUse = uses.values().stream().mapToDouble(Double::doubleValue).sum();
+        long totalSlots = slots.values().stream().mapToLong(Long::longValue).sum();
         slots.forEach(
-                (region, own) -> {
-                    if (own > 0 && total > (double) (all - own)) {
+                (region, regionSlots) -> {
+                    if (regionSlots > 0 && totalUse > (double) (totalSlots - regionSlots)) {
                         warn(
                                 "If region %s failed, the others could not carry the service %s:"
                                         + " %.1f slots in use, %d left.",
-                                region, service, total, all - own);
+                                region, service, totalUse, totalSlots - regionSlots);
                     }
                 });
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/PredictedSpending.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/PredictedSpending.java
@@ -5,13 +5,15 @@
 import java.util.OptionalLong;
 
 /**
- * The spending that a service would have in a shift.
+ * Predicted spending of a service in a shift.
  *
  * @param service the service
  * @param shift the name of the shift
  * @param capMicros the cap in millionths of the operators' unit of money
- * @param expectedMicros what would be spent at the rate observed, or empty if none was observed
- * @param allottedMicros what instances hold or have spent in the shift that runs, if known
+ * @param expectedMicros the predicted spending at the observed rate, or empty if no rate was
+ *     observed
+ * @param allottedMicros the amount that instances hold or have spent in the current shift, or empty
+ *     if it is not known
  * @since 0.1
  */
 public record PredictedSpending(
@@ -21,7 +23,7 @@
         OptionalLong expectedMicros,
         OptionalLong allottedMicros) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public PredictedSpending {
         Assert.notNull(service, "A service id");
         Assert.hasText(shift, "A shift name");
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/PriceSpecification.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/PriceSpecification.java
@@ -4,7 +4,7 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * What a request of a service costs in a region.
+ * Price of a request of a service in a region.
  *
  * @param region the region
  * @param requestMicros the price in millionths of the operators' unit of money
@@ -12,7 +12,7 @@
  */
 public record PriceSpecification(RegionId region, long requestMicros) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public PriceSpecification {
         Assert.notNull(region, "A region id");
         Assert.notNegative(requestMicros, "A price");
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/RegionSpecification.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/RegionSpecification.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /**
- * A region and the availability zones in it.
+ * Specification of a region and its availability zones.
  *
  * @param id the region
  * @param zones its availability zones, at least one
@@ -14,7 +14,7 @@
  */
 public record RegionSpecification(RegionId id, List<ZoneId> zones) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public RegionSpecification {
         Assert.notNull(id, "A region id");
         zones = List.copyOf(Assert.notEmpty(zones, "The availability zones of a region"));
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ServiceSpecification.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ServiceSpecification.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 
 /**
- * A service: its operations, backend servers, prices and spending.
+ * Specification of a service with its operations, backend servers, prices and spending caps.
  *
  * @param id the service
- * @param defaultDeadlineMillis the deadline of a request that states none, in milliseconds
- * @param operations the operations; the first that matches a request counts
+ * @param defaultDeadlineMillis the deadline in milliseconds of a request that specifies none
+ * @param operations the operations; the first that matches a request applies
  * @param backendServers the backend servers
- * @param prices the price of a request in each region; 0 where none is stated
- * @param spending the cap for each shift, or empty if spending is not limited
+ * @param prices the prices of a request by region; a region without a price costs 0
+ * @param spending the spending cap of each shift, or empty if spending is not limited
  * @since 0.1
  */
 public record ServiceSpecification(
@@ -25,7 +25,7 @@
         List<PriceSpecification> prices,
         Optional<SpendingSpecification> spending) {
 
-    /** Checks the parts and copies the lists. */
+    /** Validates the components and copies the lists. */
     public ServiceSpecification {
         Assert.notNull(id, "A service id");
         Assert.positive(defaultDeadlineMillis, "A default deadline in milliseconds");
@@ -36,18 +36,18 @@
     }
 
     /**
-     * Finds the operation that a request asks for.
+     * Returns the operation of a request.
      *
      * @param method the HTTP method in capitals
      * @param path the path below the service, which starts with a slash
      * @return the first operation that matches, or empty if none does
      */
     public Optional<OperationSpecification> operation(String method, String path) {
-        return operations.stream().filter(each -> each.matches(method, path)).findFirst();
+        return operations.stream().filter(operation -> operation.matches(method, path)).findFirst();
     }
 
     /**
-     * Tells what a request costs in a region.
+     * Returns the price of a request in a region.
      *
      * @param region the region
      * @return the price in millionths of the operators' unit of money
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ServiceValidator.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ServiceValidator.java
@@ -9,13 +9,16 @@
 import java.util.List;
 import java.util.Set;
 
-/** Checks the services of a content; faults go to the validator of the content. */
+/** Validator of the services of a content. Errors are added to the validator of the content. */
 final class ServiceValidator {
 
-    /** Leaves room for the date in a {@link io.masticpond.core.id.ShiftId}. */
-    private static final int MAXIMUM_SHIFT_NAME = 40;
+    /**
+     * The maximum length of a shift's name, which leaves room for the date in a {@link
+     * io.masticpond.core.id.ShiftId}.
+     */
+    private static final int MAXIMUM_SHIFT_NAME_LENGTH = 40;
 
-    private static final int HIGHEST_PORT = 65_535;
+    private static final int MAXIMUM_PORT = 65_535;
     private static final long DAY_SECONDS = Duration.ofDays(1).toSeconds();
 
     private final ConfigurationValidator mParent;
@@ -74,7 +77,7 @@
     }
 
     private static boolean isPort(String port) {
-        return port.matches("[1-9][0-9]{0,4}") && Integer.parseInt(port) <= HIGHEST_PORT;
+        return port.matches("[1-9][0-9]{0,4}") && Integer.parseInt(port) <= MAXIMUM_PORT;
     }
 
     private void checkSpending(String path, SpendingSpecification spending) {
@@ -86,12 +89,12 @@
         List<ShiftSpecification> shifts = spending.shifts();
         mParent.checkUnique(path + ".shifts", shifts, ShiftSpecification::name);
         for (int i = 0; i < shifts.size(); i++) {
-            String place = path + ".shifts[" + i + "]";
-            checkShift(place, shifts.get(i));
+            String shiftPath = path + ".shifts[" + i + "]";
+            checkShift(shiftPath, shifts.get(i));
             for (int j = 0; j < i; j++) {
                 mParent.check(
                         !overlap(shifts.get(i), shifts.get(j)),
-                        place,
+                        shiftPath,
                         "The shift %s overlaps the shift %s.",
                         shifts.get(i).name(),
                         shifts.get(j).name());
@@ -99,15 +102,15 @@
         }
     }
 
-    private void checkShift(String place, ShiftSpecification shift) {
+    private void checkShift(String shiftPath, ShiftSpecification shift) {
         mParent.check(
-                shift.name().length() <= MAXIMUM_SHIFT_NAME,
-                place + ".name",
+                shift.name().length() <= MAXIMUM_SHIFT_NAME_LENGTH,
+                shiftPath + ".name",
                 "A shift name must have at most %d characters.",
-                MAXIMUM_SHIFT_NAME);
+                MAXIMUM_SHIFT_NAME_LENGTH);
         mParent.check(
                 !shift.start().equals(shift.end()),
-                place,
+                shiftPath,
                 "The shift %s must not start and end at the same time.",
                 shift.name());
     }
@@ -121,12 +124,14 @@
     }
 
     private static boolean overlap(ShiftSpecification first, ShiftSpecification second) {
-        return seconds(first.start(), second.start()) < seconds(first.start(), first.end())
-                || seconds(second.start(), first.start()) < seconds(second.start(), second.end());
+        return secondsUntil(first.start(), second.start())
+                        < secondsUntil(first.start(), first.end())
+                || secondsUntil(second.start(), first.start())
+                        < secondsUntil(second.start(), second.end());
     }
 
-    /** Gives the time from one time of day to the next time that the other comes. */
-    private static long seconds(LocalTime from, LocalTime to) {
+    /** Returns the seconds from one time of day to the next occurrence of another. */
+    private static long secondsUntil(LocalTime from, LocalTime to) {
         return Math.floorMod((long) to.toSecondOfDay() - from.toSecondOfDay(), DAY_SECONDS);
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ShiftSpecification.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ShiftSpecification.java
@@ -4,17 +4,17 @@
 import java.time.LocalTime;
 
 /**
- * A shift that comes every day, and its spending cap.
+ * Specification of a daily shift and its spending cap.
  *
  * @param name the name of the shift, such as "morning"
- * @param start when it starts, in the service's time zone
- * @param end when it ends; a time before the start is on the next day
+ * @param start the time of day at which it starts, in the service's time zone
+ * @param end the time of day at which it ends; a time before the start is on the next day
  * @param capMicros the cap in millionths of the operators' unit of money
  * @since 0.1
  */
 public record ShiftSpecification(String name, LocalTime start, LocalTime end, long capMicros) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public ShiftSpecification {
         Assert.hasText(name, "A shift name");
         Assert.notNull(start, "The start of a shift");
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/SiteSpecification.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/SiteSpecification.java
@@ -5,7 +5,7 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * A place near clients, and the availability zone that serves it best.
+ * Specification of a site near clients and the availability zone that is nearest to it.
  *
  * @param id the site
  * @param zone the nearest availability zone
@@ -13,7 +13,7 @@
  */
 public record SiteSpecification(SiteId id, ZoneId zone) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public SiteSpecification {
         Assert.notNull(id, "A site id");
         Assert.notNull(zone, "An availability zone id");
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/package-info.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** What operators state, its chain of versions, and plans to change it. */
+/** Configuration by operators: its content, its chain of versions, and plans to change it. */
 package io.masticpond.core.configuration;
--- a/masticpond-core/src/test/java/io/masticpond/core/configuration/ClientBlockProperties.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/configuration/ClientBlockProperties.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** Reading of addresses and blocks that callers and operators write. */
+/** Tests of parsing the addresses and blocks of callers and operators. */
 final class ClientBlockProperties {
 
     @Provide
@@ -29,7 +29,7 @@
     }
 
     @Property(seed = "411")
-    void readsWhatItWrites(@ForAll("blocks") ClientBlock block) {
+    void parsesFormattedBlock(@ForAll("blocks") ClientBlock block) {
         boolean mapped = block.toString().startsWith("0:0:0:0:0:ffff:");
         if (!mapped) {
             assertThat(ClientBlock.parse(block.toString()).get()).isEqualTo(block);
@@ -42,7 +42,7 @@
     }
 
     @Example
-    void refusesWhatIsNotNumericWithoutAskingAnyNameServer() {
+    void rejectsNonNumericTextWithoutQueryingNameServer() {
         for (String text :
                 new String[] {
                     "",
@@ -78,7 +78,7 @@
     }
 
     @Example
-    void takesAnIpv4AddressWrittenAsIpv6ForThatAddress() {
+    void parsesIpv4MappedIpv6AddressAsIpv4Address() {
         assertThat(ClientBlock.parse("::ffff:10.1.2.3")).isEqualTo(ClientBlock.parse("10.1.2.3"));
         assertThat(ClientBlock.parse("::ffff:10.1.0.0/112"))
                 .isEqualTo(ClientBlock.parse("10.1.0.0/16"));
--- a/masticpond-core/src/test/java/io/masticpond/core/configuration/ConfigurationChainProperties.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/configuration/ConfigurationChainProperties.java
@@ -21,16 +21,18 @@
 import net.jqwik.api.constraints.Size;
 
 /**
- * Drives racing confirmations against a platform that loses answers, delays writes and goes away.
+ * Runs concurrent confirmations against a platform that loses responses, delays writes and becomes
+ * unavailable.
  *
- * <p>Each number of a run picks the confirmation that moves and what happens to its call.
+ * <p>Each number of a run selects the confirmation that takes the next step and the outcome of its
+ * call.
  */
 class ConfigurationChainProperties {
 
     private static final int MAXIMUM_READS = 4;
 
     @Property(tries = 3_000, seed = "11")
-    void everyReportIsTrueForGood(
+    void everyReportedOutcomeIsFinal(
             @ForAll @Size(min = 20, max = 120) List<@IntRange(min = 0, max = 9_999) Integer> run) {
         Platform platform = new Platform();
         List<Operator> operators = new ArrayList<>();
@@ -40,7 +42,7 @@
         for (int choice : run) {
             operators.get(choice % operators.size()).step(choice / 4);
         }
-        platform.landDelayedWrites();
+        platform.applyDelayedWrites();
         for (Operator operator : operators) {
             operator.mAccepted.forEach(
                     (plan, version) ->
@@ -49,11 +51,11 @@
                                     "The accepted plan %s was lost: %s.",
                                     plan,
                                     platform.mHistory));
-            operator.mRefused.forEach(
+            operator.mRejected.forEach(
                     plan ->
                             Assert.isTrue(
                                     !platform.mHistory.containsValue(plan),
-                                    "The refused plan %s came into force: %s.",
+                                    "The rejected plan %s came into force: %s.",
                                     plan,
                                     platform.mHistory));
         }
@@ -64,13 +66,16 @@
         platform.checkContent();
     }
 
-    /** One operator who makes plans and confirms them, again if it is not told how that ended. */
+    /**
+     * Operator that makes plans and confirms them, and repeats a confirmation whose outcome is
+     * unknown.
+     */
     private static final class Operator {
 
         private final int mNumber;
         private final Platform mPlatform;
         private final Map<String, Long> mAccepted = new TreeMap<>();
-        private final Set<String> mRefused = new HashSet<>();
+        private final Set<String> mRejected = new HashSet<>();
         private int mPlans;
         private boolean mUncertain;
         private Plan mPlan;
@@ -103,9 +108,9 @@
                                 ? mConfirmation.onHeadUnavailable()
                                 : mConfirmation.onHead(mPlatform.mHead, mPlatform.mObjectVersion);
             } else if (mNext instanceof WriteHead write) {
-                WriteOutcome end = mPlatform.write(write, choice % 7);
-                mUncertain |= end == WriteOutcome.UNCERTAIN;
-                mNext = mConfirmation.onWrite(end);
+                WriteOutcome outcome = mPlatform.write(write, choice % 7);
+                mUncertain |= outcome == WriteOutcome.UNCERTAIN;
+                mNext = mConfirmation.onWrite(outcome);
             }
             finish();
         }
@@ -120,18 +125,18 @@
                 mAccepted.put(id, accepted.version().number());
                 mPlan = null;
             } else if (mNext instanceof BaseChanged) {
-                mRefused.add(id);
+                mRejected.add(id);
                 mPlan = null;
             } else if (mNext instanceof Unavailable) {
                 Assert.isTrue(
                         !mUncertain,
-                        "The plan %s may still be accepted, yet was told as unchanged.",
+                        "The plan %s may still be accepted, but was reported as unchanged.",
                         id);
             }
         }
     }
 
-    /** The platform's head object. */
+    /** Stand-in for the platform with the head object. */
     private static final class Platform {
 
         private final Map<Long, String> mHistory = new TreeMap<>();
@@ -145,7 +150,7 @@
             return switch (choice) {
                 case 0 -> WriteOutcome.UNAVAILABLE;
                 case 1 -> {
-                    land(write);
+                    apply(write);
                     yield WriteOutcome.UNCERTAIN;
                 }
                 case 2 -> {
@@ -153,19 +158,19 @@
                     yield WriteOutcome.UNCERTAIN;
                 }
                 case 3 -> {
-                    landDelayedWrites();
-                    yield land(write) ? WriteOutcome.WRITTEN : WriteOutcome.CONFLICT;
+                    applyDelayedWrites();
+                    yield apply(write) ? WriteOutcome.WRITTEN : WriteOutcome.CONFLICT;
                 }
-                default -> land(write) ? WriteOutcome.WRITTEN : WriteOutcome.CONFLICT;
+                default -> apply(write) ? WriteOutcome.WRITTEN : WriteOutcome.CONFLICT;
             };
         }
 
-        void landDelayedWrites() {
-            mDelayed.forEach(this::land);
+        void applyDelayedWrites() {
+            mDelayed.forEach(this::apply);
             mDelayed.clear();
         }
 
-        private boolean land(WriteHead write) {
+        private boolean apply(WriteHead write) {
             if (write.expectedObjectVersion() != mObjectVersion) {
                 return false;
             }
@@ -186,7 +191,7 @@
             return true;
         }
 
-        /** A reader that starts from the checkpoint must see every accepted change. */
+        /** Verifies that a reader that starts from the checkpoint sees every accepted change. */
         void checkContent() {
             Configuration read = mHead.advance(mCheckpoint).orElseThrow();
             Assert.isTrue(
--- a/masticpond-core/src/test/java/io/masticpond/core/configuration/ConfigurationChangeProperties.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/configuration/ConfigurationChangeProperties.java
@@ -11,11 +11,11 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Checks that the change between two contents leads from one to the other. */
+/** Verifies that applying the change between two contents to one of them results in the other. */
 class ConfigurationChangeProperties {
 
     @Property(tries = 1_000, seed = "14")
-    void theChangeLeadsToTheContent(
+    void appliedChangeResultsInContent(
             @ForAll @Size(max = 12) Set<@IntRange(max = 60) Integer> first,
             @ForAll @Size(max = 12) Set<@IntRange(max = 60) Integer> second) {
         ConfigurationContent before = content(first);
@@ -35,7 +35,10 @@
                 "A content differs from itself.");
     }
 
-    /** The number picks the name and the value, so that entries come, go and change. */
+    /**
+     * Creates a content whose numbers select the names and values, so that entries are added,
+     * removed and changed.
+     */
     private static ConfigurationContent content(Set<Integer> numbers) {
         Set<Integer> names = new HashSet<>();
         List<SiteSpecification> sites =
--- a/masticpond-core/src/test/java/io/masticpond/core/configuration/ConfigurationFixture.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/configuration/ConfigurationFixture.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Makes contents and plans for the tests of this package. */
+/** Factory of contents and plans for the tests of this package. */
 final class ConfigurationFixture {
 
     static final ConfigurationLogLimits LIMITS =
@@ -23,7 +23,10 @@
 
     private ConfigurationFixture() {}
 
-    /** Two regions with two zones each, one service with a backend server in each region. */
+    /**
+     * Returns a content of two regions with two zones each, and one service with a backend server
+     * in each region.
+     */
     static ConfigurationContent valid() {
         return new ConfigurationContent(
                 List.of(region("casa"), region("fes")),
@@ -66,7 +69,7 @@
                 name, LocalTime.of(startHour, 0), LocalTime.of(endHour, 0), 1_000_000);
     }
 
-    /** A plan that sets the zone of a site to mark that it was applied. */
+    /** Creates a plan that sets the zone of a site to mark that it was applied. */
     static Plan plan(String id, long base) {
         ConfigurationContent put =
                 new ConfigurationContent(
--- a/masticpond-core/src/test/java/io/masticpond/core/configuration/ConfigurationPlannerTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/configuration/ConfigurationPlannerTest.java
@@ -15,7 +15,10 @@
 import java.util.OptionalLong;
 import net.jqwik.api.Example;
 
-/** Checks that a plan tells what would happen, and that a wrong content gets no plan. */
+/**
+ * Tests of {@link ConfigurationPlanner}: a plan predicts the effects of an intent, and no plan is
+ * made for an invalid content.
+ */
 class ConfigurationPlannerTest {
 
     private static final Configuration BASE =
@@ -25,7 +28,7 @@
                     ConfigurationFixture.valid());
 
     @Example
-    void everyFaultIsToldAtOnce() {
+    void reportsAllFaultsTogether() {
         List<String> faults =
                 plan(new ConfigurationIntent.Replace(faulty()), PlanObservations.NONE)
                         .getLeft()
@@ -61,7 +64,7 @@
     }
 
     @Example
-    void entriesThatAreLeftBehindAreFaultsOfTheChange() {
+    void rejectsChangeThatLeavesDanglingReferences() {
         ConfigurationChange change =
                 new ConfigurationChange(
                         ConfigurationContent.EMPTY,
@@ -77,7 +80,7 @@
     }
 
     @Example
-    void theSameEntryTwiceInOneChangeIsRefused() {
+    void rejectsChangeWithDuplicateEntry() {
         ConfigurationContent put =
                 new ConfigurationContent(
                         List.of(),
@@ -93,7 +96,7 @@
                                         new ConfigurationChange(put, ConfigurationRemoval.NONE)),
                                 PlanObservations.NONE)
                         .isLeft(),
-                "Two entries of one name were taken.");
+                "Two entries of one name were accepted.");
     }
 
     @Example
@@ -113,8 +116,8 @@
     }
 
     @Example
-    void useAboveTheSlotsMovesAndIsWarnedOf() {
-        Plan plan = plan(putService(2), new Busy()).get();
+    void distributesUseAboveSlotsAndWarns() {
+        Plan plan = plan(putService(2), new BusyObservations()).get();
         double total = plan.loads().stream().mapToDouble(PredictedLoad::slotsInUse).sum();
         Assert.isTrue(total <= 4, "More slots are in use than there are: %s.", plan.loads());
         assertWarned(plan, "would use");
@@ -161,11 +164,11 @@
                         new ClientBlockSpecification("::ffff:10.3.0.0/112", new SiteId("s"))));
     }
 
-    private static void assertWarned(Plan plan, String words) {
+    private static void assertWarned(Plan plan, String text) {
         Assert.isTrue(
-                plan.warnings().stream().anyMatch(warning -> warning.contains(words)),
+                plan.warnings().stream().anyMatch(warning -> warning.contains(text)),
                 "No warning '%s' in %s.",
-                words,
+                text,
                 plan.warnings());
     }
 
@@ -187,8 +190,11 @@
                 .plan(intent, BASE, new PlanId("q"), "ops", Instant.EPOCH);
     }
 
-    /** All slots in use, and a cap that is allotted above what is planned. */
-    private static final class Busy implements PlanObservations {
+    /**
+     * Observations of 3.5 used slots in each region, and of an allotted amount above the planned
+     * cap.
+     */
+    private static final class BusyObservations implements PlanObservations {
 
         @Override
         public OptionalDouble slotsInUse(ServiceId service, RegionId region) {
--- a/masticpond-core/src/test/java/io/masticpond/core/configuration/ConfigurationReplicaProperties.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/configuration/ConfigurationReplicaProperties.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Checks that an instance never goes back, whatever news come in whatever order. */
+/** Verifies that the version at an instance never decreases, for any updates in any order. */
 class ConfigurationReplicaProperties {
 
     private static final int VERSIONS = 30;
@@ -33,19 +33,19 @@
     }
 
     @Property(tries = 1_000, seed = "12")
-    void versionsOnlyRiseAndAlwaysHaveTheChainsContent(
+    void versionsNeverDecreaseAndHaveContentOfChain(
             @ForAll @Size(max = 60) List<@IntRange(min = 0, max = 9_999) Integer> run) {
         ConfigurationReplica replica = new ConfigurationReplica(ConfigurationFixture.LIMITS);
         for (int choice : run) {
             ConfigurationVersion before = replica.current().version();
-            ConfigurationUpdate news = news(choice);
-            ApplyResult taken = replica.apply(news);
+            ConfigurationUpdate update = update(choice);
+            ApplyResult result = replica.apply(update);
             ConfigurationVersion after = replica.current().version();
             Assert.isTrue(!before.isAfter(after), "Version %s followed %s.", after, before);
             Assert.isTrue(
-                    (taken == ApplyResult.NEWER) == after.isAfter(before),
-                    "%s was told of versions %s and %s.",
-                    taken,
+                    (result == ApplyResult.NEWER) == after.isAfter(before),
+                    "%s was returned for versions %s and %s.",
+                    result,
                     before,
                     after);
             Assert.isTrue(
@@ -56,7 +56,7 @@
     }
 
     @Property(tries = 500, seed = "13")
-    void whatOneTellsTheOtherCatchesUp(
+    void updateFromOtherReplicaCatchesUp(
             @ForAll @IntRange(max = VERSIONS) int ahead,
             @ForAll @IntRange(max = VERSIONS) int lag) {
         ConfigurationReplica first = new ConfigurationReplica(ConfigurationFixture.LIMITS);
@@ -66,25 +66,25 @@
         if (lag > 0) {
             second.apply(ConfigurationUpdate.of(mChain.get(lag)));
         }
-        Optional<ConfigurationUpdate> news = first.updateSince(second.current().version());
-        Assert.isTrue(news.isPresent() == (ahead > lag), "News were %s.", news);
-        news.ifPresent(second::apply);
+        Optional<ConfigurationUpdate> update = first.updateSince(second.current().version());
+        Assert.isTrue(update.isPresent() == (ahead > lag), "The update was %s.", update);
+        update.ifPresent(second::apply);
         Assert.isTrue(
                 second.current().equals(mChain.get(Math.max(ahead, lag))),
-                "The other has version %s.",
+                "The other replica has version %s.",
                 second.current().version());
     }
 
     @Example
     void missingChangesAreNotSkipped() {
         ConfigurationReplica replica = new ConfigurationReplica(ConfigurationFixture.LIMITS);
-        ApplyResult taken = replica.apply(ConfigurationUpdate.of(mEntries.subList(1, 3)));
-        Assert.isTrue(taken == ApplyResult.GAP, "It was %s.", taken);
+        ApplyResult result = replica.apply(ConfigurationUpdate.of(mEntries.subList(1, 3)));
+        Assert.isTrue(result == ApplyResult.GAP, "It was %s.", result);
         Assert.isTrue(
                 replica.current().equals(Configuration.EMPTY), "The changes were skipped over.");
     }
 
-    private ConfigurationUpdate news(int choice) {
+    private ConfigurationUpdate update(int choice) {
         int from = choice % VERSIONS;
         int to = Math.min(VERSIONS, from + 1 + choice / VERSIONS % 5);
         return choice % 7 == 0 && from > 0
