--- a/masticpond-core/src/main/java/io/masticpond/core/routing/RequestLimits.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/routing/RequestLimits.java
@@ -4,23 +4,24 @@
 import java.time.Duration;
 
 /**
- * What a client may send and how long it may take.
+ * Limits of the size and duration of a client's requests.
  *
- * @param headerBytes the greatest length of the request line and headers together
- * @param bodyBytes the greatest length of a body
- * @param headerTimeout how long the request line and headers may take once begun
- * @param idleTimeout how long a connection may rest between requests
+ * @param headerBytes the maximum length in bytes of the request line and headers together
+ * @param bodyBytes the maximum length of a body in bytes
+ * @param headerTimeout the maximum time for receiving the request line and headers, from their
+ *     first byte
+ * @param idleTimeout the maximum time for which a connection may be idle between requests
  * @since 0.2
  */
 public record RequestLimits(
         int headerBytes, long bodyBytes, Duration headerTimeout, Duration idleTimeout) {
 
-    /** Limits before a configuration is known. */
+    /** The limits that apply before a configuration is known. */
     public static final RequestLimits DEFAULT =
             new RequestLimits(
                     16_384, 64L * 1024 * 1024, Duration.ofSeconds(3), Duration.ofSeconds(15));
 
-    /** Checks that all limits are positive. */
+    /** Validates the limits. */
     public RequestLimits {
         Assert.positive(headerBytes, "The limit of header bytes");
         Assert.notNegative(bodyBytes, "The limit of body bytes");
--- a/masticpond-core/src/main/java/io/masticpond/core/routing/Route.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/routing/Route.java
@@ -11,20 +11,22 @@
 import java.util.Set;
 
 /**
- * Says which requests go to which services, and how they may be handled.
+ * Rule that assigns requests to services and determines how they may be handled.
  *
  * @param id the name of the route
  * @param host the host of its requests, in lower case and without a port
- * @param pathPrefix the start of the path of its requests; begins and ends with a slash
- * @param idempotent whether a request may run more than once
- * @param timeout the longest time that a client is kept waiting, positive
- * @param targetLatency the time within which an answer has its full worth, positive
- * @param priority the rank among routes, 0 being the most urgent
- * @param maximumAttempts on how many backend servers a request may be tried, at least 1
- * @param affinity whether requests for one object run faster on a server that had it lately
- * @param homeRegions the only regions that may serve the route; empty if all may
+ * @param pathPrefix the prefix of the path of its requests; begins and ends with a slash
+ * @param idempotent whether a request may be executed more than once
+ * @param timeout the maximum time that a client waits for a response, positive
+ * @param targetLatency the latency up to which a response has its full value, positive
+ * @param priority the priority among routes, where 0 is the most urgent
+ * @param maximumAttempts the maximum number of backend servers on which a request may be attempted,
+ *     at least 1
+ * @param affinity whether requests for an object run faster on a server that recently processed a
+ *     request for it
+ * @param homeRegions the only regions that may serve the route; empty to allow all regions
  * @param services the services that share its requests, at least one
- * @param keyless whether its requests need no key of a workspace
+ * @param keyless whether its requests require no workspace key
  * @since 0.2
  */
 public record Route(
@@ -41,7 +43,7 @@
         List<WeightedService> services,
         boolean keyless) {
 
-    /** Checks the parts and copies the collections. */
+    /** Validates the components and copies the collections. */
     public Route {
         Assert.notNull(id, "A route id");
         Assert.hasText(host, "A host");
@@ -59,17 +61,19 @@
     }
 
     /**
-     * Makes a route whose requests need a key where workspaces are stated.
+     * Creates a route whose requests require a key if any workspaces are configured.
      *
      * @param id the name of the route
      * @param host the host of its requests
-     * @param pathPrefix the start of the path of its requests
-     * @param idempotent whether a request may run more than once
-     * @param timeout the longest time that a client is kept waiting
-     * @param targetLatency the time within which an answer has its full worth
-     * @param priority the rank among routes
-     * @param maximumAttempts on how many backend servers a request may be tried
-     * @param affinity whether requests for one object run faster on a server that had it lately
+     * @param pathPrefix the prefix of the path of its requests
+     * @param idempotent whether a request may be executed more than once
+     * @param timeout the maximum time that a client waits for a response
+     * @param targetLatency the latency up to which a response has its full value
+     * @param priority the priority among routes
+     * @param maximumAttempts the maximum number of backend servers on which a request may be
+     *     attempted
+     * @param affinity whether requests for an object run faster on a server that recently processed
+     *     a request for it
      * @param homeRegions the only regions that may serve the route
      * @param services the services that share its requests
      */
@@ -101,8 +105,8 @@
     }
 
     /**
-     * Narrows the route to what a workspace may have: its priority goes first, and where both state
-     * regions both bind.
+     * Restricts the route to what a workspace permits: the priority of the workspace takes
+     * precedence, and if both specify regions, only the regions common to both remain.
      *
      * @param workspace the workspace
      * @return the route for its requests, or empty if no region may serve them
@@ -135,10 +139,10 @@
     }
 
     /**
-     * Tells whether a region may serve the route.
+     * Determines whether a region may serve the route.
      *
      * @param region the region
-     * @return whether it may
+     * @return {@code true} if the region may serve the route
      */
     public boolean allows(RegionId region) {
         return homeRegions.isEmpty() || homeRegions.contains(region);
--- a/masticpond-core/src/main/java/io/masticpond/core/routing/RouteTable.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/routing/RouteTable.java
@@ -7,10 +7,10 @@
 import java.util.Optional;
 
 /**
- * Finds the route of a request. Immutable.
+ * Immutable lookup table that finds the route of a request.
  *
- * <p>Each host has its routes in a map by prefix, which is asked for the start of the path up to
- * its last slash, the one before it, and so on; the first hit is the longest prefix. The cost
+ * <p>Each host has a map of its routes by prefix. A lookup queries it for the path up to its last
+ * slash, then up to the slash before, and so on; the first match is the longest prefix. The cost
  * depends on the depth of the path and not on the number of routes.
  *
  * @since 0.2
@@ -23,9 +23,10 @@
     private final Map<String, HostRoutes> mHosts = new HashMap<>();
 
     /**
-     * Makes the table of a configuration.
+     * Creates the table of a configuration.
      *
-     * @param configuration the routes; of two with the same host and prefix the first counts
+     * @param configuration the configuration with the routes; the first of two routes with the same
+     *     host and prefix takes precedence
      */
     public RouteTable(RoutingConfiguration configuration) {
         Assert.notNull(configuration, "A routing configuration");
@@ -36,12 +37,13 @@
     }
 
     /**
-     * Finds the route of a request: of the routes of its host, the one with the longest prefix that
-     * begins the path.
+     * Finds the route of a request: the route of its host with the longest prefix that matches the
+     * path.
      *
-     * @param hostHeader the host that the client named, with or without a port
-     * @param target the target of the request line; an absolute one names the host by itself
-     * @return the route, if there is one
+     * @param hostHeader the host that the client specified, with or without a port
+     * @param target the target of the request line; an absolute target specifies the host itself
+     *     and takes precedence over the header
+     * @return the route, or empty if none matches
      */
     public Optional<Route> match(String hostHeader, String target) {
         Assert.notNull(hostHeader, "A host");
@@ -55,8 +57,8 @@
         }
         int hostStart = scheme + SCHEME_END.length();
         int hostEnd = hostEnd(target, hostStart);
-        String rest = target.substring(hostEnd);
-        String path = rest.startsWith(ROOT) ? rest : ROOT + rest;
+        String pathAndQuery = target.substring(hostEnd);
+        String path = pathAndQuery.startsWith(ROOT) ? pathAndQuery : ROOT + pathAndQuery;
         return find(target.substring(hostStart, hostEnd), path);
     }
 
@@ -66,7 +68,8 @@
             return Optional.empty();
         }
         int query = target.indexOf('?');
-        return Optional.ofNullable(routes.longest(target, query < 0 ? target.length() : query));
+        return Optional.ofNullable(
+                routes.findLongestPrefix(target, query < 0 ? target.length() : query));
     }
 
     private static int hostEnd(String target, int start) {
@@ -79,14 +82,17 @@
         return target.length();
     }
 
-    /** Gives the host in lower case without a port; an address in brackets keeps its colons. */
+    /**
+     * Returns the host in lower case without a port. The colons of an address in brackets are
+     * preserved.
+     */
     private static String hostName(String host) {
         String text = host.strip().toLowerCase(Locale.ROOT);
         int colon = text.lastIndexOf(':');
         return colon < 0 || text.indexOf(']', colon) >= 0 ? text : text.substring(0, colon);
     }
 
-    /** The routes of one host. */
+    /** Routes of one host by prefix. */
     private static final class HostRoutes {
 
         private final Map<String, Route> mByPrefix = new HashMap<>();
@@ -97,7 +103,7 @@
             mLongestPrefix = Math.max(mLongestPrefix, route.pathPrefix().length());
         }
 
-        Route longest(String target, int pathLength) {
+        Route findLongestPrefix(String target, int pathLength) {
             int slash = target.lastIndexOf('/', Math.min(pathLength, mLongestPrefix) - 1);
             while (slash >= 0) {
                 Route route = mByPrefix.get(target.substring(0, slash + 1));
--- a/masticpond-core/src/main/java/io/masticpond/core/routing/RoutingConfiguration.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/routing/RoutingConfiguration.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 
 /**
- * One version of the routes, services and limits.
+ * Immutable version of the routes, services, request limits and workspaces.
  *
- * @param version the version; a higher one replaces a lower one, never the other way round
+ * @param version the version; a higher version replaces a lower one, never the reverse
  * @param routes the routes
  * @param services the rules of each service by its id
- * @param limits what clients may send
- * @param workspaces whose requests are taken; with none, requests need no key
+ * @param limits the limits of client requests
+ * @param workspaces the workspaces whose requests are accepted; without any, requests need no key
  * @since 0.2
  */
 public record RoutingConfiguration(
@@ -23,7 +23,7 @@
         RequestLimits limits,
         WorkspaceTable workspaces) {
 
-    /** Checks the parts and copies the collections. */
+    /** Validates the components and copies the collections. */
     public RoutingConfiguration {
         Assert.notNegative(version, "A version");
         routes = List.copyOf(routes);
@@ -33,12 +33,12 @@
     }
 
     /**
-     * Makes a configuration without workspaces.
+     * Creates a configuration without workspaces.
      *
      * @param version the version
      * @param routes the routes
      * @param services the rules of each service by its id
-     * @param limits what clients may send
+     * @param limits the limits of client requests
      */
     public RoutingConfiguration(
             long version,
--- a/masticpond-core/src/main/java/io/masticpond/core/routing/ServiceRules.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/routing/ServiceRules.java
@@ -5,13 +5,15 @@
 import java.time.Duration;
 
 /**
- * What operators state about the backend servers of a service.
+ * Rules that operators configure for the backend servers of a service.
  *
  * @param service the service
  * @param healthPath the path of the health check
- * @param maximumConnections how many connections one server accepts from all instances together
- * @param warmUp how long a server stays cold after its start
- * @param warmUpRate how many requests a second a cold server bears from all instances together
+ * @param maximumConnections the maximum number of connections that one server accepts from all
+ *     instances together
+ * @param warmUp the duration for which a server is cold after its start
+ * @param warmUpRate the requests per second that a cold server can process from all instances
+ *     together
  * @since 0.2
  */
 public record ServiceRules(
@@ -21,7 +23,7 @@
         Duration warmUp,
         double warmUpRate) {
 
-    /** Checks that the parts are given and in range. */
+    /** Validates the components. */
     public ServiceRules {
         Assert.notNull(service, "A service");
         Assert.hasText(healthPath, "A health path");
--- a/masticpond-core/src/main/java/io/masticpond/core/routing/ServiceSplit.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/routing/ServiceSplit.java
@@ -12,27 +12,27 @@
 import java.util.Set;
 
 /**
- * Divides the requests of each route among its services by weight.
+ * Weighted distribution of the requests of each route among its services.
  *
- * <p>Smooth weighted round robin: each service gains its weight with each request, the one with the
- * most credit is chosen and pays the sum of the weights. So the shares are right within any short
- * run of requests. A state machine for one thread.
+ * <p>Uses smooth weighted round robin: with each request the credit of each service grows by its
+ * weight, and the service with the most credit is chosen and charged the sum of the weights. The
+ * shares are therefore accurate within any short sequence of requests. Not thread-safe.
  *
  * @since 0.2
  */
 public final class ServiceSplit {
 
-    /** The most steps that a sequence is moved on at its start. */
+    /** The exclusive upper bound of the number of steps by which a new sequence is advanced. */
     private static final long MAXIMUM_OFFSET = 1_024;
 
     private final long mSeed;
     private final Map<RouteId, Sequence> mSequences = new HashMap<>();
 
     /**
-     * Starts without any sequence.
+     * Creates a split without any sequences.
      *
-     * @param seed where the sequences start; differs between instances so that they do not choose
-     *     in step
+     * @param seed the seed for the start of the sequences; it differs between instances so that
+     *     they do not choose services in lockstep
      */
     public ServiceSplit(long seed) {
         mSeed = seed;
@@ -48,8 +48,8 @@
         Assert.notNull(route, "A route");
         List<WeightedService> services = route.services();
         if (services.size() == 1) {
-            WeightedService only = services.get(0);
-            return only.weight() > 0 ? Optional.of(only.service()) : Optional.empty();
+            WeightedService single = services.get(0);
+            return single.weight() > 0 ? Optional.of(single.service()) : Optional.empty();
         }
         Sequence sequence = mSequences.get(route.id());
         if (sequence == null || !sequence.mServices.equals(services)) {
@@ -61,14 +61,15 @@
     }
 
     /**
-     * Forgets the sequences of routes that are gone. The others go on as they were.
+     * Removes the sequences of routes that the configuration no longer contains. The other
+     * sequences continue unchanged.
      *
      * @param configuration the configuration now in force
      */
     public void retain(RoutingConfiguration configuration) {
-        Set<RouteId> present = new HashSet<>();
-        configuration.routes().forEach(route -> present.add(route.id()));
-        mSequences.keySet().retainAll(present);
+        Set<RouteId> retained = new HashSet<>();
+        configuration.routes().forEach(route -> retained.add(route.id()));
+        mSequences.keySet().retainAll(retained);
     }
 
     private long offset(RouteId route) {
@@ -76,17 +77,17 @@
         return (long) (fraction * MAXIMUM_OFFSET);
     }
 
-    /** The sequence of one route. */
+    /** Sequence of chosen services of one route. */
     private static final class Sequence {
 
         private final List<WeightedService> mServices;
         private final long[] mCredits;
-        private final long mTotal;
+        private final long mTotalWeight;
 
         Sequence(List<WeightedService> services) {
             mServices = services;
             mCredits = new long[services.size()];
-            mTotal = services.stream().mapToLong(WeightedService::weight).sum();
+            mTotalWeight = services.stream().mapToLong(WeightedService::weight).sum();
         }
 
         void skip(long steps) {
@@ -107,7 +108,7 @@
             if (best < 0) {
                 return null;
             }
-            mCredits[best] -= mTotal;
+            mCredits[best] -= mTotalWeight;
             return mServices.get(best).service();
         }
     }
--- a/masticpond-core/src/test/java/io/masticpond/core/routing/RouteTableTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/routing/RouteTableTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** A request finds the route with the longest prefix of its host. */
+/** Tests of {@link RouteTable}: a request matches the route of its host with the longest prefix. */
 final class RouteTableTest {
 
     private static final String[] SEGMENTS = {"a", "b", "aa", "c"};
@@ -30,7 +30,7 @@
     }
 
     @Example
-    void prefixDoesNotMatchItsPathWithoutTheLastSlash() {
+    void prefixDoesNotMatchItsPathWithoutTrailingSlash() {
         RouteTable table = table("h.example /a/");
         assertThat(found(table, "h.example", "/a")).isEqualTo("none");
         assertThat(found(table, "h.example", "/a?/a/")).isEqualTo("none");
@@ -38,7 +38,7 @@
     }
 
     @Example
-    void hostIsComparedWithoutCaseAndPort() {
+    void hostMatchIgnoresCaseAndPort() {
         RouteTable table = table("h.example /a/", "[::1] /a/");
         assertThat(found(table, "H.Example:8080", "/a/")).isEqualTo("/a/");
         assertThat(found(table, "[::1]:80", "/a/")).isEqualTo("/a/");
@@ -48,7 +48,7 @@
     }
 
     @Example
-    void absoluteTargetNamesTheHostItself() {
+    void hostOfAbsoluteTargetTakesPrecedence() {
         RouteTable table = table("h.example /", "h.example /a/");
         assertThat(found(table, "other", "http://H.example:80/a/b")).isEqualTo("/a/");
         assertThat(found(table, "h.example", "http://other/a/b")).isEqualTo("none");
@@ -60,7 +60,7 @@
     }
 
     @Property(seed = "20270301", tries = 200)
-    void agreesWithTheSearchOfAllRoutes(@ForAll long seed) {
+    void agreesWithLinearSearchOfAllRoutes(@ForAll long seed) {
         Random random = new Random(seed);
         List<String> texts = new ArrayList<>();
         for (int index = 0; index < 12; index++) {
--- a/masticpond-core/src/test/java/io/masticpond/core/routing/ServiceSplitTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/routing/ServiceSplitTest.java
@@ -16,11 +16,14 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** The services of a route get their shares in any run of requests. */
+/**
+ * Tests of {@link ServiceSplit}: the services of a route receive their shares in any sequence of
+ * requests.
+ */
 final class ServiceSplitTest {
 
     @Property(seed = "20270302", tries = 300)
-    void sharesAreRightInEachHundred(
+    void sharesAreAccurateInEachHundredRequests(
             @ForAll long seed,
             @ForAll @Size(min = 2, max = 5) List<@IntRange(max = 97) Integer> w) {
         Route route = route("r", w.stream().mapToInt(Integer::intValue).toArray());
@@ -38,7 +41,7 @@
     }
 
     @Example
-    void goesOnWhenOtherPartsOfTheConfigurationChange() {
+    void sequenceContinuesWhenOtherPartsOfConfigurationChange() {
         Route route = route("r", 1, 3, 7);
         ServiceSplit steady = new ServiceSplit(5);
         ServiceSplit changed = new ServiceSplit(5);
@@ -54,14 +57,14 @@
     }
 
     @Example
-    void newWeightsHoldFromTheNextRequest() {
+    void newWeightsApplyFromNextRequest() {
         ServiceSplit split = new ServiceSplit(5);
         counts(split, route("r", 9, 1), 55);
         assertThat(counts(split, route("r", 0, 1), 10)).isEqualTo(Map.of("s1", 10));
     }
 
     @Example
-    void instancesDoNotChooseInStep() {
+    void instancesDoNotChooseInLockstep() {
         Route route = route("r", 1, 1, 1, 1);
         Map<String, Integer> firsts = new HashMap<>();
         for (long seed = 0; seed < 80; seed++) {
