--- a/masticpond-core/src/main/java/io/masticpond/core/workspace/KeyDigest.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/workspace/KeyDigest.java
@@ -7,8 +7,8 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * The SHA-256 digest of a caller's key. Keys themselves are never kept, and a look-up by digest
- * tells by its time nothing that helps to guess a key.
+ * SHA-256 digest of a caller's key. Keys themselves are never stored, and the duration of a lookup
+ * by digest reveals nothing that helps to guess a key.
  *
  * @since 0.2
  */
@@ -30,9 +30,9 @@
     }
 
     /**
-     * Makes the digest of a key.
+     * Computes the digest of a key.
      *
-     * @param key the key, which must have text
+     * @param key the key, which must contain text
      * @return its digest
      */
     public static KeyDigest of(String key) {
@@ -45,7 +45,7 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException exception) {
-            throw new IllegalStateException("Each Java platform has SHA-256.", exception);
+            throw new IllegalStateException("Every Java platform must support SHA-256.", exception);
         }
     }
 
@@ -64,7 +64,7 @@
         return Long.hashCode(mFirst);
     }
 
-    /** Tells nothing, so that no log line or error can. */
+    /** Returns a constant, so that no log line or error message reveals the digest. */
     @Override
     public String toString() {
         return "key";
--- a/masticpond-core/src/main/java/io/masticpond/core/workspace/RateLimit.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/workspace/RateLimit.java
@@ -3,15 +3,15 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * How many requests of a workspace may run, over all instances together.
+ * Limit of the request rate of a workspace, over all instances together.
  *
- * @param perSecond the requests a second, positive
- * @param burst how many more may come at once, not negative
+ * @param perSecond the requests per second, positive
+ * @param burst the number of additional requests that may arrive at once, not negative
  * @since 0.2
  */
 public record RateLimit(double perSecond, double burst) {
 
-    /** Checks that the parts are in range. */
+    /** Validates the ranges of the components. */
     public RateLimit {
         Assert.isTrue(
                 perSecond > 0 && Double.isFinite(perSecond),
--- a/masticpond-core/src/main/java/io/masticpond/core/workspace/Workspace.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/workspace/Workspace.java
@@ -8,13 +8,14 @@
 import java.util.Set;
 
 /**
- * A caller's account.
+ * Account of a caller.
  *
- * @param id its name, which backend servers are told
- * @param keys the digests of its keys; with none nobody can use it
- * @param limit how many of its requests may run; empty if there is no limit
- * @param priority the rank of its requests, before that of their route; empty if the route decides
- * @param homeRegions the only regions that may serve it; empty if all may
+ * @param id the id of the workspace, which is forwarded to backend servers
+ * @param keys the digests of its keys; a workspace without keys cannot be used
+ * @param limit the limit of its request rate, or empty if there is no limit
+ * @param priority the priority of its requests, which takes precedence over that of their route;
+ *     empty to use the priority of the route
+ * @param homeRegions the only regions that may serve it; empty to allow all regions
  * @since 0.2
  */
 public record Workspace(
@@ -24,7 +25,7 @@
         OptionalInt priority,
         Set<RegionId> homeRegions) {
 
-    /** Checks the parts and copies the collections. */
+    /** Validates the components and copies the collections. */
     public Workspace {
         Assert.notNull(id, "A workspace id");
         Assert.notNull(limit, "A limit");
--- a/masticpond-core/src/main/java/io/masticpond/core/workspace/WorkspaceTable.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/workspace/WorkspaceTable.java
@@ -10,23 +10,23 @@
 import java.util.Optional;
 
 /**
- * The workspaces of one version of the configuration, found by key. Immutable.
+ * Immutable index, by key, of the workspaces of one configuration version.
  *
  * @since 0.2
  */
 public final class WorkspaceTable {
 
-    /** No workspace is stated: requests need no key. */
+    /** The table without workspaces: requests need no key. */
     public static final WorkspaceTable EMPTY = new WorkspaceTable(List.of());
 
     private final Map<WorkspaceId, Workspace> mWorkspaces = new HashMap<>();
     private final Map<KeyDigest, Workspace> mByKey = new HashMap<>();
 
     /**
-     * Makes the table.
+     * Creates a table of the given workspaces.
      *
      * @param workspaces the workspaces
-     * @throws IllegalArgumentException if a key stands in two of them
+     * @throws IllegalArgumentException if two workspaces contain the same key
      */
     public WorkspaceTable(Collection<Workspace> workspaces) {
         for (Workspace workspace : workspaces) {
@@ -43,16 +43,16 @@
     }
 
     /**
-     * Tells whether workspaces are stated at all, so that requests need keys.
+     * Determines whether the table contains no workspaces, so that requests need no keys.
      *
-     * @return whether there is none
+     * @return {@code true} if there is no workspace
      */
     public boolean isEmpty() {
         return mWorkspaces.isEmpty();
     }
 
     /**
-     * Finds the workspace that a key opens.
+     * Returns the workspace to which a key belongs.
      *
      * @param key the digest of the key
      * @return the workspace, or empty if the key is unknown
@@ -62,28 +62,28 @@
     }
 
     /**
-     * Finds a workspace by its name.
+     * Returns the workspace with the given id.
      *
-     * @param id the name
-     * @return the workspace, if it is stated
+     * @param id the id of the workspace
+     * @return the workspace, or empty if it is not configured
      */
     public Optional<Workspace> find(WorkspaceId id) {
         return Optional.ofNullable(mWorkspaces.get(id));
     }
 
     /**
-     * Gives all workspaces.
+     * Returns all workspaces.
      *
-     * @return the workspaces, in no order
+     * @return an unmodifiable collection of the workspaces, in no particular order
      */
     public Collection<Workspace> all() {
         return Collections.unmodifiableCollection(mWorkspaces.values());
     }
 
     /**
-     * Counts the keys of all workspaces.
+     * Returns the number of keys of all workspaces.
      *
-     * @return the count
+     * @return the number of keys
      */
     public int keys() {
         return mByKey.size();
--- a/masticpond-core/src/main/java/io/masticpond/core/workspace/package-info.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/workspace/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Workspaces, as operators state them: whose keys open which workspace, and what it may ask for;
- * must know nothing of routes and of how keys arrive.
+ * Workspaces as configured by operators: their keys, limits and regions. This package must not
+ * depend on routes or on the transport of keys.
  */
 package io.masticpond.core.workspace;
--- a/masticpond-core/src/test/java/io/masticpond/core/workspace/WorkspaceTableTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/workspace/WorkspaceTableTest.java
@@ -46,7 +46,7 @@
     }
 
     @Example
-    void eachKeyOpensItsWorkspaceAndNoOther() {
+    void findsEachWorkspaceByItsOwnKeysOnly() {
         WorkspaceTable table =
                 new WorkspaceTable(
                         List.of(
@@ -59,7 +59,7 @@
     }
 
     @Example
-    void keyOfTwoWorkspacesIsAnErrorThatDoesNotTellIt() {
+    void rejectsKeyOfTwoWorkspacesWithoutRevealingIt() {
         List<Workspace> both =
                 List.of(
                         workspace("one", Set.of(), "the-secret"),
@@ -72,25 +72,25 @@
     }
 
     @Example
-    void noTextTellsKeys() {
+    void textFormDoesNotRevealKeys() {
         assertThat(workspace("one", Set.of(), "the-secret").toString())
                 .doesNotContain("the-secret");
     }
 
     @Example
-    void workspacesPriorityGoesFirst() {
+    void priorityOfWorkspaceTakesPrecedence() {
         Route narrowed = route(Set.of()).within(workspace("one", Set.of())).orElseThrow();
         assertThat(narrowed.priority()).isZero();
     }
 
     @Example
-    void regionsOfRouteAndWorkspaceBothBind() {
+    void regionsOfRouteAndWorkspaceAreIntersected() {
         Workspace north = workspace("one", Set.of(NORTH));
         assertThat(route(Set.of()).within(north).orElseThrow().allows(SOUTH)).isFalse();
         assertThat(route(Set.of(NORTH, SOUTH)).within(north).orElseThrow().homeRegions())
                 .containsExactly(NORTH);
         assertThat(route(Set.of(SOUTH)).within(north))
-                .as("no region is left, which must not pass for all of them")
+                .as("an empty intersection must not be taken for all regions")
                 .isEmpty();
     }
 }
