--- a/masticpond-core/src/main/java/io/masticpond/core/timeline/EventRing.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/timeline/EventRing.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.AtomicReferenceArray;
 
-/** Keeps the newest events of one part; safe for all threads, without locks. */
+/** Lock-free ring buffer of the newest events of one part. Thread-safe. */
 final class EventRing {
 
     private final AtomicReferenceArray<Entry> mEntries;
@@ -15,10 +15,10 @@
     }
 
     /**
-     * Adds an event over the oldest.
+     * Adds an event, overwriting the oldest one if the ring is full.
      *
-     * <p>A writer that was held up while others went once round the ring finds a newer event in its
-     * place and leaves it there.
+     * <p>A writer that was delayed while other writers filled the whole ring finds a newer event in
+     * its slot and does not overwrite it.
      */
     void add(TimelineEvent event) {
         Entry entry = new Entry(mNextSequence.getAndIncrement(), event);
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Adds the events that a query asks for to a collection, in no order. */
+    /** Adds the events that match a query to a collection, in no particular order. */
     void collect(TimelineQuery query, Collection<TimelineEvent> found) {
         for (int slot = 0; slot < mEntries.length(); slot++) {
             Entry entry = mEntries.get(slot);
@@ -42,11 +42,11 @@
         }
     }
 
-    /** Counts the events that are gone. */
+    /** Returns the number of events that were overwritten. */
     long overwritten() {
         return Math.max(0, mNextSequence.get() - mEntries.length());
     }
 
-    /** An event with its place in the order of arrival. */
+    /** Event with its sequence number in the order of arrival. */
     private record Entry(long sequence, TimelineEvent event) {}
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/timeline/HybridLogicalClock.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/timeline/HybridLogicalClock.java
@@ -8,21 +8,21 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * Gives times that grow with the causal order, after Kulkarni and others, "Logical Physical Clocks"
- * (2014), in the packed form of {@link HybridTime}.
+ * Hybrid logical clock, whose times increase with the causal order, after Kulkarni and others,
+ * "Logical Physical Clocks" (2014). Uses the packed form of {@link HybridTime}.
  *
- * <p>A time is always greater than every time given or merged before, also when the wall clock
- * steps back. When the counter of a millisecond is used up, it carries into the next millisecond. A
- * remote time that is too far ahead is not merged, so one wrong clock can't drag the clocks of all
- * instances along; the events after it are then ordered by wall time only.
+ * <p>A time is always greater than every time returned or merged before, even if the wall clock is
+ * set back. When the counter of a millisecond overflows, it carries into the next millisecond. A
+ * remote time that is too far ahead is not merged, so that a single wrong clock cannot advance the
+ * clocks of all instances; the events after it are then ordered by wall time only.
  *
- * <p>Safe for all threads; holds no lock.
+ * <p>Thread-safe and lock-free.
  *
  * @since 0.1
  */
 public final class HybridLogicalClock {
 
-    /** The drift that is accepted from remote clocks unless told otherwise. */
+    /** The default of the maximum drift that is accepted from remote clocks. */
     public static final Duration DEFAULT_MAXIMUM_DRIFT = Duration.ofSeconds(10);
 
     private final InstantSource mWallClock;
@@ -31,7 +31,7 @@
     private final LongAdder mRejectedRemoteTimes = new LongAdder();
 
     /**
-     * Makes a clock with the default maximum drift.
+     * Creates a clock with the default maximum drift.
      *
      * @param wallClock the wall clock of this machine
      */
@@ -40,7 +40,7 @@
     }
 
     /**
-     * Makes a clock.
+     * Creates a clock with the given maximum drift.
      *
      * @param wallClock the wall clock of this machine
      * @param maximumDrift how far ahead of the wall clock a remote time may be, positive
@@ -51,7 +51,7 @@
     }
 
     /**
-     * Gives the time of an event of this process, such as one recorded or a message sent.
+     * Returns the time of a local event, such as the sending of a message.
      *
      * @return a time greater than every time before
      */
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Gives the time of the receipt of a message.
+     * Merges the time of a received message and returns the time of its receipt.
      *
      * @param remote the time that the message carries
      * @return a time greater than every time before and, unless it was too far ahead, than the
@@ -74,14 +74,15 @@
             mRejectedRemoteTimes.increment();
             return advance(last -> Math.max(last + 1, wall));
         }
-        long floor = Math.max(wall, remote.packed() + 1);
-        return advance(last -> Math.max(last + 1, floor));
+        long lowerBound = Math.max(wall, remote.packed() + 1);
+        return advance(last -> Math.max(last + 1, lowerBound));
     }
 
     /**
-     * Tells how far the times given run ahead of the wall clock, as after a step back.
+     * Returns the lead of this clock over the wall clock, for example after the wall clock was set
+     * back.
      *
-     * @return the lead in milliseconds, zero if there is none
+     * @return the lead in milliseconds, or zero if there is none
      */
     public long leadMillis() {
         long wallMillis = wallPacked() >> HybridTime.COUNTER_BITS;
@@ -89,9 +90,9 @@
     }
 
     /**
-     * Counts the remote times that were too far ahead.
+     * Returns the number of remote times that were rejected because they were too far ahead.
      *
-     * @return the count since the start
+     * @return the number since the start of the process
      */
     public long rejectedRemoteTimes() {
         return mRejectedRemoteTimes.sum();
--- a/masticpond-core/src/main/java/io/masticpond/core/timeline/HybridTime.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/timeline/HybridTime.java
@@ -4,27 +4,27 @@
 import java.time.Instant;
 
 /**
- * A point of hybrid logical time: wall time in milliseconds, and a counter within it.
+ * Point in hybrid logical time: a wall time in milliseconds and a counter within the millisecond.
  *
- * <p>If one event happened before another in the causal order, its time is lower; times of
- * unrelated events compare by wall time, as well as the clocks of their machines agree.
+ * <p>If one event precedes another in the causal order, its time is lower. The times of unrelated
+ * events compare by wall time, with the accuracy to which the clocks of their machines agree.
  *
  * @param packed the milliseconds since the epoch in the upper 48 bits and the counter in the lower
- *     16, which is also the form on the wire; not negative
+ *     16, which is also the wire format; not negative
  * @since 0.1
  */
 public record HybridTime(long packed) implements Comparable<HybridTime> {
 
-    /** The time before all others. */
+    /** The lowest time. */
     public static final HybridTime ZERO = new HybridTime(0);
 
-    /** The number of bits that the counter takes. */
+    /** The number of bits of the counter. */
     static final int COUNTER_BITS = 16;
 
     private static final long COUNTER_MASK = (1L << COUNTER_BITS) - 1;
 
     /**
-     * Checks the range.
+     * Validates the range.
      *
      * @throws IllegalArgumentException if the packed form is negative
      */
@@ -33,12 +33,12 @@
     }
 
     /**
-     * Makes a time of its two parts.
+     * Creates a time from a wall time and a counter.
      *
      * @param wallMillis milliseconds since the epoch, from 0 to 2^47 - 1
      * @param counter the counter, from 0 to 65,535
      * @return the time
-     * @throws IllegalArgumentException if a part is out of its range
+     * @throws IllegalArgumentException if an argument is out of range
      */
     public static HybridTime of(long wallMillis, int counter) {
         Assert.isTrue(
@@ -54,7 +54,7 @@
     }
 
     /**
-     * Tells the wall time.
+     * Returns the wall time.
      *
      * @return milliseconds since the epoch
      */
@@ -63,16 +63,16 @@
     }
 
     /**
-     * Tells the wall time as an instant.
+     * Returns the wall time as an instant.
      *
-     * @return the instant, to the millisecond
+     * @return the instant, with a resolution of one millisecond
      */
     public Instant instant() {
         return Instant.ofEpochMilli(wallMillis());
     }
 
     /**
-     * Tells the counter.
+     * Returns the counter.
      *
      * @return the counter, from 0 to 65,535
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/timeline/TimelinePart.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/timeline/TimelinePart.java
@@ -1,7 +1,7 @@
 package io.masticpond.core.timeline;
 
 /**
- * The parts of the system, with the prefix that marks their log lines and events.
+ * Parts of the system. The name of a part is the prefix that marks its log lines and events.
  *
  * @since 0.1
  */
@@ -16,18 +16,18 @@
     BACKEND,
     /** The links between instances. */
     INSTANCE,
-    /** The choice of regions. */
+    /** The selection of regions. */
     STEER,
-    /** The admission to slots. */
+    /** The admission of requests to slots. */
     ADMIT,
-    /** Spending. */
+    /** Spending control. */
     SPEND,
-    /** Operations that run at most once. */
+    /** Operations that are executed at most once. */
     ONCE,
     /** Configuration. */
     CONFIG,
     /** Membership. */
     MEMBER,
-    /** Start and stop of the process. */
+    /** The start and stop of the process. */
     PROCESS
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/timeline/TimelineQuery.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/timeline/TimelineQuery.java
@@ -4,21 +4,22 @@
 import java.util.Optional;
 
 /**
- * Says which events are asked for.
+ * Filter that selects events.
  *
- * @param since the time that events must not be older than
- * @param service the service that events must concern, if any is asked for
- * @param object the id of the request or other object that events must concern, if any is asked for
- * @param limit how many events at most, positive; the newest are kept
+ * @param since the lowest time of the events
+ * @param service the service that the events must concern, or empty for any
+ * @param object the id of the request or other object that the events must concern, or empty for
+ *     any
+ * @param limit the maximum number of events, positive; the newest events are returned
  * @since 0.1
  */
 public record TimelineQuery(
         HybridTime since, Optional<String> service, Optional<String> object, int limit) {
 
     /**
-     * Checks that all parts are given.
+     * Validates the components.
      *
-     * @throws IllegalArgumentException if one is absent or the limit is not positive
+     * @throws IllegalArgumentException if a component is {@code null} or the limit is not positive
      */
     public TimelineQuery {
         Assert.notNull(since, "A time");
@@ -28,9 +29,9 @@
     }
 
     /**
-     * Asks for all events up to a limit.
+     * Creates a query for all events up to a limit.
      *
-     * @param limit how many events at most, positive
+     * @param limit the maximum number of events, positive
      * @return the query
      */
     public static TimelineQuery all(int limit) {
@@ -38,10 +39,10 @@
     }
 
     /**
-     * Tells whether an event is asked for.
+     * Determines whether an event matches this query, apart from the limit.
      *
      * @param event the event
-     * @return whether it is
+     * @return {@code true} if the event matches
      */
     public boolean matches(TimelineEvent event) {
         if (event.time().compareTo(since) < 0) {
--- a/masticpond-core/src/main/java/io/masticpond/core/timeline/TimelineRing.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/timeline/TimelineRing.java
@@ -9,19 +9,20 @@
 import java.util.Map;
 
 /**
- * Keeps the newest events of this process, as many for each part of the system.
+ * {@link Timeline} implementation that keeps the newest events of this process, up to the same
+ * number for each part of the system.
  *
- * <p>Each part has a ring of its own, so a flood of events in one part, such as refused requests,
- * displaces none of the rare events of another, such as a change of the configuration. When a ring
- * is full the oldest event of that part is overwritten and counted.
+ * <p>Each part has its own ring, so that a high rate of events in one part, such as refused
+ * requests, does not displace the rare events of another part, such as a configuration change. When
+ * a ring is full, the oldest event of its part is overwritten and counted.
  *
- * <p>Safe for all threads; recording takes no lock and never waits.
+ * <p>Thread-safe. Recording takes no lock and never blocks.
  *
  * @since 0.1
  */
 public final class TimelineRing implements Timeline {
 
-    /** How many events each part keeps unless told otherwise. */
+    /** The default number of events that are kept for each part. */
     public static final int DEFAULT_CAPACITY_PER_PART = 512;
 
     private final InstanceId mInstance;
@@ -29,11 +30,11 @@
     private final Map<TimelinePart, EventRing> mRings = new EnumMap<>(TimelinePart.class);
 
     /**
-     * Makes an empty ring.
+     * Creates an empty timeline.
      *
-     * @param instance the instance that the events happen at
+     * @param instance the instance in which the events occur
      * @param clock the clock of the events
-     * @param capacityPerPart how many events each part keeps, positive
+     * @param capacityPerPart the number of events that are kept for each part, positive
      */
     public TimelineRing(InstanceId instance, HybridLogicalClock clock, int capacityPerPart) {
         mInstance = Assert.notNull(instance, "An instance id");
@@ -52,10 +53,10 @@
     }
 
     /**
-     * Finds events.
+     * Returns the events that match a query.
      *
-     * @param query which events
-     * @return the events in the order of their times; of more than the limit, the newest
+     * @param query the query
+     * @return the events in the order of their times; if more than the limit match, the newest ones
      */
     public List<TimelineEvent> find(TimelineQuery query) {
         List<TimelineEvent> found = new ArrayList<>();
@@ -63,14 +64,14 @@
             ring.collect(query, found);
         }
         found.sort(Comparator.comparing(TimelineEvent::time));
-        int surplus = Math.max(0, found.size() - query.limit());
-        return List.copyOf(found.subList(surplus, found.size()));
+        int excess = Math.max(0, found.size() - query.limit());
+        return List.copyOf(found.subList(excess, found.size()));
     }
 
     /**
-     * Counts the events that newer ones have overwritten.
+     * Returns the number of events that newer ones have overwritten.
      *
-     * @return the count since the start, over all parts
+     * @return the number since the start, over all parts
      */
     public long overwritten() {
         long sum = 0;
--- a/masticpond-core/src/main/java/io/masticpond/core/timeline/package-info.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/timeline/package-info.java
@@ -1,2 +1,2 @@
-/** Events of all processes in causal order; no I/O. */
+/** Timeline of events of all processes in causal order. Performs no I/O. */
 package io.masticpond.core.timeline;
--- a/masticpond-core/src/test/java/io/masticpond/core/timeline/HybridLogicalClockProperties.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/timeline/HybridLogicalClockProperties.java
@@ -16,7 +16,7 @@
     private static final Instant START = Instant.parse("2026-12-02T06:00:00Z");
 
     @Property(seed = "20261202")
-    void timesGrowThroughAnyStepsOfTheWallClock(
+    void timesIncreaseDespiteWallClockSteps(
             @ForAll @Size(max = 60)
                     List<@IntRange(min = -5_000_000, max = 5_000_000) Integer> steps) {
         ManualTimeSource time = new ManualTimeSource(START);
@@ -31,7 +31,7 @@
     }
 
     @Property(seed = "20261202")
-    void receiptIsLaterThanSendingWhateverTheClocksSay(
+    void receiptIsLaterThanSendingDespiteClockDifferences(
             @ForAll @IntRange(min = -9_999, max = 9_999) int offsetMillis) {
         ManualTimeSource here = new ManualTimeSource(START);
         ManualTimeSource there = new ManualTimeSource(START.plusMillis(offsetMillis));
@@ -43,7 +43,7 @@
     }
 
     @Example
-    void remoteClockFarAheadIsNotFollowed() {
+    void remoteTimeTooFarAheadIsNotMerged() {
         ManualTimeSource time = new ManualTimeSource(START);
         HybridLogicalClock clock = new HybridLogicalClock(time, Duration.ofSeconds(10));
         HybridTime before = clock.now();
@@ -55,14 +55,14 @@
     }
 
     @Example
-    void extremeRemoteTimeNeitherOverflowsNorSticks() {
+    void extremeRemoteTimeNeitherOverflowsNorAdvancesClock() {
         HybridLogicalClock clock = new HybridLogicalClock(new ManualTimeSource(START));
         HybridTime merged = clock.merge(new HybridTime(Long.MAX_VALUE));
         Assertions.assertThat(merged.wallMillis()).isEqualTo(START.toEpochMilli());
     }
 
     @Example
-    void usedUpCounterCarriesIntoTheNextMillisecond() {
+    void counterOverflowCarriesIntoNextMillisecond() {
         HybridLogicalClock clock = new HybridLogicalClock(new ManualTimeSource(START));
         HybridTime last = clock.now();
         for (int event = 0; event < 70_000; event++) {
@@ -74,7 +74,7 @@
     }
 
     @Example
-    void stepBackShowsAsLeadUntilTheWallClockCatchesUp() {
+    void reportsLeadAfterWallClockIsSetBackUntilItCatchesUp() {
         ManualTimeSource time = new ManualTimeSource(START);
         HybridLogicalClock clock = new HybridLogicalClock(time);
         clock.now();
--- a/masticpond-core/src/test/java/io/masticpond/core/timeline/TimelineRingTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/timeline/TimelineRingTest.java
@@ -24,7 +24,7 @@
             new TimelineRing(new InstanceId("casa-a-1"), new HybridLogicalClock(mTime), CAPACITY);
 
     @Example
-    void floodInOnePartLeavesTheRareEventsOfOthers() {
+    void manyEventsOfOnePartDoNotDisplaceEventsOfOthers() {
         mRing.record(TimelinePart.CONFIG, "version-in-force", "", "7", "");
         for (int event = 0; event < 10 * CAPACITY; event++) {
             mRing.record(TimelinePart.ADMIT, "request-refused", "runsheet", "r" + event, "");
@@ -37,7 +37,7 @@
     }
 
     @Example
-    void manyWritersKeepTheNewestEventsInOrder() throws Exception {
+    void keepsNewestEventsInOrderWithConcurrentWriters() throws Exception {
         CyclicBarrier start = new CyclicBarrier(WRITERS);
         List<Thread> writers = new ArrayList<>();
         for (int writer = 0; writer < WRITERS; writer++) {
@@ -57,7 +57,7 @@
     }
 
     @Example
-    void filterKeepsTheNewestEventsOfOneService() {
+    void queryReturnsNewestEventsOfOneService() {
         mRing.record(TimelinePart.STEER, "region-chosen", "booking", "r1", "");
         mTime.advance(Duration.ofSeconds(10));
         HybridTime since = HybridTime.of(mTime.instant().toEpochMilli(), 0);
@@ -72,7 +72,7 @@
     }
 
     @Example
-    void longTextIsCutSoThatMemoryStaysBounded() {
+    void truncatesLongTextToBoundMemory() {
         mRing.record(TimelinePart.CALLER, "request-refused", "s", "o", "x".repeat(100_000));
         TimelineEvent event = mRing.find(TimelineQuery.all(1)).get(0);
         Assertions.assertThat(event.detail()).hasSize(TimelineEvent.MAXIMUM_DETAIL_LENGTH);
