--- a/masticpond-core/src/test/java/io/masticpond/core/routing/ServiceSplitTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/routing/ServiceSplitTest.java
@@ -25,17 +25,19 @@
     @Property(seed = "20270302", tries = 300)
     void sharesAreAccurateInEachHundredRequests(
             @ForAll long seed,
-            @ForAll @Size(min = 2, max = 5) List<@IntRange(max = 97) Integer> w) {
-        Route route = route("r", w.stream().mapToInt(Integer::intValue).toArray());
-        int total = w.stream().mapToInt(Integer::intValue).sum();
+            @ForAll @Size(min = 2, max = 5) List<@IntRange(max = 97) Integer> weights) {
+        Route route = route("r", weights.stream().mapToInt(Integer::intValue).toArray());
+        int total = weights.stream().mapToInt(Integer::intValue).sum();
         ServiceSplit split = new ServiceSplit(seed);
         for (int hundred = 0; hundred < 3; hundred++) {
             Map<String, Integer> counts = counts(split, route, 100);
-            for (int index = 0; index < w.size(); index++) {
+            for (int index = 0; index < weights.size(); index++) {
                 int count = counts.getOrDefault("s" + index, 0);
-                double expected = total == 0 ? 0 : 100.0 * w.get(index) / total;
+                double expected = total == 0 ? 0 : 100.0 * weights.get(index) / total;
                 assertThat(Math.abs(count - expected)).isLessThanOrEqualTo(3);
-                assertThat(w.get(index) > 0 || count == 0).as("weight 0 is not chosen").isTrue();
+                assertThat(weights.get(index) > 0 || count == 0)
+                        .as("weight 0 is not chosen")
+                        .isTrue();
             }
         }
     }
@@ -66,13 +68,13 @@
     @Example
     void instancesDoNotChooseInLockstep() {
         Route route = route("r", 1, 1, 1, 1);
-        Map<String, Integer> firsts = new HashMap<>();
+        Map<String, Integer> firstChoices = new HashMap<>();
         for (long seed = 0; seed < 80; seed++) {
             counts(new ServiceSplit(seed), route, 1)
-                    .forEach((k, v) -> firsts.merge(k, v, Integer::sum));
+                    .forEach((k, v) -> firstChoices.merge(k, v, Integer::sum));
         }
-        assertThat(firsts.values()).allSatisfy(count -> assertThat(count).isBetween(8, 35));
-        assertThat(firsts).hasSize(4);
+        assertThat(firstChoices.values()).allSatisfy(count -> assertThat(count).isBetween(8, 35));
+        assertThat(firstChoices).hasSize(4);
     }
 
     private static Map<String, Integer> counts(ServiceSplit split, Route route, int requests) {
