--- a/masticpond-core/src/main/java/io/masticpond/core/spending/AccountState.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/AccountState.java
@@ -3,12 +3,12 @@
 import io.masticpond.core.request.RefusalCause;
 
 /**
- * Says whether an account can pay, and if not why not.
+ * State of an account: whether it can charge attempts, and if not, the reason.
  *
  * @since 0.1
  */
 public enum AccountState {
-    /** It holds what is asked for, or will after an exchange with the platform. */
+    /** It holds the requested amount, or will after an exchange with the platform. */
     OPEN("open", RefusalCause.NOT_READY, "The allotment of this instance is being renewed."),
     /** All of the cap is allotted. */
     EXHAUSTED("exhausted", RefusalCause.SPENDING_CAP, "The spending cap of the shift is reached."),
@@ -17,7 +17,7 @@
             "platform-away",
             RefusalCause.PLATFORM_AWAY,
             "The allotment of this instance is spent and the platform cannot be reached."),
-    /** The ledger is corrupted or went back, so nothing is taken from it. */
+    /** The ledger is corrupted or reverted to an earlier state, so nothing is allotted from it. */
     FAULTY(
             "ledger-faulty",
             RefusalCause.PLATFORM_AWAY,
@@ -34,7 +34,7 @@
     }
 
     /**
-     * Gives the form used in answers and the time line.
+     * Returns the text used in answers and the timeline.
      *
      * @return the words joined by hyphens
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/Backoff.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/Backoff.java
@@ -3,30 +3,30 @@
 import java.time.Duration;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Delays the next call after failures: exponential with full jitter. */
+/** Exponential backoff with full jitter between repeated calls after failures. */
 final class Backoff {
 
     private static final int MAXIMUM_DOUBLINGS = 10;
 
     private final UniformRandomProvider mRandom;
-    private long mFirstNanos;
-    private long mLongestNanos;
+    private long mInitialNanos;
+    private long mMaximumNanos;
     private int mFailures;
 
-    Backoff(UniformRandomProvider random, Duration first, Duration longest) {
+    Backoff(UniformRandomProvider random, Duration initial, Duration maximum) {
         mRandom = random;
-        range(first, longest);
+        setDelayRange(initial, maximum);
     }
 
-    void range(Duration first, Duration longest) {
-        mFirstNanos = first.toNanos();
-        mLongestNanos = longest.toNanos();
+    void setDelayRange(Duration initial, Duration maximum) {
+        mInitialNanos = initial.toNanos();
+        mMaximumNanos = maximum.toNanos();
     }
 
     long nextNanos() {
         int doublings = Math.min(mFailures, MAXIMUM_DOUBLINGS);
         mFailures++;
-        return mRandom.nextLong(Math.min(mLongestNanos, mFirstNanos << doublings)) + 1;
+        return mRandom.nextLong(Math.min(mMaximumNanos, mInitialNanos << doublings)) + 1;
     }
 
     void reset() {
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/DefaultSpendingGate.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/DefaultSpendingGate.java
@@ -24,23 +24,24 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Charges attempts from the accounts of this incarnation, and keeps an account for each service and
- * shift that may be charged now or soon.
+ * Default implementation of {@link SpendingGate} that charges attempts to the accounts of this
+ * incarnation and keeps an account for each service and shift that may be charged now or soon.
  *
- * <p>A state machine for one thread. A service without spending caps is not charged. Outside all
- * shifts nothing may be spent. Within the clock error of a border between two shifts a charge is
- * taken from both, and only the part from the shift of the instance's clock can be refunded.
+ * <p>A state machine that must be used by one thread only. A service without spending caps is not
+ * charged. Outside all shifts nothing may be spent. Within the clock error of a boundary between
+ * two shifts a charge is taken from both, and only the part from the shift that the instance's
+ * clock is in can be refunded.
  *
  * @since 0.1
  */
 public final class DefaultSpendingGate implements SpendingGate {
 
-    /** How long before its start a shift's first allotment is taken. */
+    /** Time before the start of a shift at which its first allotment is requested. */
     public static final Duration PREFETCH = Duration.ofMinutes(20);
 
     private static final ShiftId NO_SHIFT = new ShiftId("no-shift");
-    private static final Duration AFTER_SHIFT = Duration.ofSeconds(60);
-    private static final Duration KEPT_AFTER_SHIFT = Duration.ofMinutes(15);
+    private static final Duration CLOSE_DELAY_AFTER_SHIFT = Duration.ofSeconds(60);
+    private static final Duration RETENTION_AFTER_SHIFT = Duration.ofMinutes(15);
     private static final Duration REVIEW_PERIOD = Duration.ofSeconds(1);
     private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
 
@@ -53,17 +54,17 @@
     private ConfigurationVersion mVersion = ConfigurationVersion.NONE;
     private int mHolders = 1;
     private long mNextReviewNanos;
-    private boolean mStopping;
+    private boolean mIsStopping;
 
     /**
-     * Makes a gate that knows no configuration and so charges nothing.
+     * Creates a gate without a configuration, which charges nothing.
      *
-     * @param holder this run of the instance
-     * @param policy how allotments are sized
-     * @param clockError by how much the clocks of instances may be wrong
-     * @param sink where calls about ledgers go
+     * @param holder the incarnation of this instance
+     * @param policy the policy that sizes allotments
+     * @param clockError the maximum error of an instance's clock
+     * @param sink the receiver of calls to the platform
      * @param timeSource the clocks
-     * @param timeline takes refusals and faults
+     * @param timeline the timeline that records refusals and faults
      * @param seed the seed of the jitter
      */
     public DefaultSpendingGate(
@@ -89,7 +90,7 @@
     }
 
     /**
-     * Takes the services' caps; accounts of services that have none any more are closed.
+     * Applies the services' caps; accounts of services that no longer have one are closed.
      *
      * @param configuration the configuration in force; an earlier one than before is ignored
      */
@@ -102,13 +103,13 @@
         for (ServiceSpecification service : configuration.content().services()) {
             service.spending().ifPresent(spending -> addService(service, spending));
         }
-        reviewNow();
+        reviewImmediately();
     }
 
     /**
-     * Takes how many instances share the caps.
+     * Sets the number of instances that share the caps.
      *
-     * @param holders the live instances, this one included
+     * @param holders the number of live instances, this one included
      */
     public void holders(int holders) {
         mHolders = (int) Assert.positive(holders, "A number of holders");
@@ -125,7 +126,7 @@
         Instant now = mContext.timeSource().instant();
         List<Shift> shifts = serviceShifts.chargedAt(now);
         if (shifts.isEmpty()) {
-            return chargeOutside(service, priceMicros, serviceShifts, now);
+            return chargeOutsideShifts(service, priceMicros, serviceShifts, now);
         }
         for (int index = 0; index < shifts.size(); index++) {
             SpendingAccount account = account(service, shifts.get(index));
@@ -146,10 +147,10 @@
     }
 
     /**
-     * Takes the answer to a call about a ledger.
+     * Processes the answer to a call for a ledger.
      *
      * @param key the ledger
-     * @param answer what became of the call
+     * @param answer the answer of the platform
      */
     public void onAnswer(LedgerKey key, LedgerAnswer answer) {
         SpendingAccount account = mAccounts.get(key);
@@ -164,7 +165,9 @@
         }
     }
 
-    /** Lets time act: opens and closes accounts, and makes the calls that are due. */
+    /**
+     * Advances to the current time: opens and closes accounts, and makes the calls that are due.
+     */
     public void advance() {
         long nanos = mContext.timeSource().monotonicNanos();
         if (nanos - mNextReviewNanos >= 0) {
@@ -174,30 +177,31 @@
         mAccounts.values().forEach(SpendingAccount::advance);
     }
 
-    /** Reads all ledgers again, since the platform has come back from an older copy. */
+    /** Reads all ledgers again, since the platform was restored from an older copy. */
     public void platformRestored() {
         mAccounts.values().forEach(SpendingAccount::readAgain);
     }
 
-    /** Starts a planned stop: charges are refused from now on and allotments are returned. */
+    /** Starts a planned stop: refuses charges from now on and returns allotments. */
     public void stop() {
-        mStopping = true;
-        reviewNow();
+        mIsStopping = true;
+        reviewImmediately();
     }
 
     /**
-     * Tells whether a planned stop has returned all that was held.
+     * Determines whether a planned stop has returned all allotments.
      *
-     * @return whether nothing is left to return; a platform that is away keeps this false
+     * @return {@code true} if nothing is left to return; stays {@code false} while the platform is
+     *     unavailable
      */
     public boolean isStopped() {
-        return mStopping && mAccounts.values().stream().allMatch(SpendingAccount::isClosed);
+        return mIsStopping && mAccounts.values().stream().allMatch(SpendingAccount::isClosed);
     }
 
     /**
-     * Describes the accounts of this instance.
+     * Returns snapshots of the accounts of this instance.
      *
-     * @return a view for each service and shift, by name of service and shift
+     * @return a view for each service and shift, sorted by the name of the ledger
      */
     public List<SpendingView> views() {
         return mAccounts.values().stream()
@@ -208,17 +212,17 @@
 
     /** Opens accounts that are due, and closes those of shifts that are over. */
     private void review(Instant now) {
-        mServices.forEach((service, shifts) -> openDue(service, shifts, now));
+        mServices.forEach((service, shifts) -> openDueAccounts(service, shifts, now));
         for (Map.Entry<LedgerKey, SpendingAccount> entry : List.copyOf(mAccounts.entrySet())) {
             SpendingAccount account = entry.getValue();
-            account.closing(mStopping || !isNeeded(entry.getKey(), account, now));
-            if (!mStopping && account.isClosed() && isLongOver(account, now)) {
+            account.closing(mIsStopping || !isNeeded(entry.getKey(), account, now));
+            if (!mIsStopping && account.isClosed() && isRetentionOver(account, now)) {
                 mAccounts.remove(entry.getKey());
             }
         }
     }
 
-    private void reviewNow() {
+    private void reviewImmediately() {
         mNextReviewNanos = mContext.timeSource().monotonicNanos();
         advance();
     }
@@ -241,7 +245,7 @@
                 .orElse(0);
     }
 
-    private void openDue(ServiceId service, ServiceShifts shifts, Instant now) {
+    private void openDueAccounts(ServiceId service, ServiceShifts shifts, Instant now) {
         shifts.chargedAt(now).forEach(shift -> account(service, shift));
         shifts.next(now)
                 .filter(shift -> now.plus(PREFETCH).minus(mJitter).isAfter(shift.start()))
@@ -254,7 +258,7 @@
         if (account == null) {
             account = new SpendingAccount(key, shift, capOf(shift), mContext);
             account.holders(mHolders);
-            account.closing(mStopping);
+            account.closing(mIsStopping);
             account.price(mServices.get(service).highestPriceMicros());
             mAccounts.put(key, account);
         }
@@ -273,18 +277,19 @@
         Optional<Shift> shift = shifts.shift(key.shift());
         shift.ifPresent(found -> account.terms(found, capOf(found)));
         account.price(shifts.highestPriceMicros());
-        return shift.filter(found -> found.end().plus(AFTER_SHIFT).isAfter(now)).isPresent();
+        return shift.filter(found -> found.end().plus(CLOSE_DELAY_AFTER_SHIFT).isAfter(now))
+                .isPresent();
     }
 
-    private static boolean isLongOver(SpendingAccount account, Instant now) {
-        return account.shift().end().plus(KEPT_AFTER_SHIFT).isBefore(now);
+    private static boolean isRetentionOver(SpendingAccount account, Instant now) {
+        return account.shift().end().plus(RETENTION_AFTER_SHIFT).isBefore(now);
     }
 
     private void refundAll(ServiceId service, List<Shift> shifts, long micros) {
         shifts.forEach(shift -> account(service, shift).refund(micros));
     }
 
-    private Either<Refusal, Charge> chargeOutside(
+    private Either<Refusal, Charge> chargeOutsideShifts(
             ServiceId service, long priceMicros, ServiceShifts shifts, Instant now) {
         if (priceMicros == 0) {
             return Either.right(new Charge(service, NO_SHIFT, 0));
@@ -304,7 +309,8 @@
     }
 
     private void record(String event, LedgerKey key, LedgerAnswer answer) {
-        String detail = answer instanceof LedgerAnswer.Unreadable bad ? bad.reason() : "";
+        String detail =
+                answer instanceof LedgerAnswer.Unreadable unreadable ? unreadable.reason() : "";
         mTimeline.record(
                 TimelinePart.SPEND, event, key.service().value(), key.objectName(), detail);
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerAnswer.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerAnswer.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * What became of a call about a ledger.
+ * Answer of the platform to a call for a ledger.
  *
  * @since 0.1
  */
@@ -12,7 +12,7 @@
     /**
      * The ledger was read.
      *
-     * @param ledger the ledger with its version, or empty if there is none yet
+     * @param ledger the ledger with its version, or empty if it does not exist yet
      */
     record Found(Optional<VersionedLedger> ledger) implements LedgerAnswer {}
 
@@ -26,11 +26,11 @@
     /**
      * The change had no effect, because the object has another version.
      *
-     * @param current the ledger as it stands, or empty if that is not known
+     * @param current the current ledger, or empty if it is not known
      */
     record Conflicted(Optional<VersionedLedger> current) implements LedgerAnswer {}
 
-    /** The answer to a change was lost: it may have taken effect, or may yet. */
+    /** The answer to a change was lost: the change may have taken effect, or may still do so. */
     record Uncertain() implements LedgerAnswer {}
 
     /** The platform cannot be reached; a change had no effect. */
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerChange.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerChange.java
@@ -4,12 +4,12 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * A change of a ledger, to be made only if the object still has the expected version.
+ * Change of a ledger, conditional on the object still having the expected version.
  *
  * @param expectedVersion the version of the object at the platform, 0 if it must not exist
  * @param holder the incarnation that makes the change
  * @param sequence the number of the change
- * @param deltaMicros what the holder takes, or returns if negative
+ * @param deltaMicros the amount allotted to the holder, or returned if negative
  * @param ledger the ledger after the change
  * @since 0.1
  */
@@ -20,7 +20,7 @@
         long deltaMicros,
         SpendingLedger ledger) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public LedgerChange {
         Assert.notNegative(expectedVersion, "An expected version");
         Assert.notNull(holder, "The holder of an allotment");
@@ -29,7 +29,7 @@
     }
 
     /**
-     * Tells which ledger is changed.
+     * Returns the key of the ledger to change.
      *
      * @return the key
      */
@@ -38,12 +38,13 @@
     }
 
     /**
-     * Tells whether a ledger shows that this change took effect and is the holder's last.
+     * Determines whether a ledger shows that this change took effect and is the holder's latest
+     * one.
      *
      * @param found the ledger as the platform holds it
-     * @return whether the holder's holding is the one that this change made
+     * @return whether the holder's holding is the one that this change produced
      */
-    public boolean isIn(SpendingLedger found) {
+    public boolean isAppliedIn(SpendingLedger found) {
         long allotted = ledger.holding(holder).orElseThrow().allottedMicros();
         return found.holding(holder)
                 .filter(held -> held.sequence() == sequence)
@@ -52,7 +53,8 @@
     }
 
     /**
-     * Tells whether a later ledger without this change could still have lost sight of it.
+     * Determines whether a later ledger may have compacted this change, so that its absence proves
+     * nothing.
      *
      * @param found the ledger as the platform holds it
      * @return whether so many changes followed that the holding may have been compacted
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerDocument.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerDocument.java
@@ -10,15 +10,15 @@
 import java.util.zip.CRC32C;
 
 /**
- * The form in which a ledger is stored, whatever reads and writes its JSON. The sum of allotments
- * is written for people who read the object, and a checksum over all other fields, so that an
- * altered document is noticed.
+ * Stored form of a ledger, independent of the JSON library that reads and writes it. The sum of
+ * allotments is included for people who read the object; the checksum over all other fields detects
+ * an altered document.
  *
- * @param format the number of this form
+ * @param format the number of this format
  * @param service the service
  * @param shift the shift
  * @param capMicros the cap
- * @param configurationVersion the configuration that the cap came from
+ * @param configurationVersion the configuration that states the cap
  * @param revision the number of changes
  * @param allottedMicros the sum of all allotments
  * @param compactedMicros the sum of the holdings that are not listed
@@ -47,7 +47,7 @@
     }
 
     /**
-     * Makes the document of a ledger.
+     * Creates the document of a ledger.
      *
      * @param ledger the ledger
      * @return the document with its checksum
@@ -69,10 +69,11 @@
     }
 
     /**
-     * Reads the ledger: what is of another form or ledger, or does not add up, is a fault.
+     * Returns the ledger of this document. Another format, another ledger, a wrong checksum and
+     * inconsistent sums are faults.
      *
      * @param key the ledger that is expected
-     * @return the ledger, or what is wrong with the document
+     * @return the ledger, or the fault of the document
      */
     public Either<LedgerFault, SpendingLedger> read(LedgerKey key) {
         if (format != FORMAT) {
@@ -95,7 +96,7 @@
     }
 
     /**
-     * Says that an object cannot be used as a ledger.
+     * Creates the fault of an object that cannot be used as a ledger.
      *
      * @param key the ledger that is expected
      * @param reason one sentence
@@ -129,7 +130,10 @@
                 value);
     }
 
-    /** Sums the text; the names in a sound ledger hold nothing that JSON would escape. */
+    /**
+     * Computes the checksum. The names in a valid ledger contain no characters that JSON would
+     * escape.
+     */
     private long sum() {
         String text =
                 String.format(
@@ -154,12 +158,12 @@
     }
 
     /**
-     * The form of a holding.
+     * Stored form of a holding.
      *
      * @param holder the incarnation as "instance@number"
-     * @param allottedMicros what it holds or spent
+     * @param allottedMicros the amount that it holds or has spent
      * @param sequence the number of its last change
-     * @param revision the revision that the change made
+     * @param revision the revision that the change produced
      * @since 0.3
      */
     public record HoldingDocument(
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerExchange.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerExchange.java
@@ -10,23 +10,24 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Changes one ledger at the platform on behalf of one incarnation, one call at a time, and settles
- * what became of each change.
+ * Exchange with the platform that changes one ledger on behalf of one incarnation, one call at a
+ * time, and determines the outcome of each change.
  *
- * <p>A change whose answer was lost stays pending. The ledger is read back: if the holder's holding
- * is the one that the change made, it took effect. If the object has a later version without it, it
- * had no effect and never will, since its condition can no longer hold. If the version is still the
- * expected one, the same change is made again, so that one of the two fails its condition.
+ * <p>A change whose answer was lost stays pending, and the ledger is read back. If the holding is
+ * the one that the change produced, the change took effect. If the object has a later version
+ * without it, the change had no effect and never will, since its condition can no longer hold. If
+ * the version is still the expected one, the same change is sent again, so that at most one of the
+ * two writes meets its condition.
  */
 final class LedgerExchange {
 
-    private static final Duration FIRST_CONFLICT_DELAY = Duration.ofMillis(4);
-    private static final Duration LONGEST_CONFLICT_DELAY = Duration.ofMillis(500);
+    private static final Duration INITIAL_CONFLICT_DELAY = Duration.ofMillis(4);
+    private static final Duration MAXIMUM_CONFLICT_DELAY = Duration.ofMillis(500);
     private static final Duration FIRST_CALL_DELAY_PER_HOLDER = Duration.ofMillis(5);
     private static final Duration CONFLICT_DELAY_PER_HOLDER = Duration.ofMillis(2);
-    private static final Duration LONGEST_DELAY_PER_HOLDER = Duration.ofMillis(10);
-    private static final Duration FIRST_UNAVAILABLE_DELAY = Duration.ofMillis(200);
-    private static final Duration LONGEST_UNAVAILABLE_DELAY = Duration.ofSeconds(5);
+    private static final Duration MAXIMUM_CONFLICT_DELAY_PER_HOLDER = Duration.ofMillis(10);
+    private static final Duration INITIAL_UNAVAILABLE_DELAY = Duration.ofMillis(200);
+    private static final Duration MAXIMUM_UNAVAILABLE_DELAY = Duration.ofSeconds(5);
 
     private final LedgerKey mKey;
     private final Incarnation mHolder;
@@ -39,18 +40,21 @@
     private SpendingCap mCap;
     private AccountState mState = AccountState.OPEN;
     private SpendingLedger mLedger;
-    private SpendingLedger mLedgerInForce;
+    private SpendingLedger mLedgerWithCap;
     private long mVersion;
     private long mReadNanos;
     private long mNotBeforeNanos;
     private boolean mCalling;
     private LedgerChange mPending;
     private boolean mUncertain;
-    private boolean mSpread;
+    private boolean mIsFirstCallSpread;
     private boolean mStale = true;
 
-    /** What the platform knew before it came back from an older copy; null once it is restored. */
-    private SpendingLedger mLost;
+    /**
+     * The ledger before the platform was restored from an older copy; null once its contents are
+     * written again.
+     */
+    private SpendingLedger mLostLedger;
 
     private boolean mIsRestoring;
 
@@ -62,37 +66,49 @@
         mSink = context.sink();
         mTimeSource = context.timeSource();
         mRandom = context.random();
-        mConflictBackoff = new Backoff(mRandom, FIRST_CONFLICT_DELAY, LONGEST_CONFLICT_DELAY);
+        mConflictBackoff = new Backoff(mRandom, INITIAL_CONFLICT_DELAY, MAXIMUM_CONFLICT_DELAY);
         mUnavailableBackoff =
-                new Backoff(mRandom, FIRST_UNAVAILABLE_DELAY, LONGEST_UNAVAILABLE_DELAY);
+                new Backoff(mRandom, INITIAL_UNAVAILABLE_DELAY, MAXIMUM_UNAVAILABLE_DELAY);
         mNotBeforeNanos = mTimeSource.monotonicNanos();
     }
 
-    /** Takes a cap of a later configuration; if it differs, the ledger is read first. */
+    /**
+     * Sets the cap of a later configuration; if it differs, the ledger is read before the next
+     * change.
+     */
     void cap(SpendingCap cap) {
         mStale |= cap.micros() != mCap.micros();
         mCap = cap;
-        mLedgerInForce = mLedger == null ? null : mLedger.withCap(cap);
+        mLedgerWithCap = mLedger == null ? null : mLedger.withCap(cap);
     }
 
-    /** Tells the ledger as last seen, with the cap of the latest configuration; or empty. */
+    /**
+     * Returns the ledger as last read, with the cap of the latest configuration, or empty if it was
+     * not read yet.
+     */
     Optional<SpendingLedger> ledger() {
-        return Optional.ofNullable(mLedgerInForce);
+        return Optional.ofNullable(mLedgerWithCap);
     }
 
-    /** Spreads the first call, and retries after conflicts, over so many instances. */
+    /**
+     * Sets the number of instances that share the ledger, over which the first call and the retries
+     * after conflicts are spread.
+     */
     void holders(int holders) {
-        if (!mSpread && holders > 1) {
-            mSpread = true;
+        if (!mIsFirstCallSpread && holders > 1) {
+            mIsFirstCallSpread = true;
             long spread = FIRST_CALL_DELAY_PER_HOLDER.multipliedBy(holders).toNanos();
             mNotBeforeNanos = mTimeSource.monotonicNanos() + mRandom.nextLong(spread);
         }
-        mConflictBackoff.range(
-                FIRST_CONFLICT_DELAY.plus(CONFLICT_DELAY_PER_HOLDER.multipliedBy(holders)),
-                LONGEST_CONFLICT_DELAY.plus(LONGEST_DELAY_PER_HOLDER.multipliedBy(holders)));
+        mConflictBackoff.setDelayRange(
+                INITIAL_CONFLICT_DELAY.plus(CONFLICT_DELAY_PER_HOLDER.multipliedBy(holders)),
+                MAXIMUM_CONFLICT_DELAY.plus(
+                        MAXIMUM_CONFLICT_DELAY_PER_HOLDER.multipliedBy(holders)));
     }
 
-    /** Tells whether the ledger at the platform still has a higher cap than the one in force. */
+    /**
+     * Determines whether the ledger at the platform still has a higher cap than the one in force.
+     */
     boolean isCapToBeLowered() {
         return mLedger != null
                 && mVersion > 0
@@ -100,63 +116,70 @@
                 && mCap.micros() < mLedger.capMicros();
     }
 
-    /** Tells whether a call may be made now. */
+    /** Determines whether a call may be made now. */
     boolean canCall() {
         return !mCalling && mTimeSource.monotonicNanos() - mNotBeforeNanos >= 0;
     }
 
-    /** Tells whether a change is not settled yet. */
+    /** Determines whether the outcome of a change is still unknown. */
     boolean isPending() {
         return mPending != null;
     }
 
-    /** Tells whether the ledger must be read before it can be changed. */
+    /** Determines whether the ledger must be read before it can be changed. */
     boolean mustRead() {
-        return mStale || isPending() || mLost != null;
+        return mStale || isPending() || mLostLedger != null;
     }
 
-    /** Has the ledger read before anything else, since the platform may have lost changes. */
+    /**
+     * Forces a read of the ledger before the next change, since the platform may have lost changes.
+     */
     void readAgain() {
         mStale = true;
     }
 
-    /** Tells how long ago the ledger was last seen, in nanoseconds. */
+    /** Returns the time since the ledger was last read, in nanoseconds. */
     long ageNanos() {
         return mTimeSource.monotonicNanos() - mReadNanos;
     }
 
-    /** Tells what stands in the way of calls: open, away or faulty. */
+    /** Returns the state of the exchange: open, unavailable or faulty. */
     AccountState state() {
         return mState;
     }
 
-    /** Reads the ledger; with a change pending, in order to settle it. */
+    /** Reads the ledger, which also determines the outcome of a pending change. */
     void read() {
         mCalling = true;
         mSink.read(mKey);
     }
 
-    /** Takes an allotment. */
+    /** Requests an allotment. */
     void allot(long micros) {
         long sequence = nextSequence();
         change(micros, sequence, ledger -> ledger.allot(mHolder, sequence, micros));
     }
 
-    /** Returns part of an allotment, which must not be spent any more, whatever the outcome. */
+    /**
+     * Returns part of an allotment; the caller must not spend it any more, whatever the outcome.
+     */
     void returnAllotment(long micros) {
         long sequence = nextSequence();
         change(-micros, sequence, ledger -> ledger.returnAllotment(mHolder, sequence, micros));
     }
 
-    /** Puts a lowered cap on record. */
-    void restate() {
+    /** Writes a lowered cap to the ledger. */
+    void recordCap() {
         long sequence = nextSequence();
-        change(0, sequence, ledger -> ledger.restate(mHolder, sequence));
+        change(0, sequence, ledger -> ledger.recordCap(mHolder, sequence));
     }
 
-    /** Takes the answer to the call, and tells what was settled by it. */
+    /**
+     * Processes the answer to the call in progress and returns the settlement of the pending
+     * change, if its outcome is now known.
+     */
     Optional<Settlement> onAnswer(LedgerAnswer answer) {
-        Assert.isTrue(mCalling, "No call about the ledger %s is under way.", mKey);
+        Assert.isTrue(mCalling, "No call for the ledger %s is in progress.", mKey);
         mCalling = false;
         if (answer instanceof LedgerAnswer.Found found) {
             return acceptRead(found.ledger());
@@ -185,8 +208,8 @@
     }
 
     private void change(long delta, long sequence, UnaryOperator<SpendingLedger> step) {
-        Assert.isTrue(!isPending(), "A change of the ledger %s is not settled yet.", mKey);
-        SpendingLedger after = step.apply(mLedgerInForce);
+        Assert.isTrue(!isPending(), "A change of the ledger %s is still pending.", mKey);
+        SpendingLedger after = step.apply(mLedgerWithCap);
         mPending = new LedgerChange(mVersion, mHolder, sequence, delta, after);
         mUncertain = false;
         send();
@@ -222,7 +245,7 @@
                 found.map(VersionedLedger::ledger)
                         .orElseGet(() -> SpendingLedger.empty(mKey, mCap));
         if (isPlatformRestored(version)) {
-            mLost = mLost == null ? mLedger : mLost.joinedWith(mLedger);
+            mLostLedger = mLostLedger == null ? mLedger : mLostLedger.mergedWith(mLedger);
             Optional<Settlement> settlement =
                     settle(mUncertain ? Settlement.Outcome.UNKNOWN : Settlement.Outcome.NO_EFFECT);
             accept(version, ledger);
@@ -243,27 +266,27 @@
         return Optional.empty();
     }
 
-    /** Tells whether a version is of a platform that came back from an older copy. */
+    /** Determines whether a version comes from a platform that was restored from an older copy. */
     private boolean isPlatformRestored(long version) {
-        boolean isLost = version == 0 && mVersion > 0;
-        return mLedger != null && (isLost || StoreRevision.isOfEarlierEra(mVersion, version));
+        boolean isMissing = version == 0 && mVersion > 0;
+        return mLedger != null && (isMissing || StoreRevision.isOfEarlierEra(mVersion, version));
     }
 
-    /** Writes again what the platform has lost, so that nothing is allotted twice. */
+    /** Writes the holdings that the platform has lost, so that nothing is allotted twice. */
     private void restore() {
-        if (mLost != null && mLedger.holdsAllOf(mLost)) {
-            mLost = null;
+        if (mLostLedger != null && mLedger.containsAllOf(mLostLedger)) {
+            mLostLedger = null;
         }
-        if (mLost != null) {
-            SpendingLedger joined = mLost.joinedWith(mLedger);
-            long last = joined.holding(mHolder).map(Holding::sequence).orElse(0L);
+        if (mLostLedger != null) {
+            SpendingLedger merged = mLostLedger.mergedWith(mLedger);
+            long last = merged.holding(mHolder).map(Holding::sequence).orElse(0L);
             long sequence = mSequence.after(last);
             mIsRestoring = true;
-            change(0, sequence, ledger -> joined.withCap(mCap).restate(mHolder, sequence));
+            change(0, sequence, ledger -> merged.withCap(mCap).recordCap(mHolder, sequence));
         }
     }
 
-    /** Tells whether a version found is the one last seen, or later with later changes. */
+    /** Determines whether a version is the one last read, or a later one with later changes. */
     private boolean follows(long version, long revision) {
         if (mLedger == null || version == mVersion) {
             return mLedger == null || revision == mLedger.revision();
@@ -272,15 +295,15 @@
     }
 
     private Optional<Settlement> settleBy(long version, SpendingLedger ledger) {
-        if (mPending.isIn(ledger)) {
+        if (mPending.isAppliedIn(ledger)) {
             return settle(Settlement.Outcome.TOOK_EFFECT);
         }
         if (version == mPending.expectedVersion()) {
             send();
             return Optional.empty();
         }
-        boolean lost = mUncertain && mPending.mayBeCompactedIn(ledger);
-        return settle(lost ? Settlement.Outcome.UNKNOWN : Settlement.Outcome.NO_EFFECT);
+        boolean isCompacted = mUncertain && mPending.mayBeCompactedIn(ledger);
+        return settle(isCompacted ? Settlement.Outcome.UNKNOWN : Settlement.Outcome.NO_EFFECT);
     }
 
     private Optional<Settlement> settle(Settlement.Outcome outcome) {
@@ -289,7 +312,7 @@
         }
         Settlement settlement = new Settlement(mPending.deltaMicros(), outcome);
         if (mIsRestoring && outcome == Settlement.Outcome.TOOK_EFFECT) {
-            mLost = null;
+            mLostLedger = null;
         }
         mIsRestoring = false;
         mPending = null;
@@ -300,7 +323,7 @@
     private void accept(long version, SpendingLedger ledger) {
         mVersion = version;
         mLedger = ledger;
-        mLedgerInForce = ledger.withCap(mCap);
+        mLedgerWithCap = ledger.withCap(mCap);
         mReadNanos = mTimeSource.monotonicNanos();
         mState = AccountState.OPEN;
         mStale = false;
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerFault.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerFault.java
@@ -1,7 +1,7 @@
 package io.masticpond.core.spending;
 
 /**
- * Says why an object at the platform cannot be used as a ledger.
+ * Reason why an object at the platform cannot be used as a ledger.
  *
  * @param message one sentence
  * @since 0.1
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerKey.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerKey.java
@@ -5,7 +5,7 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * Names the ledger of one service in one shift.
+ * Key of the ledger of one service in one shift.
  *
  * @param service the service
  * @param shift the shift
@@ -13,15 +13,15 @@
  */
 public record LedgerKey(ServiceId service, ShiftId shift) {
 
-    /** Checks that both parts are given. */
+    /** Validates that both components are present. */
     public LedgerKey {
         Assert.notNull(service, "A service id");
         Assert.notNull(shift, "A shift id");
     }
 
     /**
-     * Gives the name of the object at the platform; no two keys have the same, because a shift id
-     * made by {@link ShiftCalendar} has no dot.
+     * Returns the name of the object at the platform. Names are unique, because a shift id created
+     * by {@link ShiftCalendar} contains no dot.
      *
      * @return the shift and the service, joined by a dot
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerSequence.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerSequence.java
@@ -1,13 +1,13 @@
 package io.masticpond.core.spending;
 
-/** Numbers the changes that one incarnation makes, over all its ledgers. */
+/** Sequence of the numbers of changes that one incarnation makes in all its ledgers. */
 final class LedgerSequence {
 
     private long mLast;
 
-    /** Gives a number above all given before and above one seen in a ledger. */
-    long after(long seen) {
-        mLast = Math.max(mLast, seen) + 1;
+    /** Returns a number above all numbers returned before and above one read from a ledger. */
+    long after(long minimum) {
+        mLast = Math.max(mLast, minimum) + 1;
         return mLast;
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerSink.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerSink.java
@@ -1,8 +1,8 @@
 package io.masticpond.core.spending;
 
 /**
- * Makes the calls that accounts ask for; each is answered once, later, and not from within the
- * method.
+ * Receiver of the platform calls that accounts request. Each call is answered exactly once, later,
+ * and not from within the method.
  *
  * @since 0.1
  * @see DefaultSpendingGate#onAnswer
@@ -17,7 +17,7 @@
     void read(LedgerKey key);
 
     /**
-     * Makes a change by conditional update, once.
+     * Makes a change by one conditional update.
      *
      * @param change the change
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/ServiceShifts.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/ServiceShifts.java
@@ -8,21 +8,21 @@
 import java.util.Optional;
 
 /**
- * Holds the prices and shifts of a service, and remembers the shift that a service's charges are
- * taken from while no border is near.
+ * Shift calendar and highest price of a service, with a cache of the shift that charges are taken
+ * from while no shift boundary is near.
  */
 final class ServiceShifts {
 
-    private static final int MAXIMUM_REMEMBERED = 16;
+    private static final int MAXIMUM_CACHED_SHIFTS = 16;
 
     private final ShiftCalendar mCalendar;
     private final long mHighestPriceMicros;
     private List<Shift> mCharged = List.of();
     private final Map<ShiftId, Optional<Shift>> mShifts = new HashMap<>();
     private Optional<Shift> mNext = Optional.empty();
-    private Instant mNextFrom = Instant.MIN;
-    private Instant mFrom = Instant.MAX;
-    private Instant mUntil = Instant.MIN;
+    private Instant mNextValidFrom = Instant.MIN;
+    private Instant mChargedFrom = Instant.MAX;
+    private Instant mChargedUntil = Instant.MIN;
 
     ServiceShifts(ShiftCalendar calendar, long highestPriceMicros) {
         mCalendar = calendar;
@@ -33,37 +33,37 @@
         return mHighestPriceMicros;
     }
 
-    /** Gives the same as {@link ShiftCalendar#chargedAt}. */
+    /** Returns the same shifts as {@link ShiftCalendar#chargedAt}. */
     List<Shift> chargedAt(Instant moment) {
-        if (!moment.isBefore(mFrom) && moment.isBefore(mUntil)) {
+        if (!moment.isBefore(mChargedFrom) && moment.isBefore(mChargedUntil)) {
             return mCharged;
         }
         List<Shift> charged = mCalendar.chargedAt(moment);
         if (charged.size() == 1) {
             Shift shift = charged.get(0);
             mCharged = charged;
-            mFrom = shift.start().plus(mCalendar.clockError());
-            mUntil = shift.end().minus(mCalendar.clockError());
+            mChargedFrom = shift.start().plus(mCalendar.clockError());
+            mChargedUntil = shift.end().minus(mCalendar.clockError());
         }
         return charged;
     }
 
-    /** Gives the same as {@link ShiftCalendar#next}. */
+    /** Returns the same shift as {@link ShiftCalendar#next}. */
     Optional<Shift> next(Instant moment) {
-        boolean stands =
+        boolean isCurrent =
                 mNext.isPresent()
-                        && !moment.isBefore(mNextFrom)
+                        && !moment.isBefore(mNextValidFrom)
                         && moment.isBefore(mNext.get().start());
-        if (!stands) {
+        if (!isCurrent) {
             mNext = mCalendar.next(moment);
-            mNextFrom = moment;
+            mNextValidFrom = moment;
         }
         return mNext;
     }
 
-    /** Gives the same as {@link ShiftCalendar#shift}. */
+    /** Returns the same shift as {@link ShiftCalendar#shift}. */
     Optional<Shift> shift(ShiftId id) {
-        if (mShifts.size() > MAXIMUM_REMEMBERED) {
+        if (mShifts.size() > MAXIMUM_CACHED_SHIFTS) {
             mShifts.clear();
         }
         return mShifts.computeIfAbsent(id, mCalendar::shift);
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/Settlement.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/Settlement.java
@@ -1,27 +1,27 @@
 package io.masticpond.core.spending;
 
 /**
- * What became of a change of a ledger.
+ * Settlement of a change of a ledger.
  *
- * @param deltaMicros what the change took, or returned if negative
- * @param outcome whether it took effect
+ * @param deltaMicros the amount that the change allotted, or returned if negative
+ * @param outcome the known outcome of the change
  */
 record Settlement(long deltaMicros, Outcome outcome) {
 
-    /** What is known of a change. */
+    /** Known outcome of a change. */
     enum Outcome {
         /** It took effect. */
         TOOK_EFFECT,
         /** It had no effect and never will. */
         NO_EFFECT,
-        /** So much changed since that this cannot be told any more. */
+        /** Too many changes followed to determine whether it took effect. */
         UNKNOWN
     }
 
     /**
-     * Tells what may be added to the holder's allotment.
+     * Returns the amount that may be added to the holder's allotment.
      *
-     * @return what was allotted, or what was to be returned and was not
+     * @return the amount that was allotted, or that was to be returned and was not
      */
     long spendableMicros() {
         boolean allotted = deltaMicros > 0 && outcome == Outcome.TOOK_EFFECT;
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/Shift.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/Shift.java
@@ -6,18 +6,18 @@
 import java.time.Instant;
 
 /**
- * A shift of one day.
+ * Shift on one day.
  *
  * @param id the shift
- * @param name its name in the configuration, the same every day
+ * @param name the name in the configuration, which is the same every day
  * @param start the first moment in it
  * @param end the first moment after it
- * @param capMicros its cap in millionths of the operators' unit of money
+ * @param capMicros its cap in millionths of the operators' currency unit
  * @since 0.1
  */
 public record Shift(ShiftId id, String name, Instant start, Instant end, long capMicros) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public Shift {
         Assert.notNull(id, "A shift id");
         Assert.hasText(name, "A shift name");
@@ -26,7 +26,7 @@
     }
 
     /**
-     * Tells whether a moment is in the shift.
+     * Determines whether the shift contains a moment.
      *
      * @param moment the moment
      * @return whether it is at or after the start and before the end
@@ -36,7 +36,7 @@
     }
 
     /**
-     * Tells how long the shift lasts.
+     * Returns the length of the shift.
      *
      * @return the length, positive
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/ShiftCalendar.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/ShiftCalendar.java
@@ -19,36 +19,37 @@
 import java.util.Optional;
 
 /**
- * Tells which shifts a moment belongs to, in the service's time zone.
+ * Calendar that maps moments to shifts in the service's time zone.
  *
- * <p>A local time that daylight saving leaves out stands for the moment of the change; one that
- * comes twice stands for its first occurrence. So shifts that meet on the clock meet in time. A
- * shift that a change leaves without any length does not take place.
+ * <p>A local time that is skipped by a daylight saving change maps to the moment of the change; one
+ * that occurs twice maps to its first occurrence. Shifts that are adjacent in local time are
+ * therefore adjacent in absolute time. A shift that is left without any length by a change does not
+ * take place.
  *
  * <p>The clock of an instance may be wrong by up to the stated error. A moment nearer than that to
- * the border of two shifts may belong to either, so {@link #chargedAt} gives both, and a charge
- * taken from both is in the right one. Immutable.
+ * the boundary of two shifts may belong to either, so {@link #chargedAt} returns both, and a charge
+ * taken from both is charged to the right one in any case. Immutable.
  *
  * @since 0.1
  */
 public final class ShiftCalendar {
 
-    /** The calendar of no shifts at all, under which nothing may be spent. */
+    /** Calendar without shifts, under which nothing may be spent. */
     public static final ShiftCalendar NONE =
             new ShiftCalendar(ZoneOffset.UTC, List.of(), Duration.ZERO);
 
     private static final int DAYS_AHEAD = 8;
-    private static final Comparator<Shift> BY_START = Comparator.comparing(Shift::start);
+    private static final Comparator<Shift> BY_START_TIME = Comparator.comparing(Shift::start);
 
     private final ZoneId mZone;
     private final List<ShiftSpecification> mSpecifications;
     private final Duration mClockError;
 
     /**
-     * Makes the calendar of a service.
+     * Creates the calendar of a service.
      *
      * @param specification time zone and shifts, free of {@link #faults}
-     * @param clockError by how much the clock of an instance may be wrong
+     * @param clockError the maximum error of an instance's clock
      * @return the calendar
      * @throws IllegalArgumentException if the specification has faults
      */
@@ -68,7 +69,7 @@
     }
 
     /**
-     * Finds what is wrong with a specification, for the plan that would bring it in.
+     * Returns the faults of a specification, for the plan that contains it.
      *
      * @param specification time zone and shifts
      * @return one sentence for each fault: an unknown time zone, two shifts of one name, two shifts
@@ -90,7 +91,7 @@
     }
 
     /**
-     * Finds the shift that a moment is in.
+     * Returns the shift that contains a moment.
      *
      * @param moment the moment by the clock of the instance
      * @return the shift, or empty if the moment is between shifts
@@ -100,10 +101,10 @@
     }
 
     /**
-     * Finds the shifts that a charge at a moment is taken from.
+     * Returns the shifts that a charge at a moment is taken from.
      *
      * @param moment the moment by the clock of the instance
-     * @return the shift of the moment first; near a border the neighbouring shift too; empty if the
+     * @return the shift of the moment first; near a boundary the adjacent shift too; empty if the
      *     moment is between shifts
      */
     public List<Shift> chargedAt(Instant moment) {
@@ -113,13 +114,13 @@
         }
         List<Shift> charged = new ArrayList<>();
         charged.add(own.get());
-        addIfOther(at(moment.minus(mClockError)), charged);
-        addIfOther(at(moment.plus(mClockError)), charged);
+        addIfAbsent(at(moment.minus(mClockError)), charged);
+        addIfAbsent(at(moment.plus(mClockError)), charged);
         return charged;
     }
 
     /**
-     * Finds the next shift that has anything to spend.
+     * Returns the next shift with a cap above zero.
      *
      * @param moment the moment by the clock of the instance
      * @return the first shift with a cap above zero that starts after the moment, or empty if none
@@ -132,7 +133,7 @@
                     shiftsOf(today.plusDays(day)).stream()
                             .filter(shift -> shift.start().isAfter(moment))
                             .filter(shift -> shift.capMicros() > 0)
-                            .min(BY_START);
+                            .min(BY_START_TIME);
             if (next.isPresent()) {
                 return next;
             }
@@ -141,10 +142,10 @@
     }
 
     /**
-     * Finds a shift by its id.
+     * Returns a shift by its id.
      *
      * @param id the shift
-     * @return the shift as it is now specified, or empty if it is not
+     * @return the shift as currently specified, or empty if it is not specified
      */
     public Optional<Shift> shift(ShiftId id) {
         return ShiftNames.dateOf(id).stream()
@@ -154,7 +155,7 @@
     }
 
     /**
-     * Tells by how much a clock may be wrong.
+     * Returns the maximum error of an instance's clock.
      *
      * @return the bound, not negative
      */
@@ -193,7 +194,7 @@
         return ZonedDateTime.of(local, mZone).toInstant();
     }
 
-    private static void addIfOther(Optional<Shift> shift, List<Shift> charged) {
+    private static void addIfAbsent(Optional<Shift> shift, List<Shift> charged) {
         if (shift.isPresent() && !charged.contains(shift.get())) {
             charged.add(shift.get());
         }
@@ -218,7 +219,7 @@
         }
     }
 
-    /** The times of a shift in nanoseconds of the day; the end may be on the next day. */
+    /** Times of a shift in nanoseconds of the day; the end may be on the next day. */
     private record DayTimes(long start, long end) {
 
         private static final long DAY = Duration.ofDays(1).toNanos();
@@ -230,14 +231,14 @@
         }
 
         boolean overlaps(DayTimes other) {
-            return meets(other) || meets(other.later()) || later().meets(other);
+            return intersects(other) || intersects(other.nextDay()) || nextDay().intersects(other);
         }
 
-        private boolean meets(DayTimes other) {
+        private boolean intersects(DayTimes other) {
             return start < other.end && other.start < end;
         }
 
-        private DayTimes later() {
+        private DayTimes nextDay() {
             return new DayTimes(start + DAY, end + DAY);
         }
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/ShiftNames.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/ShiftNames.java
@@ -5,11 +5,11 @@
 import java.time.format.DateTimeParseException;
 import java.util.Optional;
 
-/** Makes the ids of shifts: the date and the name, without dots. */
+/** Builds shift ids from the date and the escaped shift name, without dots. */
 final class ShiftNames {
 
     private static final int MAXIMUM_LENGTH = 64;
-    private static final int KEPT_LENGTH = 48;
+    private static final int TRUNCATED_LENGTH = 48;
     private static final int DATE_LENGTH = "2026-12-02".length();
 
     private ShiftNames() {}
@@ -32,7 +32,7 @@
         StringBuilder text = new StringBuilder().append(date).append('-');
         for (int index = 0; index < name.length(); index++) {
             char character = name.charAt(index);
-            if (isPlain(character)) {
+            if (isUnescaped(character)) {
                 text.append(character);
                 continue;
             }
@@ -41,10 +41,10 @@
         if (text.length() <= MAXIMUM_LENGTH) {
             return text.toString();
         }
-        return text.substring(0, KEPT_LENGTH) + String.format("_%08x", name.hashCode());
+        return text.substring(0, TRUNCATED_LENGTH) + String.format("_%08x", name.hashCode());
     }
 
-    private static boolean isPlain(char character) {
+    private static boolean isUnescaped(char character) {
         return character == '-'
                 || (character >= '0' && character <= '9')
                 || (character >= 'a' && character <= 'z')
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingAccount.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingAccount.java
@@ -6,22 +6,26 @@
 import java.util.Optional;
 
 /**
- * What this incarnation may spend of one service in one shift.
+ * Account of the amount that this incarnation may spend for one service in one shift.
  *
- * <p>A state machine for one thread. It pays only from allotments that the ledger is known to show,
- * asks for more when it holds less than half of what its policy aims at, and returns what it holds
- * in excess: when its rate falls, when the cap is lowered below what is allotted, and when it
- * closes. Nobody else can take its allotment, so nothing that happens to it meanwhile does harm.
+ * <p>A state machine that must be used by one thread only. It charges only allotments that are
+ * known to be recorded in the ledger, requests more when it holds less than half of the target of
+ * its policy, and returns any excess: when its rate falls, when the cap is lowered below the sum of
+ * allotments, and when it closes. No other instance can take its allotment, so an interruption of
+ * any kind in the meantime is harmless.
  */
 final class SpendingAccount {
 
-    private static final Duration SHORTEST_RECHECK = Duration.ofSeconds(10);
-    private static final Duration LONGEST_RECHECK = Duration.ofMinutes(5);
-    private static final int RECHECKS = 20;
-    private static final Duration RECHECK_PER_HOLDER = Duration.ofMillis(200);
+    private static final Duration MINIMUM_RECHECK_INTERVAL = Duration.ofSeconds(10);
+    private static final Duration MAXIMUM_RECHECK_INTERVAL = Duration.ofMinutes(5);
+    private static final int RECHECK_DIVISOR = 20;
+    private static final Duration RECHECK_INTERVAL_PER_HOLDER = Duration.ofMillis(200);
 
-    /** What was seen longer ago is read again before a change, since reads are cheaper. */
-    private static final Duration FRESH = Duration.ofMillis(20);
+    /**
+     * A ledger that was read longer ago is read again before a change, since a read is cheaper than
+     * a change.
+     */
+    private static final Duration MAXIMUM_READ_AGE = Duration.ofMillis(20);
 
     private static final long REFILL_DIVISOR = 2;
     private static final long SURPLUS_FACTOR = 2;
@@ -39,8 +43,8 @@
     private long mSpentMicros;
     private long mHighestPriceMicros;
     private long mRefillBelowMicros;
-    private boolean mExhausted;
-    private boolean mClosing;
+    private boolean mIsExhausted;
+    private boolean mIsClosing;
 
     SpendingAccount(LedgerKey key, Shift shift, SpendingCap cap, SpendingContext context) {
         mKey = key;
@@ -52,7 +56,7 @@
         mRate = new SpendingRate(0, mTimeSource.monotonicNanos());
     }
 
-    /** Takes the times and the cap of the configuration in force. */
+    /** Applies the times and the cap of the configuration in force. */
     void terms(Shift shift, SpendingCap cap) {
         mShift = shift;
         if (cap.version().isAfter(mCap.version())) {
@@ -61,35 +65,40 @@
         }
     }
 
-    /** Takes how many instances share the ledger. */
+    /** Sets the number of instances that share the ledger. */
     void holders(int holders) {
         mHolders = (int) Assert.positive(holders, "A number of holders");
         mExchange.holders(holders);
     }
 
-    /** Takes the highest price that the configuration states for the service. */
+    /**
+     * Raises the highest known price to the given one, such as that of the configuration in force,
+     * if it is higher.
+     */
     void price(long micros) {
         mHighestPriceMicros = Math.max(mHighestPriceMicros, micros);
     }
 
-    /** Says whether to return all that is held and take no more. */
+    /** Sets whether the account returns its whole holding and requests no more. */
     void closing(boolean closing) {
-        mClosing = closing;
+        mIsClosing = closing;
     }
 
-    /** Tells whether nothing is held and nothing is left to settle. */
+    /** Determines whether the account is closing, holds nothing and has no pending change. */
     boolean isClosed() {
-        return mClosing && mAvailableMicros == 0 && !mExchange.isPending();
+        return mIsClosing && mAvailableMicros == 0 && !mExchange.isPending();
     }
 
-    /** Takes a price from the allotment, or tells that it does not suffice. */
+    /**
+     * Charges a price to the allotment, or returns {@code false} if the allotment does not suffice.
+     */
     boolean charge(long micros) {
         mRate.add(micros);
         price(micros);
-        if (mAvailableMicros - micros < mRefillBelowMicros && !mExhausted) {
+        if (mAvailableMicros - micros < mRefillBelowMicros && !mIsExhausted) {
             advance();
         }
-        if (mClosing || micros > mAvailableMicros) {
+        if (mIsClosing || micros > mAvailableMicros) {
             return false;
         }
         mAvailableMicros -= micros;
@@ -97,19 +106,23 @@
         return true;
     }
 
-    /** Tells whether this account charged at least so much. */
+    /** Determines whether this account has charged at least the given amount. */
     boolean canRefund(long micros) {
         return micros <= mSpentMicros;
     }
 
-    /** Puts back a price whose attempt did not run. */
+    /** Refunds the price of an attempt that did not run. */
     void refund(long micros) {
-        Assert.isTrue(canRefund(micros), "A refund of %d of %s was not charged.", micros, mKey);
+        Assert.isTrue(
+                canRefund(micros),
+                "A refund of %d to %s exceeds the amount charged.",
+                micros,
+                mKey);
         mAvailableMicros += micros;
         mSpentMicros -= micros;
     }
 
-    /** Tells why a price cannot be paid now. */
+    /** Returns the reason why a price cannot be charged now. */
     AccountState stateFor(long micros) {
         if (mCap.micros() == 0 || reachableMicros() < micros) {
             return AccountState.EXHAUSTED;
@@ -117,24 +130,24 @@
         return mExchange.state();
     }
 
-    /** Tells what stands in the way of exchanges with the platform, if anything. */
+    /** Returns the state of the exchange with the platform. */
     AccountState exchangeState() {
         return mExchange.state();
     }
 
-    /** Tells the shift that the account pays in. */
+    /** Returns the shift that the account charges. */
     Shift shift() {
         return mShift;
     }
 
-    /** Takes the answer to a call about the ledger. */
+    /** Processes the answer to a call for the ledger. */
     void onAnswer(LedgerAnswer answer) {
         Optional<Settlement> settlement = mExchange.onAnswer(answer);
         settlement.ifPresent(settled -> mAvailableMicros += settled.spendableMicros());
         advance();
     }
 
-    /** Lets time act: makes the next call about the ledger if one is due. */
+    /** Advances to the current time and makes the next call for the ledger if one is due. */
     void advance() {
         mRate.advance(mTimeSource.monotonicNanos());
         if (!mExchange.canCall() || isClosed()) {
@@ -147,13 +160,13 @@
         mExchange.ledger().ifPresent(this::change);
     }
 
-    /** Has the ledger read again, since the platform may have lost changes. */
+    /** Reads the ledger again, since the platform may have lost changes. */
     void readAgain() {
         mExchange.readAgain();
         advance();
     }
 
-    /** Describes the account for operators. */
+    /** Returns a snapshot of the account for operators. */
     SpendingView view() {
         Optional<SpendingLedger> ledger = mExchange.ledger();
         return new SpendingView(
@@ -172,12 +185,12 @@
         long remaining = ledger.remainingMicros();
         long target = target(remaining);
         mRefillBelowMicros = Math.max(target / REFILL_DIVISOR, mHighestPriceMicros);
-        mExhausted = remaining == 0 || reachableMicros() < mHighestPriceMicros;
+        mIsExhausted = remaining == 0 || reachableMicros() < mHighestPriceMicros;
         long excess = excess(ledger, target);
-        long wanted = wanted(remaining, target);
-        boolean changes = excess > 0 || wanted > 0 || mExchange.isCapToBeLowered();
-        boolean fresh = mExchange.ageNanos() <= FRESH.toNanos();
-        if (changes ? !fresh : isRecheckDue(remaining)) {
+        long refill = refill(remaining, target);
+        boolean hasChange = excess > 0 || refill > 0 || mExchange.isCapToBeLowered();
+        boolean isRecent = mExchange.ageNanos() <= MAXIMUM_READ_AGE.toNanos();
+        if (hasChange ? !isRecent : isRecheckDue(remaining)) {
             mExchange.read();
             return;
         }
@@ -185,26 +198,26 @@
             mAvailableMicros -= excess;
             mExchange.returnAllotment(excess);
         } else if (mExchange.isCapToBeLowered()) {
-            mExchange.restate();
-        } else if (wanted > 0) {
-            mExchange.allot(wanted);
+            mExchange.recordCap();
+        } else if (refill > 0) {
+            mExchange.allot(refill);
         }
     }
 
-    private long wanted(long remaining, long target) {
-        boolean enough = mAvailableMicros >= mRefillBelowMicros;
-        return mClosing || mExhausted || enough
+    private long refill(long remaining, long target) {
+        boolean isSufficient = mAvailableMicros >= mRefillBelowMicros;
+        return mIsClosing || mIsExhausted || isSufficient
                 ? 0
                 : Math.min(remaining, target - mAvailableMicros);
     }
 
     private boolean isRecheckDue(long remaining) {
-        boolean underWay = mShift.contains(mTimeSource.instant());
-        return underWay && !mClosing && mExchange.ageNanos() > recheckNanos(remaining);
+        boolean isInShift = mShift.contains(mTimeSource.instant());
+        return isInShift && !mIsClosing && mExchange.ageNanos() > recheckNanos(remaining);
     }
 
     private long excess(SpendingLedger ledger, long target) {
-        if (mClosing) {
+        if (mIsClosing) {
             return mAvailableMicros;
         }
         long overCap = Math.max(0, ledger.allottedMicros() - ledger.capMicros());
@@ -216,7 +229,10 @@
         return Math.max(1, mPolicy.target(rate(), remaining, mHolders, mHighestPriceMicros));
     }
 
-    /** Estimates the rate of spending: what is measured, or an equal share of the cap if more. */
+    /**
+     * Returns the estimated rate of spending: the measured rate, or an equal share of the cap if
+     * that is higher.
+     */
     private double rate() {
         double seconds = mShift.length().toNanos() / NANOS_PER_SECOND;
         return Math.max(mRate.perSecond(), mCap.micros() / seconds / mHolders);
@@ -229,12 +245,17 @@
                 .orElse(Long.MAX_VALUE);
     }
 
-    /** Tells how long what was last seen is good for: a part of the time that the rest lasts. */
+    /**
+     * Returns how long the ledger that was last read is considered current: a fraction of the time
+     * that the remainder lasts at the estimated rate.
+     */
     private long recheckNanos(long remaining) {
         double rate = Math.max(1, rate() * mHolders);
-        double lasts = remaining / rate * NANOS_PER_SECOND / RECHECKS;
-        long shared = RECHECK_PER_HOLDER.multipliedBy(mHolders).toNanos();
-        long shortest = Math.max(SHORTEST_RECHECK.toNanos(), shared);
-        return Math.max(shortest, (long) Math.min(lasts, (double) LONGEST_RECHECK.toNanos()));
+        double fractionNanos = remaining / rate * NANOS_PER_SECOND / RECHECK_DIVISOR;
+        long perHolder = RECHECK_INTERVAL_PER_HOLDER.multipliedBy(mHolders).toNanos();
+        long minimum = Math.max(MINIMUM_RECHECK_INTERVAL.toNanos(), perHolder);
+        return Math.max(
+                minimum,
+                (long) Math.min(fractionNanos, (double) MAXIMUM_RECHECK_INTERVAL.toNanos()));
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingCap.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingCap.java
@@ -4,15 +4,16 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * A cap with the configuration that states it; of two, the later configuration's counts.
+ * Spending cap with the configuration that states it; of two caps, the one of the later
+ * configuration applies.
  *
- * @param micros the cap in millionths of the operators' unit of money
+ * @param micros the cap in millionths of the operators' currency unit
  * @param version the configuration
  * @since 0.1
  */
 public record SpendingCap(long micros, ConfigurationVersion version) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public SpendingCap {
         Assert.notNegative(micros, "A spending cap");
         Assert.notNull(version, "A configuration version");
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingContext.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingContext.java
@@ -5,14 +5,14 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * What all accounts of one incarnation share.
+ * Collaborators and settings shared by all accounts of one incarnation.
  *
  * @param holder the incarnation
- * @param policy how allotments are sized
- * @param sink where calls about ledgers go
+ * @param policy the policy that sizes allotments
+ * @param sink the receiver of calls to the platform
  * @param timeSource the clocks
  * @param random the source of jitter
- * @param sequence the numbers of changes
+ * @param sequence the source of change numbers
  */
 record SpendingContext(
         Incarnation holder,
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingForecast.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingForecast.java
@@ -5,23 +5,23 @@
 import java.time.Instant;
 
 /**
- * Says what a shift may cost, and what a changed cap can still change, for a plan.
+ * Forecast of the cost of a shift under a cap, as shown in a plan.
  *
- * @param capMicros the cap that the plan states, in millionths of the operators' unit of money
- * @param allottedMicros what instances were allotted so far
+ * @param capMicros the cap that the plan states, in millionths of the operators' currency unit
+ * @param allottedMicros the amount allotted to instances so far
  * @param atMostMicros the most that the shift can cost: the cap, or what is allotted if that is
  *     more, because no allotment is taken back from its holder
- * @param predictedMicros what the shift will cost if spending goes on at its average pace
+ * @param predictedMicros the predicted cost if spending continues at its average rate
  * @since 0.1
  */
 public record SpendingForecast(
         long capMicros, long allottedMicros, long atMostMicros, long predictedMicros) {
 
     /**
-     * Predicts the spending of a shift under a cap.
+     * Creates the forecast of a shift under a cap.
      *
-     * @param allottedMicros what instances were allotted so far
-     * @param spentMicros what they spent of it, as far as known
+     * @param allottedMicros the amount allotted to instances so far
+     * @param spentMicros the part of it that is known to be spent
      * @param shift the shift
      * @param capMicros the cap in force, or the one that a plan states
      * @param now the time
@@ -30,17 +30,17 @@
     public static SpendingForecast of(
             long allottedMicros, long spentMicros, Shift shift, long capMicros, Instant now) {
         Assert.notNegative(capMicros, "A spending cap");
-        long atMost = Math.max(capMicros, allottedMicros);
-        long predicted = Math.min(atMost, atPace(spentMicros, shift, now));
-        return new SpendingForecast(capMicros, allottedMicros, atMost, predicted);
+        long upperBound = Math.max(capMicros, allottedMicros);
+        long predicted = Math.min(upperBound, atAverageRate(spentMicros, shift, now));
+        return new SpendingForecast(capMicros, allottedMicros, upperBound, predicted);
     }
 
-    private static long atPace(long spent, Shift shift, Instant now) {
+    private static long atAverageRate(long spent, Shift shift, Instant now) {
         Duration elapsed = Duration.between(shift.start(), now);
         if (elapsed.compareTo(Duration.ofSeconds(1)) < 0) {
             return spent;
         }
-        double share = (double) shift.length().toNanos() / elapsed.toNanos();
-        return Math.round(spent * Math.max(1, share));
+        double ratio = (double) shift.length().toNanos() / elapsed.toNanos();
+        return Math.round(spent * Math.max(1, ratio));
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingGate.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingGate.java
@@ -5,9 +5,9 @@
 import io.vavr.control.Either;
 
 /**
- * Charges each attempt before it is made, from the allotments that this instance holds.
+ * Gate that charges each attempt, before it is made, to the allotments that this instance holds.
  *
- * <p>A state machine for one thread.
+ * <p>A state machine that must be used by one thread only.
  *
  * @since 0.1
  */
@@ -17,13 +17,14 @@
      * Charges an attempt.
      *
      * @param service the service
-     * @param priceMicros the price in millionths of the operators' unit of money
+     * @param priceMicros the price in millionths of the operators' currency unit
      * @return the charge, or the refusal with the time of the next shift
      */
     Either<Refusal, Charge> charge(ServiceId service, long priceMicros);
 
     /**
-     * Gives back a charge whose attempt did not run. Must not be called in doubt.
+     * Refunds the charge of an attempt that did not run. Must not be called while it is uncertain
+     * whether the attempt ran.
      *
      * @param charge the charge
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingLedger.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingLedger.java
@@ -12,16 +12,17 @@
 import java.util.stream.Stream;
 
 /**
- * What instances were allotted of a shift's cap, as the one object at the platform says.
+ * Ledger of the amounts allotted to instances under a shift's cap, stored as one object at the
+ * platform.
  *
- * <p>Immutable. Each change makes the next revision. The sum of allotments never grows above the
+ * <p>Immutable. Each change produces the next revision. The sum of allotments never grows above the
  * cap; it may be above a cap that was lowered later. The object is bounded: beyond {@link
  * #MAXIMUM_HOLDINGS} the holding that changed longest ago is added to one total, whether or not its
- * holder lives, because the sum is all that the cap needs.
+ * holder is running, because only the sum is needed to enforce the cap.
  *
  * @param key the service and shift
- * @param capMicros the cap in millionths of the operators' unit of money
- * @param capVersion the configuration that the cap came from
+ * @param capMicros the cap in millionths of the operators' currency unit
+ * @param capVersion the configuration that states the cap
  * @param revision the number of changes made
  * @param compactedMicros the sum of the holdings that are no longer listed
  * @param holdings the holdings, the one that changed longest ago first
@@ -35,13 +36,16 @@
         long compactedMicros,
         List<Holding> holdings) {
 
-    /** How many holdings are listed; a change is still recognised after as many others less one. */
+    /**
+     * Maximum number of listed holdings; a change can be recognized until this many, less one,
+     * others have followed it.
+     */
     public static final int MAXIMUM_HOLDINGS = 64;
 
     /**
-     * Checks that the parts agree.
+     * Validates that the components are consistent.
      *
-     * @throws IllegalArgumentException if they do not, as in a corrupted object
+     * @throws IllegalArgumentException if they are not, as in a corrupted object
      */
     public SpendingLedger {
         Assert.notNull(key, "The key of a ledger");
@@ -54,7 +58,7 @@
     }
 
     /**
-     * Makes the ledger of a shift of which nothing is allotted.
+     * Creates the ledger of a shift without allotments.
      *
      * @param key the service and shift
      * @param cap the cap
@@ -65,7 +69,7 @@
     }
 
     /**
-     * Sums what is allotted.
+     * Returns the sum of all allotments.
      *
      * @return the sum in millionths
      */
@@ -78,7 +82,7 @@
     }
 
     /**
-     * Tells what may still be allotted.
+     * Returns the amount that may still be allotted.
      *
      * @return the cap less the sum of allotments, not negative
      */
@@ -87,7 +91,7 @@
     }
 
     /**
-     * Finds what an incarnation holds.
+     * Returns the holding of an incarnation.
      *
      * @param holder the incarnation
      * @return its holding, or empty if it holds nothing or its holding was compacted
@@ -97,7 +101,8 @@
     }
 
     /**
-     * Takes a cap if it comes from a later configuration than the one in the ledger.
+     * Returns this ledger with a cap, if that cap comes from a later configuration than the one in
+     * the ledger.
      *
      * @param cap the cap
      * @return a ledger with the cap of the later configuration
@@ -126,12 +131,12 @@
                 "An allotment must be at most the remainder of %d, but was %d.",
                 remainingMicros(),
                 micros);
-        long held = holding(holder).map(Holding::allottedMicros).orElse(0L);
-        return next(holder, sequence, held + micros, compactedMicros);
+        long heldMicros = holding(holder).map(Holding::allottedMicros).orElse(0L);
+        return nextRevision(holder, sequence, heldMicros + micros, compactedMicros);
     }
 
     /**
-     * Takes back part of what an incarnation holds, at the holder's own wish only.
+     * Takes back part of an incarnation's holding; only the holder itself may request this.
      *
      * @param holder the incarnation that returns it
      * @param sequence the number of the change, above all earlier ones of the holder
@@ -141,67 +146,72 @@
      */
     public SpendingLedger returnAllotment(Incarnation holder, long sequence, long micros) {
         Assert.positive(micros, "A returned allotment");
-        long held = holding(holder).map(Holding::allottedMicros).orElse(0L);
-        long fromHolding = Math.min(held, micros);
+        long heldMicros = holding(holder).map(Holding::allottedMicros).orElse(0L);
+        long fromHolding = Math.min(heldMicros, micros);
         long fromCompacted = micros - fromHolding;
         Assert.isTrue(
                 fromCompacted <= compactedMicros,
                 "A returned allotment must have been allotted, but %d was not.",
                 fromCompacted - compactedMicros);
-        return next(holder, sequence, held - fromHolding, compactedMicros - fromCompacted);
+        return nextRevision(
+                holder, sequence, heldMicros - fromHolding, compactedMicros - fromCompacted);
     }
 
     /**
-     * Puts the cap of this value on record, without taking or returning anything.
+     * Records the cap of this ledger without allotting or returning anything.
      *
      * @param holder the incarnation that makes the change
      * @param sequence the number of the change, above all earlier ones of the holder
      * @return the next revision
      */
-    public SpendingLedger restate(Incarnation holder, long sequence) {
-        long held = holding(holder).map(Holding::allottedMicros).orElse(0L);
-        return next(holder, sequence, held, compactedMicros);
+    public SpendingLedger recordCap(Incarnation holder, long sequence) {
+        long heldMicros = holding(holder).map(Holding::allottedMicros).orElse(0L);
+        return nextRevision(holder, sequence, heldMicros, compactedMicros);
     }
 
     /**
-     * Joins what this ledger knows with an older or other state of it, which the platform came back
-     * to: each holding as its holder changed it last, so that the sum is never lower than what was
-     * allotted. A holding that one of them lists and the other has compacted counts twice.
+     * Merges this ledger with an older or diverged state of it that the platform was restored to.
+     * Each holding is taken in its holder's latest state, so that the sum is never lower than what
+     * was allotted. A holding that one of them lists and the other has compacted counts twice.
      *
      * @param found the ledger as the platform holds it
-     * @return a ledger above both revisions
+     * @return a ledger with a revision above both
      */
-    SpendingLedger joinedWith(SpendingLedger found) {
-        Map<Incarnation, Holding> newest = new LinkedHashMap<>();
+    SpendingLedger mergedWith(SpendingLedger found) {
+        Map<Incarnation, Holding> latest = new LinkedHashMap<>();
         Stream.concat(holdings.stream(), found.holdings.stream())
                 .sorted(Comparator.comparingLong(Holding::revision))
-                .forEach(each -> newest.merge(each.holder(), each, SpendingLedger::later));
-        long last = Math.max(revision, found.revision);
-        long compacted = Math.max(compactedMicros, found.compactedMicros);
-        List<Holding> joined = new ArrayList<>();
-        for (Holding each : newest.values()) {
-            last++;
-            joined.add(new Holding(each.holder(), each.allottedMicros(), each.sequence(), last));
+                .forEach(each -> latest.merge(each.holder(), each, SpendingLedger::laterOf));
+        long lastRevision = Math.max(revision, found.revision);
+        long compactedSum = Math.max(compactedMicros, found.compactedMicros);
+        List<Holding> merged = new ArrayList<>();
+        for (Holding each : latest.values()) {
+            lastRevision++;
+            merged.add(
+                    new Holding(
+                            each.holder(), each.allottedMicros(), each.sequence(), lastRevision));
         }
-        while (joined.size() > MAXIMUM_HOLDINGS) {
-            compacted = Math.addExact(compacted, joined.remove(0).allottedMicros());
+        while (merged.size() > MAXIMUM_HOLDINGS) {
+            compactedSum = Math.addExact(compactedSum, merged.remove(0).allottedMicros());
         }
         boolean isLater = found.capVersion.isAfter(capVersion);
         return new SpendingLedger(
                 key,
                 isLater ? found.capMicros : capMicros,
                 isLater ? found.capVersion : capVersion,
-                last,
-                compacted,
-                joined);
+                lastRevision,
+                compactedSum,
+                merged);
     }
 
-    private static Holding later(Holding one, Holding other) {
+    private static Holding laterOf(Holding one, Holding other) {
         return one.sequence() >= other.sequence() ? one : other;
     }
 
-    /** Tells whether nothing is missing here that another state of the ledger lists. */
-    boolean holdsAllOf(SpendingLedger other) {
+    /**
+     * Determines whether this ledger contains every change that another state of the ledger lists.
+     */
+    boolean containsAllOf(SpendingLedger other) {
         return compactedMicros >= other.compactedMicros
                 && other.holdings.stream()
                         .allMatch(
@@ -211,32 +221,35 @@
                                                 .isPresent());
     }
 
-    private SpendingLedger next(Incarnation holder, long sequence, long held, long compacted) {
+    private SpendingLedger nextRevision(
+            Incarnation holder, long sequence, long heldMicros, long compactedSum) {
         Optional<Holding> before = holding(holder);
         Assert.isTrue(
                 before.map(Holding::sequence).orElse(0L) < sequence,
                 "The sequence %d of %s must be above its last one.",
                 sequence,
                 holder);
-        List<Holding> changed = new ArrayList<>(holdings);
-        before.ifPresent(changed::remove);
-        changed.add(new Holding(holder, held, sequence, revision + 1));
-        long compactedSum = compacted;
-        while (changed.size() > MAXIMUM_HOLDINGS) {
-            compactedSum = Math.addExact(compactedSum, changed.remove(0).allottedMicros());
+        List<Holding> changedHoldings = new ArrayList<>(holdings);
+        before.ifPresent(changedHoldings::remove);
+        changedHoldings.add(new Holding(holder, heldMicros, sequence, revision + 1));
+        long compactedTotal = compactedSum;
+        while (changedHoldings.size() > MAXIMUM_HOLDINGS) {
+            compactedTotal =
+                    Math.addExact(compactedTotal, changedHoldings.remove(0).allottedMicros());
         }
-        return new SpendingLedger(key, capMicros, capVersion, revision + 1, compactedSum, changed);
+        return new SpendingLedger(
+                key, capMicros, capVersion, revision + 1, compactedTotal, changedHoldings);
     }
 
     private static void checkHoldings(List<Holding> holdings, long revision) {
-        long last = 0;
+        long lastRevision = 0;
         for (Holding holding : holdings) {
             Assert.isTrue(
-                    holding.revision() > last && holding.revision() <= revision,
+                    holding.revision() > lastRevision && holding.revision() <= revision,
                     "The holding of %s is out of order at revision %d.",
                     holding.holder(),
                     holding.revision());
-            last = holding.revision();
+            lastRevision = holding.revision();
         }
         long holders = holdings.stream().map(Holding::holder).distinct().count();
         Assert.isTrue(holders == holdings.size(), "An incarnation must be listed only once.");
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingRate.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingRate.java
@@ -2,19 +2,22 @@
 
 import java.time.Duration;
 
-/** Estimates the rate of what callers ask for, as an exponentially weighted moving average. */
+/**
+ * Estimate of the rate of spending that callers request, as an exponentially weighted moving
+ * average.
+ */
 final class SpendingRate {
 
     private static final double TIME_CONSTANT_SECONDS = 30;
-    private static final long SHORTEST_STEP_NANOS = Duration.ofMillis(100).toNanos();
+    private static final long MINIMUM_STEP_NANOS = Duration.ofMillis(100).toNanos();
     private static final double NANOS_PER_SECOND = 1e9;
 
     private double mPerSecond;
     private long mSinceNanos;
     private long mRequestedMicros;
 
-    SpendingRate(double firstPerSecond, long nowNanos) {
-        mPerSecond = firstPerSecond;
+    SpendingRate(double initialPerSecond, long nowNanos) {
+        mPerSecond = initialPerSecond;
         mSinceNanos = nowNanos;
     }
 
@@ -24,7 +27,7 @@
 
     void advance(long nowNanos) {
         long elapsed = nowNanos - mSinceNanos;
-        if (elapsed < SHORTEST_STEP_NANOS) {
+        if (elapsed < MINIMUM_STEP_NANOS) {
             return;
         }
         double seconds = elapsed / NANOS_PER_SECOND;
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingView.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingView.java
@@ -4,17 +4,17 @@
 import java.time.Instant;
 
 /**
- * Spending of one service in one shift, as one instance knows it.
+ * Snapshot of the spending of one service in one shift, as seen by one instance.
  *
  * @param key the service and shift
  * @param shift the shift
  * @param holders how many instances share the cap
- * @param capMicros the cap in force, in millionths of the operators' unit of money
- * @param allottedMicros what all instances hold or spent, as last read
- * @param availableMicros what this instance holds and has not spent
- * @param spentMicros what this instance spent
- * @param ratePerSecond what callers ask of this instance, in millionths a second
- * @param state whether this instance can pay
+ * @param capMicros the cap in force, in millionths of the operators' currency unit
+ * @param allottedMicros the amount that all instances hold or have spent, as last read
+ * @param availableMicros the amount that this instance holds and has not spent
+ * @param spentMicros the amount that this instance has spent
+ * @param ratePerSecond the rate of spending requested from this instance, in millionths per second
+ * @param state whether this instance can charge attempts
  * @since 0.1
  */
 public record SpendingView(
@@ -31,7 +31,8 @@
     private static final double NANOS_PER_SECOND = 1e9;
 
     /**
-     * Predicts what this instance will have spent at the end of the shift at its present rate.
+     * Returns the amount that this instance will have spent at the end of the shift at its present
+     * rate.
      *
      * @param now the time
      * @return the amount in millionths, not limited by the cap
@@ -43,18 +44,18 @@
     }
 
     /**
-     * Estimates what all instances spent: what is allotted, less what each holds if each holds as
-     * much as this one.
+     * Returns an estimate of the amount that all instances have spent: the sum of allotments less
+     * the unspent holdings, on the assumption that each instance holds as much as this one.
      *
-     * @return the amount in millionths, at least what this instance spent
+     * @return the amount in millionths, at least the amount that this instance has spent
      */
     public long fleetSpentMicros() {
         return Math.max(spentMicros, allottedMicros - holders * availableMicros);
     }
 
     /**
-     * Predicts what all instances will have spent at the end of the shift if they go on as on
-     * average so far.
+     * Returns a forecast of the amount that all instances will have spent at the end of the shift
+     * at their average rate so far.
      *
      * @param now the time
      * @return the forecast under the cap in force
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/VersionedLedger.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/VersionedLedger.java
@@ -3,7 +3,7 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * A ledger as read from the platform.
+ * Ledger with its version as read from the platform.
  *
  * @param version the version of the object, positive
  * @param ledger the ledger
@@ -11,7 +11,7 @@
  */
 public record VersionedLedger(long version, SpendingLedger ledger) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public VersionedLedger {
         Assert.positive(version, "The version of an object");
         Assert.notNull(ledger, "A ledger");
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/package-info.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/package-info.java
@@ -1,2 +1,2 @@
-/** Spending caps of shifts and the allotments that instances spend from; no I/O. */
+/** Spending caps of shifts and the allotments that instances spend from. Performs no I/O. */
 package io.masticpond.core.spending;
--- a/masticpond-core/src/test/java/io/masticpond/core/CoreArchitectureTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/CoreArchitectureTest.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.ThreadLocalRandom;
 import net.jqwik.api.Example;
 
-/** The core decides, and leaves I/O, threads, clocks and chance to others. */
+/** Verifies that the core performs no I/O, starts no threads, and reads no clocks directly. */
 class CoreArchitectureTest {
 
     private static final JavaClasses CORE =
@@ -30,7 +30,7 @@
                     .importPackages("io.masticpond.core");
 
     @Example
-    void coreSeesNoInputOutputAndNoLibraryForIt() {
+    void coreDependsOnNoInputOutputClassesOrLibraries() {
         noClasses()
                 .should()
                 .dependOnClassesThat(
@@ -79,7 +79,7 @@
     }
 
     @Example
-    void onlyTheSystemTimeSourceReadsClocks() {
+    void onlySystemTimeSourceReadsClocks() {
         noClasses()
                 .that()
                 .doNotBelongToAnyOf(SystemTimeSource.class)
@@ -102,7 +102,7 @@
     }
 
     @Example
-    void packagesOfTheCoreFormNoCycles() {
+    void corePackagesHaveNoCycles() {
         slices().matching("io.masticpond.core.(*)..").should().beFreeOfCycles().check(CORE);
     }
 }
--- a/masticpond-core/src/test/java/io/masticpond/core/spending/FakeLedgers.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/spending/FakeLedgers.java
@@ -9,14 +9,17 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Ledgers at a platform whose calls wait until the test says what becomes of each. */
+/**
+ * Test double for the ledgers at the platform; calls wait until the test determines the disposition
+ * of each.
+ */
 final class FakeLedgers {
 
     private final Map<LedgerKey, VersionedLedger> mLedgers = new HashMap<>();
     private final List<LedgerChange> mDelayed = new ArrayList<>();
-    private long mLastOfEra;
+    private long mLastRevisionOfEra;
 
-    /** What becomes of a call. */
+    /** Disposition of a call. */
     enum CallDisposition {
         ANSWERED,
         LOST_AFTER_EFFECT,
@@ -25,7 +28,7 @@
         UNAVAILABLE
     }
 
-    /** The calls of one incarnation that wait. */
+    /** The waiting calls of one incarnation. */
     final class Calls implements LedgerSink {
 
         private final Deque<Call> mWaiting = new ArrayDeque<>();
@@ -44,20 +47,20 @@
             return mWaiting.isEmpty();
         }
 
-        /** Carries out the call that waits longest and answers it. */
-        boolean next(CallDisposition fate, DefaultSpendingGate gate) {
+        /** Performs the call that has waited longest and answers it. */
+        boolean answerNext(CallDisposition disposition, DefaultSpendingGate gate) {
             Call call = mWaiting.poll();
             if (call == null) {
                 return false;
             }
-            gate.onAnswer(call.key(), answerOf(call, fate));
+            gate.onAnswer(call.key(), answerOf(call, disposition));
             return true;
         }
 
         void answerAll(DefaultSpendingGate gate) {
-            boolean more = true;
-            while (more) {
-                more = next(CallDisposition.ANSWERED, gate);
+            boolean hasNext = true;
+            while (hasNext) {
+                hasNext = answerNext(CallDisposition.ANSWERED, gate);
             }
         }
     }
@@ -72,9 +75,9 @@
         return Optional.ofNullable(mLedgers.get(key));
     }
 
-    /** Puts a ledger back as it was in a copy, or takes it away, in a new era. */
+    /** Restores a ledger from a copy, or removes it if there is none, in a new era. */
     void restoreCopy(LedgerKey key, Optional<VersionedLedger> copy, long era) {
-        mLastOfEra = StoreRevision.of(era, copy.map(VersionedLedger::version).orElse(0L));
+        mLastRevisionOfEra = StoreRevision.of(era, copy.map(VersionedLedger::version).orElse(0L));
         copy.ifPresentOrElse(ledger -> mLedgers.put(key, ledger), () -> mLedgers.remove(key));
     }
 
@@ -82,24 +85,24 @@
         mLedgers.put(key, ledger);
     }
 
-    /** Lets writes arrive whose answers were lost long ago. */
+    /** Applies the delayed writes whose answers were lost earlier. */
     void deliverDelayed() {
         mDelayed.forEach(this::apply);
         mDelayed.clear();
     }
 
-    private LedgerAnswer answerOf(Call call, CallDisposition fate) {
-        if (fate == CallDisposition.UNAVAILABLE) {
+    private LedgerAnswer answerOf(Call call, CallDisposition disposition) {
+        if (disposition == CallDisposition.UNAVAILABLE) {
             return new LedgerAnswer.Unavailable();
         }
         if (call.change().isEmpty()) {
-            boolean lost = fate != CallDisposition.ANSWERED;
+            boolean lost = disposition != CallDisposition.ANSWERED;
             return lost
                     ? new LedgerAnswer.Unavailable()
                     : new LedgerAnswer.Found(ledger(call.key()));
         }
         LedgerChange change = call.change().get();
-        switch (fate) {
+        switch (disposition) {
             case LOST_AFTER_EFFECT -> apply(change);
             case LOST_AND_DELAYED -> mDelayed.add(change);
             case ANSWERED -> {
@@ -116,7 +119,7 @@
         if (version != change.expectedVersion()) {
             return new LedgerAnswer.Conflicted(current);
         }
-        long next = Math.max(version, mLastOfEra) + 1;
+        long next = Math.max(version, mLastRevisionOfEra) + 1;
         put(change.key(), new VersionedLedger(next, change.ledger()));
         return new LedgerAnswer.Written(next);
     }
--- a/masticpond-core/src/test/java/io/masticpond/core/spending/LedgerRestoreTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/spending/LedgerRestoreTest.java
@@ -15,13 +15,16 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Guards against spending above the cap after the platform came back from an older copy. */
+/**
+ * Guards against spending above the cap after the platform was restored from an older copy of a
+ * ledger, which lacks later allotments.
+ */
 class LedgerRestoreTest {
 
     private static final long CAP = 2_000;
     private static final int LAST_STEP = 5;
 
-    /** The platform with copies of one ledger. */
+    /** Platform that can be restored from a copy of one ledger. */
     private static final class RestoreScenario {
 
         private final SpendingFixture mFixture = new SpendingFixture();
@@ -64,7 +67,10 @@
             node.settle();
         }
 
-        /** What instances hold or have spent of the shift, by their own books. */
+        /**
+         * Returns the sum that instances hold or have spent in the shift, according to their own
+         * accounts.
+         */
         long heldAndSpent() {
             return mNodes.stream()
                     .flatMap(node -> node.mGate.views().stream())
@@ -79,51 +85,51 @@
     }
 
     @Example
-    void allotmentsThatThePlatformLostAreNotGivenOutAgain() {
-        RestoreScenario returns = new RestoreScenario();
-        returns.start();
-        returns.start();
-        returns.keepCopy();
-        returns.spend(0, 40);
-        returns.spend(1, 40);
-        returns.restoreCopy();
-        assertThat(returns.mFixture.allotted(SpendingFixture.MORNING))
-                .isGreaterThanOrEqualTo(returns.heldAndSpent());
-        returns.start();
+    void allotmentsLostByPlatformAreNotAllottedAgain() {
+        RestoreScenario scenario = new RestoreScenario();
+        scenario.start();
+        scenario.start();
+        scenario.keepCopy();
+        scenario.spend(0, 40);
+        scenario.spend(1, 40);
+        scenario.restoreCopy();
+        assertThat(scenario.mFixture.allotted(SpendingFixture.MORNING))
+                .isGreaterThanOrEqualTo(scenario.heldAndSpent());
+        scenario.start();
         for (int node = 0; node < 3; node++) {
-            returns.spend(node, 200);
+            scenario.spend(node, 200);
         }
-        assertThat(returns.spent()).isBetween(CAP / 2, CAP);
+        assertThat(scenario.spent()).isBetween(CAP / 2, CAP);
     }
 
     @Example
-    void ledgerThatThePlatformLostWhollyIsWrittenAgain() {
-        RestoreScenario returns = new RestoreScenario();
-        returns.start();
-        returns.spend(0, 60);
-        returns.restoreCopy();
-        assertThat(returns.mFixture.allotted(SpendingFixture.MORNING))
-                .isGreaterThanOrEqualTo(returns.heldAndSpent());
-        returns.start();
-        returns.spend(1, 300);
-        assertThat(returns.spent()).isLessThanOrEqualTo(CAP);
+    void ledgerLostByPlatformIsWrittenAgain() {
+        RestoreScenario scenario = new RestoreScenario();
+        scenario.start();
+        scenario.spend(0, 60);
+        scenario.restoreCopy();
+        assertThat(scenario.mFixture.allotted(SpendingFixture.MORNING))
+                .isGreaterThanOrEqualTo(scenario.heldAndSpent());
+        scenario.start();
+        scenario.spend(1, 300);
+        assertThat(scenario.spent()).isLessThanOrEqualTo(CAP);
     }
 
     @Property(seed = "20261203", tries = 200)
-    void spendingStaysUnderTheCapOverAnyReturns(
+    void spendingStaysUnderCapAfterAnyRestores(
             @ForAll @Size(min = 3, max = 14) List<@IntRange(max = LAST_STEP) Integer> steps) {
-        RestoreScenario returns = new RestoreScenario();
-        returns.start();
+        RestoreScenario scenario = new RestoreScenario();
+        scenario.start();
         for (int index = 0; index < steps.size(); index++) {
             switch (steps.get(index)) {
-                case 0 -> returns.keepCopy();
-                case 1 -> returns.restoreCopy();
-                case 2 -> returns.start();
-                default -> returns.spend(index, 10 * steps.get(index));
+                case 0 -> scenario.keepCopy();
+                case 1 -> scenario.restoreCopy();
+                case 2 -> scenario.start();
+                default -> scenario.spend(index, 10 * steps.get(index));
             }
-            assertThat(returns.spent()).isLessThanOrEqualTo(CAP);
-            assertThat(returns.mFixture.allotted(SpendingFixture.MORNING))
-                    .isGreaterThanOrEqualTo(returns.heldAndSpent());
+            assertThat(scenario.spent()).isLessThanOrEqualTo(CAP);
+            assertThat(scenario.mFixture.allotted(SpendingFixture.MORNING))
+                    .isGreaterThanOrEqualTo(scenario.heldAndSpent());
         }
     }
 }
--- a/masticpond-core/src/test/java/io/masticpond/core/spending/ShiftCalendarTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/spending/ShiftCalendarTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.LongRange;
 
-/** Time zones, midnight, daylight saving and borders. */
+/** Covers time zones, midnight, daylight saving changes and shift boundaries. */
 class ShiftCalendarTest {
 
     private static final Duration ERROR = Duration.ofMillis(500);
@@ -31,7 +31,7 @@
     }
 
     @Example
-    void aShiftOverMidnightHasTheDateOfItsStart() {
+    void shiftOverMidnightHasDateOfItsStart() {
         ShiftCalendar calendar =
                 calendar(
                         "Australia/Perth",
@@ -43,7 +43,7 @@
     }
 
     @Example
-    void aStartInTheHourThatIsLeftOutIsTheMomentOfTheChange() {
+    void startInSkippedHourMapsToMomentOfChange() {
         ShiftCalendar calendar =
                 calendar(
                         "Europe/Paris",
@@ -55,7 +55,7 @@
     }
 
     @Example
-    void aTimeThatComesTwiceIsItsFirstOccurrence() {
+    void repeatedLocalTimeMapsToFirstOccurrence() {
         ShiftCalendar calendar =
                 calendar(
                         "Europe/Paris",
@@ -66,7 +66,7 @@
     }
 
     @Example
-    void aShiftThatLiesInTheHourThatIsLeftOutDoesNotTakePlace() {
+    void shiftWithinSkippedHourDoesNotTakePlace() {
         ShiftCalendar calendar = calendar("Europe/Paris", shift("short", "02:10", "02:50", 5));
         assertThat(idAt(calendar, "2026-03-29T01:00:00Z")).isEqualTo("none");
         Instant next = calendar.next(Instant.parse("2026-03-29T00:00:00Z")).orElseThrow().start();
@@ -74,7 +74,7 @@
     }
 
     @Example
-    void nearTheBorderBothShiftsAreCharged() {
+    void chargesBothShiftsNearBoundary() {
         ShiftCalendar calendar =
                 calendar("UTC", shift("a", "00:00", "12:00", 5), shift("b", "12:00", "00:00", 5));
         assertThat(calendar.chargedAt(Instant.parse("2026-12-02T12:00:00.4Z")).size()).isEqualTo(2);
@@ -84,7 +84,7 @@
     }
 
     @Example
-    void theNextShiftIsOneThatHasAnythingToSpend() {
+    void nextShiftHasCapAboveZero() {
         ShiftCalendar calendar =
                 calendar("UTC", shift("a", "00:00", "12:00", 5), shift("b", "12:00", "00:00", 0));
         Shift next = calendar.next(Instant.parse("2026-12-02T05:00:00Z")).orElseThrow();
@@ -94,7 +94,7 @@
     }
 
     @Example
-    void namesWithOtherCharactersGiveDifferentIds() {
+    void namesWithEscapedCharactersHaveDistinctIds() {
         ShiftCalendar calendar =
                 calendar(
                         "UTC",
@@ -107,7 +107,7 @@
     }
 
     @Example
-    void faultsAreNamed() {
+    void reportsAllFaults() {
         SpendingSpecification specification =
                 new SpendingSpecification(
                         "Africa/Fez",
@@ -119,7 +119,7 @@
     }
 
     @Property(seed = "20261202")
-    void shiftsThatMeetOnTheClockCoverEveryMomentOnce(
+    void adjacentShiftsCoverEveryMomentOnce(
             @ForAll @LongRange(min = 1_700_000_000L, max = 1_900_000_000L) long second) {
         ShiftCalendar calendar =
                 calendar(
--- a/masticpond-core/src/test/java/io/masticpond/core/spending/SpendingFailureTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/spending/SpendingFailureTest.java
@@ -17,7 +17,10 @@
 import java.util.Optional;
 import net.jqwik.api.Example;
 
-/** Each failure that the brief names, one by one. */
+/**
+ * Covers each required failure of spending on its own: lost answers, late writes, conflicts,
+ * terminated and paused holders, platform outages, clock steps, cap changes and faulty ledgers.
+ */
 class SpendingFailureTest {
 
     private static final long CAP = 1_000;
@@ -50,33 +53,35 @@
     }
 
     @Example
-    void aLostAnswerWhoseWriteTookEffectIsRecognisedAndSpent() {
+    void recognizesWriteThatTookEffectAfterLostAnswer() {
         SpendingFixture.Node node = start("a", 1);
-        node.mCalls.next(FakeLedgers.CallDisposition.ANSWERED, node.mGate);
-        node.mCalls.next(FakeLedgers.CallDisposition.LOST_AFTER_EFFECT, node.mGate);
-        assertThat(available(node, MORNING)).as("nothing may be spent in doubt").isEqualTo(0);
+        node.mCalls.answerNext(FakeLedgers.CallDisposition.ANSWERED, node.mGate);
+        node.mCalls.answerNext(FakeLedgers.CallDisposition.LOST_AFTER_EFFECT, node.mGate);
+        assertThat(available(node, MORNING))
+                .as("nothing may be spent while the outcome is uncertain")
+                .isEqualTo(0);
         node.settle();
         assertThat(available(node, MORNING) > 0).isTrue();
         assertThat(available(node, MORNING)).isEqualTo(mFixture.allotted(MORNING));
     }
 
     @Example
-    void aLostAnswerWhoseWriteHadNoEffectIsWrittenOnceMore() {
+    void repeatsWriteThatHadNoEffectAfterLostAnswer() {
         SpendingFixture.Node node = start("a", 1);
-        node.mCalls.next(FakeLedgers.CallDisposition.ANSWERED, node.mGate);
-        node.mCalls.next(FakeLedgers.CallDisposition.LOST_BEFORE_EFFECT, node.mGate);
+        node.mCalls.answerNext(FakeLedgers.CallDisposition.ANSWERED, node.mGate);
+        node.mCalls.answerNext(FakeLedgers.CallDisposition.LOST_BEFORE_EFFECT, node.mGate);
         node.settle();
         assertThat(available(node, MORNING) > 0).isTrue();
         assertThat(available(node, MORNING)).isEqualTo(mFixture.allotted(MORNING));
     }
 
     @Example
-    void aWriteThatArrivesLateCountsOnce() {
+    void countsLateWriteOnce() {
         SpendingFixture.Node node = start("a", 1);
-        node.mCalls.next(FakeLedgers.CallDisposition.ANSWERED, node.mGate);
-        node.mCalls.next(FakeLedgers.CallDisposition.LOST_AND_DELAYED, node.mGate);
+        node.mCalls.answerNext(FakeLedgers.CallDisposition.ANSWERED, node.mGate);
+        node.mCalls.answerNext(FakeLedgers.CallDisposition.LOST_AND_DELAYED, node.mGate);
         node.advance(Duration.ofSeconds(1));
-        node.mCalls.next(FakeLedgers.CallDisposition.ANSWERED, node.mGate);
+        node.mCalls.answerNext(FakeLedgers.CallDisposition.ANSWERED, node.mGate);
         mFixture.mLedgers.deliverDelayed();
         node.settle();
         assertThat(available(node, MORNING) > 0).isTrue();
@@ -84,24 +89,26 @@
     }
 
     @Example
-    void anAwayAnswerToTheSecondWriteDoesNotSettleTheFirst() {
+    void unavailableAnswerToSecondWriteDoesNotSettleFirst() {
         SpendingFixture.Node node = start("a", 1);
-        node.mCalls.next(FakeLedgers.CallDisposition.ANSWERED, node.mGate);
-        node.mCalls.next(FakeLedgers.CallDisposition.LOST_AND_DELAYED, node.mGate);
+        node.mCalls.answerNext(FakeLedgers.CallDisposition.ANSWERED, node.mGate);
+        node.mCalls.answerNext(FakeLedgers.CallDisposition.LOST_AND_DELAYED, node.mGate);
         node.advance(Duration.ofSeconds(1));
-        node.mCalls.next(FakeLedgers.CallDisposition.ANSWERED, node.mGate);
-        node.mCalls.next(FakeLedgers.CallDisposition.UNAVAILABLE, node.mGate);
+        node.mCalls.answerNext(FakeLedgers.CallDisposition.ANSWERED, node.mGate);
+        node.mCalls.answerNext(FakeLedgers.CallDisposition.UNAVAILABLE, node.mGate);
         mFixture.mLedgers.deliverDelayed();
         node.settle();
         assertThat(available(node, MORNING)).isEqualTo(mFixture.allotted(MORNING));
     }
 
     @Example
-    void racingWritersAreAllServedAndNothingIsCountedTwice() {
+    void allotsToConcurrentWritersWithoutCountingTwice() {
         List<SpendingFixture.Node> nodes = List.of(start("a", 1), start("b", 2), start("c", 3));
         for (int round = 0; round < 40; round++) {
             nodes.forEach(
-                    node -> node.mCalls.next(FakeLedgers.CallDisposition.ANSWERED, node.mGate));
+                    node ->
+                            node.mCalls.answerNext(
+                                    FakeLedgers.CallDisposition.ANSWERED, node.mGate));
             nodes.forEach(node -> node.advance(Duration.ofMillis(200)));
         }
         long held = nodes.stream().mapToLong(node -> available(node, MORNING)).sum();
@@ -110,10 +117,11 @@
     }
 
     @Example
-    void aHolderThatDiesKeepsItsAllotmentOutOfReach() {
-        SpendingFixture.Node dead = start("a", 1);
-        dead.mCalls.next(FakeLedgers.CallDisposition.ANSWERED, dead.mGate);
-        dead.mCalls.next(FakeLedgers.CallDisposition.LOST_AFTER_EFFECT, dead.mGate);
+    void allotmentOfTerminatedHolderIsNotAllottedAgain() {
+        SpendingFixture.Node terminated = start("a", 1);
+        terminated.mCalls.answerNext(FakeLedgers.CallDisposition.ANSWERED, terminated.mGate);
+        terminated.mCalls.answerNext(
+                FakeLedgers.CallDisposition.LOST_AFTER_EFFECT, terminated.mGate);
         long stranded = mFixture.allotted(MORNING);
         SpendingFixture.Node next = start("a", 2);
         next.settle();
@@ -123,7 +131,7 @@
     }
 
     @Example
-    void aHolderThatWakesInTheNextShiftPaysFromTheNextShift() {
+    void holderResumedInNextShiftIsChargedInNextShift() {
         SpendingFixture.Node paused = start("a", 1);
         paused.settle();
         mFixture.mTime.advance(Duration.between(mFixture.mTime.instant(), EVENING_START));
@@ -143,7 +151,7 @@
     }
 
     @Example
-    void anOutageOverTheBorderNeedsNoCall() {
+    void platformOutageAtShiftBoundaryNeedsNoCall() {
         SpendingFixture.Node node = start("a", 1);
         node.settle();
         Instant before = EVENING_START.minusSeconds(120);
@@ -151,18 +159,18 @@
         node.settle();
         mFixture.mTime.advance(Duration.ofMinutes(3));
         node.mGate.advance();
-        boolean more = true;
-        while (more) {
-            more = node.mCalls.next(FakeLedgers.CallDisposition.UNAVAILABLE, node.mGate);
+        boolean hasNext = true;
+        while (hasNext) {
+            hasNext = node.mCalls.answerNext(FakeLedgers.CallDisposition.UNAVAILABLE, node.mGate);
         }
         assertThat(node.spend())
-                .as("the next shift's allotment was taken before it began")
+                .as("the next shift's allotment was requested before its start")
                 .isTrue();
         assertThat(spentHere(node, EVENING)).isEqualTo(PRICE);
     }
 
     @Example
-    void nearTheBorderBothShiftsAreCharged() {
+    void chargesBothShiftsNearBoundary() {
         SpendingFixture.Node node = start("a", 1);
         node.settle();
         node.advance(Duration.between(mFixture.mTime.instant(), EVENING_START.minusSeconds(60)));
@@ -175,7 +183,7 @@
     }
 
     @Example
-    void aClockThatStepsBackPaysFromTheEarlierShiftAgain() {
+    void clockSteppingBackChargesEarlierShiftAgain() {
         SpendingFixture.Node node = start("a", 1);
         node.settle();
         Duration ahead = Duration.between(mFixture.mTime.instant(), EVENING_START.plusSeconds(60));
@@ -190,7 +198,7 @@
     }
 
     @Example
-    void aCapLoweredInUseIsReachedAtOnceByWhatHoldersReturn() {
+    void loweredCapIsReachedByReturnedAllotments() {
         SpendingFixture.Node node = start("a", 1);
         node.settle();
         spendAll(node);
@@ -198,7 +206,7 @@
         mFixture.mTime.advance(Duration.ofSeconds(1));
         node.mGate.configure(mFixture.configuration(2 * CAP));
         node.settle();
-        assertThat(node.spend()).as("the cap was raised in use").isTrue();
+        assertThat(node.spend()).as("the cap was raised during the shift").isTrue();
         node.mGate.configure(mFixture.configuration(CAP));
         node.settle();
         assertThat(mFixture.allotted(MORNING)).isEqualTo(node.mSpent);
@@ -207,17 +215,17 @@
     }
 
     @Example
-    void anInstanceWithAnOldConfigurationKeepsToTheLoweredCap() {
-        SpendingFixture.Node late = start("late", 1);
-        late.settle();
+    void instanceWithOldConfigurationObservesLoweredCap() {
+        SpendingFixture.Node outdated = start("late", 1);
+        outdated.settle();
         SpendingFixture.Node node = mFixture.node("a", 2, mFixture.configuration(100));
         node.settle();
-        spendAll(late);
+        spendAll(outdated);
         assertThat(mFixture.allotted(MORNING) <= 100).isTrue();
     }
 
     @Example
-    void atTheCapTheRefusalNamesTheNextShift() {
+    void refusalAtCapStatesStartOfNextShift() {
         SpendingFixture.Node node = start("a", 1);
         node.settle();
         spendAll(node);
@@ -230,7 +238,7 @@
     }
 
     @Example
-    void aLedgerThatWentBackIsNotUsedAndSaidSo() {
+    void revertedLedgerIsReportedAndNotUsed() {
         SpendingFixture.Node node = start("a", 1);
         node.settle();
         SpendingCap cap = new SpendingCap(CAP, new ConfigurationVersion(1));
@@ -238,7 +246,7 @@
         mFixture.mLedgers.put(MORNING, new VersionedLedger(50, emptied));
         long held = available(node, MORNING);
         spendAll(node);
-        assertThat(node.mSpent).as("what is held is spent, and no more is taken").isEqualTo(held);
+        assertThat(node.mSpent).as("the holding is spent and no more is allotted").isEqualTo(held);
         assertThat(refusal(node).cause()).isEqualTo(RefusalCause.PLATFORM_AWAY);
         assertThat(mFixture.allotted(MORNING)).isEqualTo(1);
     }
@@ -248,7 +256,7 @@
     }
 
     @Example
-    void anUnreadableLedgerIsNotUsed() {
+    void unreadableLedgerIsNotUsed() {
         SpendingFixture.Node node = mFixture.new Node("a", 1);
         node.mGate.configure(mFixture.configuration(CAP));
         node.mGate.onAnswer(MORNING, new LedgerAnswer.Unreadable("The sum is wrong."));
@@ -257,20 +265,20 @@
     }
 
     @Example
-    void aPlannedStopReturnsWhatIsLeft() {
+    void plannedStopReturnsUnspentAllotment() {
         SpendingFixture.Node node = start("a", 1);
         node.settle();
         node.spend();
         node.mGate.stop();
         assertThat(node.mGate.isStopped()).isFalse();
-        node.mCalls.next(FakeLedgers.CallDisposition.LOST_AFTER_EFFECT, node.mGate);
+        node.mCalls.answerNext(FakeLedgers.CallDisposition.LOST_AFTER_EFFECT, node.mGate);
         node.settle();
         assertThat(node.mGate.isStopped()).isTrue();
         assertThat(mFixture.allotted(MORNING)).isEqualTo(PRICE);
     }
 
     @Example
-    void refundedMoneyCanBeSpentAgain() {
+    void refundedAmountCanBeSpentAgain() {
         SpendingFixture.Node node = start("a", 1);
         node.settle();
         long before = available(node, MORNING);
@@ -281,7 +289,7 @@
     }
 
     @Example
-    void underCapZeroOnlyPriceZeroIsPaid() {
+    void capOfZeroAllowsOnlyPriceZero() {
         SpendingFixture.Node node = mFixture.node("a", 1, mFixture.configuration(0));
         node.settle();
         assertThat(node.mGate.charge(SERVICE, 0).isRight()).isTrue();
@@ -289,7 +297,7 @@
     }
 
     @Example
-    void aLedgerForgetsTheHolderThatChangedLongestAgoButNotItsSum() {
+    void ledgerCompactsHoldingsThatChangedLongestAgo() {
         SpendingCap cap = new SpendingCap(1_000_000, new ConfigurationVersion(1));
         SpendingLedger ledger = SpendingLedger.empty(MORNING, cap);
         for (int index = 0; index < 500; index++) {
--- a/masticpond-core/src/test/java/io/masticpond/core/spending/SpendingFixture.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/spending/SpendingFixture.java
@@ -21,7 +21,10 @@
 import java.util.List;
 import java.util.Optional;
 
-/** One service with two shifts a day, and gates over ledgers whose calls the test carries out. */
+/**
+ * Test fixture: one service with two shifts a day, and gates over ledgers whose calls the test
+ * performs.
+ */
 final class SpendingFixture {
 
     static final ServiceId SERVICE = new ServiceId("plate-ledger");
@@ -56,7 +59,7 @@
                 new ConfigurationVersion(mVersion), Optional.of(new PlanId("plan")), content);
     }
 
-    /** Makes a gate of one instance with its calls waiting. */
+    /** Creates the gate of one instance, whose calls wait. */
     Node node(String name, long incarnation, Configuration configuration) {
         Node node = new Node(name, incarnation);
         node.mGate.configure(configuration);
@@ -72,7 +75,7 @@
         return new ShiftSpecification(name, start, start.plusHours(8), capMicros);
     }
 
-    /** One run of an instance; what it spends is counted from outside its state machines. */
+    /** One incarnation of an instance; its spending is counted outside its state machines. */
     final class Node {
 
         final FakeLedgers.Calls mCalls = mLedgers.calls();
@@ -96,7 +99,9 @@
             mGate.advance();
         }
 
-        /** Answers every call, and lets time pass in between for what waits. */
+        /**
+         * Answers every call and advances the time in between, so that delayed calls become due.
+         */
         void settle() {
             for (int round = 0; round < 20; round++) {
                 mCalls.answerAll(mGate);
@@ -106,9 +111,9 @@
         }
 
         boolean spend() {
-            boolean paid = mGate.charge(SERVICE, PRICE).isRight();
-            mSpent += paid ? PRICE : 0;
-            return paid;
+            boolean isCharged = mGate.charge(SERVICE, PRICE).isRight();
+            mSpent += isCharged ? PRICE : 0;
+            return isCharged;
         }
     }
 }
--- a/masticpond-core/src/test/java/io/masticpond/core/spending/SpendingProperties.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/spending/SpendingProperties.java
@@ -11,12 +11,12 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** Drives the steps of spending.als through the state machines, in any order. */
+/** Runs the steps of the specification spending.als on the state machines, in any order. */
 class SpendingProperties {
 
     private static final int INSTANCES = 3;
 
-    /** A step of the specification, at one instance. */
+    /** Kind of a step of the specification, performed at one instance. */
     private enum Kind {
         SPEND,
         ANSWERED,
@@ -51,22 +51,22 @@
     }
 
     @Property(tries = 2_000, seed = "20261202")
-    void spendingStaysUnderTheHighestCapWhateverHappens(@ForAll("steps") List<Step> steps) {
+    void spendingStaysUnderHighestCap(@ForAll("steps") List<Step> steps) {
         Run run = new Run();
         for (Step step : steps) {
-            run.take(step);
+            run.perform(step);
             run.check();
         }
     }
 
-    /** Three instances and what became of their predecessors. */
+    /** Three instances, with the spending of their terminated predecessors. */
     private static final class Run {
 
         private final SpendingFixture mFixture = new SpendingFixture();
         private final List<SpendingFixture.Node> mNodes = new ArrayList<>();
         private Configuration mConfiguration = mFixture.configuration(1_000);
         private long mHighestCap = 1_000;
-        private long mSpentByEnded;
+        private long mSpentByTerminated;
         private long mIncarnation = 1;
 
         Run() {
@@ -75,7 +75,7 @@
             }
         }
 
-        void take(Step step) {
+        void perform(Step step) {
             SpendingFixture.Node node = mNodes.get(step.instance());
             switch (step.kind()) {
                 case SPEND -> spend(node, step.amount());
@@ -86,7 +86,7 @@
                 case CHANGE_CAP -> changeCap(node, step.amount() * 50L);
                 default -> {
                     node.advance(Duration.ofMillis(600));
-                    node.mCalls.next(
+                    node.mCalls.answerNext(
                             FakeLedgers.CallDisposition.valueOf(step.kind().name()), node.mGate);
                 }
             }
@@ -94,7 +94,7 @@
 
         void check() {
             long allotted = mFixture.allotted(SpendingFixture.MORNING);
-            long spent = mSpentByEnded;
+            long spent = mSpentByTerminated;
             for (SpendingFixture.Node node : mNodes) {
                 spent += node.mSpent;
             }
@@ -111,7 +111,7 @@
         }
 
         private void restart(int index) {
-            mSpentByEnded += mNodes.get(index).mSpent;
+            mSpentByTerminated += mNodes.get(index).mSpent;
             mNodes.set(index, start(index));
         }
 
