--- a/masticpond-core/src/main/java/io/masticpond/core/spending/AllotmentPolicy.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/AllotmentPolicy.java
@@ -38,7 +38,7 @@
      * @param ratePerSecond the holder's rate of spending in millionths a second
      * @param remainingMicros what may still be allotted
      * @param holders how many instances share the ledger, positive
-     * @param priceMicros the highest price seen
+     * @param priceMicros the highest known price
      * @return the amount in millionths, not limited to the remainder
      */
     public long target(double ratePerSecond, long remainingMicros, int holders, long priceMicros) {
@@ -53,7 +53,7 @@
      *
      * @param ratePerSecond the holder's rate of spending in millionths a second
      * @param holders how many instances share the ledger, positive
-     * @param priceMicros the highest price seen
+     * @param priceMicros the highest known price
      * @return the amount in millionths
      */
     public long minimumAllotment(double ratePerSecond, int holders, long priceMicros) {
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerExchange.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerExchange.java
@@ -44,11 +44,11 @@
     private long mVersion;
     private long mReadNanos;
     private long mNotBeforeNanos;
-    private boolean mCalling;
-    private LedgerChange mPending;
-    private boolean mUncertain;
+    private boolean mIsCallInProgress;
+    private LedgerChange mPendingChange;
+    private boolean mIsUncertain;
     private boolean mIsFirstCallSpread;
-    private boolean mStale = true;
+    private boolean mIsStale = true;
 
     /**
      * The ledger before the platform was restored from an older copy; null once its contents are
@@ -77,7 +77,7 @@
      * change.
      */
     void cap(SpendingCap cap) {
-        mStale |= cap.micros() != mCap.micros();
+        mIsStale |= cap.micros() != mCap.micros();
         mCap = cap;
         mLedgerWithCap = mLedger == null ? null : mLedger.withCap(cap);
     }
@@ -118,24 +118,24 @@
 
     /** Determines whether a call may be made now. */
     boolean canCall() {
-        return !mCalling && mTimeSource.monotonicNanos() - mNotBeforeNanos >= 0;
+        return !mIsCallInProgress && mTimeSource.monotonicNanos() - mNotBeforeNanos >= 0;
     }
 
     /** Determines whether the outcome of a change is still unknown. */
     boolean isPending() {
-        return mPending != null;
+        return mPendingChange != null;
     }
 
     /** Determines whether the ledger must be read before it can be changed. */
     boolean mustRead() {
-        return mStale || isPending() || mLostLedger != null;
+        return mIsStale || isPending() || mLostLedger != null;
     }
 
     /**
      * Forces a read of the ledger before the next change, since the platform may have lost changes.
      */
     void readAgain() {
-        mStale = true;
+        mIsStale = true;
     }
 
     /** Returns the time since the ledger was last read, in nanoseconds. */
@@ -150,7 +150,7 @@
 
     /** Reads the ledger, which also determines the outcome of a pending change. */
     void read() {
-        mCalling = true;
+        mIsCallInProgress = true;
         mSink.read(mKey);
     }
 
@@ -179,8 +179,8 @@
      * change, if its outcome is now known.
      */
     Optional<Settlement> onAnswer(LedgerAnswer answer) {
-        Assert.isTrue(mCalling, "No call for the ledger %s is in progress.", mKey);
-        mCalling = false;
+        Assert.isTrue(mIsCallInProgress, "No call for the ledger %s is in progress.", mKey);
+        mIsCallInProgress = false;
         if (answer instanceof LedgerAnswer.Found found) {
             return acceptRead(found.ledger());
         }
@@ -192,15 +192,15 @@
             return conflicted(conflicted.current());
         }
         if (answer instanceof LedgerAnswer.Uncertain) {
-            mUncertain = true;
+            mIsUncertain = true;
             delay(mConflictBackoff);
             return Optional.empty();
         }
         boolean faulty = answer instanceof LedgerAnswer.Unreadable;
         mState = faulty ? AccountState.FAULTY : AccountState.UNAVAILABLE;
-        mStale |= faulty;
+        mIsStale |= faulty;
         delay(mUnavailableBackoff);
-        return mUncertain ? Optional.empty() : settle(Settlement.Outcome.NO_EFFECT);
+        return mIsUncertain ? Optional.empty() : settle(Settlement.Outcome.NO_EFFECT);
     }
 
     private long nextSequence() {
@@ -210,30 +210,30 @@
     private void change(long delta, long sequence, UnaryOperator<SpendingLedger> step) {
         Assert.isTrue(!isPending(), "A change of the ledger %s is still pending.", mKey);
         SpendingLedger after = step.apply(mLedgerWithCap);
-        mPending = new LedgerChange(mVersion, mHolder, sequence, delta, after);
-        mUncertain = false;
+        mPendingChange = new LedgerChange(mVersion, mHolder, sequence, delta, after);
+        mIsUncertain = false;
         send();
     }
 
     private void send() {
-        mCalling = true;
-        mSink.write(mPending);
+        mIsCallInProgress = true;
+        mSink.write(mPendingChange);
     }
 
     private Optional<Settlement> written(long version) {
         Assert.isTrue(isPending(), "No change of the ledger %s is pending.", mKey);
-        accept(version, mPending.ledger());
+        accept(version, mPendingChange.ledger());
         mConflictBackoff.reset();
         return settle(Settlement.Outcome.TOOK_EFFECT);
     }
 
     private Optional<Settlement> conflicted(Optional<VersionedLedger> current) {
-        mStale = current.isEmpty();
-        if (mUncertain) {
-            return mStale ? Optional.empty() : acceptRead(current);
+        mIsStale = current.isEmpty();
+        if (mIsUncertain) {
+            return mIsStale ? Optional.empty() : acceptRead(current);
         }
         Optional<Settlement> settlement = settle(Settlement.Outcome.NO_EFFECT);
-        if (!mStale) {
+        if (!mIsStale) {
             acceptRead(current);
         }
         return settlement;
@@ -247,14 +247,17 @@
         if (isPlatformRestored(version)) {
             mLostLedger = mLostLedger == null ? mLedger : mLostLedger.mergedWith(mLedger);
             Optional<Settlement> settlement =
-                    settle(mUncertain ? Settlement.Outcome.UNKNOWN : Settlement.Outcome.NO_EFFECT);
+                    settle(
+                            mIsUncertain
+                                    ? Settlement.Outcome.UNKNOWN
+                                    : Settlement.Outcome.NO_EFFECT);
             accept(version, ledger);
             restore();
             return settlement;
         }
         if (!follows(version, ledger.revision())) {
             mState = AccountState.FAULTY;
-            mStale = true;
+            mIsStale = true;
             delay(mUnavailableBackoff);
             return Optional.empty();
         }
@@ -295,28 +298,28 @@
     }
 
     private Optional<Settlement> settleBy(long version, SpendingLedger ledger) {
-        if (mPending.isAppliedIn(ledger)) {
+        if (mPendingChange.isAppliedIn(ledger)) {
             return settle(Settlement.Outcome.TOOK_EFFECT);
         }
-        if (version == mPending.expectedVersion()) {
+        if (version == mPendingChange.expectedVersion()) {
             send();
             return Optional.empty();
         }
-        boolean isCompacted = mUncertain && mPending.mayBeCompactedIn(ledger);
+        boolean isCompacted = mIsUncertain && mPendingChange.mayBeCompactedIn(ledger);
         return settle(isCompacted ? Settlement.Outcome.UNKNOWN : Settlement.Outcome.NO_EFFECT);
     }
 
     private Optional<Settlement> settle(Settlement.Outcome outcome) {
-        if (mPending == null) {
+        if (mPendingChange == null) {
             return Optional.empty();
         }
-        Settlement settlement = new Settlement(mPending.deltaMicros(), outcome);
+        Settlement settlement = new Settlement(mPendingChange.deltaMicros(), outcome);
         if (mIsRestoring && outcome == Settlement.Outcome.TOOK_EFFECT) {
             mLostLedger = null;
         }
         mIsRestoring = false;
-        mPending = null;
-        mUncertain = false;
+        mPendingChange = null;
+        mIsUncertain = false;
         return Optional.of(settlement);
     }
 
@@ -326,7 +329,7 @@
         mLedgerWithCap = ledger.withCap(mCap);
         mReadNanos = mTimeSource.monotonicNanos();
         mState = AccountState.OPEN;
-        mStale = false;
+        mIsStale = false;
         mUnavailableBackoff.reset();
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/ShiftCalendar.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/ShiftCalendar.java
@@ -108,12 +108,12 @@
      *     moment is between shifts
      */
     public List<Shift> chargedAt(Instant moment) {
-        Optional<Shift> own = at(moment);
-        if (own.isEmpty()) {
+        Optional<Shift> current = at(moment);
+        if (current.isEmpty()) {
             return List.of();
         }
         List<Shift> charged = new ArrayList<>();
-        charged.add(own.get());
+        charged.add(current.get());
         addIfAbsent(at(moment.minus(mClockError)), charged);
         addIfAbsent(at(moment.plus(mClockError)), charged);
         return charged;
