--- a/masticpond-core/src/main/java/io/masticpond/core/operation/CallerKey.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/CallerKey.java
@@ -7,35 +7,35 @@
 import java.util.HexFormat;
 
 /**
- * A key that a caller made itself, as the name of its claim.
+ * Name of the claim of a key that a caller chose itself.
  *
- * @param text a digest in hexadecimal digits, which tells neither the key nor the caller
+ * @param text a digest in hexadecimal digits, which reveals neither the key nor the caller
  * @since 0.1
  */
 public record CallerKey(String text) {
 
-    /** The greatest length of a caller's own key, in characters. */
+    /** Maximum length of a caller's own key, in characters. */
     public static final int MAXIMUM_LENGTH = 255;
 
-    private static final int KEPT_BYTES = 16;
+    private static final int DIGEST_BYTES = 16;
     private static final int HEXADECIMAL = 16;
     private static final int BUCKET_DIGITS = 7;
 
-    /** Checks the text. */
+    /** Validates the text. */
     public CallerKey {
         Assert.isTrue(
-                text != null && text.length() == 2 * KEPT_BYTES,
+                text != null && text.length() == 2 * DIGEST_BYTES,
                 "The name of a claim must have %d digits, but was '%s'.",
-                2 * KEPT_BYTES,
+                2 * DIGEST_BYTES,
                 text);
     }
 
     /**
-     * Names the claim of a caller's key.
+     * Computes the name of the claim of a caller's key.
      *
-     * @param scope what keeps the keys of unrelated callers apart, such as the service and the
-     *     credentials of the caller
-     * @param key the key that the caller made
+     * @param scope the scope that separates the keys of unrelated callers, such as the service and
+     *     the credentials of the caller
+     * @param key the key that the caller chose
      * @return the name
      */
     public static CallerKey of(String scope, String key) {
@@ -47,14 +47,14 @@
         digest.update(scope.getBytes(StandardCharsets.UTF_8));
         digest.update((byte) 0);
         byte[] bytes = digest.digest(key.getBytes(StandardCharsets.UTF_8));
-        return new CallerKey(HexFormat.of().formatHex(Arrays.copyOf(bytes, KEPT_BYTES)));
+        return new CallerKey(HexFormat.of().formatHex(Arrays.copyOf(bytes, DIGEST_BYTES)));
     }
 
     /**
-     * Tells which bucket holds the claim.
+     * Returns which bucket holds the claim.
      *
      * @param buckets the number of buckets
-     * @return the number of the bucket, from 0
+     * @return the number of the bucket, starting from 0
      */
     public int bucket(int buckets) {
         return Integer.parseInt(text.substring(0, BUCKET_DIGITS), HEXADECIMAL) % buckets;
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/ClaimBatcher.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/ClaimBatcher.java
@@ -13,16 +13,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Claims callers' own keys at the platform, many in one conditional update: a state machine for one
- * thread.
+ * Batcher that claims callers' own keys at the platform, many in one conditional update. A state
+ * machine that must be used by one thread only.
  *
- * <p>A claim holds once the platform is known to hold it. An update whose answer was lost is
- * settled by reading back and, if it has not taken effect, by another update with the same
- * condition, of which at most one takes effect. An attempt that was given up may still be written
- * later; that is harmless, since its operation key names this instance, which has not run it and
- * would run it for a repeat only.
+ * <p>A claim is valid once it is known to be stored at the platform. The outcome of an update whose
+ * answer was lost is determined by reading back and, if it has not taken effect, by another update
+ * with the same condition, at most one of which takes effect. An abandoned attempt may still be
+ * written later; that is harmless, since its operation key names this instance, which has not run
+ * the operation and would run it for a repeated request only.
  *
- * <p>For each bucket at most one call is under way; requests that come meanwhile share the next.
+ * <p>For each bucket at most one call is in progress; requests that arrive meanwhile share the next
+ * one.
  *
  * @since 0.1
  */
@@ -36,11 +37,11 @@
     private int mWaiting;
 
     /**
-     * Makes a batcher without claims.
+     * Creates a batcher without claims.
      *
      * @param limits the limits
      * @param timeSource the clocks
-     * @param random spreads calls after a conflict
+     * @param random the source of randomness that spreads calls after a conflict
      */
     public ClaimBatcher(ClaimLimits limits, TimeSource timeSource, RandomGenerator random) {
         mLimits = Assert.notNull(limits, "Limits");
@@ -53,8 +54,8 @@
      * Claims a caller's key.
      *
      * @param entry the caller's key and the operation key that it is to be bound to
-     * @param deadlineNanos when the request gives up, in nanoseconds of the time source
-     * @param listener takes the one result
+     * @param deadlineNanos the deadline of the request, in nanoseconds of the time source
+     * @param listener the listener that is notified of the result exactly once
      */
     public void submit(ClaimEntry entry, long deadlineNanos, Consumer<ClaimResult> listener) {
         if (mWaiting >= mLimits.maximumWaiting()) {
@@ -65,11 +66,11 @@
         mWaiting++;
         mBuckets.computeIfAbsent(number, Bucket::new)
                 .mWaiting
-                .add(new Waiter(entry, deadlineNanos, listener));
+                .add(new WaitingRequest(entry, deadlineNanos, listener));
     }
 
     /**
-     * Gives the calls to make now; each must be followed by one {@link #answered}.
+     * Returns the calls to make now; each must be followed by one call of {@link #answered}.
      *
      * @return the calls, at most one for each bucket
      */
@@ -77,31 +78,33 @@
         long now = mTimeSource.monotonicNanos();
         List<ClaimCall> calls = new ArrayList<>();
         for (Bucket bucket : mBuckets.values()) {
-            bucket.giveUpOverdue(now);
+            bucket.expireOverdue(now);
             bucket.nextCall(now).ifPresent(calls::add);
         }
         return calls;
     }
 
     /**
-     * Takes what became of a call.
+     * Processes the answer to a call.
      *
      * @param call the call
-     * @param answer what became of it
+     * @param answer the answer of the platform
      */
     public void answered(ClaimCall call, StoreAnswer<ClaimContents> answer) {
         Bucket bucket = mBuckets.get(call.bucket());
-        Assert.isTrue(bucket != null && bucket.mBusy, "No call is under way for %s.", call);
+        Assert.isTrue(
+                bucket != null && bucket.mIsCallInProgress, "No call is in progress for %s.", call);
         bucket.answered(call, answer);
     }
 
-    /** Forgets the contents of buckets that no request waits for, to save memory. */
+    /** Discards the cached contents of buckets that no request waits for, to save memory. */
     public void forgetIdle() {
-        mBuckets.values().removeIf(bucket -> !bucket.mBusy && bucket.mWaiting.isEmpty());
+        mBuckets.values()
+                .removeIf(bucket -> !bucket.mIsCallInProgress && bucket.mWaiting.isEmpty());
     }
 
     /**
-     * Counts the requests that wait for their claim.
+     * Returns the number of requests that wait for their claim.
      *
      * @return the count
      */
@@ -109,63 +112,66 @@
         return mWaiting;
     }
 
-    /** A request that waits for its claim. */
-    private static final class Waiter {
+    /** Request that waits for its claim. */
+    private static final class WaitingRequest {
 
         private final ClaimEntry mEntry;
         private final long mDeadlineNanos;
         private final Consumer<ClaimResult> mListener;
 
-        Waiter(ClaimEntry entry, long deadlineNanos, Consumer<ClaimResult> listener) {
+        WaitingRequest(ClaimEntry entry, long deadlineNanos, Consumer<ClaimResult> listener) {
             mEntry = entry;
             mDeadlineNanos = deadlineNanos;
             mListener = listener;
         }
     }
 
-    /** One bucket as this instance last saw it. */
+    /** Bucket as last read or written by this instance. */
     private final class Bucket {
 
         private final int mNumber;
-        private final Set<Waiter> mWaiting = new LinkedHashSet<>();
+        private final Set<WaitingRequest> mWaiting = new LinkedHashSet<>();
         private ClaimContents mContents;
-        private boolean mBusy;
+        private boolean mIsCallInProgress;
         private long mNotBefore = Long.MIN_VALUE;
 
         Bucket(int number) {
             mNumber = number;
         }
 
-        void giveUpOverdue(long now) {
-            for (Waiter waiter : List.copyOf(mWaiting)) {
-                if (waiter.mDeadlineNanos - now <= 0) {
-                    end(waiter, new ClaimResult.Unavailable());
+        void expireOverdue(long now) {
+            for (WaitingRequest request : List.copyOf(mWaiting)) {
+                if (request.mDeadlineNanos - now <= 0) {
+                    complete(request, new ClaimResult.Unavailable());
                 }
             }
         }
 
         Optional<ClaimCall> nextCall(long now) {
-            boolean early = mNotBefore != Long.MIN_VALUE && mNotBefore - now > 0;
-            if (mBusy || mWaiting.isEmpty() || early) {
+            boolean isTooEarly = mNotBefore != Long.MIN_VALUE && mNotBefore - now > 0;
+            if (mIsCallInProgress || mWaiting.isEmpty() || isTooEarly) {
                 return Optional.empty();
             }
             Optional<ClaimCall> call =
                     mContents == null ? Optional.of(new ClaimCall.Read(mNumber)) : nextWrite();
-            mBusy = call.isPresent();
+            mIsCallInProgress = call.isPresent();
             mNotBefore = now + mLimits.interval().toNanos();
             return call;
         }
 
-        /** Settles what the contents settle and writes the rest. */
+        /**
+         * Resolves the requests whose keys are in the contents, and returns the write for the
+         * others.
+         */
         private Optional<ClaimCall> nextWrite() {
             Map<CallerKey, OperationKey> claims = unexpired();
-            settle(claims);
+            resolve(claims);
             Map<CallerKey, OperationKey> next = new HashMap<>(claims);
-            for (Waiter waiter : List.copyOf(mWaiting)) {
-                ClaimEntry entry = waiter.mEntry;
+            for (WaitingRequest request : List.copyOf(mWaiting)) {
+                ClaimEntry entry = request.mEntry;
                 if (next.size() >= mLimits.maximumClaims()
                         && !next.containsKey(entry.callerKey())) {
-                    end(waiter, new ClaimResult.Full());
+                    complete(request, new ClaimResult.Full());
                     continue;
                 }
                 next.putIfAbsent(entry.callerKey(), entry.operationKey());
@@ -181,37 +187,43 @@
             return mContents.unexpired(mClock.millis() - mLimits.clockError().toMillis());
         }
 
-        private void settle(Map<CallerKey, OperationKey> claims) {
-            for (Waiter waiter : List.copyOf(mWaiting)) {
-                OperationKey holder = claims.get(waiter.mEntry.callerKey());
+        private void resolve(Map<CallerKey, OperationKey> claims) {
+            for (WaitingRequest request : List.copyOf(mWaiting)) {
+                OperationKey holder = claims.get(request.mEntry.callerKey());
                 if (holder == null) {
                     continue;
                 }
-                boolean own = holder.equals(waiter.mEntry.operationKey());
-                end(waiter, own ? new ClaimResult.Claimed() : new ClaimResult.HeldBy(holder));
+                boolean isOwn = holder.equals(request.mEntry.operationKey());
+                complete(
+                        request,
+                        isOwn ? new ClaimResult.Claimed() : new ClaimResult.HeldBy(holder));
             }
         }
 
         void answered(ClaimCall call, StoreAnswer<ClaimContents> answer) {
-            mBusy = false;
+            mIsCallInProgress = false;
             if (answer instanceof StoreAnswer.Written<ClaimContents> written) {
                 ClaimCall.Write write = (ClaimCall.Write) call;
                 mContents = new ClaimContents(written.version(), write.contents().claims());
-                settle(mContents.claims());
+                resolve(mContents.claims());
             } else if (answer instanceof StoreAnswer.Held<ClaimContents> held) {
                 mContents = held.contents();
-                settle(unexpired());
-                spread(call);
+                resolve(unexpired());
+                spreadNextCall(call);
             } else if (answer instanceof StoreAnswer.Unknown<ClaimContents>) {
                 mContents = null;
             } else if (answer instanceof StoreAnswer.Unavailable<ClaimContents>) {
                 mContents = null;
-                List.copyOf(mWaiting).forEach(waiter -> end(waiter, new ClaimResult.Unavailable()));
+                List.copyOf(mWaiting)
+                        .forEach(request -> complete(request, new ClaimResult.Unavailable()));
             }
         }
 
-        /** Keeps instances that write the same bucket from meeting again. */
-        private void spread(ClaimCall call) {
+        /**
+         * Delays the next call by a random time, so that instances that write the same bucket do
+         * not conflict again.
+         */
+        private void spreadNextCall(ClaimCall call) {
             long interval = mLimits.interval().toNanos();
             if (call instanceof ClaimCall.Write && interval > 0) {
                 mNotBefore = mTimeSource.monotonicNanos() + mRandom.nextLong(interval);
@@ -220,10 +232,10 @@
             }
         }
 
-        private void end(Waiter waiter, ClaimResult result) {
+        private void complete(WaitingRequest request, ClaimResult result) {
             ClaimBatcher.this.mWaiting--;
-            mWaiting.remove(waiter);
-            waiter.mListener.accept(result);
+            mWaiting.remove(request);
+            request.mListener.accept(result);
         }
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/ClaimCall.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/ClaimCall.java
@@ -1,28 +1,28 @@
 package io.masticpond.core.operation;
 
 /**
- * A call to the platform that the claims need next.
+ * Call to the platform that the claims require next.
  *
  * @since 0.1
  */
 public sealed interface ClaimCall {
 
     /**
-     * Gives the bucket that the call is about.
+     * Returns the bucket of the call.
      *
      * @return the number of the bucket
      */
     int bucket();
 
     /**
-     * Read the bucket.
+     * Reads the bucket.
      *
      * @param bucket the number of the bucket
      */
     record Read(int bucket) implements ClaimCall {}
 
     /**
-     * Write the bucket if it still has the version of its contents.
+     * Writes the bucket if it still has the version of its contents.
      *
      * @param bucket the number of the bucket
      * @param contents the expected version, and the claims to write
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/ClaimContents.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/ClaimContents.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /**
- * The claims of one bucket as the platform holds them at one version.
+ * Claims of one bucket as stored at the platform in one version.
  *
  * @param version the version, or 0 if the bucket does not exist yet
  * @param claims the operation key for each caller's key
@@ -13,24 +13,24 @@
  */
 public record ClaimContents(long version, Map<CallerKey, OperationKey> claims) {
 
-    /** A bucket that does not exist yet. */
+    /** Contents of a bucket that does not exist yet. */
     public static final ClaimContents ABSENT = new ClaimContents(0, Map.of());
 
-    /** Checks the version and copies the claims. */
+    /** Validates the version and copies the claims. */
     public ClaimContents {
         Assert.notNegative(version, "The version of a bucket");
         claims = Map.copyOf(claims);
     }
 
     /**
-     * Gives the claims that must still be kept.
+     * Returns the claims that must still be retained.
      *
      * @param forgetBeforeMillis keys that expired before this time are dropped
-     * @return a copy that may be changed
+     * @return a modifiable copy
      */
     Map<CallerKey, OperationKey> unexpired(long forgetBeforeMillis) {
-        Map<CallerKey, OperationKey> kept = new HashMap<>(claims);
-        kept.values().removeIf(key -> key.expiresMillis() < forgetBeforeMillis);
-        return kept;
+        Map<CallerKey, OperationKey> retained = new HashMap<>(claims);
+        retained.values().removeIf(key -> key.expiresMillis() < forgetBeforeMillis);
+        return retained;
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/ClaimEntry.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/ClaimEntry.java
@@ -3,7 +3,8 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * Binds a caller's own key to the operation key of the instance that claims it, its home.
+ * Binding of a caller's own key to the operation key issued by the instance that claims it, its
+ * home.
  *
  * @param callerKey the name of the claim
  * @param operationKey the key under which the operation runs, issued by the claimer
@@ -11,7 +12,7 @@
  */
 public record ClaimEntry(CallerKey callerKey, OperationKey operationKey) {
 
-    /** Checks that both parts are given. */
+    /** Validates that both components are present. */
     public ClaimEntry {
         Assert.notNull(callerKey, "A caller's key");
         Assert.notNull(operationKey, "An operation key");
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/ClaimLimits.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/ClaimLimits.java
@@ -4,14 +4,15 @@
 import java.time.Duration;
 
 /**
- * Bounds the claims and sets how they are grouped.
+ * Limits of the claims and settings of their batching.
  *
- * @param buckets how many objects hold the claims; the same at all instances, for ever
- * @param maximumClaims how many unexpired claims a bucket holds at most
- * @param maximumWaiting how many requests wait for their claim at once
- * @param interval the least time from one call for a bucket to the next
- * @param clockError how far the clocks of two instances may differ; a claim is kept for so much
- *     longer than its key
+ * @param buckets how many objects hold the claims; must be the same at all instances and never
+ *     change
+ * @param maximumClaims the maximum number of unexpired claims in a bucket
+ * @param maximumWaiting the maximum number of requests waiting for their claim
+ * @param interval the minimum time between two calls for a bucket
+ * @param clockError the maximum difference between the clocks of two instances; a claim is retained
+ *     this much longer than its key is valid
  * @since 0.1
  */
 public record ClaimLimits(
@@ -21,11 +22,14 @@
         Duration interval,
         Duration clockError) {
 
-    /** Sixteen buckets of 4,000 claims, a call every 50 ms each, clocks within two minutes. */
+    /**
+     * 16 buckets of 4,000 claims, a call every 50 ms for each bucket, and clocks within two
+     * minutes.
+     */
     public static final ClaimLimits DEFAULT =
             new ClaimLimits(16, 4_000, 10_000, Duration.ofMillis(50), Duration.ofMinutes(2));
 
-    /** Checks the limits. */
+    /** Validates the limits. */
     public ClaimLimits {
         Assert.positive(buckets, "A number of buckets");
         Assert.positive(maximumClaims, "A number of claims");
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/Fingerprint.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/Fingerprint.java
@@ -7,7 +7,8 @@
 import java.util.HexFormat;
 
 /**
- * Tells whether two requests with the same key ask for the same.
+ * Fingerprint of the contents of a request, which shows whether two requests with the same key are
+ * the same.
  *
  * @param text a digest in hexadecimal digits
  * @since 0.1
@@ -16,7 +17,7 @@
 
     private static final String ALGORITHM = "SHA-256";
 
-    /** Checks the text. */
+    /** Validates the text. */
     public Fingerprint {
         Assert.hasText(text, "A fingerprint");
     }
@@ -39,7 +40,7 @@
     }
 
     /**
-     * Makes the digest that fingerprints and names of claims use.
+     * Creates the digest that is used for fingerprints and names of claims.
      *
      * @return a new SHA-256 digest
      */
@@ -47,7 +48,7 @@
         try {
             return MessageDigest.getInstance(ALGORITHM);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("The JDK lacks " + ALGORITHM + ".", e);
+            throw new IllegalStateException("The JDK does not provide " + ALGORITHM + ".", e);
         }
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/HmacKeyAuthenticator.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/HmacKeyAuthenticator.java
@@ -9,22 +9,23 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Authenticates keys by HMAC-SHA256, cut to 128 bits as RFC 2104 allows; safe for all threads.
+ * {@link KeyAuthenticator} that uses HMAC-SHA256, truncated to 128 bits as RFC 2104 allows.
+ * Thread-safe.
  *
  * @since 0.1
  */
 public final class HmacKeyAuthenticator implements KeyAuthenticator {
 
-    /** The least length of a secret, in bytes. */
+    /** Minimum length of a secret, in bytes. */
     public static final int MINIMUM_SECRET_BYTES = 16;
 
     private static final String ALGORITHM = "HmacSHA256";
-    private static final int KEPT_BYTES = 16;
+    private static final int TRUNCATED_BYTES = 16;
 
     private final ThreadLocal<Mac> mMac;
 
     /**
-     * Makes an authenticator with a secret of this run of the instance.
+     * Creates an authenticator with a secret of this incarnation of the instance.
      *
      * @param secret random bytes, at least {@link #MINIMUM_SECRET_BYTES}
      */
@@ -44,7 +45,7 @@
             mac.init(key);
             return mac;
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("The JDK lacks " + ALGORITHM + ".", e);
+            throw new IllegalStateException("The JDK does not provide " + ALGORITHM + ".", e);
         }
     }
 
@@ -53,6 +54,6 @@
         byte[] code = mMac.get().doFinal(text.getBytes(StandardCharsets.UTF_8));
         return Base64.getUrlEncoder()
                 .withoutPadding()
-                .encodeToString(Arrays.copyOf(code, KEPT_BYTES));
+                .encodeToString(Arrays.copyOf(code, TRUNCATED_BYTES));
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/HomeClock.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/HomeClock.java
@@ -6,11 +6,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The clock by which a home issues keys and lets them expire; safe for all threads.
+ * Clock by which a home issues keys and determines their expiry. Thread-safe.
  *
- * <p>It never goes back: it is the later of the wall clock and of the time that has elapsed since
- * the start. A wall clock that steps back therefore cannot revive a key whose outcome is forgotten,
- * and a machine that was suspended counts the time it missed as soon as its wall clock does.
+ * <p>It is monotonic: it shows the later of the wall clock and the start time plus the time elapsed
+ * since. A wall clock that steps back therefore cannot make an expired key valid again after its
+ * outcome was discarded, and a machine that was suspended accounts for the missed time as soon as
+ * its wall clock does.
  *
  * @since 0.1
  */
@@ -22,7 +23,7 @@
     private final AtomicLong mLatestMillis;
 
     /**
-     * Starts at the wall time.
+     * Creates a clock that starts at the current wall time.
      *
      * @param timeSource the clocks of the process
      */
@@ -34,13 +35,15 @@
     }
 
     /**
-     * Tells the time.
+     * Returns the current time.
      *
      * @return milliseconds since the epoch, never less than before
      */
     public long millis() {
-        long elapsed = TimeUnit.NANOSECONDS.toMillis(mTimeSource.monotonicNanos() - mStartNanos);
-        long wall = mTimeSource.instant().toEpochMilli();
-        return mLatestMillis.accumulateAndGet(Math.max(mStartMillis + elapsed, wall), Math::max);
+        long elapsedMillis =
+                TimeUnit.NANOSECONDS.toMillis(mTimeSource.monotonicNanos() - mStartNanos);
+        long wallMillis = mTimeSource.instant().toEpochMilli();
+        return mLatestMillis.accumulateAndGet(
+                Math.max(mStartMillis + elapsedMillis, wallMillis), Math::max);
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/HomeState.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/HomeState.java
@@ -1,15 +1,15 @@
 package io.masticpond.core.operation;
 
 /**
- * The state of the home of a key, as another instance sees it.
+ * State of the home of a key, as seen by another instance.
  *
  * @since 0.1
  */
 public enum HomeState {
-    /** Messages to the home are expected to arrive. */
+    /** Messages to the home are expected to be delivered. */
     REACHABLE,
-    /** The home is silent or unknown; it may be paused or cut off, and come back. */
+    /** The home is unresponsive or unknown; it may be paused or disconnected, and may return. */
     UNREACHABLE,
-    /** A later run of the same instance was seen, so the home never comes back. */
+    /** A later incarnation of the same instance was observed, so the home never returns. */
     TERMINATED
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/KeptOutcome.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/KeptOutcome.java
@@ -3,18 +3,18 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * An outcome that a home keeps, as it is handed over and written to the platform.
+ * Outcome that a home retains, in the form that is handed over and written to the platform.
  *
  * @param <A> the whole answer of a backend server
  * @param key the key
- * @param fingerprint what the request asked for
- * @param outcome how it ended
+ * @param fingerprint the fingerprint of the request
+ * @param outcome the outcome of the operation
  * @since 0.1
  */
 public record KeptOutcome<A>(
         OperationKey key, Fingerprint fingerprint, OperationOutcome<A> outcome) {
 
-    /** Checks that all parts are given. */
+    /** Validates that all components are present. */
     public KeptOutcome {
         Assert.notNull(key, "An operation key");
         Assert.notNull(fingerprint, "A fingerprint");
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/KeyAuthenticator.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/KeyAuthenticator.java
@@ -1,9 +1,10 @@
 package io.masticpond.core.operation;
 
 /**
- * Computes the authenticator that shows that a key was issued by its home.
+ * Strategy interface for computing the authenticator that proves that a key was issued by its home.
  *
- * <p>Only the home checks its keys, so the secret need not leave the process. Safe for all threads.
+ * <p>Only the home verifies its keys, so the secret need not leave the process. Implementations
+ * must be thread-safe.
  *
  * @since 0.1
  */
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/OperationKey.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/OperationKey.java
@@ -7,26 +7,26 @@
 import java.util.regex.Pattern;
 
 /**
- * Names one operation that runs at most once, and the only instance that may run it.
+ * Key of one operation that runs at most once, with the only incarnation that may run it.
  *
- * @param home the run of the instance that issued the key and alone may run the operation
- * @param sequence the number of the key at its home, from 1
- * @param expiresMillis when the home stops running it, in milliseconds since the epoch by the clock
- *     of the home
- * @param authenticator what shows that the home issued the key
+ * @param home the incarnation that issued the key and alone may run the operation
+ * @param sequence the number of the key at its home, starting from 1
+ * @param expiresMillis the time from which the home no longer runs it, in milliseconds since the
+ *     epoch by the clock of the home
+ * @param authenticator the proof that the home issued the key
  * @since 0.1
  */
 public record OperationKey(
         Incarnation home, long sequence, long expiresMillis, String authenticator) {
 
-    /** The greatest length of the text form, in characters. */
+    /** Maximum length of the text form, in characters. */
     public static final int MAXIMUM_LENGTH = 200;
 
     private static final char SEPARATOR = ':';
     private static final int PARTS = 4;
     private static final Pattern AUTHENTICATOR = Pattern.compile("[A-Za-z0-9_-]{1,64}");
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public OperationKey {
         Assert.notNull(home, "The home of an operation key");
         Assert.positive(sequence, "The sequence of an operation key");
@@ -38,9 +38,9 @@
     }
 
     /**
-     * Reads the text form that {@link #toString} gives.
+     * Parses the text form that {@link #toString} returns.
      *
-     * @param text the text, from outside
+     * @param text the text, which may come from an untrusted source
      * @return the key, or empty if the text has another form
      */
     public static Optional<OperationKey> parse(String text) {
@@ -63,7 +63,7 @@
     }
 
     /**
-     * Gives the text that the authenticator covers.
+     * Returns the text that the authenticator covers.
      *
      * @param home the home
      * @param sequence the sequence
@@ -75,7 +75,7 @@
     }
 
     /**
-     * Gives the name of the operation for logs and backend servers, which leaves the key secret.
+     * Returns the id of the operation for logs and backend servers, which does not reveal the key.
      *
      * @return the home and the sequence
      */
@@ -83,7 +83,7 @@
         return home.toString() + SEPARATOR + sequence;
     }
 
-    /** Gives the form for headers, which {@link #parse} reads. */
+    /** Returns the text form for headers, which {@link #parse} reads. */
     @Override
     public String toString() {
         return authenticatedText(home, sequence, expiresMillis) + SEPARATOR + authenticator;
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/OperationKeyIssuer.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/OperationKeyIssuer.java
@@ -8,9 +8,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Issues the keys of one home and recognises them again; safe for all threads.
+ * Issuer of the operation keys of one home, which also verifies them. Thread-safe.
  *
- * <p>It keeps nothing for each key: the authenticator shows that a key was issued here.
+ * <p>It retains no state for each key: the authenticator proves that a key was issued here.
  *
  * @since 0.1
  */
@@ -23,12 +23,12 @@
     private final AtomicLong mLastSequence = new AtomicLong();
 
     /**
-     * Makes the issuer of a run of an instance.
+     * Creates the issuer of an incarnation.
      *
-     * @param home the run of the instance
-     * @param authenticator computes authenticators with a secret of this run
+     * @param home the incarnation of this instance
+     * @param authenticator the authenticator with a secret of this incarnation
      * @param clock the clock of the home
-     * @param lifetime how long a key can be used
+     * @param lifetime the time for which a key is valid
      */
     public OperationKeyIssuer(
             Incarnation home, KeyAuthenticator authenticator, HomeClock clock, Duration lifetime) {
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Issues a key that was never issued before.
+     * Issues a new key.
      *
      * @return the key
      */
@@ -50,12 +50,12 @@
     }
 
     /**
-     * Tells whether this run of the instance issued a key and nobody altered it.
+     * Determines whether a key was issued by this incarnation and is unaltered.
      *
      * @param key the key
-     * @return whether it did
+     * @return whether the key is authentic
      */
-    public boolean issued(OperationKey key) {
+    public boolean hasIssued(OperationKey key) {
         if (!key.home().equals(mHome)) {
             return false;
         }
@@ -66,9 +66,9 @@
     }
 
     /**
-     * Gives the home of the keys.
+     * Returns the home of the keys.
      *
-     * @return the run of the instance
+     * @return the incarnation of the instance
      */
     public Incarnation home() {
         return mHome;
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/OperationLimits.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/OperationLimits.java
@@ -3,13 +3,14 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * Bounds the memory of a home.
+ * Limits of the memory of a home.
  *
- * @param maximumOperations how many operations may run or have their outcome kept at once
- * @param maximumAnswerBytes how many bytes all kept answers may have together
- * @param largestAnswerBytes the largest answer that is kept; of a larger one only the fact that it
- *     ran is kept
- * @param reservedAnswerBytes the room that a running operation counts for until its answer is known
+ * @param maximumOperations the maximum number of operations that run or whose outcome is retained
+ * @param maximumAnswerBytes the maximum total size of all retained answers, in bytes
+ * @param largestAnswerBytes the maximum size of a retained answer, in bytes; for a larger one only
+ *     the fact that the operation ran is retained
+ * @param reservedAnswerBytes the number of bytes reserved for a running operation until its answer
+ *     is known
  * @since 0.1
  */
 public record OperationLimits(
@@ -18,11 +19,11 @@
         long largestAnswerBytes,
         long reservedAnswerBytes) {
 
-    /** 50,000 outcomes, 16 MiB of answers, none above 256 KiB. */
+    /** 50,000 outcomes, 16 MiB of answers, and at most 256 KiB for one answer. */
     public static final OperationLimits DEFAULT =
             new OperationLimits(50_000, 16L << 20, 256L << 10, 4L << 10);
 
-    /** Checks the limits. */
+    /** Validates the limits. */
     public OperationLimits {
         Assert.positive(maximumOperations, "A number of operations");
         Assert.positive(maximumAnswerBytes, "A number of bytes of all answers");
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/OperationOutcome.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/OperationOutcome.java
@@ -5,7 +5,7 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * Says how an operation ended at its home.
+ * Outcome of an operation at its home.
  *
  * @param <A> the whole answer of a backend server
  * @since 0.1
@@ -13,21 +13,21 @@
 public sealed interface OperationOutcome<A> {
 
     /**
-     * Tells what is known about whether the operation ran.
+     * Returns the verdict on whether the operation ran.
      *
      * @return the verdict
      */
     Verdict verdict();
 
     /**
-     * A backend server answered, and the whole answer is kept.
+     * A backend server answered, and the whole answer is retained.
      *
      * @param <A> the whole answer of a backend server
      * @param answer the answer
      */
     record Answered<A>(A answer) implements OperationOutcome<A> {
 
-        /** Checks the answer. */
+        /** Validates the answer. */
         public Answered {
             Assert.notNull(answer, "An answer");
         }
@@ -39,14 +39,14 @@
     }
 
     /**
-     * There is no answer, or it is too big to be kept.
+     * There is no answer, or it is too large to be retained.
      *
      * @param <A> the whole answer of a backend server
      * @param refusal the reason
      */
     record Refused<A>(Refusal refusal) implements OperationOutcome<A> {
 
-        /** Checks the refusal. */
+        /** Validates the refusal. */
         public Refused {
             Assert.notNull(refusal, "A refusal");
         }
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/OperationRegistry.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/OperationRegistry.java
@@ -18,16 +18,16 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Lets each operation run at most once: the state machine of a home, for one thread.
+ * Registry of a home that ensures that each operation runs at most once. A state machine that must
+ * be used by one thread only.
  *
- * <p>An operation runs only at the run of the instance that issued its key. The home keeps what
- * runs and every outcome that says {@link Verdict#RAN} or {@link Verdict#MAY_HAVE_RUN} until the
- * key expires by the {@link HomeClock}; an operation that {@link Verdict#DID_NOT_RUN} is forgotten
- * at once, which makes its key usable again, here only. When the limits are reached new operations
- * are refused; nothing that could run again is ever forgotten.
+ * <p>An operation runs only at the incarnation that issued its key. The home retains running
+ * operations and every outcome with the verdict {@link Verdict#RAN} or {@link Verdict#MAY_HAVE_RUN}
+ * until the key expires by the {@link HomeClock}; an operation that {@link Verdict#DID_NOT_RUN} is
+ * removed at once, which makes its key usable again at this home only. When the limits are reached,
+ * new operations are refused; an operation that could run again is never removed.
  *
- * <p>An answer never changes once it is kept. {@link Verdict#MAY_HAVE_RUN} may be settled by a late
- * answer.
+ * <p>A retained answer never changes. {@link Verdict#MAY_HAVE_RUN} may be settled by a late answer.
  *
  * @param <A> the whole answer of a backend server
  * @since 0.1
@@ -47,16 +47,16 @@
     private final NavigableSet<OperationKey> mByExpiry = new TreeSet<>(BY_EXPIRY);
     private long mAnswerBytes;
     private int mRunning;
-    private boolean mStopping;
+    private boolean mIsStopping;
 
     /**
-     * Makes the registry of a home that has run nothing yet.
+     * Creates the empty registry of a home.
      *
-     * @param issuer recognises the keys of this home
-     * @param directory knows the other homes
+     * @param issuer the issuer of the keys of this home
+     * @param directory the directory of the other homes
      * @param clock the clock of this home
-     * @param limits the bounds of the memory
-     * @param size tells the size of an answer in bytes
+     * @param limits the limits of the memory
+     * @param size a function that returns the size of an answer in bytes
      */
     public OperationRegistry(
             OperationKeyIssuer issuer,
@@ -72,10 +72,10 @@
     }
 
     /**
-     * Decides what to do with a request.
+     * Decides how to handle a request and registers the operation if it must run.
      *
      * @param key the key of the request
-     * @param fingerprint what the request asks for
+     * @param fingerprint the fingerprint of the request
      * @param head the request
      * @return the decision
      */
@@ -88,19 +88,19 @@
         if (!key.home().equals(mIssuer.home())) {
             return decideForOtherHome(key.home());
         }
-        if (!mIssuer.issued(key)) {
+        if (!mIssuer.hasIssued(key)) {
             return new OperationDecision.ForgedKey<>();
         }
         if (mClock.millis() >= key.expiresMillis()) {
             return new OperationDecision.Expired<>();
         }
-        if (mStopping) {
+        if (mIsStopping) {
             return new OperationDecision.Stopping<>();
         }
         if (isFull()) {
             return new OperationDecision.Full<>();
         }
-        remember(key, new OperationRecord<>(fingerprint));
+        store(key, new OperationRecord<>(fingerprint));
         mRunning++;
         return new OperationDecision.Run<>();
     }
@@ -114,12 +114,13 @@
     }
 
     /**
-     * Ends an operation that was told to run, or settles one that may have run by its late answer.
+     * Completes an operation that had to run, or settles one that may have run by its late answer.
      *
      * @param key the key
-     * @param outcome how it ended
-     * @return what repeats get from now on: the outcome given, or the one kept before
-     * @throws IllegalArgumentException if the operation was never told to run here
+     * @param outcome the outcome of the operation
+     * @return the outcome for repeated requests from now on: the given one, or the one retained
+     *     before
+     * @throws IllegalArgumentException if the operation was never started here
      */
     public OperationOutcome<A> complete(OperationKey key, OperationOutcome<A> outcome) {
         OperationRecord<A> known = mRecords.get(key);
@@ -142,7 +143,10 @@
         return kept.verdict() == Verdict.MAY_HAVE_RUN && outcome.verdict() == Verdict.RAN;
     }
 
-    /** Keeps an outcome, or in place of an answer that finds no room the fact that it ran. */
+    /**
+     * Retains an outcome, or only the fact that the operation ran if there is no room for the
+     * answer.
+     */
     private void keep(OperationRecord<A> operation, OperationOutcome<A> outcome) {
         operation.mOutcome = outcome;
         if (!(outcome instanceof OperationOutcome.Answered<A> answered)) {
@@ -159,7 +163,8 @@
     }
 
     /**
-     * Gives the refusal for a repeat of an operation that ran, but whose answer is not kept.
+     * Returns the refusal for a repeated request of an operation that ran but whose answer is not
+     * retained.
      *
      * @return the refusal
      */
@@ -172,19 +177,19 @@
     }
 
     /**
-     * Takes an outcome over from another home that stops.
+     * Adopts an outcome from another home that is stopping.
      *
      * @param key the key, issued by the other home
-     * @param fingerprint what the request asked for
+     * @param fingerprint the fingerprint of the request
      * @param outcome the outcome, not {@link Verdict#DID_NOT_RUN}
-     * @return whether it is kept; if not, the memory is full or the key has expired
+     * @return whether the outcome is retained; if not, the memory is full or the key has expired
      */
     public boolean adopt(OperationKey key, Fingerprint fingerprint, OperationOutcome<A> outcome) {
         if (mRecords.containsKey(key)) {
             return true;
         }
-        boolean own = key.home().equals(mIssuer.home());
-        if (own || outcome.verdict() == Verdict.DID_NOT_RUN || isFull()) {
+        boolean isOwn = key.home().equals(mIssuer.home());
+        if (isOwn || outcome.verdict() == Verdict.DID_NOT_RUN || isFull()) {
             return false;
         }
         if (mClock.millis() >= key.expiresMillis()) {
@@ -192,11 +197,11 @@
         }
         OperationRecord<A> adopted = new OperationRecord<>(fingerprint);
         keep(adopted, outcome);
-        remember(key, adopted);
+        store(key, adopted);
         return true;
     }
 
-    /** Forgets the outcomes of keys that have expired; a running operation stays. */
+    /** Removes the outcomes of expired keys; running operations are retained. */
     public void forgetExpired() {
         long now = mClock.millis();
         Iterator<OperationKey> keys = mByExpiry.iterator();
@@ -215,15 +220,16 @@
         }
     }
 
-    /** Lets no further operation begin; those that run end as usual. */
+    /** Refuses new operations from now on; running operations complete as usual. */
     public void stop() {
-        mStopping = true;
+        mIsStopping = true;
     }
 
     /**
-     * Lists the outcomes that are kept, for handing them over.
+     * Returns the retained outcomes, for handing them over.
      *
-     * @return key, fingerprint and outcome of each ended operation, the earliest expiry first
+     * @return key, fingerprint and outcome of each completed operation, ordered by expiry with the
+     *     earliest first
      */
     public List<KeptOutcome<A>> keptOutcomes() {
         List<KeptOutcome<A>> kept = new ArrayList<>();
@@ -237,7 +243,7 @@
     }
 
     /**
-     * Counts the operations that run now.
+     * Returns the number of running operations.
      *
      * @return the count
      */
@@ -246,7 +252,7 @@
     }
 
     /**
-     * Counts the operations that run or have their outcome kept.
+     * Returns the number of operations that run or whose outcome is retained.
      *
      * @return the count
      */
@@ -255,7 +261,7 @@
     }
 
     /**
-     * Counts the bytes of the answers that are kept.
+     * Returns the total size of the retained answers in bytes.
      *
      * @return the count
      */
@@ -269,12 +275,12 @@
                 || mAnswerBytes + reserved >= mLimits.maximumAnswerBytes();
     }
 
-    private void remember(OperationKey key, OperationRecord<A> operation) {
+    private void store(OperationKey key, OperationRecord<A> operation) {
         mRecords.put(key, operation);
         mByExpiry.add(key);
     }
 
-    /** What a home knows of one operation; running while it has no outcome. */
+    /** Record of one operation at its home; the operation is running while it has no outcome. */
     private static final class OperationRecord<A> {
 
         private final Fingerprint mFingerprint;
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/OutcomeBatcher.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/OutcomeBatcher.java
@@ -11,23 +11,23 @@
 import java.util.TreeMap;
 
 /**
- * Copies the outcomes of a home to the platform, many in one update: a state machine for one
- * thread.
+ * Batcher that copies the outcomes of a home to the platform, many in one update. A state machine
+ * that must be used by one thread only.
  *
  * <p>Only the home writes its segments, each of which holds the outcomes of consecutive sequences,
- * so an update that was lost or met another version is simply made again. Nothing waits for the
- * copy: a repeat after the death of the home finds the answer if it was written in time, and is
- * told that the operation may have run if not.
+ * so an update that was lost or met another version is simply repeated. No request waits for the
+ * copy: a repeated request after the termination of the home receives the answer if it was written
+ * in time, and otherwise the verdict that the operation may have run.
  *
  * @param <A> the whole answer of a backend server
  * @since 0.1
  */
 public final class OutcomeBatcher<A> {
 
-    /** How many consecutive sequences share a segment. */
+    /** Number of consecutive sequences in a segment. */
     public static final int SEGMENT_SEQUENCES = 64;
 
-    /** How many intervals pass before a platform that was away is tried again. */
+    /** Number of intervals before an unavailable platform is called again. */
     private static final int UNAVAILABLE_RETRY_INTERVALS = 5;
 
     private final TimeSource mTimeSource;
@@ -40,12 +40,13 @@
     private long mDropped;
 
     /**
-     * Makes a batcher without outcomes.
+     * Creates a batcher without outcomes.
      *
      * @param timeSource the clocks
-     * @param interval how long outcomes are gathered before they are written
-     * @param clockError how far the clocks of two instances may differ
-     * @param maximumOutcomes how many outcomes are kept for copying; more are not copied
+     * @param interval the time for which outcomes are collected before they are written
+     * @param clockError the maximum difference between the clocks of two instances
+     * @param maximumOutcomes the maximum number of outcomes held for copying; further ones are not
+     *     copied
      */
     public OutcomeBatcher(
             TimeSource timeSource, Duration interval, Duration clockError, int maximumOutcomes) {
@@ -57,7 +58,7 @@
     }
 
     /**
-     * Tells which segment holds an outcome.
+     * Returns the number of the segment that holds an outcome.
      *
      * @param key the key
      * @return the number of the segment at the home of the key
@@ -67,7 +68,7 @@
     }
 
     /**
-     * Takes an outcome to copy, or what settles one that was taken before.
+     * Adds an outcome to copy, or one that settles an outcome added before.
      *
      * @param outcome the outcome
      */
@@ -82,15 +83,15 @@
         if (segment.mOutcomes.put(outcome.key().sequence(), outcome) == null) {
             mOutcomes++;
         }
-        if (!segment.mDirty && !segment.mBusy) {
+        if (!segment.mIsDirty && !segment.mIsCallInProgress) {
             segment.mNotBefore = now + mIntervalNanos;
         }
-        segment.mDirty = true;
+        segment.mIsDirty = true;
         segment.mExpiresMillis = Math.max(segment.mExpiresMillis, outcome.key().expiresMillis());
     }
 
     /**
-     * Gives the calls to make now; each must be followed by one {@link #answered}.
+     * Returns the calls to make now; each must be followed by one call of {@link #answered}.
      *
      * @return the calls, at most one for each segment
      */
@@ -99,7 +100,8 @@
     }
 
     /**
-     * Gives the calls that a stop needs: what was not written yet is written without waiting.
+     * Returns the calls required for a stop: outcomes that are not written yet are written without
+     * delay.
      *
      * @return the calls, at most one for each segment
      */
@@ -107,19 +109,19 @@
         return nextCalls(true);
     }
 
-    private List<OutcomeCall<A>> nextCalls(boolean atOnce) {
+    private List<OutcomeCall<A>> nextCalls(boolean isImmediate) {
         long now = mTimeSource.monotonicNanos();
         List<OutcomeCall<A>> calls = new ArrayList<>();
         Iterator<Map.Entry<Long, Segment<A>>> entries = mSegments.entrySet().iterator();
         while (entries.hasNext()) {
             Map.Entry<Long, Segment<A>> entry = entries.next();
             Segment<A> segment = entry.getValue();
-            if (segment.mBusy || (segment.mNotBefore - now > 0 && !atOnce)) {
+            if (segment.mIsCallInProgress || (segment.mNotBefore - now > 0 && !isImmediate)) {
                 continue;
             }
             OutcomeCall<A> call = nextCall(entry.getKey(), segment);
             if (call != null) {
-                segment.mBusy = true;
+                segment.mIsCallInProgress = true;
                 segment.mNotBefore = now + mIntervalNanos;
                 calls.add(call);
             } else if (isExpired(segment)) {
@@ -132,16 +134,16 @@
 
     private OutcomeCall<A> nextCall(long number, Segment<A> segment) {
         if (isExpired(segment)) {
-            boolean written = segment.mVersion > 0;
-            return written ? new OutcomeCall.Delete<>(number, segment.mVersion) : null;
+            boolean isWritten = segment.mVersion > 0;
+            return isWritten ? new OutcomeCall.Delete<>(number, segment.mVersion) : null;
         }
-        if (!segment.mDirty) {
+        if (!segment.mIsDirty) {
             return null;
         }
-        if (!segment.mVersionKnown) {
+        if (!segment.mIsVersionKnown) {
             return new OutcomeCall.Read<>(number);
         }
-        segment.mDirty = false;
+        segment.mIsDirty = false;
         return new OutcomeCall.Write<>(
                 number, segment.mVersion, List.copyOf(segment.mOutcomes.values()));
     }
@@ -151,50 +153,53 @@
     }
 
     /**
-     * Takes what became of a call.
+     * Processes the answer to a call.
      *
      * @param call the call
-     * @param answer what became of it; a read gives the version
+     * @param answer the answer of the platform; that to a read contains the version
      */
     public void answered(OutcomeCall<A> call, StoreAnswer<Long> answer) {
         Segment<A> segment = mSegments.get(call.segment());
-        Assert.isTrue(segment != null && segment.mBusy, "No call is under way for %s.", call);
-        segment.mBusy = false;
+        Assert.isTrue(
+                segment != null && segment.mIsCallInProgress,
+                "No call is in progress for %s.",
+                call);
+        segment.mIsCallInProgress = false;
         if (answer instanceof StoreAnswer.Written<Long> written) {
             segment.mVersion = call instanceof OutcomeCall.Delete<A> ? 0 : written.version();
             return;
         }
         if (answer instanceof StoreAnswer.Held<Long> held) {
             segment.mVersion = held.contents();
-            segment.mVersionKnown = true;
+            segment.mIsVersionKnown = true;
         } else if (answer instanceof StoreAnswer.Unknown<Long>) {
-            segment.mVersionKnown = false;
+            segment.mIsVersionKnown = false;
         }
-        segment.mDirty = true;
+        segment.mIsDirty = true;
         segment.mNotBefore = mTimeSource.monotonicNanos() + retryNanos(answer);
     }
 
     private long retryNanos(StoreAnswer<Long> answer) {
-        boolean away =
+        boolean isUnavailable =
                 answer instanceof StoreAnswer.Unavailable
                         || answer instanceof StoreAnswer.Postponed;
-        return away ? mIntervalNanos * UNAVAILABLE_RETRY_INTERVALS : 0;
+        return isUnavailable ? mIntervalNanos * UNAVAILABLE_RETRY_INTERVALS : 0;
     }
 
     /**
-     * Counts the outcomes that the platform is not known to hold.
+     * Returns the number of outcomes that are not known to be stored at the platform.
      *
      * @return the count
      */
     public int unwritten() {
         return mSegments.values().stream()
-                .filter(segment -> segment.mDirty || segment.mBusy)
+                .filter(segment -> segment.mIsDirty || segment.mIsCallInProgress)
                 .mapToInt(segment -> segment.mOutcomes.size())
                 .sum();
     }
 
     /**
-     * Counts the outcomes that were not taken for want of room.
+     * Returns the number of outcomes that were not added because the maximum was reached.
      *
      * @return the count since the start
      */
@@ -202,14 +207,14 @@
         return mDropped;
     }
 
-    /** The outcomes of consecutive sequences. */
+    /** Outcomes of consecutive sequences. */
     private static final class Segment<A> {
 
         private final Map<Long, KeptOutcome<A>> mOutcomes = new TreeMap<>();
         private long mVersion;
-        private boolean mVersionKnown = true;
-        private boolean mDirty;
-        private boolean mBusy;
+        private boolean mIsVersionKnown = true;
+        private boolean mIsDirty;
+        private boolean mIsCallInProgress;
         private long mNotBefore;
         private long mExpiresMillis;
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/OutcomeCall.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/OutcomeCall.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * A call to the platform that the outcomes need next.
+ * Call to the platform that the outcomes require next.
  *
  * @param <A> the whole answer of a backend server
  * @since 0.1
@@ -11,14 +11,14 @@
 public sealed interface OutcomeCall<A> {
 
     /**
-     * Gives the segment that the call is about.
+     * Returns the segment of the call.
      *
      * @return the number of the segment
      */
     long segment();
 
     /**
-     * Read which version the segment has.
+     * Reads the version of the segment.
      *
      * @param <A> the whole answer of a backend server
      * @param segment the number of the segment
@@ -26,7 +26,7 @@
     record Read<A>(long segment) implements OutcomeCall<A> {}
 
     /**
-     * Write the segment if it still has the expected version.
+     * Writes the segment if it still has the expected version.
      *
      * @param <A> the whole answer of a backend server
      * @param segment the number of the segment
@@ -43,7 +43,7 @@
     }
 
     /**
-     * Delete the segment, of which every outcome has expired.
+     * Deletes the segment, all of whose outcomes have expired.
      *
      * @param <A> the whole answer of a backend server
      * @param segment the number of the segment
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/StoreAnswer.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/StoreAnswer.java
@@ -1,9 +1,9 @@
 package io.masticpond.core.operation;
 
 /**
- * What became of a call to the platform that claims or outcomes needed.
+ * Answer of the platform to a call for claims or outcomes.
  *
- * @param <C> what a read gives
+ * @param <C> the type of the contents that a read returns
  * @since 0.1
  */
 public sealed interface StoreAnswer<C> {
@@ -11,37 +11,38 @@
     /**
      * The write took effect.
      *
-     * @param <C> what a read gives
+     * @param <C> the type of the contents that a read returns
      * @param version the new version
      */
     record Written<C>(long version) implements StoreAnswer<C> {}
 
     /**
-     * What the platform holds: the answer to a read, or to a write whose condition did not hold.
+     * The contents stored at the platform: the answer to a read, or to a write whose condition was
+     * not met.
      *
-     * @param <C> what a read gives
+     * @param <C> the type of the contents that a read returns
      * @param contents the contents
      */
     record Held<C>(C contents) implements StoreAnswer<C> {}
 
     /**
-     * The write may have taken effect or may still do so; or its condition did not hold.
+     * The write may have taken effect or may still do so, or its condition was not met.
      *
-     * @param <C> what a read gives
+     * @param <C> the type of the contents that a read returns
      */
     record Unknown<C>() implements StoreAnswer<C> {}
 
     /**
-     * The call had no effect, and one shortly after will have none either.
+     * The call had no effect, and a call shortly after will have none either.
      *
-     * @param <C> what a read gives
+     * @param <C> the type of the contents that a read returns
      */
     record Unavailable<C>() implements StoreAnswer<C> {}
 
     /**
-     * The call was not made, for want of budget; one shortly after may be.
+     * The call was not made for lack of budget; it may be made shortly after.
      *
-     * @param <C> what a read gives
+     * @param <C> the type of the contents that a read returns
      */
     record Postponed<C>() implements StoreAnswer<C> {}
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/package-info.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/package-info.java
@@ -1,2 +1,2 @@
-/** Operations that run at most once, and their outcomes; no I/O. */
+/** Operations that run at most once, and their outcomes. Performs no I/O. */
 package io.masticpond.core.operation;
--- a/masticpond-core/src/test/java/io/masticpond/core/operation/ClaimBatcherTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/operation/ClaimBatcherTest.java
@@ -41,7 +41,7 @@
     }
 
     @Example
-    void claimsThatWaitShareOneUpdate() {
+    void waitingClaimsShareOneUpdate() {
         ClaimEntry first = submit("order 1");
         ClaimEntry second = submit("order 2");
         readAbsent();
@@ -57,7 +57,7 @@
     }
 
     @Example
-    void twoRequestsWithOneKeyGetOneHolder() {
+    void requestsWithSameKeyGetSameHolder() {
         ClaimEntry first = submit("order 1");
         submit("order 1");
         readAbsent();
@@ -68,7 +68,7 @@
     }
 
     @Example
-    void aRequestIsGivenUpAtItsDeadlineAlsoWhileItsUpdateIsUnderWay() {
+    void requestExpiresAtDeadlineWhileUpdateIsInProgress() {
         submit("order 1");
         readAbsent();
         ClaimCall call = onlyCall();
@@ -81,7 +81,7 @@
     }
 
     @Example
-    void callsWithoutBudgetAreMadeLater() {
+    void callsWithoutBudgetArePostponed() {
         submit("order 1");
         mBatcher.answered(onlyCall(), new StoreAnswer.Postponed<>());
         assertThat(mResults).isEmpty();
@@ -91,7 +91,7 @@
     }
 
     @Example
-    void aFullBucketRefusesNewKeysKeepsHeldOnesAndDropsExpiredOnesOnly() {
+    void fullBucketRefusesNewKeysAndRemovesOnlyExpiredOnes() {
         ClaimEntry first = submit("order 1");
         ClaimEntry second = submit("order 2");
         readAbsent();
@@ -112,7 +112,7 @@
     }
 
     @Example
-    void tooManyThatWaitAreRefusedAtOnce() {
+    void refusesRequestWhenTooManyWait() {
         for (int i = 0; i <= LIMITS.maximumWaiting(); i++) {
             submit("order " + i);
         }
--- a/masticpond-core/src/test/java/io/masticpond/core/operation/OnceOnlyProperties.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/operation/OnceOnlyProperties.java
@@ -14,95 +14,95 @@
 import net.jqwik.api.Provide;
 import net.jqwik.api.Tuple;
 
-/** Drives registries and claims through the failures of the model, in any order. */
+/** Runs registries and claims through the failures of the model, in any order. */
 class OnceOnlyProperties {
 
-    /** The steps of the specification once_only.als, as the Java state machines take them. */
+    /** Steps of the specification once_only.als, as performed by the Java state machines. */
     private enum Step {
         SUBMIT {
             @Override
-            void take(OnceOnlySimulation world, Move move) {
-                world.submit(move.home(), move.callerKey());
+            void perform(OnceOnlySimulation simulation, Move move) {
+                simulation.submit(move.home(), move.callerKey());
             }
         },
         CALL {
             @Override
-            void take(OnceOnlySimulation world, Move move) {
-                world.call(move.home(), move.fault());
+            void perform(OnceOnlySimulation simulation, Move move) {
+                simulation.call(move.home(), move.fault());
             }
         },
         END_RUN {
             @Override
-            void take(OnceOnlySimulation world, Move move) {
-                world.endRun(move.home(), move.end());
+            void perform(OnceOnlySimulation simulation, Move move) {
+                simulation.endRun(move.home(), move.end());
             }
         },
         RESTART {
             @Override
-            void take(OnceOnlySimulation world, Move move) {
-                world.restart(move.home(), move.end());
+            void perform(OnceOnlySimulation simulation, Move move) {
+                simulation.restart(move.home(), move.end());
             }
         },
         LATE_WRITE {
             @Override
-            void take(OnceOnlySimulation world, Move move) {
-                world.applyLateWrite();
+            void perform(OnceOnlySimulation simulation, Move move) {
+                simulation.applyLateWrite();
             }
         },
         PARTITION {
             @Override
-            void take(OnceOnlySimulation world, Move move) {
-                world.partition(move.fault() == CallFault.NONE);
+            void perform(OnceOnlySimulation simulation, Move move) {
+                simulation.partition(move.fault() == CallFault.NONE);
             }
         };
 
-        abstract void take(OnceOnlySimulation world, Move move);
+        abstract void perform(OnceOnlySimulation simulation, Move move);
     }
 
     private record Move(Step step, int home, int callerKey, CallFault fault, RunEnd end) {}
 
     @Property(tries = 2_000, seed = "20261202")
-    void noCallersKeyRunsTwiceAndNoVerdictIsFalse(@ForAll("moves") List<Move> moves) {
-        OnceOnlySimulation world = new OnceOnlySimulation();
-        moves.forEach(move -> move.step().take(world, move));
-        world.settle();
+    void noCallerKeyRunsTwiceAndNoVerdictIsFalse(@ForAll("moves") List<Move> moves) {
+        OnceOnlySimulation simulation = new OnceOnlySimulation();
+        moves.forEach(move -> move.step().perform(simulation, move));
+        simulation.settle();
     }
 
     @Example
-    void withoutFaultsEveryInstanceTellsTheOneAnswer() {
-        OnceOnlySimulation world = new OnceOnlySimulation();
+    void allInstancesReturnSameAnswerWithoutFaults() {
+        OnceOnlySimulation simulation = new OnceOnlySimulation();
         for (int round = 0; round < 2; round++) {
             for (int home = 0; home < OnceOnlySimulation.HOMES; home++) {
-                world.submit(home, 0);
+                simulation.submit(home, 0);
             }
-            world.settle();
+            simulation.settle();
         }
-        assertThat(world.mAnswered).isGreaterThanOrEqualTo(OnceOnlySimulation.HOMES + 1);
+        assertThat(simulation.mAnswered).isGreaterThanOrEqualTo(OnceOnlySimulation.HOMES + 1);
     }
 
     @Example
-    void anUpdateWhoseAnswerIsLostIsSettledAndRunsOnce() {
-        OnceOnlySimulation world = new OnceOnlySimulation();
-        world.submit(0, 0);
-        world.call(0, CallFault.NONE);
-        world.call(0, CallFault.ANSWER_LOST_AFTER_EFFECT);
-        world.submit(1, 0);
-        world.settle();
-        assertThat(world.mAnswered).isGreaterThanOrEqualTo(1);
+    void updateWithLostAnswerIsSettledAndRunsOnce() {
+        OnceOnlySimulation simulation = new OnceOnlySimulation();
+        simulation.submit(0, 0);
+        simulation.call(0, CallFault.NONE);
+        simulation.call(0, CallFault.ANSWER_LOST_AFTER_EFFECT);
+        simulation.submit(1, 0);
+        simulation.settle();
+        assertThat(simulation.mAnswered).isGreaterThanOrEqualTo(1);
     }
 
     @Example
-    void anUpdateThatTakesEffectLateRunsOnce() {
-        OnceOnlySimulation world = new OnceOnlySimulation();
-        world.submit(0, 0);
-        world.call(0, CallFault.NONE);
-        world.call(0, CallFault.EFFECT_LATE);
-        world.submit(1, 0);
-        world.call(1, CallFault.NONE);
-        world.applyLateWrite();
-        world.call(1, CallFault.NONE);
-        world.settle();
-        assertThat(world.mAnswered).isGreaterThanOrEqualTo(1);
+    void updateThatTakesEffectLateRunsOnce() {
+        OnceOnlySimulation simulation = new OnceOnlySimulation();
+        simulation.submit(0, 0);
+        simulation.call(0, CallFault.NONE);
+        simulation.call(0, CallFault.EFFECT_LATE);
+        simulation.submit(1, 0);
+        simulation.call(1, CallFault.NONE);
+        simulation.applyLateWrite();
+        simulation.call(1, CallFault.NONE);
+        simulation.settle();
+        assertThat(simulation.mAnswered).isGreaterThanOrEqualTo(1);
     }
 
     @Provide
--- a/masticpond-core/src/test/java/io/masticpond/core/operation/OnceOnlySimulation.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/operation/OnceOnlySimulation.java
@@ -17,15 +17,15 @@
 import java.util.SplittableRandom;
 
 /**
- * Three homes, a store that loses answers and applies writes late, and callers' keys whose runs are
- * counted where they happen, not by what the homes say.
+ * Simulation of three homes and a store that loses answers and applies writes late. The runs of
+ * each caller's key are counted where they happen rather than as reported by the homes.
  */
 final class OnceOnlySimulation {
 
     static final int HOMES = 3;
     static final int CALLER_KEYS = 3;
 
-    private static final long FOR_EVER = Long.MAX_VALUE / 2;
+    private static final long NO_DEADLINE = Long.MAX_VALUE / 2;
     private static final ClaimLimits LIMITS =
             new ClaimLimits(2, 100, 100, Duration.ZERO, Duration.ofMinutes(2));
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /** What becomes of a call to the store. */
+    /** Fault of a call to the store. */
     enum CallFault {
         NONE,
         ANSWER_LOST_AFTER_EFFECT,
@@ -51,7 +51,7 @@
         UNAVAILABLE
     }
 
-    /** How a run ends, and whether it took effect at the backend server. */
+    /** End of a run, and whether it took effect at the backend server. */
     enum RunEnd {
         ANSWERED(true),
         DID_NOT_RUN(false),
@@ -60,8 +60,8 @@
 
         private final boolean mRan;
 
-        RunEnd(boolean ran) {
-            mRan = ran;
+        RunEnd(boolean recordRun) {
+            mRan = recordRun;
         }
     }
 
@@ -92,7 +92,9 @@
         }
     }
 
-    /** Lets everything come to rest without faults, so that each caller's key gets an answer. */
+    /**
+     * Completes all calls and runs without faults, so that each caller's key receives an answer.
+     */
     void settle() {
         mReachable = true;
         for (int round = 0; round < 20; round++) {
@@ -117,7 +119,7 @@
         return true;
     }
 
-    private void ran(int callerKey) {
+    private void recordRun(int callerKey) {
         mRuns[callerKey]++;
         assertThat(mRuns[callerKey]).as("runs of caller's key %d", callerKey).isLessThan(2);
     }
@@ -127,14 +129,15 @@
             assertThat(mRuns[callerKey]).as("runs behind a did-not-run verdict").isZero();
         }
         if (outcome instanceof OperationOutcome.Answered<String> answered) {
-            Set<String> told = mReportedAnswers.computeIfAbsent(callerKey, key -> new HashSet<>());
-            told.add(answered.answer());
-            assertThat(told).as("answers told for one key").hasSize(1);
+            Set<String> reported =
+                    mReportedAnswers.computeIfAbsent(callerKey, key -> new HashSet<>());
+            reported.add(answered.answer());
+            assertThat(reported).as("answers reported for one key").hasSize(1);
             mAnswered++;
         }
     }
 
-    /** One home with its claims. */
+    /** Home with its claims. */
     private final class Home {
 
         private final long mNumber;
@@ -157,7 +160,9 @@
             OperationKey own = mFixture.mIssuer.issue();
             CallerKey name = CallerKey.of("plate-ledger", "order " + callerKey);
             mClaims.submit(
-                    new ClaimEntry(name, own), FOR_EVER, result -> claimed(callerKey, own, result));
+                    new ClaimEntry(name, own),
+                    NO_DEADLINE,
+                    result -> claimed(callerKey, own, result));
         }
 
         private void claimed(int callerKey, OperationKey own, ClaimResult result) {
@@ -170,11 +175,11 @@
             }
         }
 
-        private void begin(int callerKey, OperationKey key, boolean mayPassOn) {
+        private void begin(int callerKey, OperationKey key, boolean canForward) {
             for (int i = 0; i < HOMES; i++) {
-                mFixture.mHomes.put(mHomes[i].mFixture.mIssuer.home(), seen());
-                for (long old = 1; old < mHomes[i].mNumber; old++) {
-                    mFixture.mHomes.put(incarnation(i, old), HomeState.TERMINATED);
+                mFixture.mHomes.put(mHomes[i].mFixture.mIssuer.home(), homeState());
+                for (long earlier = 1; earlier < mHomes[i].mNumber; earlier++) {
+                    mFixture.mHomes.put(incarnation(i, earlier), HomeState.TERMINATED);
                 }
             }
             OperationDecision<String> decision = mFixture.begin(key);
@@ -182,14 +187,14 @@
                 mRunning.put(key, callerKey);
             } else if (decision instanceof OperationDecision.Repeat<String> repeat) {
                 reportOutcome(callerKey, repeat.outcome());
-            } else if (decision instanceof OperationDecision.ForwardToHome && mayPassOn) {
+            } else if (decision instanceof OperationDecision.ForwardToHome && canForward) {
                 List<Home> homes = new ArrayList<>(List.of(mHomes));
                 homes.removeIf(home -> !home.mFixture.mIssuer.home().equals(key.home()));
                 homes.forEach(home -> home.begin(callerKey, key, false));
             }
         }
 
-        private HomeState seen() {
+        private HomeState homeState() {
             return mReachable ? HomeState.REACHABLE : HomeState.UNREACHABLE;
         }
 
@@ -230,7 +235,7 @@
             OperationKey key = mRunning.keySet().iterator().next();
             int callerKey = mRunning.remove(key);
             if (end.mRan) {
-                ran(callerKey);
+                recordRun(callerKey);
             }
             reportOutcome(callerKey, mFixture.mRegistry.complete(key, outcome(key, end)));
         }
@@ -251,7 +256,7 @@
                 }
             }
             if (runsTookEffect) {
-                mRunning.values().forEach(OnceOnlySimulation.this::ran);
+                mRunning.values().forEach(OnceOnlySimulation.this::recordRun);
             }
         }
     }
--- a/masticpond-core/src/test/java/io/masticpond/core/operation/OperationFixture.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/operation/OperationFixture.java
@@ -15,7 +15,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** One home with a clock that the test moves; answers are plain texts. */
+/** Test fixture: one home with a clock that the test controls; answers are plain strings. */
 final class OperationFixture {
 
     static final Duration LIFETIME = Duration.ofMinutes(10);
--- a/masticpond-core/src/test/java/io/masticpond/core/operation/OperationKeyProperties.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/operation/OperationKeyProperties.java
@@ -13,19 +13,20 @@
     private final OperationFixture mHome = new OperationFixture();
 
     @Example
-    void theTextFormOfAnIssuedKeyReadsBack() {
+    void issuedKeyCanBeParsedFromItsText() {
         OperationKey key = mHome.mIssuer.issue();
         assertThat(OperationKey.parse(key.toString())).isEqualTo(Optional.of(key));
-        assertThat(mHome.mIssuer.issued(key)).isTrue();
+        assertThat(mHome.mIssuer.hasIssued(key)).isTrue();
     }
 
     @Property(seed = "20261202")
-    void anyTextEitherReadsBackAsItselfOrIsRefused(@ForAll String text) {
-        OperationKey.parse(text).ifPresent(key -> assertThat(mHome.mIssuer.issued(key)).isFalse());
+    void anyTextIsParsedOrRefused(@ForAll String text) {
+        OperationKey.parse(text)
+                .ifPresent(key -> assertThat(mHome.mIssuer.hasIssued(key)).isFalse());
     }
 
     @Property(seed = "20261202")
-    void aChangeOfOneCharacterIsNoticed(
+    void changeOfOneCharacterIsDetected(
             @ForAll @IntRange(max = 199) int position, @ForAll char character) {
         String text = mHome.mIssuer.issue().toString();
         int at = position % text.length();
@@ -35,6 +36,6 @@
         }
         OperationKey.parse(changed)
                 .filter(key -> key.toString().equals(changed))
-                .ifPresent(key -> assertThat(mHome.mIssuer.issued(key)).isFalse());
+                .ifPresent(key -> assertThat(mHome.mIssuer.hasIssued(key)).isFalse());
     }
 }
--- a/masticpond-core/src/test/java/io/masticpond/core/operation/OperationRegistryTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/operation/OperationRegistryTest.java
@@ -25,7 +25,7 @@
     private final OperationKey mKey = mHome.mIssuer.issue();
 
     @Example
-    void aRepeatGetsTheAnswerOfTheFirst() {
+    void repeatedRequestGetsFirstAnswer() {
         assertThat(mHome.begin(mKey)).isEqualTo(RUN);
         mHome.mRegistry.complete(mKey, answered("reserved"));
         assertThat(mHome.begin(mKey))
@@ -33,13 +33,13 @@
     }
 
     @Example
-    void aRepeatOfWhatRunsNowDoesNotRun() {
+    void repeatOfRunningOperationDoesNotRun() {
         mHome.begin(mKey);
         assertThat(mHome.begin(mKey)).isEqualTo(new OperationDecision.InProgress<>());
     }
 
     @Example
-    void anOperationThatDidNotRunMayRunAgain() {
+    void operationThatDidNotRunMayRunAgain() {
         mHome.begin(mKey);
         mHome.mRegistry.complete(mKey, didNotRun());
         assertThat(mHome.mRegistry.size()).isEqualTo(0);
@@ -47,14 +47,14 @@
     }
 
     @Example
-    void anOperationThatMayHaveRunNeverRunsAgain() {
+    void operationThatMayHaveRunNeverRunsAgain() {
         mHome.begin(mKey);
         mHome.mRegistry.complete(mKey, mayHaveRun());
         assertThat(mHome.begin(mKey)).isEqualTo(new OperationDecision.Repeat<>(mayHaveRun()));
     }
 
     @Example
-    void aLateAnswerSettlesWhatMayHaveRunButChangesNoAnswer() {
+    void lateAnswerSettlesUncertainOutcomeButNotAnAnswer() {
         mHome.begin(mKey);
         mHome.mRegistry.complete(mKey, mayHaveRun());
         mHome.mRegistry.complete(mKey, answered("late"));
@@ -64,7 +64,7 @@
     }
 
     @Example
-    void aLateRefusalDoesNotMakeWhatMayHaveRunRunnable() {
+    void lateRefusalDoesNotAllowUncertainOperationToRun() {
         mHome.begin(mKey);
         mHome.mRegistry.complete(mKey, mayHaveRun());
         mHome.mRegistry.complete(mKey, didNotRun());
@@ -72,7 +72,7 @@
     }
 
     @Example
-    void aKeyIsNotTakenForAnotherRequest() {
+    void keyIsNotAcceptedForDifferentRequest() {
         mHome.begin(mKey);
         assertThat(mHome.mRegistry.begin(mKey, RELEASE, HEAD))
                 .isEqualTo(new OperationDecision.WrongRequest<>());
@@ -82,18 +82,18 @@
     }
 
     @Example
-    void anAlteredKeyIsForged() {
-        OperationKey longer =
+    void alteredKeyIsForged() {
+        OperationKey extended =
                 new OperationKey(
                         mKey.home(),
                         mKey.sequence(),
                         mKey.expiresMillis() + 1,
                         mKey.authenticator());
-        assertThat(mHome.begin(longer)).isEqualTo(new OperationDecision.ForgedKey<>());
+        assertThat(mHome.begin(extended)).isEqualTo(new OperationDecision.ForgedKey<>());
     }
 
     @Example
-    void aRestartedHomeNeverRunsTheKeysOfItsEarlierRun() {
+    void restartedHomeNeverRunsKeysOfEarlierIncarnation() {
         OperationFixture restarted =
                 new OperationFixture(home("casa-1", 2), OperationLimits.DEFAULT);
         restarted.mHomes.put(mKey.home(), HomeState.TERMINATED);
@@ -102,7 +102,7 @@
     }
 
     @Example
-    void aKeyOfAnotherHomeIsPassedOnOnlyWhileThatHomeCanBeReached() {
+    void keyOfOtherHomeIsForwardedOnlyWhileHomeIsReachable() {
         Incarnation other = home("fes-1", 7);
         OperationKey key = new OperationFixture(other, OperationLimits.DEFAULT).mIssuer.issue();
         assertThat(mHome.begin(key)).isEqualTo(new OperationDecision.HomeUnreachable<>(other));
@@ -111,7 +111,7 @@
     }
 
     @Example
-    void anExpiredKeyNeverRunsAlsoWhenTheWallClockGoesBack() {
+    void expiredKeyNeverRunsAfterWallClockStepsBack() {
         mHome.begin(mKey);
         mHome.mRegistry.complete(mKey, answered("reserved"));
         mHome.mTime.advance(LIFETIME);
@@ -122,13 +122,13 @@
     }
 
     @Example
-    void aKeyExpiresWhenTheWallClockAloneMovedOn() {
+    void keyExpiresWhenOnlyWallClockAdvances() {
         mHome.mTime.stepWallClock(LIFETIME);
         assertThat(mHome.begin(mKey)).isEqualTo(EXPIRED);
     }
 
     @Example
-    void whatRunsIsNotForgottenWhenItsKeyExpires() {
+    void runningOperationIsRetainedAfterKeyExpires() {
         mHome.begin(mKey);
         mHome.mTime.advance(LIFETIME.plusSeconds(1));
         mHome.mRegistry.forgetExpired();
@@ -139,7 +139,7 @@
     }
 
     @Example
-    void aFullHomeRefusesAndForgetsNothing() {
+    void fullHomeRefusesNewOperationsAndRetainsOutcomes() {
         OperationFixture small =
                 new OperationFixture(home("casa-1", 1), new OperationLimits(1, 1000, 100, 0));
         OperationKey first = small.mIssuer.issue();
@@ -158,7 +158,7 @@
     }
 
     @Example
-    void anAnswerThatIsTooBigIsKeptAsRan() {
+    void tooLargeAnswerIsRetainedAsRan() {
         OperationFixture small =
                 new OperationFixture(home("casa-1", 1), new OperationLimits(10, 1000, 3, 0));
         OperationKey key = small.mIssuer.issue();
@@ -172,7 +172,7 @@
     }
 
     @Example
-    void aStoppingHomeRunsNothingNewAndStillRepeats() {
+    void stoppingHomeRepeatsOutcomesButRunsNothingNew() {
         mHome.begin(mKey);
         mHome.mRegistry.stop();
         mHome.mRegistry.complete(mKey, answered("reserved"));
@@ -183,7 +183,7 @@
     }
 
     @Example
-    void anAdoptedOutcomeAnswersForItsHomeThatIsGone() {
+    void adoptedOutcomeIsReturnedAfterItsHomeTerminated() {
         OperationFixture other = new OperationFixture(home("fes-1", 7), OperationLimits.DEFAULT);
         other.begin(other.mIssuer.issue());
         OperationKey key = other.mIssuer.issue();
@@ -195,7 +195,7 @@
     }
 
     @Example
-    void endingWhatNeverBeganFails() {
+    void completingUnknownOperationFails() {
         assertThatIllegalArgumentException()
                 .isThrownBy(() -> mHome.mRegistry.complete(mKey, answered("reserved")));
     }
--- a/masticpond-core/src/test/java/io/masticpond/core/operation/OutcomeBatcherTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/operation/OutcomeBatcherTest.java
@@ -33,7 +33,7 @@
     }
 
     @Example
-    void outcomesAreGatheredAndWrittenTogether() {
+    void outcomesAreWrittenInBatches() {
         KeptOutcome<String> first = add(answered("one"));
         KeptOutcome<String> second = add(mayHaveRun());
         assertThat(mBatcher.nextCalls()).isEmpty();
@@ -45,7 +45,7 @@
     }
 
     @Example
-    void anUpdateWhoseAnswerIsLostIsMadeAgainUnderTheVersionReadBack() {
+    void updateWithLostAnswerIsRepeatedWithVersionReadBack() {
         KeptOutcome<String> first = add(answered("one"));
         mBatcher.answered(onlyCall(), new StoreAnswer.Unknown<>());
         assertThat(mBatcher.unwritten()).isEqualTo(1);
@@ -56,7 +56,7 @@
     }
 
     @Example
-    void nothingIsLostWhileThePlatformIsAway() {
+    void outcomesAreRetainedWhilePlatformIsUnavailable() {
         KeptOutcome<String> first = add(answered("one"));
         mBatcher.answered(onlyCall(), new StoreAnswer.Unavailable<>());
         KeptOutcome<String> second = add(answered("two"));
@@ -65,7 +65,7 @@
     }
 
     @Example
-    void whatComesWhileAnUpdateIsUnderWayIsWrittenNext() {
+    void outcomeAddedDuringUpdateIsWrittenNext() {
         KeptOutcome<String> first = add(answered("one"));
         OutcomeCall<String> call = onlyCall();
         KeptOutcome<String> second = add(answered("two"));
@@ -75,7 +75,7 @@
     }
 
     @Example
-    void expiredOutcomesAreDeletedAndForgotten() {
+    void expiredOutcomesAreDeleted() {
         add(answered("one"));
         mBatcher.answered(onlyCall(), new StoreAnswer.Written<>(1));
         mHome.mTime.advance(OperationFixture.LIFETIME);
@@ -90,7 +90,7 @@
     }
 
     @Example
-    void memoryIsBounded() {
+    void numberOfOutcomesIsBounded() {
         for (int i = 0; i <= MAXIMUM; i++) {
             add(answered("one"));
         }
