--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashMessage.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashMessage.java
@@ -3,60 +3,62 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * What instances tell each other of a request under which backend servers end. Times are told as
- * ages, since the clocks of instances have nothing in common.
+ * Message between instances about a request during which backend servers ended. Times are sent as
+ * ages, since the monotonic clocks of instances are unrelated.
  *
  * @since 0.2
  */
 public sealed interface CrashMessage {
 
     /**
-     * Gives the request.
+     * Returns the request of the message.
      *
      * @return its fingerprint
      */
     RequestFingerprint request();
 
     /**
-     * A server ended while the request was at work there.
+     * A server ended while it was processing the request.
      *
      * @param request the request
      * @param serverHash the hash of the server's id
-     * @param sentAgoNanos how long ago the request was sent to it
-     * @param endedAgoNanos how long ago the send ended without an answer, at most as long
+     * @param sentAgoNanos the time since the request was sent to it
+     * @param endedAgoNanos the time since the send ended without an answer, at most {@code
+     *     sentAgoNanos}
      */
     record ServerEnd(
             RequestFingerprint request, long serverHash, long sentAgoNanos, long endedAgoNanos)
             implements CrashMessage {
 
-        /** Checks the times. */
+        /** Validates the times. */
         public ServerEnd {
-            Assert.isTrue(endedAgoNanos >= 0, "An end lies in the past.");
-            Assert.isTrue(sentAgoNanos >= endedAgoNanos, "A request is sent before it ends.");
+            Assert.isTrue(endedAgoNanos >= 0, "The end of a server must be in the past.");
+            Assert.isTrue(
+                    sentAgoNanos >= endedAgoNanos, "A request must be sent before its send ends.");
         }
     }
 
     /**
-     * What the teller has found out by itself.
+     * Conclusion that the sender has reached by itself.
      *
      * @param request the request
-     * @param ends how many servers ended one after the other under it
-     * @param rejections how often it was rejected for that, 0 if it is only suspected
-     * @param agoNanos how long ago it was rejected, or suspected
+     * @param ends the number of servers that ended one after the other while processing it
+     * @param rejections the number of times it was rejected for that, 0 if it is only suspected
+     * @param agoNanos the time since it was rejected or suspected
      */
     record Verdict(RequestFingerprint request, int ends, int rejections, long agoNanos)
             implements CrashMessage {
 
-        /** Checks the numbers. */
+        /** Validates the numbers. */
         public Verdict {
             Assert.notNegative(ends, "A number of ends");
             Assert.notNegative(rejections, "A number of rejections");
-            Assert.isTrue(agoNanos >= 0, "A verdict lies in the past.");
+            Assert.isTrue(agoNanos >= 0, "A verdict must be in the past.");
         }
     }
 
     /**
-     * The request was answered, or an operator released it: what was found out before is over.
+     * The request was answered, or an operator released it: all earlier conclusions are void.
      *
      * @param request the request
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashOutput.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashOutput.java
@@ -1,30 +1,32 @@
 package io.masticpond.core.crash;
 
 /**
- * Takes what this instance has to tell of requests under which servers end.
+ * Callback interface for messages to other instances and for changes of this instance's view of
+ * crashing requests.
  *
  * @since 0.2
  */
 public interface CrashOutput {
 
     /**
-     * Tells the few instances that put together what all saw of this request.
+     * Sends a message to the few instances that aggregate what all instances observed of the
+     * request.
      *
      * @param message the message
      */
     void sendToAggregators(CrashMessage message);
 
     /**
-     * Tells all instances.
+     * Sends a message to all instances.
      *
      * @param message the message
      */
     void sendToAll(CrashMessage message);
 
     /**
-     * Hears that something else is believed of a request.
+     * Notifies that this instance's view of a request has changed.
      *
-     * @param belief what is believed now
+     * @param view the new view
      */
-    void viewChanged(CrashView belief);
+    void viewChanged(CrashView view);
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashSuspect.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashSuspect.java
@@ -4,25 +4,31 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** What is known of one request under which servers ended. */
+/** State of one request during which servers ended. */
 final class CrashSuspect {
 
-    /** One end is common, two in a row are not. */
+    /**
+     * Number of consecutive ends from which a request is suspected: one end is common, two in a row
+     * are not.
+     */
     static final int SUSPICIOUS_ENDS = 2;
 
-    /** So long does another instance's suspicion count. */
+    /** Time for which another instance's suspicion is considered. */
     private static final long SUSPICION_NANOS = TimeUnit.SECONDS.toNanos(10);
 
-    /** Conclusions of more instances than this add nothing. */
+    /**
+     * Maximum number of instances whose conclusions are kept; further ones would not change the
+     * result.
+     */
     private static final int MAXIMUM_VERDICTS = 8;
 
     /**
-     * So many other instances must say what this one saw nothing of; one is enough for a request
-     * that was rejected before.
+     * Number of other instances that must report what this instance did not observe; one is enough
+     * for a request that was rejected before.
      */
     private static final int REQUIRED_REPORTERS = 2;
 
-    /** A conclusion and when it was heard. */
+    /** Conclusion of another instance and the time at which it was received. */
     private record ReceivedVerdict(CrashMessage.Verdict verdict, long receivedNanos) {
 
         boolean isRejection() {
@@ -39,14 +45,14 @@
     private boolean mIsCleared;
     private long mClearedNanos;
 
-    /** How many ends all were told of. */
-    int mAnnounced;
+    /** Number of ends that were reported to all instances. */
+    int mAnnouncedEnds;
 
     int mRejections;
     boolean mIsRejected;
     long mRejectedNanos;
-    long mHeldUntilNanos;
-    long mTouchedNanos;
+    long mRejectedUntilNanos;
+    long mLastUpdateNanos;
 
     CrashSuspect(RequestFingerprint request) {
         mRequest = request;
@@ -60,59 +66,65 @@
         return mServerEnds;
     }
 
-    /** Takes what another instance concluded; only its newest word counts. */
-    void addVerdict(String teller, CrashMessage.Verdict verdict, long nowNanos) {
-        if (mVerdicts.size() < MAXIMUM_VERDICTS || mVerdicts.containsKey(teller)) {
-            mVerdicts.put(teller, new ReceivedVerdict(verdict, nowNanos));
+    /** Records the conclusion of another instance; only its latest one is kept. */
+    void addVerdict(String sender, CrashMessage.Verdict verdict, long nowNanos) {
+        if (mVerdicts.size() < MAXIMUM_VERDICTS || mVerdicts.containsKey(sender)) {
+            mVerdicts.put(sender, new ReceivedVerdict(verdict, nowNanos));
         }
     }
 
-    /** Forgets what others suspected a while ago; who still does says so with the next end. */
-    void forgetSuspicions(long nowNanos) {
+    /**
+     * Removes outdated suspicions of other instances; an instance that still suspects the request
+     * reports it again with the next end.
+     */
+    void removeOutdatedSuspicions(long nowNanos) {
         mVerdicts
                 .values()
                 .removeIf(
-                        word ->
-                                !word.isRejection()
-                                        && nowNanos - word.receivedNanos > SUSPICION_NANOS);
+                        received ->
+                                !received.isRejection()
+                                        && nowNanos - received.receivedNanos > SUSPICION_NANOS);
     }
 
-    /** Counts the ends in a row that are believed: by own marks, or as others concluded. */
+    /**
+     * Returns the number of consecutive ends that this instance assumes: those that reported ends
+     * show, or those that other instances concluded.
+     */
     int ends() {
-        return Math.max(seenEnds(), reportedEnds());
+        return Math.max(observedEnds(), reportedEnds());
     }
 
-    /** Counts the ends in a row that the reports which came here show. */
-    int seenEnds() {
+    /** Returns the number of consecutive ends that the ends known at this instance show. */
+    int observedEnds() {
         return mServerEnds.consecutive(mRejections > 0 ? 1 : REQUIRED_REPORTERS);
     }
 
     private int reportedEnds() {
-        int needed = mServerEnds.own() > 0 || mRejections > 0 ? 1 : REQUIRED_REPORTERS;
-        if (mVerdicts.size() < needed) {
+        int required = mServerEnds.own() > 0 || mRejections > 0 ? 1 : REQUIRED_REPORTERS;
+        if (mVerdicts.size() < required) {
             return 0;
         }
         return mVerdicts.values().stream()
-                .map(word -> word.verdict().ends())
-                .sorted((one, other) -> other - one)
-                .skip(needed - 1L)
+                .map(received -> received.verdict().ends())
+                .sorted((first, second) -> second - first)
+                .skip(required - 1L)
                 .findFirst()
                 .orElse(0);
     }
 
-    /** Gives how often it was rejected before, as far as is believed. */
+    /** Returns the highest number of earlier rejections that other instances reported. */
     int reportedRejections() {
         return mVerdicts.values().stream()
-                .mapToInt(word -> word.verdict().rejections())
+                .mapToInt(received -> received.verdict().rejections())
                 .max()
                 .orElse(0);
     }
 
-    /** Gives how long ago the newest conclusion of the others was made, when it was told. */
+    /** Returns the age of the latest rejection by other instances, as of its report. */
     long reportedAgoNanos() {
         return mVerdicts.values().stream()
                 .filter(ReceivedVerdict::isRejection)
-                .mapToLong(word -> word.verdict().agoNanos())
+                .mapToLong(received -> received.verdict().agoNanos())
                 .min()
                 .orElse(0);
     }
@@ -121,14 +133,17 @@
         return mVerdicts.size();
     }
 
-    /** Tells whether anybody rejects it, as far as is believed. */
+    /** Determines whether enough other instances report that they reject it. */
     boolean isReportedRejected() {
-        long tellers = mVerdicts.values().stream().filter(ReceivedVerdict::isRejection).count();
-        return tellers >= (mRejections > 0 || mServerEnds.own() > 0 ? 1 : REQUIRED_REPORTERS);
+        long reporters = mVerdicts.values().stream().filter(ReceivedVerdict::isRejection).count();
+        return reporters >= (mRejections > 0 || mServerEnds.own() > 0 ? 1 : REQUIRED_REPORTERS);
     }
 
-    /** Notes whether it is suspected; the time since which it is without a break counts. */
-    void suspected(boolean isSuspected, long nowNanos) {
+    /**
+     * Records whether it is suspected, with the time since which it is suspected without
+     * interruption.
+     */
+    void setSuspected(boolean isSuspected, long nowNanos) {
         if (isSuspected && !mIsSuspected) {
             mSuspectedNanos = nowNanos;
         }
@@ -139,34 +154,37 @@
         return mIsSuspected && nowNanos - mSuspectedNanos >= nanos;
     }
 
-    /** Forgets what was found out before a time, but not how often it was rejected. */
-    void forget(long beforeNanos) {
+    /** Discards what was found before a time, but not the number of rejections. */
+    void discardBefore(long beforeNanos) {
         mIsSuspected = false;
         mIsRejected = false;
-        mAnnounced = 0;
-        mServerEnds.forgetBefore(beforeNanos);
+        mAnnouncedEnds = 0;
+        mServerEnds.removeBefore(beforeNanos);
         mVerdicts.clear();
     }
 
-    /** Forgets all that was found out before now. */
+    /** Discards everything that was found before now. */
     void clear(long nowNanos) {
-        forget(nowNanos);
+        discardBefore(nowNanos);
         mRejections = 0;
         mIsCleared = true;
         mClearedNanos = nowNanos;
-        mTouchedNanos = nowNanos;
+        mLastUpdateNanos = nowNanos;
     }
 
     boolean wasClearedAfter(long nanos) {
         return mIsCleared && mClearedNanos - nanos >= 0;
     }
 
-    /** Tells whether dropping it loses least: nothing is decided, and nobody here saw an end. */
+    /**
+     * Determines whether it is the first candidate for removal: it is not rejected, and this
+     * instance did not observe an end.
+     */
     boolean isUnconfirmed() {
         return !mIsRejected && mServerEnds.own() == 0;
     }
 
-    /** Tells what is believed of it now. */
+    /** Returns the current state of the request as assumed by this instance. */
     CrashView.State state() {
         if (mIsRejected) {
             return CrashView.State.REJECTED;
@@ -177,7 +195,7 @@
         return ends() >= SUSPICIOUS_ENDS ? CrashView.State.SUSPECTED : CrashView.State.NOTED;
     }
 
-    /** Gives a belief with what it rests on. */
+    /** Returns a view with the given state and its evidence. */
     CrashView view(CrashView.State state, long nowNanos) {
         return new CrashView(
                 mRequest,
@@ -188,6 +206,6 @@
                 verdictReporters(),
                 mServerEnds.newestAgoNanos(nowNanos),
                 mRejections,
-                mIsRejected ? mHeldUntilNanos - nowNanos : 0);
+                mIsRejected ? mRejectedUntilNanos - nowNanos : 0);
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashSuspects.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashSuspects.java
@@ -7,27 +7,27 @@
 import java.util.List;
 import java.util.Map;
 
-/** The requests that are followed, a bounded number, in an order that can be gone through. */
+/** Bounded collection of the tracked requests, with a defined iteration order. */
 final class CrashSuspects {
 
-    /** Requests that are followed at most; about 300 bytes each. */
+    /** Maximum number of tracked requests; each takes about 300 bytes. */
     static final int MAXIMUM_SUSPECTS = 1_024;
 
     private final Map<RequestFingerprint, CrashSuspect> mSuspects = new LinkedHashMap<>();
 
-    /** How many of them have each checksum. */
+    /** Number of tracked requests for each checksum. */
     private final Map<Integer, Integer> mChecksums = new HashMap<>();
 
     boolean isEmpty() {
         return mSuspects.isEmpty();
     }
 
-    /** Tells whether a request with a checksum is followed. */
-    boolean has(int checksum) {
+    /** Determines whether a request with the given checksum is tracked. */
+    boolean contains(int checksum) {
         return mChecksums.containsKey(checksum);
     }
 
-    /** Finds a request; null if it is not followed. */
+    /** Returns a request, or {@code null} if it is not tracked. */
     CrashSuspect get(RequestFingerprint request) {
         return mSuspects.get(request);
     }
@@ -39,12 +39,12 @@
         }
     }
 
-    /** Gives all, for a loop that may remove some. */
+    /** Returns a copy of all requests, so that a loop may remove some. */
     List<CrashSuspect> all() {
         return List.copyOf(mSuspects.values());
     }
 
-    /** Puts a request behind the others. */
+    /** Moves a request to the end of the iteration order. */
     void moveToEnd(CrashSuspect suspect) {
         mSuspects.remove(suspect.request());
         mSuspects.put(suspect.request(), suspect);
@@ -52,20 +52,23 @@
 
     CrashSuspect add(RequestFingerprint request, long nowNanos) {
         if (mSuspects.size() >= MAXIMUM_SUSPECTS) {
-            makeRoom(nowNanos);
+            removeLeastRelevant(nowNanos);
         }
         CrashSuspect suspect = new CrashSuspect(request);
-        suspect.mTouchedNanos = nowNanos;
+        suspect.mLastUpdateNanos = nowNanos;
         mSuspects.put(request, suspect);
         mChecksums.merge(request.checksum(), 1, Integer::sum);
         return suspect;
     }
 
-    /** Drops what is known by hearsay first, then what is not rejected, the oldest of it. */
-    private void makeRoom(long nowNanos) {
+    /**
+     * Removes one request: first among those known only from other instances, then among those not
+     * rejected, the one with the oldest update.
+     */
+    private void removeLeastRelevant(long nowNanos) {
         Collection<CrashSuspect> all = mSuspects.values();
         Comparator<CrashSuspect> oldest =
-                Comparator.comparingLong(suspect -> suspect.mTouchedNanos - nowNanos);
+                Comparator.comparingLong(suspect -> suspect.mLastUpdateNanos - nowNanos);
         all.stream()
                 .min(
                         Comparator.comparing((CrashSuspect each) -> !each.isUnconfirmed())
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashView.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashView.java
@@ -1,17 +1,17 @@
 package io.masticpond.core.crash;
 
 /**
- * What this instance believes of a request at a moment, and what that rests on.
+ * Snapshot of this instance's view of a request, with its evidence.
  *
  * @param request the request
- * @param state what is believed
- * @param ends how many servers ended one after the other under it, as far as is believed
- * @param ownEnds how many ends this instance saw itself
- * @param reporters how many instances reported ends, this one included
- * @param verdictReporters how many other instances came to the same conclusion
- * @param newestEndAgoNanos how long ago the newest end was, -1 if none is known here
- * @param rejections how often it was rejected
- * @param remainingNanos for how long it is rejected still, 0 if it is not
+ * @param state the assumed state
+ * @param ends the assumed number of servers that ended one after the other while processing it
+ * @param ownEnds the number of ends that this instance observed itself
+ * @param reporters the number of instances that reported ends, this one included
+ * @param verdictReporters the number of other instances that reported a conclusion
+ * @param newestEndAgoNanos the time since the latest end, -1 if none is known at this instance
+ * @param rejections the number of times it was rejected
+ * @param remainingNanos the remaining time of its rejection, 0 if it is not rejected
  * @since 0.2
  */
 public record CrashView(
@@ -25,15 +25,18 @@
         int rejections,
         long remainingNanos) {
 
-    /** What is believed of a request. */
+    /** Assumed state of a request. */
     public enum State {
-        /** It was there when a server ended, as others were. */
+        /** It was being processed when a server ended, possibly among others. */
         NOTED,
-        /** Two servers ended under it, one after the other: it is not sent again by itself. */
+        /**
+         * Two servers ended one after the other while processing it: it is not retried
+         * automatically.
+         */
         SUSPECTED,
-        /** It is rejected wherever it comes. */
+        /** It is rejected by all instances. */
         REJECTED,
-        /** Its time is over; one more end rejects it again. */
+        /** Its rejection has expired; one more end rejects it again. */
         ON_TRIAL,
         /** It was answered. */
         ANSWERED,
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashingRequests.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashingRequests.java
@@ -7,38 +7,47 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Finds requests that end each backend server that runs them, whichever instance they come to, and
- * keeps them from further servers.
+ * Detector of requests that crash every backend server that processes them, at whichever instance
+ * they arrive; it prevents them from being sent to further servers.
  *
- * <p>Each instance reports the ends that it sees to a few keepers of the request, the same for all
- * instances, who put them together. From two ends in a row on, all are told: the request is then
- * suspected and not sent a second time by itself. From {@link CrashSettings#ends} on it is rejected
- * everywhere. An instance believes what it saw itself, or what two others concluded, so that one
- * broken instance rejects nothing. An answer by any server ends it at once, an operator at any
- * time; else it is tried again after a time that doubles each time.
+ * <p>Each instance reports the ends that it observes to a few aggregators of the request, the same
+ * for all instances, which combine them. From two consecutive ends on, all instances are notified:
+ * the request is then suspected and not retried automatically. From {@link CrashSettings#ends} on
+ * it is rejected everywhere. An instance relies on what it observed itself or on what two others
+ * concluded, so that one faulty instance cannot cause a rejection. An answer by any server clears
+ * the request at once, and an operator can release it at any time; otherwise it is tried again
+ * after a time that doubles with each rejection.
  *
- * <p>Touched by one thread only.
+ * <p>Must be used by one thread only.
  *
  * @since 0.2
  */
 public final class CrashingRequests {
 
-    /** Rejected requests told in one message of {@link #rejections}, which fits into a datagram. */
+    /**
+     * Maximum number of rejected requests in one call of {@link #rejections}, which fit into a
+     * datagram.
+     */
     static final int MAXIMUM_REJECTIONS_PER_MESSAGE = 36;
 
     private static final int ENDS_ON_TRIAL = 1;
 
     /**
-     * All know of a suspicion, and a busy request that does no harm has been answered somewhere,
-     * after this time; sends of one that does are few within it.
+     * Time after which all instances know of a suspicion and a frequent harmless request has been
+     * answered somewhere; a harmful one is sent only a few times within it.
      */
-    private static final long ANSWERED_WITHIN_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long CONFIRMATION_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    /** Ten doublings of two hours are beyond any process's life. */
+    /**
+     * Maximum number of doublings; ten doublings of two hours exceed the lifetime of any process.
+     */
     private static final int MAXIMUM_DOUBLINGS = 10;
 
-    /** Who still tells of a request that was cleared is answered so often at most. */
-    private static final long CLEAR_AGAIN_NANOS = TimeUnit.SECONDS.toNanos(1);
+    /**
+     * Minimum interval between clearances sent in reply to instances that still report a cleared
+     * request.
+     */
+    private static final long CLEARANCE_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private static final String OWN = "";
 
@@ -47,10 +56,10 @@
     private final CrashSuspects mSuspects = new CrashSuspects();
 
     /**
-     * Starts with nothing known.
+     * Creates a detector without any tracked requests.
      *
-     * @param settings when a request counts as one that ends servers
-     * @param output takes what is to be told
+     * @param settings the settings of the detection
+     * @param output the receiver of messages and view changes
      */
     public CrashingRequests(CrashSettings settings, CrashOutput output) {
         mSettings = Assert.notNull(settings, "Settings of crashing requests");
@@ -58,7 +67,7 @@
     }
 
     /**
-     * Takes other settings; what is rejected already stays so for as long as it was to.
+     * Applies new settings; current rejections keep their duration.
      *
      * @param settings the settings
      */
@@ -67,38 +76,38 @@
     }
 
     /**
-     * Tells whether nothing is known of any request, so that none has to be looked up.
+     * Determines whether no request is tracked, so that lookups can be skipped.
      *
-     * @return whether it is so
+     * @return whether no request is tracked
      */
     public boolean isEmpty() {
         return mSuspects.isEmpty();
     }
 
     /**
-     * Tells whether a request may be followed, by its checksum alone.
+     * Determines whether a request may be tracked, by its checksum only.
      *
      * @param checksum the checksum of its fingerprint
-     * @return false if it certainly is not
+     * @return {@code false} if it is certainly not tracked
      */
     public boolean mightContain(int checksum) {
-        return mSuspects.has(checksum);
+        return mSuspects.contains(checksum);
     }
 
     /**
-     * Tells for how long a request is rejected.
+     * Returns the remaining time for which a request is rejected.
      *
      * @param request the request
      * @param nowNanos the monotonic time
-     * @return nanoseconds, 0 if it is not
+     * @return the time in nanoseconds, 0 if it is not rejected
      */
     public long rejectedForNanos(RequestFingerprint request, long nowNanos) {
         CrashSuspect suspect = current(request, nowNanos);
-        return suspect != null && suspect.mIsRejected ? suspect.mHeldUntilNanos - nowNanos : 0;
+        return suspect != null && suspect.mIsRejected ? suspect.mRejectedUntilNanos - nowNanos : 0;
     }
 
     /**
-     * Tells whether a request is better not sent a second time by this instance.
+     * Determines whether this instance should not retry a request.
      *
      * @param request the request
      * @param nowNanos the monotonic time
@@ -106,15 +115,16 @@
      */
     public boolean isSuspected(RequestFingerprint request, long nowNanos) {
         CrashSuspect suspect = current(request, nowNanos);
-        return suspect != null && (suspect.mIsRejected || suspect.ends() >= suspicion(suspect));
+        return suspect != null
+                && (suspect.mIsRejected || suspect.ends() >= suspicionThreshold(suspect));
     }
 
     /**
-     * Takes that a server ended while it had a request of this instance.
+     * Records that a server ended while it was processing a request of this instance.
      *
      * @param request the request
      * @param serverHash the hash of the server's id
-     * @param sentNanos the monotonic time at which it was sent there
+     * @param sentNanos the monotonic time at which the request was sent to it
      * @param endedNanos the monotonic time at which the send ended
      * @param nowNanos the monotonic time
      */
@@ -132,18 +142,18 @@
     }
 
     /**
-     * Takes what another instance tells.
+     * Processes a message from another instance.
      *
-     * @param teller names the other instance
-     * @param message what it tells
+     * @param sender the name of the other instance
+     * @param message the message
      * @param nowNanos the monotonic time
      */
-    public void receive(String teller, CrashMessage message, long nowNanos) {
-        Assert.hasText(teller, "The name of a teller");
+    public void receive(String sender, CrashMessage message, long nowNanos) {
+        Assert.hasText(sender, "The name of a sender");
         if (message instanceof CrashMessage.ServerEnd end) {
-            add(teller, end, nowNanos);
+            add(sender, end, nowNanos);
         } else if (message instanceof CrashMessage.Verdict verdict) {
-            receiveVerdict(teller, verdict, nowNanos);
+            receiveVerdict(sender, verdict, nowNanos);
         } else {
             CrashSuspect suspect = mSuspects.get(message.request());
             if (suspect != null) {
@@ -153,7 +163,7 @@
     }
 
     /**
-     * Takes that a server answered a request, so that it does not end each one.
+     * Records that a server answered a request, which proves that it does not crash every server.
      *
      * @param request the request
      * @param nowNanos the monotonic time
@@ -173,7 +183,7 @@
      *
      * @param request the request
      * @param nowNanos the monotonic time
-     * @return whether anything was known of it
+     * @return whether the request was tracked
      */
     public boolean release(RequestFingerprint request, long nowNanos) {
         CrashSuspect suspect = current(request, nowNanos);
@@ -186,44 +196,44 @@
     }
 
     /**
-     * Gives what is rejected here, for an instance that may not know; it is to be told again and
-     * again, since messages are lost and instances start.
+     * Returns the rejections of this instance, for another instance that may not know them. They
+     * must be sent repeatedly, since messages get lost and instances start.
      *
      * @param nowNanos the monotonic time
-     * @return some of it, the rest the next times
+     * @return some of the rejections; further calls return the others
      */
     public List<CrashMessage> rejections(long nowNanos) {
-        List<CrashMessage> told = new ArrayList<>();
-        List<CrashSuspect> again = new ArrayList<>();
+        List<CrashMessage> rejections = new ArrayList<>();
+        List<CrashSuspect> sent = new ArrayList<>();
         for (CrashSuspect suspect : mSuspects.all()) {
             if (current(suspect.request(), nowNanos) == suspect
                     && suspect.mIsRejected
-                    && told.size() < MAXIMUM_REJECTIONS_PER_MESSAGE) {
-                told.add(verdict(suspect, nowNanos));
-                again.add(suspect);
+                    && rejections.size() < MAXIMUM_REJECTIONS_PER_MESSAGE) {
+                rejections.add(verdict(suspect, nowNanos));
+                sent.add(suspect);
             }
         }
-        again.forEach(mSuspects::moveToEnd);
-        return told;
+        sent.forEach(mSuspects::moveToEnd);
+        return rejections;
     }
 
     /**
-     * Tells what is believed of each request that is followed.
+     * Returns this instance's view of each tracked request.
      *
      * @param nowNanos the monotonic time
-     * @return the beliefs, the rejected ones first
+     * @return the views, the rejected requests first
      */
     public List<CrashView> views(long nowNanos) {
-        List<CrashView> beliefs = new ArrayList<>();
+        List<CrashView> views = new ArrayList<>();
         for (CrashSuspect suspect : mSuspects.all()) {
             if (current(suspect.request(), nowNanos) == suspect) {
-                beliefs.add(suspect.view(suspect.state(), nowNanos));
+                views.add(suspect.view(suspect.state(), nowNanos));
             }
         }
-        beliefs.sort(
+        views.sort(
                 Comparator.comparing((CrashView each) -> each.remainingNanos() == 0)
                         .thenComparing(each -> -each.ends()));
-        return beliefs;
+        return views;
     }
 
     private void add(String reporter, CrashMessage.ServerEnd end, long nowNanos) {
@@ -234,33 +244,34 @@
         }
         suspect.serverEnds()
                 .add(reporter, end.serverHash(), nowNanos - end.sentAgoNanos(), endedNanos);
-        conclude(suspect, nowNanos);
+        evaluate(suspect, nowNanos);
     }
 
-    private void receiveVerdict(String teller, CrashMessage.Verdict verdict, long nowNanos) {
+    private void receiveVerdict(String sender, CrashMessage.Verdict verdict, long nowNanos) {
         CrashSuspect suspect = track(verdict.request(), nowNanos);
         if (suspect.wasClearedAfter(nowNanos - verdict.agoNanos())) {
-            if (nowNanos - suspect.mTouchedNanos >= CLEAR_AGAIN_NANOS) {
-                suspect.mTouchedNanos = nowNanos;
+            if (nowNanos - suspect.mLastUpdateNanos >= CLEARANCE_INTERVAL_NANOS) {
+                suspect.mLastUpdateNanos = nowNanos;
                 mOutput.sendToAll(new CrashMessage.Clearance(verdict.request()));
             }
             return;
         }
-        boolean isOld = !suspect.mIsRejected && verdict.rejections() <= suspect.mRejections;
-        if (isOld && verdict.rejections() > 0) {
+        boolean isOutdated = !suspect.mIsRejected && verdict.rejections() <= suspect.mRejections;
+        if (isOutdated && verdict.rejections() > 0) {
             return;
         }
-        suspect.addVerdict(teller, verdict, nowNanos);
-        conclude(suspect, nowNanos);
+        suspect.addVerdict(sender, verdict, nowNanos);
+        evaluate(suspect, nowNanos);
     }
 
-    /** Decides anew, and tells all what the marks here show. */
-    private void conclude(CrashSuspect suspect, long nowNanos) {
-        suspect.mTouchedNanos = nowNanos;
+    /** Evaluates a request again, and reports to all instances what the ends known here show. */
+    private void evaluate(CrashSuspect suspect, long nowNanos) {
+        suspect.mLastUpdateNanos = nowNanos;
         rejectIfProven(suspect, nowNanos);
-        int seen = suspect.seenEnds();
-        if (seen > suspect.mAnnounced && (seen >= suspicion(suspect) || suspect.mIsRejected)) {
-            suspect.mAnnounced = seen;
+        int observed = suspect.observedEnds();
+        if (observed > suspect.mAnnouncedEnds
+                && (observed >= suspicionThreshold(suspect) || suspect.mIsRejected)) {
+            suspect.mAnnouncedEnds = observed;
             mOutput.sendToAll(verdict(suspect, nowNanos));
             if (!suspect.mIsRejected) {
                 mOutput.viewChanged(suspect.view(suspect.state(), nowNanos));
@@ -272,22 +283,25 @@
         if (suspect.mIsRejected) {
             return;
         }
-        suspect.forgetSuspicions(nowNanos);
+        suspect.removeOutdatedSuspicions(nowNanos);
         int ends = suspect.ends();
-        suspect.suspected(ends >= CrashSuspect.SUSPICIOUS_ENDS, nowNanos);
-        // A suspicion that others told may have been overtaken by the news that it is over.
+        suspect.setSuspected(ends >= CrashSuspect.SUSPICIOUS_ENDS, nowNanos);
+        // A clearance may have overtaken a suspicion that other instances reported.
         boolean isProven =
                 suspect.mRejections > 0
                         ? ends >= ENDS_ON_TRIAL
-                        : suspect.seenEnds() >= mSettings.ends()
-                                && suspect.isSuspectedFor(ANSWERED_WITHIN_NANOS, nowNanos);
+                        : suspect.observedEnds() >= mSettings.ends()
+                                && suspect.isSuspectedFor(CONFIRMATION_NANOS, nowNanos);
         if (isProven || suspect.isReportedRejected()) {
             reject(suspect, nowNanos);
         }
     }
 
-    /** A trial is one send: what ends a server then is not sent to a second. */
-    private static int suspicion(CrashSuspect suspect) {
+    /**
+     * Returns the number of ends from which a request is suspected. A trial is one send: a request
+     * that crashes a server then is not sent to a second one.
+     */
+    private static int suspicionThreshold(CrashSuspect suspect) {
         return suspect.mRejections > 0 ? 0 : CrashSuspect.SUSPICIOUS_ENDS;
     }
 
@@ -296,70 +310,76 @@
         suspect.mRejections = Math.max(suspect.mRejections + 1, suspect.reportedRejections());
         suspect.mIsRejected = true;
         suspect.mRejectedNanos = nowNanos - (isOwn ? 0 : suspect.reportedAgoNanos());
-        suspect.mHeldUntilNanos = suspect.mRejectedNanos + holdNanos(suspect);
-        if (suspect.mHeldUntilNanos - nowNanos <= 0) {
-            endOfHold(suspect);
+        suspect.mRejectedUntilNanos = suspect.mRejectedNanos + rejectionNanos(suspect);
+        if (suspect.mRejectedUntilNanos - nowNanos <= 0) {
+            expireRejection(suspect);
             return;
         }
         mOutput.viewChanged(suspect.view(CrashView.State.REJECTED, nowNanos));
         if (isOwn) {
-            suspect.mAnnounced = Math.max(suspect.mAnnounced, suspect.seenEnds());
+            suspect.mAnnouncedEnds = Math.max(suspect.mAnnouncedEnds, suspect.observedEnds());
             mOutput.sendToAll(verdict(suspect, nowNanos));
         }
     }
 
-    private long holdNanos(CrashSuspect suspect) {
+    private long rejectionNanos(CrashSuspect suspect) {
         int doublings = Math.min(MAXIMUM_DOUBLINGS, suspect.mRejections - 1);
         return mSettings.hold().toNanos() << doublings;
     }
 
-    private void endOfHold(CrashSuspect suspect) {
-        suspect.forget(suspect.mHeldUntilNanos);
+    private void expireRejection(CrashSuspect suspect) {
+        suspect.discardBefore(suspect.mRejectedUntilNanos);
     }
 
-    private void clear(CrashSuspect suspect, CrashView.State why, long nowNanos) {
-        boolean mattered = suspect.mIsRejected || suspect.mAnnounced > 0;
+    private void clear(CrashSuspect suspect, CrashView.State newState, long nowNanos) {
+        boolean wasReported = suspect.mIsRejected || suspect.mAnnouncedEnds > 0;
         suspect.clear(nowNanos);
-        if (mattered) {
-            mOutput.viewChanged(suspect.view(why, nowNanos));
+        if (wasReported) {
+            mOutput.viewChanged(suspect.view(newState, nowNanos));
         }
     }
 
-    /** Whoever was told of a suspicion, believed or not, hears that it is over. */
+    /**
+     * Sends a clearance to all instances that a suspicion was reported to, whether or not they
+     * relied on it.
+     */
     private void sendClearance(CrashSuspect suspect) {
         CrashMessage.Clearance clearance = new CrashMessage.Clearance(suspect.request());
-        if (suspect.mIsRejected || suspect.mAnnounced > 0 || suspect.verdictReporters() > 0) {
+        if (suspect.mIsRejected || suspect.mAnnouncedEnds > 0 || suspect.verdictReporters() > 0) {
             mOutput.sendToAll(clearance);
         } else {
             mOutput.sendToAggregators(clearance);
         }
     }
 
-    /** Finds what is known of a request, as time has changed it; null if nothing is. */
+    /** Returns the state of a request at the current time, or {@code null} if it is not tracked. */
     private CrashSuspect current(RequestFingerprint request, long nowNanos) {
         CrashSuspect suspect = mSuspects.get(request);
         if (suspect == null) {
             return null;
         }
-        if (suspect.mIsRejected && nowNanos - suspect.mHeldUntilNanos >= 0) {
-            endOfHold(suspect);
+        if (suspect.mIsRejected && nowNanos - suspect.mRejectedUntilNanos >= 0) {
+            expireRejection(suspect);
             mOutput.viewChanged(suspect.view(CrashView.State.ON_TRIAL, nowNanos));
         }
         rejectIfProven(suspect, nowNanos);
-        if (!suspect.mIsRejected && isOver(suspect, nowNanos)) {
+        if (!suspect.mIsRejected && isExpired(suspect, nowNanos)) {
             mSuspects.remove(request);
             return null;
         }
         return suspect;
     }
 
-    /** What was rejected is remembered for as long again, all else for a while. */
-    private boolean isOver(CrashSuspect suspect, long nowNanos) {
+    /**
+     * Determines whether a request need not be tracked any longer. One that was rejected is tracked
+     * for as long again, others for the time for which an end is counted.
+     */
+    private boolean isExpired(CrashSuspect suspect, long nowNanos) {
         if (suspect.mRejections > 0) {
-            return nowNanos - suspect.mHeldUntilNanos > holdNanos(suspect);
+            return nowNanos - suspect.mRejectedUntilNanos > rejectionNanos(suspect);
         }
-        suspect.serverEnds().forgetBefore(nowNanos - mSettings.memory().toNanos());
-        return nowNanos - suspect.mTouchedNanos > mSettings.memory().toNanos();
+        suspect.serverEnds().removeBefore(nowNanos - mSettings.memory().toNanos());
+        return nowNanos - suspect.mLastUpdateNanos > mSettings.memory().toNanos();
     }
 
     private CrashSuspect track(RequestFingerprint request, long nowNanos) {
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/RequestFingerprint.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/RequestFingerprint.java
@@ -5,9 +5,9 @@
 import java.util.Optional;
 
 /**
- * Names a request by what it asks for, whichever attempt of whichever client carries it: 96 bits of
- * a cryptographic hash, so that nobody can make a request that passes for another's, and a checksum
- * by which most requests are told apart at a hundredth of the cost.
+ * Fingerprint of the contents of a request, independent of the client and the attempt: 96 bits of a
+ * cryptographic hash, so that no client can forge a request that matches another one's, and a
+ * checksum that distinguishes most requests at a hundredth of the cost.
  *
  * @param high the first 64 bits of the hash
  * @param low its next 32 bits, and the checksum in the last 32
@@ -15,14 +15,14 @@
  */
 public record RequestFingerprint(long high, long low) {
 
-    /** The number of hexadecimal digits of one as a text. */
+    /** Number of hexadecimal digits of the text form. */
     private static final int DIGITS = 32;
 
     private static final long LOW_BITS = 0xffffffffL;
-    private static final int DIGITS_OF_HALF = DIGITS / 2;
+    private static final int DIGITS_PER_LONG = DIGITS / 2;
 
     /**
-     * Joins a fingerprint.
+     * Creates a fingerprint from its parts.
      *
      * @param high the first 64 bits of the hash
      * @param next its next 32 bits
@@ -34,7 +34,7 @@
     }
 
     /**
-     * Gives the checksum, which may be the same for other requests.
+     * Returns the checksum, which other requests may share.
      *
      * @return the checksum
      */
@@ -43,10 +43,10 @@
     }
 
     /**
-     * Reads the text that {@link #toString} gives.
+     * Parses the text that {@link #toString} returns.
      *
      * @param text the text
-     * @return the fingerprint, or empty if the text names none
+     * @return the fingerprint, or empty if the text is not one
      */
     public static Optional<RequestFingerprint> parse(String text) {
         Assert.notNull(text, "A text");
@@ -56,9 +56,9 @@
         try {
             return Optional.of(
                     new RequestFingerprint(
-                            HexFormat.fromHexDigitsToLong(text, 0, DIGITS_OF_HALF),
-                            HexFormat.fromHexDigitsToLong(text, DIGITS_OF_HALF, DIGITS)));
-        } catch (IllegalArgumentException noDigits) {
+                            HexFormat.fromHexDigitsToLong(text, 0, DIGITS_PER_LONG),
+                            HexFormat.fromHexDigitsToLong(text, DIGITS_PER_LONG, DIGITS)));
+        } catch (IllegalArgumentException invalidDigits) {
             return Optional.empty();
         }
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/ServerEndHistory.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/ServerEndHistory.java
@@ -8,58 +8,62 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The ends of backend servers that one request saw, as far as they are known at this instance.
+ * History of the ends of backend servers during one request, as known at this instance.
  *
- * <p>Many requests are at work at a server that ends, and many servers end at one moment when a
- * zone loses power. So only ends that follow each other count: the request was sent to the next
- * server after the one before had ended. Being there once by chance is common, three times in a row
- * without an answer is not.
+ * <p>A server that ends is usually processing many requests, and many servers end at the same
+ * moment when an availability zone loses power. Therefore only consecutive ends count, in which the
+ * request was sent to the next server after the previous one had ended. Being at one such server by
+ * chance is common, at three in a row without an answer is not.
  */
 final class ServerEndHistory {
 
     /**
-     * Servers that end at one moment are seen to within this time, and two instances learn of one
-     * end by their own clocks and ways as far apart.
+     * Tolerance between observations: the ends of servers that fail at the same moment are observed
+     * within this time of each other, and two instances observe the same end by their own clocks
+     * and connections up to this far apart.
      */
-    private static final long SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(30);
+    private static final long TOLERANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(30);
 
-    /** A server that ends again has started in between, which takes longer. */
+    /**
+     * Two ends of a server within this time are the same one, since a server needs longer to start
+     * in between.
+     */
     private static final long SAME_END_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    /** More tell nothing new. */
+    /** Maximum number of ends in the history; more add no information. */
     private static final int MAXIMUM_ENDS = 16;
 
-    /** An end, with the instance that saw it; no reporter is this instance. */
+    /** End of a server with the instance that observed it; an empty reporter is this instance. */
     private record ObservedEnd(String reporter, long serverHash, long sentNanos, long endedNanos) {}
 
     private final List<ObservedEnd> mEnds = new ArrayList<>();
 
-    /** Adds an end; the oldest makes room for it. */
+    /** Adds an end and removes the oldest one if there are too many. */
     void add(String reporter, long serverHash, long sentNanos, long endedNanos) {
         boolean isKnown =
                 mEnds.stream()
                         .anyMatch(
-                                mark ->
-                                        mark.serverHash == serverHash
-                                                && mark.reporter.equals(reporter)
-                                                && isSameEnd(mark, endedNanos));
+                                end ->
+                                        end.serverHash == serverHash
+                                                && end.reporter.equals(reporter)
+                                                && isSameEnd(end, endedNanos));
         if (isKnown) {
             return;
         }
         mEnds.add(new ObservedEnd(reporter, serverHash, sentNanos, endedNanos));
-        mEnds.sort(Comparator.comparingLong(mark -> mark.endedNanos - endedNanos));
+        mEnds.sort(Comparator.comparingLong(end -> end.endedNanos - endedNanos));
         if (mEnds.size() > MAXIMUM_ENDS) {
             mEnds.remove(0);
         }
     }
 
-    private static boolean isSameEnd(ObservedEnd mark, long endedNanos) {
-        return Math.abs(mark.endedNanos - endedNanos) < SAME_END_NANOS;
+    private static boolean isSameEnd(ObservedEnd end, long endedNanos) {
+        return Math.abs(end.endedNanos - endedNanos) < SAME_END_NANOS;
     }
 
-    /** Forgets the ends before a time. */
-    void forgetBefore(long nanos) {
-        mEnds.removeIf(mark -> mark.endedNanos - nanos < 0);
+    /** Removes the ends before a time. */
+    void removeBefore(long nanos) {
+        mEnds.removeIf(end -> end.endedNanos - nanos < 0);
     }
 
     boolean isEmpty() {
@@ -67,45 +71,45 @@
     }
 
     /**
-     * Counts the ends that follow each other. Taking the earliest end that fits each time gives the
-     * most (interval scheduling). They count for nothing if this instance saw none of them and
-     * fewer others than needed did: one of those may be broken.
+     * Returns the maximum number of consecutive ends. Taking the earliest matching end each time
+     * yields the maximum (interval scheduling). The result is 0 if this instance observed none of
+     * them and fewer other instances than required did, since one of those may be faulty.
      */
-    int consecutive(int neededReporters) {
-        if (own() == 0 && reporters() < neededReporters) {
+    int consecutive(int requiredReporters) {
+        if (own() == 0 && reporters() < requiredReporters) {
             return 0;
         }
         int count = 0;
         ObservedEnd last = null;
-        for (ObservedEnd mark : mEnds) {
-            if (last == null || follows(last, mark)) {
-                last = mark;
+        for (ObservedEnd end : mEnds) {
+            if (last == null || follows(last, end)) {
+                last = end;
                 count++;
             }
         }
         return count;
     }
 
-    private static boolean follows(ObservedEnd last, ObservedEnd mark) {
-        if (last.serverHash == mark.serverHash && isSameEnd(last, mark.endedNanos)) {
+    private static boolean follows(ObservedEnd last, ObservedEnd end) {
+        if (last.serverHash == end.serverHash && isSameEnd(last, end.endedNanos)) {
             return false;
         }
-        boolean isSameClock = last.reporter.equals(mark.reporter);
-        return mark.sentNanos - last.endedNanos >= (isSameClock ? 0 : -SLACK_NANOS)
-                && mark.endedNanos - last.endedNanos >= SLACK_NANOS;
+        boolean isSameClock = last.reporter.equals(end.reporter);
+        return end.sentNanos - last.endedNanos >= (isSameClock ? 0 : -TOLERANCE_NANOS)
+                && end.endedNanos - last.endedNanos >= TOLERANCE_NANOS;
     }
 
     int own() {
-        return (int) mEnds.stream().filter(mark -> mark.reporter.isEmpty()).count();
+        return (int) mEnds.stream().filter(end -> end.reporter.isEmpty()).count();
     }
 
     int reporters() {
         Set<String> reporters = new HashSet<>();
-        mEnds.forEach(mark -> reporters.add(mark.reporter));
+        mEnds.forEach(end -> reporters.add(end.reporter));
         return reporters.size();
     }
 
-    /** Gives how long ago the newest end was, -1 if there is none. */
+    /** Returns the time since the latest end, or -1 if there is none. */
     long newestAgoNanos(long nowNanos) {
         return mEnds.isEmpty()
                 ? -1
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/package-info.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Requests under which backend servers end, told apart from those that were there by chance; must
- * know nothing of connections, HTTP and messages between instances.
+ * Detection of requests that crash backend servers, as distinguished from requests that were at a
+ * server by chance when it ended. Must not depend on connections, HTTP or the transport of messages
+ * between instances.
  */
 package io.masticpond.core.crash;
--- a/masticpond-core/src/test/java/io/masticpond/core/crash/CrashFleet.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/crash/CrashFleet.java
@@ -9,20 +9,24 @@
 import java.util.Random;
 import java.util.function.Predicate;
 
-/** Instances on one simulated clock, with messages that take their time and may be lost. */
+/**
+ * Test fixture: instances on one simulated clock, with messages that are delayed and may be lost.
+ */
 final class CrashFleet {
 
     private static final int AGGREGATORS = 3;
 
-    /** Something that happens at a time; of two at one time the first that was planned. */
+    /**
+     * Event at a time; events at the same time happen in the order in which they were scheduled.
+     */
     private record Event(long atNanos, long order, Runnable action) {}
 
-    /** One instance. */
+    /** Simulated instance. */
     final class Instance implements CrashOutput {
 
         private final int mNumber;
         CrashingRequests mRequests;
-        final List<CrashView> mBeliefs = new ArrayList<>();
+        final List<CrashView> mViews = new ArrayList<>();
         long mMessages;
         boolean mIsCutOff;
 
@@ -31,7 +35,7 @@
             restart();
         }
 
-        /** Starts anew and knows nothing. */
+        /** Restarts the instance without any state. */
         void restart() {
             mRequests = new CrashingRequests(mSettings, this);
         }
@@ -62,8 +66,8 @@
         }
 
         @Override
-        public void viewChanged(CrashView belief) {
-            mBeliefs.add(belief);
+        public void viewChanged(CrashView view) {
+            mViews.add(view);
         }
 
         private void send(Instance to, CrashMessage message) {
@@ -71,8 +75,8 @@
                 return;
             }
             mMessages++;
-            long onTheWay = Duration.ofMillis(1 + mRandom.nextInt(40)).toNanos();
-            after(onTheWay, () -> to.mRequests.receive(name(), message, nowNanos()));
+            long delayNanos = Duration.ofMillis(1 + mRandom.nextInt(40)).toNanos();
+            after(delayNanos, () -> to.mRequests.receive(name(), message, nowNanos()));
         }
     }
 
@@ -95,7 +99,7 @@
         after(Duration.ofSeconds(1).toNanos(), this::sendRejections);
     }
 
-    /** Each instance tells one other what it rejects, once a second. */
+    /** Sends the rejections of each instance to one other instance, once a second. */
     private void sendRejections() {
         for (Instance each : mInstances) {
             Instance to = mInstances.get(mRandom.nextInt(mInstances.size()));
@@ -104,8 +108,8 @@
         after(Duration.ofSeconds(1).toNanos(), this::sendRejections);
     }
 
-    /** Loses a share of all messages. */
-    void lose(double share) {
+    /** Sets the fraction of all messages that is lost. */
+    void setLossRate(double share) {
         mIsLost = message -> mRandom.nextDouble() < share;
     }
 
@@ -121,7 +125,7 @@
         return mInstances;
     }
 
-    Instance any() {
+    Instance randomInstance() {
         return mInstances.get(mRandom.nextInt(mInstances.size()));
     }
 
@@ -129,7 +133,7 @@
         mEvents.add(new Event(mNowNanos + nanos, mOrder++, action));
     }
 
-    void pass(Duration time) {
+    void advance(Duration time) {
         long endNanos = mNowNanos + time.toNanos();
         while (!mEvents.isEmpty() && mEvents.peek().atNanos() <= endNanos) {
             Event event = mEvents.remove();
--- a/masticpond-core/src/test/java/io/masticpond/core/crash/CrashingRequestsTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/crash/CrashingRequestsTest.java
@@ -8,20 +8,23 @@
 import java.util.concurrent.TimeUnit;
 import net.jqwik.api.Example;
 
-/** A request that ends servers, at instances that each see a part of it. */
+/**
+ * Verifies the rejection of a request that crashes servers when each instance observes only some of
+ * the ends.
+ */
 class CrashingRequestsTest {
 
     private static final RequestFingerprint CRASHING = new RequestFingerprint(1, 2);
     private static final RequestFingerprint INNOCENT = new RequestFingerprint(3, 4);
     private static final Duration WORK = Duration.ofMillis(80);
-    private static final Duration KNOWN_AFTER = Duration.ofSeconds(3);
+    private static final Duration PROPAGATION_TIME = Duration.ofSeconds(3);
     private static final int MAXIMUM_SENDS = 3;
     private static final long SEED = 7;
 
-    /** A message of the greatest kind with the headers of its datagram. */
+    /** Size of the largest message with the headers of its datagram. */
     private static final int DATAGRAM_BYTES = 62;
 
-    /** What users bear for control, for each instance. */
+    /** Control traffic that users tolerate for each instance. */
     private static final int CONTROL_BYTES_PER_SECOND = 2_000;
 
     private int mServers;
@@ -31,7 +34,7 @@
         return new CrashFleet(instances, CrashSettings.DEFAULT, SEED);
     }
 
-    /** A client sends the request to an instance, and the server that runs it ends. */
+    /** Sends the request to an instance from a client; the server that processes it ends. */
     private void crash(CrashFleet fleet, Instance at) {
         if (at.rejects(CRASHING)) {
             return;
@@ -53,16 +56,16 @@
 
     private void repeat(CrashFleet fleet, int times, Duration gap) {
         for (int time = 0; time < times; time++) {
-            crash(fleet, fleet.any());
-            fleet.pass(gap);
+            crash(fleet, fleet.randomInstance());
+            fleet.advance(gap);
         }
     }
 
     @Example
-    void isRejectedByAllInstancesThoughEachSawItOnceAtMost() {
+    void isRejectedByAllInstancesWhenEachObservesOneEndAtMost() {
         CrashFleet fleet = fleet(95);
         repeat(fleet, 4, Duration.ofMillis(400));
-        fleet.pass(KNOWN_AFTER);
+        fleet.advance(PROPAGATION_TIME);
         assertThat(fleet.instances()).allMatch(each -> each.rejects(CRASHING));
         assertThat(fleet.instances()).noneMatch(each -> each.rejects(INNOCENT));
         mSends = 0;
@@ -71,90 +74,90 @@
     }
 
     @Example
-    void isRejectedInTimeThoughOneMessageOfFiveIsLost() {
+    void isRejectedInTimeWhenEveryFifthMessageIsLost() {
         CrashFleet fleet = fleet(95);
-        fleet.lose(0.2);
+        fleet.setLossRate(0.2);
         repeat(fleet, 6, Duration.ofMillis(400));
-        fleet.pass(KNOWN_AFTER);
+        fleet.advance(PROPAGATION_TIME);
         mSends = 0;
         repeat(fleet, 200, Duration.ofMillis(100));
         assertThat(mSends).isLessThanOrEqualTo(MAXIMUM_SENDS);
     }
 
     @Example
-    void instanceThatStartsLearnsWhatTheOthersReject() {
+    void startedInstanceReceivesRejectionsOfOthers() {
         CrashFleet fleet = fleet(10);
         repeat(fleet, 5, Duration.ofMillis(400));
-        fleet.pass(Duration.ofMinutes(30));
+        fleet.advance(Duration.ofMinutes(30));
         Instance started = fleet.instances().get(4);
         started.restart();
-        fleet.pass(Duration.ofSeconds(6));
+        fleet.advance(Duration.ofSeconds(6));
         assertThat(started.rejects(CRASHING)).isTrue();
     }
 
     @Example
-    void instanceThatIsCutOffGoesByWhatItSawItself() {
+    void disconnectedInstanceRejectsByItsOwnObservations() {
         CrashFleet fleet = fleet(10);
-        Instance alone = fleet.instances().get(0);
-        alone.mIsCutOff = true;
+        Instance disconnected = fleet.instances().get(0);
+        disconnected.mIsCutOff = true;
         for (int time = 0; time < 5; time++) {
-            crash(fleet, alone);
-            fleet.pass(Duration.ofMillis(300));
+            crash(fleet, disconnected);
+            fleet.advance(Duration.ofMillis(300));
         }
-        fleet.pass(KNOWN_AFTER);
+        fleet.advance(PROPAGATION_TIME);
         mSends = 0;
-        crash(fleet, alone);
+        crash(fleet, disconnected);
         assertThat(mSends).isZero();
-        assertThat(alone.rejects(CRASHING)).isTrue();
+        assertThat(disconnected.rejects(CRASHING)).isTrue();
     }
 
     @Example
-    void isTriedThreeTimesEachDayAtMostWithOneSendEachTime() {
+    void isTriedAtMostThreeTimesDailyWithOneSendEach() {
         CrashFleet fleet = fleet(10);
         repeat(fleet, 4, Duration.ofMillis(400));
-        fleet.pass(KNOWN_AFTER);
+        fleet.advance(PROPAGATION_TIME);
         mSends = 0;
         for (int minute = 0; minute < TimeUnit.DAYS.toMinutes(1); minute++) {
-            crash(fleet, fleet.any());
-            fleet.pass(Duration.ofMinutes(1));
+            crash(fleet, fleet.randomInstance());
+            fleet.advance(Duration.ofMinutes(1));
         }
         assertThat(mSends).isBetween(1, MAXIMUM_SENDS);
     }
 
     @Example
-    void anAnswerOrAnOperatorReleasesItEverywhere() {
+    void answerOrOperatorReleasesItAtAllInstances() {
         CrashFleet fleet = fleet(20);
         repeat(fleet, 4, Duration.ofMillis(400));
-        fleet.pass(KNOWN_AFTER);
+        fleet.advance(PROPAGATION_TIME);
         fleet.instances().get(3).mRequests.answered(CRASHING, fleet.nowNanos());
-        fleet.pass(Duration.ofSeconds(5));
+        fleet.advance(Duration.ofSeconds(5));
         assertThat(fleet.instances()).noneMatch(each -> each.rejects(CRASHING));
         repeat(fleet, 4, Duration.ofMillis(400));
-        fleet.pass(KNOWN_AFTER);
+        fleet.advance(PROPAGATION_TIME);
         assertThat(fleet.instances()).allMatch(each -> each.rejects(CRASHING));
         fleet.instances().get(5).mRequests.release(CRASHING, fleet.nowNanos());
-        fleet.pass(Duration.ofSeconds(5));
+        fleet.advance(Duration.ofSeconds(5));
         assertThat(fleet.instances()).noneMatch(each -> each.rejects(CRASHING));
     }
 
     @Example
-    void releaseReachesInstancesThatDidNotHearIt() {
+    void releaseReachesInstancesThatMissedItsMessage() {
         CrashFleet fleet = fleet(20);
         repeat(fleet, 4, Duration.ofMillis(400));
-        fleet.pass(KNOWN_AFTER);
-        fleet.lose(0.5);
+        fleet.advance(PROPAGATION_TIME);
+        fleet.setLossRate(0.5);
         fleet.instances().get(5).mRequests.release(CRASHING, fleet.nowNanos());
-        fleet.pass(Duration.ofSeconds(60));
+        fleet.advance(Duration.ofSeconds(60));
         assertThat(fleet.instances()).noneMatch(each -> each.rejects(CRASHING));
     }
 
     @Example
-    void tellingOthersStaysFarBelowWhatControlMayCost() {
+    void reportsStayFarBelowControlTrafficLimit() {
         for (int instances : new int[] {95, 410}) {
             CrashFleet fleet = fleet(instances);
             repeat(fleet, 20, Duration.ofMillis(400));
             long once = fleet.messages();
-            fleet.pass(Duration.ofMinutes(10));
+            fleet.advance(Duration.ofMinutes(10));
             double perSecond = (fleet.messages() - once) / 600.0 / instances;
             assertThat(once * DATAGRAM_BYTES / instances).isLessThan(CONTROL_BYTES_PER_SECOND);
             assertThat(perSecond * DATAGRAM_BYTES).isLessThan(CONTROL_BYTES_PER_SECOND / 10.0);
@@ -165,22 +168,22 @@
     }
 
     @Example
-    void oneBrokenInstanceRejectsNothing() {
+    void oneFaultyInstanceCausesNoRejection() {
         CrashFleet fleet = fleet(10);
-        Instance broken = fleet.instances().get(0);
+        Instance faulty = fleet.instances().get(0);
         for (int time = 0; time < 50; time++) {
-            end(fleet, broken, INNOCENT, WORK);
-            broken.sendToAll(new CrashMessage.Verdict(INNOCENT, 9, 3, 0));
-            fleet.pass(Duration.ofMillis(200));
+            end(fleet, faulty, INNOCENT, WORK);
+            faulty.sendToAll(new CrashMessage.Verdict(INNOCENT, 9, 3, 0));
+            fleet.advance(Duration.ofMillis(200));
         }
         assertThat(fleet.instances().subList(1, 10)).noneMatch(each -> each.rejects(INNOCENT));
     }
 
     @Example
-    void floodTakesBoundedMemoryAndPushesOutNothingThatIsRejected() {
+    void floodUsesBoundedMemoryAndEvictsNoRejectedRequest() {
         CrashFleet fleet = fleet(3);
         repeat(fleet, 5, Duration.ofMillis(400));
-        fleet.pass(KNOWN_AFTER);
+        fleet.advance(PROPAGATION_TIME);
         Instance instance = fleet.instances().get(0);
         for (int number = 0; number < 5_000; number++) {
             RequestFingerprint other = new RequestFingerprint(99, number);
@@ -193,10 +196,10 @@
     }
 
     @Example
-    void oneEndIsForgottenInTime() {
+    void singleEndExpires() {
         CrashFleet fleet = fleet(3);
         crash(fleet, fleet.instances().get(0));
-        fleet.pass(CrashSettings.DEFAULT.memory().plusMinutes(1));
+        fleet.advance(CrashSettings.DEFAULT.memory().plusMinutes(1));
         List<Instance> instances = fleet.instances();
         assertThat(instances).allMatch(each -> each.mRequests.views(fleet.nowNanos()).isEmpty());
         assertThat(instances).allMatch(each -> each.mRequests.isEmpty());
--- a/masticpond-core/src/test/java/io/masticpond/core/crash/InnocentRequestsTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/crash/InnocentRequestsTest.java
@@ -14,8 +14,9 @@
 import net.jqwik.api.Example;
 
 /**
- * Servers that end by themselves take with them what they run. Few objects are asked for over and
- * over, with the same path and body, so that the same request is there at many ends.
+ * Verifies that requests are not rejected when servers end for other reasons. A few objects are
+ * requested repeatedly with the same path and body, so that the same request is being processed at
+ * many ends.
  */
 class InnocentRequestsTest {
 
@@ -23,13 +24,13 @@
     private static final int SERVERS = 40;
     private static final int OBJECTS = 12;
     private static final long SEED = 11;
-    private static final Duration BACK_AFTER = Duration.ofSeconds(2);
+    private static final Duration RESTART_TIME = Duration.ofSeconds(2);
 
-    /** A request that is at work, at most twice as its route allows. */
+    /** Request in progress, sent at most twice as its route allows. */
     private final class Call {
 
         private final RequestFingerprint mRequest;
-        private final Instance mAt;
+        private final Instance mInstance;
         private final int mAttempt;
         private final int mServer;
         private final int mRun;
@@ -37,7 +38,7 @@
 
         Call(RequestFingerprint request, Instance at, int attempt, int server) {
             mRequest = request;
-            mAt = at;
+            mInstance = at;
             mAttempt = attempt;
             mServer = server;
             mRun = mRuns[server];
@@ -50,22 +51,26 @@
         private void finish() {
             if (mCalls.remove(this)) {
                 mServed++;
-                mAt.mRequests.answered(mRequest, mFleet.nowNanos());
+                mInstance.mRequests.answered(mRequest, mFleet.nowNanos());
             }
         }
 
         private void breakOff() {
             long now = mFleet.nowNanos();
-            mAt.mRequests.addServerEnd(mRequest, 1_000L * mServer + mRun, mSentNanos, now, now);
+            mInstance.mRequests.addServerEnd(
+                    mRequest, 1_000L * mServer + mRun, mSentNanos, now, now);
             if (mAttempt == 1) {
-                send(mRequest, mAt, 2);
+                send(mRequest, mInstance, 2);
             }
         }
     }
 
     private final CrashFleet mFleet = new CrashFleet(INSTANCES, CrashSettings.DEFAULT, SEED);
 
-    /** The order in which the requests break off that were at one server, if not as they came. */
+    /**
+     * Source of the order in which the requests at one server break off, if not their order of
+     * arrival.
+     */
     private Optional<Random> mOrder = Optional.empty();
 
     private final Set<Call> mCalls = new LinkedHashSet<>();
@@ -97,7 +102,7 @@
                     at,
                     () -> {
                         int object = mFleet.random().nextInt(OBJECTS);
-                        send(new RequestFingerprint(5, object), mFleet.any(), 1);
+                        send(new RequestFingerprint(5, object), mFleet.randomInstance(), 1);
                     });
         }
     }
@@ -123,75 +128,81 @@
                     mOrder.ifPresent(order -> Collections.shuffle(ended, order));
                     mCalls.removeAll(ended);
                     ended.forEach(Call::breakOff);
-                    mFleet.after(BACK_AFTER.toNanos(), () -> mIsDown[server] = false);
+                    mFleet.after(RESTART_TIME.toNanos(), () -> mIsDown[server] = false);
                 });
     }
 
-    private void play(int killed, Duration every) {
-        Duration day = Duration.ofMinutes(10);
-        load(day, 200);
-        for (Duration at = every; at.compareTo(day) < 0; at = at.plus(every)) {
+    private void runWithKills(int killed, Duration every) {
+        Duration duration = Duration.ofMinutes(10);
+        load(duration, 200);
+        for (Duration at = every; at.compareTo(duration) < 0; at = at.plus(every)) {
             mFleet.after(at.toNanos(), () -> kill(killed));
         }
-        mFleet.pass(day);
+        mFleet.advance(duration);
         assertThat(mServed).isGreaterThan(50_000);
         assertThat(mRejected).isZero();
     }
 
     @Example
-    void killsOfOneServerInTenRejectNobody() {
-        play(SERVERS / 10, Duration.ofSeconds(7));
+    void killingOneServerInTenRejectsNoRequest() {
+        runWithKills(SERVERS / 10, Duration.ofSeconds(7));
     }
 
     @Example
-    void killsOfHalfTheServersRejectNobody() {
-        play(SERVERS / 2, Duration.ofSeconds(9));
+    void killingHalfTheServersRejectsNoRequest() {
+        runWithKills(SERVERS / 2, Duration.ofSeconds(9));
     }
 
     @Example
-    void serversThatEndOneShortlyAfterTheOtherRejectNobody() {
-        Duration day = Duration.ofMinutes(5);
-        load(day, 200);
+    void serversEndingInQuickSuccessionRejectNoRequest() {
+        Duration duration = Duration.ofMinutes(5);
+        load(duration, 200);
         Duration every = Duration.ofMillis(130);
-        for (Duration at = every; at.compareTo(day) < 0; at = at.plus(every)) {
+        for (Duration at = every; at.compareTo(duration) < 0; at = at.plus(every)) {
             kill(mFleet.random().nextInt(SERVERS), at.toNanos());
         }
-        mFleet.pass(day);
+        mFleet.advance(duration);
         assertThat(mServed).isGreaterThan(25_000);
         assertThat(mRejected).isZero();
     }
 
-    /** Seen once in some 300 runs with the order left to chance; the seed shows it each time. */
+    /**
+     * Guards against a rejection that occurred once in some 300 runs with a random order; the seed
+     * reproduces it.
+     */
     @Example
-    void inWhicheverOrderTheirRequestsBreakOffNobodyIsRejected() {
+    void anyOrderOfBrokenOffRequestsRejectsNoRequest() {
         mOrder = Optional.of(new Random(201));
-        serversThatEndOneShortlyAfterTheOtherRejectNobody();
+        serversEndingInQuickSuccessionRejectNoRequest();
     }
 
-    /** The news that a request is cleared overtakes the suspicion of it, at one instance. */
+    /**
+     * Guards against a rejection at an instance where the clearance of a request overtakes the
+     * suspicion of it.
+     */
     @Example
-    void suspicionThatIsOvertakenByItsClearanceRejectsNobody() {
+    void suspicionOvertakenByClearanceRejectsNoRequest() {
         mOrder = Optional.of(new Random(242));
-        serversThatEndOneShortlyAfterTheOtherRejectNobody();
+        serversEndingInQuickSuccessionRejectNoRequest();
     }
 
     @Example
-    void suspicionThatIsOvertakenInAnotherOrderRejectsNobody() {
+    void suspicionOvertakenInDifferentOrderRejectsNoRequest() {
         mOrder = Optional.of(new Random(276));
-        serversThatEndOneShortlyAfterTheOtherRejectNobody();
+        serversEndingInQuickSuccessionRejectNoRequest();
     }
 
     @Example
-    void requestThatWasThereThreeTimesAtOneMomentIsNotRejected() {
+    void requestAtSeveralServersEndingAtOnceIsNotRejected() {
         RequestFingerprint request = new RequestFingerprint(6, 6);
         for (int server = 0; server < 6; server++) {
-            new Call(request, mFleet.any(), 2, server);
+            new Call(request, mFleet.randomInstance(), 2, server);
         }
-        mFleet.pass(Duration.ofMillis(10));
+        mFleet.advance(Duration.ofMillis(10));
         for (int server = 0; server < 6; server++) {
             kill(server, 0);
         }
-        mFleet.pass(Duration.ofSeconds(5));
+        mFleet.advance(Duration.ofSeconds(5));
         assertThat(mFleet.instances()).noneMatch(each -> each.rejects(request));
     }
 }
