--- a/masticpond-core/src/main/java/io/masticpond/core/admission/Admission.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/Admission.java
@@ -7,21 +7,23 @@
 import java.util.List;
 
 /**
- * Admits work of one shard to the slots of its backend servers, and queues what must wait.
+ * Strategy interface for the admission of the requests of one shard to the slots of its backend
+ * servers, with a queue for requests that must wait.
  *
- * <p>A state machine for one thread: it never blocks and reads time only from the clock that it was
- * given. What it decides it tells an {@link AdmissionSink}, before the method returns. Every
- * request that was offered ends in exactly one dispatch or one refusal, unless it is cancelled
- * first; every dispatch must be ended by exactly one {@link #complete}.
+ * <p>Implementations are state machines for use by a single thread, which never block and read the
+ * time only from the given time source. They pass their decisions to an {@link AdmissionSink}
+ * before the method returns. Every offered request results in exactly one dispatch or one refusal,
+ * unless it is cancelled first; every dispatch must be ended by exactly one call of {@link
+ * #complete}.
  *
  * @since 0.1
  */
 public interface Admission {
 
     /**
-     * Takes the backend servers and this admitter's share of their slots, in place of those before.
-     * Work in flight at a server that is gone goes on and is counted until it completes. Without
-     * any servers, which is how an instance hands over to another admitter, what waits is refused.
+     * Replaces the backend servers and this admitter's share of their slots. Requests in flight at
+     * a removed server continue and are counted until they complete. An empty list, by which an
+     * instance hands over to another admitter, refuses all waiting requests.
      *
      * @param servers the backend servers of the shard
      * @param share which of their slots this instance may use
@@ -29,22 +31,22 @@
     void configure(List<BackendServerSpecification> servers, SlotShare share);
 
     /**
-     * Offers a request: it is dispatched, queued or refused.
+     * Offers a request, which is dispatched, queued or refused.
      *
      * @param request the request; its id must not be in use here
      */
     void offer(RequestHead request);
 
     /**
-     * Gives up a request that waits; one that was dispatched is not affected.
+     * Cancels a waiting request. A request that was dispatched is not affected.
      *
      * @param request the request
-     * @return whether it was waiting, and so did not run
+     * @return whether it was waiting, and therefore did not run
      */
     boolean cancel(RequestId request);
 
     /**
-     * Ends a dispatch and gives its slot to the next request that waits.
+     * Ends a dispatch and assigns its slot to the next waiting request.
      *
      * @param request the request
      * @param outcome how the attempt ended
@@ -52,23 +54,24 @@
     void complete(RequestId request, AttemptOutcome outcome);
 
     /**
-     * Takes what a backend server says about itself, which may lag or mislead.
+     * Handles a signal of a backend server about its own state, which may be outdated or wrong.
      *
      * @param server the backend server
-     * @param sign the sign
+     * @param signal the signal
      */
-    void observe(BackendServerId server, BackendServerSignal sign);
+    void observe(BackendServerId server, BackendServerSignal signal);
 
     /**
-     * Lets time act: refuses what can no longer meet its deadline, and dispatches what may go.
+     * Advances to the current time: refuses requests that can no longer meet their deadlines, and
+     * dispatches those for which a slot is free.
      *
-     * <p>Must be called several times a second also when there is no work, since a long time
-     * without any call counts as a pause of the process.
+     * <p>Must be called several times a second even when idle, since a long time without any call
+     * counts as a pause of the process.
      */
     void advance();
 
     /**
-     * Counts what is free, in flight and waiting now.
+     * Returns the current counts of usable slots and of requests in flight and waiting.
      *
      * @return the counts
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/AdmissionSettings.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/AdmissionSettings.java
@@ -4,17 +4,18 @@
 import java.time.Duration;
 
 /**
- * The limits and paces of an admission.
+ * Settings for the limits and rates of an {@link Admission}.
  *
- * @param maximumWaiting how many requests may wait
- * @param grace how long after its deadline a server may still work on a request given up
- * @param reportLag how old a server's report of its requests in flight may be
- * @param wideningPeriod how long after a change of admitters work of an earlier one may go on
- * @param pauseLimit a longer time without a call counts as a pause of this process, in which
- *     another admitter may have begun; the fair share holds for as long again, so that membership
- *     can say so, and then widens
- * @param outliers when backend servers are ejected
- * @param rampIn how fast a cold backend server gets more work
+ * @param maximumWaiting the maximum number of waiting requests
+ * @param grace how long after its deadline a server may still process an abandoned request
+ * @param reportLag the maximum age of a server's report of its requests in flight
+ * @param wideningPeriod how long after a change of admitters the requests of an earlier one may
+ *     still run
+ * @param pauseLimit the time without a call above which this process counts as paused, so that
+ *     another admitter may have taken over; the fair share then applies for the same time, in which
+ *     membership can report one, and widens afterwards
+ * @param outliers the conditions of the ejection of backend servers
+ * @param rampIn how fast a cold backend server gets more slots
  * @since 0.1
  */
 public record AdmissionSettings(
@@ -26,7 +27,7 @@
         OutlierSettings outliers,
         RampInSettings rampIn) {
 
-    /** Suits services of a few hundred slots with deadlines of a few seconds. */
+    /** Default settings for services with a few hundred slots and deadlines of a few seconds. */
     public static final AdmissionSettings DEFAULT =
             new AdmissionSettings(
                     1_024,
@@ -37,9 +38,9 @@
                     OutlierSettings.DEFAULT,
                     RampInSettings.DEFAULT);
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public AdmissionSettings {
-        Assert.positive(maximumWaiting, "The greatest number of waiting requests");
+        Assert.positive(maximumWaiting, "The maximum number of waiting requests");
         Assert.notNegative(grace.toNanos(), "A grace");
         Assert.notNegative(reportLag.toNanos(), "A report lag");
         Assert.notNegative(wideningPeriod.toNanos(), "A widening period");
@@ -49,7 +50,7 @@
     }
 
     /**
-     * Gives the same settings with another widening period, such as the longest deadline of the
+     * Returns these settings with the given widening period, such as the longest deadline of the
      * service.
      *
      * @param period the period
@@ -61,9 +62,9 @@
     }
 
     /**
-     * Gives the same settings with another age that reports may have.
+     * Returns these settings with the given maximum age of reports.
      *
-     * @param lag the greatest age of a report
+     * @param lag the maximum age of a report
      * @return the settings
      */
     public AdmissionSettings withReportLag(Duration lag) {
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/AdmissionShare.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/AdmissionShare.java
@@ -1,13 +1,15 @@
 package io.masticpond.core.admission;
 
 /**
- * Says how much of the backend servers' slots an admitter may use.
+ * Part of the backend servers' slots that an admitter may use.
  *
  * @since 0.1
  * @see SlotShare
  */
 public enum AdmissionShare {
-    /** All slots: this instance is the one admitter and nothing of an earlier one is in flight. */
+    /**
+     * All slots: this instance is the only admitter, and no request of an earlier one is in flight.
+     */
     WHOLE {
         @Override
         int usableSlots(int slots, int fairSlots, int withheldSlots) {
@@ -19,7 +21,7 @@
             return DegradationStep.EXACT;
         }
     },
-    /** All slots, in steps, as work of an earlier admitter must have ended. */
+    /** All slots, in steps, as the requests of an earlier admitter must have ended. */
     WIDENING {
         @Override
         int usableSlots(int slots, int fairSlots, int withheldSlots) {
@@ -31,7 +33,7 @@
             return withheldSlots > 0 ? DegradationStep.WIDENING : DegradationStep.EXACT;
         }
     },
-    /** The static fair share: another admitter may be at work. */
+    /** The static fair share: another admitter may be active. */
     FAIR_SHARE {
         @Override
         int usableSlots(int slots, int fairSlots, int withheldSlots) {
@@ -45,17 +47,17 @@
     };
 
     /**
-     * Counts the usable slots of a backend server.
+     * Returns the number of usable slots of a backend server.
      *
-     * @param slots its slots
-     * @param fairSlots those in the static fair share
-     * @param withheldSlots those that work of an earlier admitter may hold
+     * @param slots the slots of the server
+     * @param fairSlots the slots in the static fair share
+     * @param withheldSlots the slots that requests of an earlier admitter may hold
      * @return from 0 to the slots
      */
     abstract int usableSlots(int slots, int fairSlots, int withheldSlots);
 
     /**
-     * Tells the step of degradation that goes with the share.
+     * Returns the degradation step that corresponds to the share.
      *
      * @param withheldSlots the slots withheld over all backend servers
      * @return the step
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/AdmissionSink.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/AdmissionSink.java
@@ -5,14 +5,15 @@
 import io.masticpond.core.request.RequestHead;
 
 /**
- * Carries out what an {@link Admission} decides; must not call back into it.
+ * Callback interface that carries out the decisions of an {@link Admission}. Implementations must
+ * not call back into it.
  *
  * @since 0.1
  */
 public interface AdmissionSink {
 
     /**
-     * Sends a request to a backend server now.
+     * Sends a request to a backend server.
      *
      * @param request the request
      * @param server the backend server whose slot it holds
@@ -23,7 +24,7 @@
      * Refuses a request, which did not run.
      *
      * @param request the request
-     * @param refusal why
+     * @param refusal the reason
      */
     void refuse(RequestHead request, Refusal refusal);
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/AttemptEvaluator.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/AttemptEvaluator.java
@@ -1,23 +1,26 @@
 package io.masticpond.core.admission;
 
-/** Draws conclusions about a backend server from answers and, where these are silent, reports. */
+/**
+ * Evaluator of attempts at backend servers. It relies on answers, and on reports of a server where
+ * recent answers are missing.
+ */
 final class AttemptEvaluator {
 
-    /** Takes the events that people should see. */
+    /** Callback interface for events that are shown to operators. */
     @FunctionalInterface
     interface EventListener {
 
         /**
-         * Takes an event.
+         * Records an event.
          *
-         * @param event its name
+         * @param event the name of the event
          * @param object the id of the backend server
-         * @param detail a few words more
+         * @param detail additional details, may be empty
          */
         void record(String event, String object, String detail);
     }
 
-    /** A timeout counts as a failure only after this many typical latencies. */
+    /** Multiple of the typical latency from which on a timeout counts as a failure. */
     private static final int TIMEOUT_FACTOR = 4;
 
     private final OutlierSettings mSettings;
@@ -26,11 +29,11 @@
     private final EventListener mEvents;
 
     /**
-     * Makes the judge.
+     * Creates an evaluator.
      *
-     * @param settings when to eject
+     * @param settings the conditions of an ejection
      * @param servers the servers of the shard
-     * @param events takes what people should see
+     * @param events the listener for events
      */
     AttemptEvaluator(OutlierSettings settings, BackendServerTable servers, EventListener events) {
         mSettings = settings;
@@ -40,12 +43,12 @@
     }
 
     /**
-     * Takes how an attempt ended.
+     * Evaluates how an attempt ended.
      *
      * @param server the server
      * @param outcome how the attempt ended
-     * @param heldNanos how long the slot was held
-     * @param nanos the time now
+     * @param heldNanos how long the slot was held, in nanoseconds
+     * @param nanos the current monotonic time, in nanoseconds
      */
     void evaluate(BackendServerState server, AttemptOutcome outcome, long heldNanos, long nanos) {
         switch (outcome) {
@@ -60,17 +63,17 @@
     }
 
     /**
-     * Takes what a server says about itself.
+     * Evaluates a signal of a server about its own state.
      *
      * @param server the server
-     * @param sign the sign
-     * @param nanos the time now
+     * @param signal the signal
+     * @param nanos the current monotonic time, in nanoseconds
      */
-    void observe(BackendServerState server, BackendServerSignal sign, long nanos) {
-        if (sign.reportedInFlight() >= 0) {
-            server.report(sign.reportedInFlight(), nanos);
+    void observe(BackendServerState server, BackendServerSignal signal, long nanos) {
+        if (signal.reportedInFlight() >= 0) {
+            server.report(signal.reportedInFlight(), nanos);
         }
-        switch (sign.kind()) {
+        switch (signal.kind()) {
             case HEALTHY -> server.ejectionState().reportedHealthy(nanos);
             case UNHEALTHY -> reportedUnhealthy(server, nanos);
             case LEAVING -> leaving(server);
@@ -79,7 +82,7 @@
                 record("server-started", server, "");
             }
             case STAYING -> staying(server, nanos);
-            default -> throw new IllegalStateException("No such sign: " + sign);
+            default -> throw new IllegalStateException("No such signal: " + signal);
         }
     }
 
@@ -115,9 +118,9 @@
     }
 
     private void reportedUnhealthy(BackendServerState server, long nanos) {
-        boolean trusted =
+        boolean answeredRecently =
                 server.record().answeredWithin(nanos, mSettings.answerValidity().toNanos());
-        if (trusted
+        if (answeredRecently
                 || !server.ejectionState().isInUse()
                 || !mDetector.mayEject(server, mServers.all())) {
             return;
@@ -129,12 +132,12 @@
         if (!server.isLeaving()) {
             record("server-leaving", server, "");
         }
-        server.leaving();
+        server.markLeaving();
     }
 
     private void staying(BackendServerState server, long nanos) {
         if (server.isLeavingBySignal()) {
-            server.cold(nanos);
+            server.startRampIn(nanos);
             record("server-staying", server, "");
         }
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/AttemptOutcome.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/AttemptOutcome.java
@@ -1,38 +1,38 @@
 package io.masticpond.core.admission;
 
 /**
- * Says how an attempt at a backend server ended, as seen by the instance that sent it.
+ * Outcome of an attempt at a backend server, as seen by the instance that sent it.
  *
  * @since 0.1
  */
 public enum AttemptOutcome {
-    /** A whole answer that is not a server error. */
+    /** A complete answer that is not a server error. */
     ANSWERED(false),
-    /** A whole answer with a server error status. */
+    /** A complete answer with a server error status. */
     SERVER_ERROR(false),
-    /** The server declared that it shed the request without running it. */
+    /** The server stated that it shed the request without running it. */
     SHED(false),
-    /** No connection could be made, so the request did not run. */
+    /** No connection could be established, so the request did not run. */
     UNREACHABLE(false),
-    /** The connection broke or the answer was cut short. */
+    /** The connection broke or the answer was truncated. */
     BROKEN(true),
-    /** The deadline passed before a whole answer; the server may still work on it. */
+    /** The deadline passed before a complete answer; the server may still process the request. */
     TIMED_OUT(true),
-    /** The caller gave up and the attempt was cancelled; the server may still work on it. */
+    /** The caller cancelled the attempt; the server may still process the request. */
     CANCELLED(true);
 
-    private final boolean mMayGoOn;
+    private final boolean mMayStillRun;
 
-    AttemptOutcome(boolean mayGoOn) {
-        mMayGoOn = mayGoOn;
+    AttemptOutcome(boolean mayStillRun) {
+        mMayStillRun = mayStillRun;
     }
 
     /**
-     * Tells whether the server may still work on the request, so that its slot stays counted.
+     * Returns whether the server may still process the request, so that its slot stays counted.
      *
-     * @return whether the work may go on
+     * @return whether the request may still run
      */
     public boolean mayStillRun() {
-        return mMayGoOn;
+        return mMayStillRun;
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/BackendServerSignal.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/BackendServerSignal.java
@@ -3,38 +3,42 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * What a backend server says about itself, with the way it was said.
+ * Signal of a backend server about its own state.
  *
- * @param kind what is said
- * @param reportedInFlight how many requests the server says it works on, or -1 if it does not say
+ * @param kind the kind of the signal
+ * @param reportedInFlight the number of requests that the server reports as in flight, or -1 if it
+ *     does not report it
  * @since 0.1
  */
 public record BackendServerSignal(Kind kind, int reportedInFlight) {
 
-    /** What a backend server may say. */
+    /** Kind of a signal. */
     public enum Kind {
-        /** It is well. */
+        /** The server is healthy. */
         HEALTHY,
-        /** It is not well. */
+        /** The server is unhealthy. */
         UNHEALTHY,
-        /** It is leaving, by health answer, by a header on an answer or by closing connections. */
+        /**
+         * The server is leaving, as stated by a health answer, by a header of an answer or by
+         * closing connections.
+         */
         LEAVING,
-        /** It has just started. */
+        /** The server has just started. */
         STARTED,
-        /** It said that it was leaving, and has taken that back without a new start. */
+        /** The server had signaled that it was leaving, and has revoked that without a restart. */
         STAYING
     }
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public BackendServerSignal {
-        Assert.notNull(kind, "The kind of a sign");
+        Assert.notNull(kind, "The kind of a signal");
     }
 
     /**
-     * Makes a sign without a count.
+     * Creates a signal without a count of requests.
      *
-     * @param kind what is said
-     * @return the sign
+     * @param kind the kind of the signal
+     * @return the signal
      */
     public static BackendServerSignal of(Kind kind) {
         return new BackendServerSignal(kind, -1);
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/BackendServerState.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/BackendServerState.java
@@ -3,26 +3,26 @@
 import io.masticpond.core.configuration.BackendServerSpecification;
 import io.masticpond.core.id.BackendServerId;
 
-/** What an admitter knows of one backend server: its slots, its answers and its standing. */
+/** State of one backend server at its admitter: its slots, its answers and its ejection. */
 final class BackendServerState implements ServerCandidate {
 
     private final HeldSlots mHeld;
     private final WithheldSlots mWithheld;
     private final RampIn mRampIn;
     private final ServerRecord mRecord = new ServerRecord();
-    private final EjectionState mStanding;
+    private final EjectionState mEjectionState;
     private BackendServerSpecification mSpecification;
     private AdmissionShare mShare = AdmissionShare.FAIR_SHARE;
     private int mFairSlots;
-    private boolean mLeavingSign;
+    private boolean mLeavingSignal;
     private long mLastDispatchNanos;
 
     /**
-     * Starts with nothing in flight.
+     * Creates the state of a server without requests in flight.
      *
-     * @param specification what operators state of the server
-     * @param settings the limits and paces
-     * @param nanos the time now
+     * @param specification the specification of the operators
+     * @param settings the limits and rates
+     * @param nanos the current monotonic time, in nanoseconds
      */
     BackendServerState(
             BackendServerSpecification specification, AdmissionSettings settings, long nanos) {
@@ -30,128 +30,128 @@
         mHeld = new HeldSlots(settings.reportLag().toNanos(), nanos);
         mWithheld = new WithheldSlots(settings);
         mRampIn = new RampIn(settings.rampIn());
-        mStanding = new EjectionState(settings.outliers());
+        mEjectionState = new EjectionState(settings.outliers());
     }
 
     /**
-     * Takes what operators state now. A leaving sign of the server holds until operators take back
-     * that it is leaving, or give it another address.
+     * Applies a new specification. A leaving signal of the server stays in force until the
+     * operators revoke that it is leaving, or change its address.
      *
-     * @param specification the same server
-     * @param nanos the time now
+     * @param specification the new specification of the same server
+     * @param nanos the current monotonic time, in nanoseconds
      */
-    void specify(BackendServerSpecification specification, long nanos) {
+    void applySpecification(BackendServerSpecification specification, long nanos) {
         boolean moved = !specification.address().equals(mSpecification.address());
         boolean undrained = mSpecification.leaving() && !specification.leaving();
         mSpecification = specification;
         if (moved || undrained) {
-            cold(nanos);
+            startRampIn(nanos);
         }
     }
 
     /**
-     * Takes which slots may be used.
+     * Sets the slots that may be used.
      *
      * @param share the share
      * @param fairSlots the slots in the static fair share
      */
-    void share(AdmissionShare share, int fairSlots) {
+    void setShare(AdmissionShare share, int fairSlots) {
         mShare = share;
         mFairSlots = fairSlots;
     }
 
     /**
-     * Opens the server at the first step of the ramp-in.
+     * Opens the server with the initial limit of the ramp-in.
      *
-     * @param nanos the time now
+     * @param nanos the current monotonic time, in nanoseconds
      */
-    void cold(long nanos) {
-        mLeavingSign = false;
+    void startRampIn(long nanos) {
+        mLeavingSignal = false;
         mRampIn.start(nanos);
     }
 
     /**
-     * Takes that the server started anew: nothing that left before is at work.
+     * Handles a restart of the server: no request that was sent before is still running.
      *
-     * @param nanos the time now
+     * @param nanos the current monotonic time, in nanoseconds
      */
     void started(long nanos) {
-        cold(nanos);
+        startRampIn(nanos);
         mHeld.restarted(nanos);
         mWithheld.clear();
         mRecord.reset();
-        mStanding.reset();
+        mEjectionState.reset();
     }
 
-    /** Closes the server to new work. */
-    void leaving() {
-        mLeavingSign = true;
+    /** Closes the server to new requests. */
+    void markLeaving() {
+        mLeavingSignal = true;
     }
 
     /**
-     * Lets time act.
+     * Advances the state to the current time.
      *
-     * @param nanos the time now
+     * @param nanos the current monotonic time, in nanoseconds
      */
     void advance(long nanos) {
         mHeld.advance(nanos);
         mWithheld.advance(nanos);
-        if (mStanding.advance(nanos)) {
+        if (mEjectionState.advance(nanos)) {
             mRecord.reset();
         }
     }
 
     /**
-     * Takes how many requests the server says it works on.
+     * Handles a report of the requests that the server has in flight.
      *
-     * @param reportedInFlight the requests
-     * @param nanos the time now
+     * @param reportedInFlight the number of requests
+     * @param nanos the current monotonic time, in nanoseconds
      */
     void report(int reportedInFlight, long nanos) {
-        mWithheld.report(reportedInFlight, mHeld.leastInFlight(), nanos);
+        mWithheld.report(reportedInFlight, mHeld.minInFlight(), nanos);
         mHeld.report(reportedInFlight, nanos);
     }
 
     /**
-     * Holds a slot for a request that leaves now.
+     * Holds a slot for a request that is sent now.
      *
-     * @param nanos the time now
+     * @param nanos the current monotonic time, in nanoseconds
      */
     void dispatch(long nanos) {
         mHeld.dispatch();
         mLastDispatchNanos = nanos;
-        mStanding.trialSent(nanos);
+        mEjectionState.trialSent(nanos);
     }
 
     /**
-     * Tells whether operators or the server said that it is leaving.
+     * Returns whether the server is leaving, by specification or by its own signal.
      *
-     * @return whether it gets no new work
+     * @return whether it gets no new requests
      */
     boolean isLeaving() {
-        return mLeavingSign || mSpecification.leaving();
+        return mLeavingSignal || mSpecification.leaving();
     }
 
     /**
-     * Tells whether the server itself said that it is leaving.
+     * Returns whether the server itself signaled that it is leaving.
      *
-     * @return whether it did, whatever operators say
+     * @return whether it did, regardless of the specification
      */
     boolean isLeavingBySignal() {
-        return mLeavingSign;
+        return mLeavingSignal;
     }
 
     /**
-     * Counts the slots that may be used by requests that need not be idempotent.
+     * Returns the number of slots that may be used by requests of any kind, idempotent or not.
      *
-     * @return the usable slots, none unless the server is in use
+     * @return the usable slots, 0 unless the server is in use
      */
     int regularSlots() {
-        return mStanding.isInUse() ? usableSlots() : 0;
+        return mEjectionState.isInUse() ? usableSlots() : 0;
     }
 
     /**
-     * Tells whether one more request may be sent.
+     * Returns whether one more request may be sent.
      *
      * @return whether a usable slot is free
      */
@@ -170,7 +170,7 @@
             return 0;
         }
         int slots = mShare.usableSlots(mSpecification.slots(), mFairSlots, mWithheld.count());
-        return mStanding.limit(Math.min(slots, mRampIn.limit()));
+        return mEjectionState.limit(Math.min(slots, mRampIn.limit()));
     }
 
     @Override
@@ -209,6 +209,6 @@
     }
 
     EjectionState ejectionState() {
-        return mStanding;
+        return mEjectionState;
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/BackendServerTable.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/BackendServerTable.java
@@ -10,20 +10,22 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The backend servers of a shard, with those that are gone as long as they have work in flight. */
+/**
+ * Backend servers of a shard, including removed servers as long as they have requests in flight.
+ */
 final class BackendServerTable {
 
     private final AdmissionSettings mSettings;
     private final ServerSelector mSelector;
     private final List<ServerCandidate> mCandidates = new ArrayList<>();
     private Map<BackendServerId, BackendServerState> mServers = new LinkedHashMap<>();
-    private Map<BackendServerId, BackendServerState> mGone = new LinkedHashMap<>();
+    private Map<BackendServerId, BackendServerState> mRemoved = new LinkedHashMap<>();
 
     /**
-     * Starts without servers.
+     * Creates a table without servers.
      *
-     * @param settings the limits and paces
-     * @param selector chooses among servers in use
+     * @param settings the limits and rates
+     * @param selector the strategy that chooses among servers in use
      */
     BackendServerTable(AdmissionSettings settings, ServerSelector selector) {
         mSettings = settings;
@@ -31,10 +33,10 @@
     }
 
     /**
-     * Takes the servers in place of those before. One that joins others is taken for cold.
+     * Replaces the servers. A server that is added to existing ones is considered cold.
      *
-     * @param specifications what operators state
-     * @param nanos the time now
+     * @param specifications the specifications of the operators
+     * @param nanos the current monotonic time, in nanoseconds
      */
     void configure(List<BackendServerSpecification> specifications, long nanos) {
         Map<BackendServerId, BackendServerState> before = mServers;
@@ -45,50 +47,50 @@
             if (state == null) {
                 state = add(specification, joins, nanos);
             }
-            state.specify(specification, nanos);
+            state.applySpecification(specification, nanos);
             mServers.put(specification.id(), state);
         }
-        mGone.putAll(before);
+        mRemoved.putAll(before);
     }
 
     private BackendServerState add(
             BackendServerSpecification specification, boolean cold, long nanos) {
-        BackendServerState state = mGone.remove(specification.id());
+        BackendServerState state = mRemoved.remove(specification.id());
         if (state == null) {
             state = new BackendServerState(specification, mSettings, nanos);
         }
         if (cold) {
-            state.cold(nanos);
+            state.startRampIn(nanos);
         }
         return state;
     }
 
     /**
-     * Lets time act on every server.
+     * Advances every server to the current time.
      *
-     * @param nanos the time now
+     * @param nanos the current monotonic time, in nanoseconds
      */
     void advance(long nanos) {
         for (BackendServerState server : mServers.values()) {
             server.advance(nanos);
         }
-        if (!mGone.isEmpty()) {
-            mGone.values().forEach(server -> server.advance(nanos));
-            mGone.values().removeIf(server -> server.heldSlots() == 0);
+        if (!mRemoved.isEmpty()) {
+            mRemoved.values().forEach(server -> server.advance(nanos));
+            mRemoved.values().removeIf(server -> server.heldSlots() == 0);
         }
     }
 
     /**
-     * Chooses a server with a free slot for a request. A server in its trickle is tried first with
-     * work that may be repeated, and last with work that may not.
+     * Selects a server with a free slot for a request. A server on trial is preferred for
+     * idempotent requests and used last for others.
      *
      * @param request the request
-     * @param nanos the time now
+     * @param nanos the current monotonic time, in nanoseconds
      * @return the server, or empty if the request must wait
      */
     Optional<BackendServerState> select(RequestHead request, long nanos) {
         mCandidates.clear();
-        BackendServerState trickle = null;
+        BackendServerState onTrial = null;
         boolean anyRegular = false;
         for (BackendServerState server : mServers.values()) {
             anyRegular |= server.regularSlots() > 0;
@@ -97,13 +99,13 @@
             }
             if (server.ejectionState().isInUse()) {
                 mCandidates.add(server);
-            } else if (trickle == null || server.ejectionState().isTrialDue(nanos)) {
-                trickle = server;
+            } else if (onTrial == null || server.ejectionState().isTrialDue(nanos)) {
+                onTrial = server;
             }
         }
-        boolean trickleIsDue = trickle != null && trickle.ejectionState().isTrialDue(nanos);
-        if (trickle != null && (!anyRegular || (trickleIsDue && request.kind().isIdempotent()))) {
-            return Optional.of(trickle);
+        boolean isTrialDue = onTrial != null && onTrial.ejectionState().isTrialDue(nanos);
+        if (onTrial != null && (!anyRegular || (isTrialDue && request.kind().isIdempotent()))) {
+            return Optional.of(onTrial);
         }
         if (mCandidates.isEmpty()) {
             return Optional.empty();
@@ -112,7 +114,7 @@
     }
 
     /**
-     * Counts the slots of the servers in use, or of those in a trickle if none is in use.
+     * Counts the slots of the servers in use, or of those on trial if none is in use.
      *
      * @return the counts
      */
@@ -137,14 +139,14 @@
                 nextRelease = Math.min(nextRelease, server.held().nextReleaseNanos());
             }
         }
-        for (BackendServerState server : mGone.values()) {
+        for (BackendServerState server : mRemoved.values()) {
             inFlight += server.heldSlots();
         }
         return new SlotCounts(usable, free, busy, inFlight, nextRelease);
     }
 
     /**
-     * Counts the slots that earlier admitters' work may hold.
+     * Returns the number of slots that requests of earlier admitters may hold.
      *
      * @return the slots over all servers
      */
@@ -153,7 +155,7 @@
     }
 
     /**
-     * Tells when the next ejection ends.
+     * Returns the time at which the next ejection ends.
      *
      * @return nanoseconds of the monotonic clock, or {@link Long#MAX_VALUE} if nothing is ejected
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/DeadlineQueue.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/DeadlineQueue.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.TreeSet;
 
-/** Holds the requests that wait, the earliest deadline first, then the first to come. */
+/** Queue of waiting requests, ordered by deadline and then by arrival. */
 final class DeadlineQueue implements Iterable<RequestHead> {
 
     private record Entry(RequestHead request, long sequence) {}
@@ -24,19 +24,19 @@
     private long mNextSequence;
 
     /**
-     * Starts empty.
+     * Creates an empty queue.
      *
-     * @param capacity how many requests may wait
+     * @param capacity the maximum number of waiting requests
      */
     DeadlineQueue(int capacity) {
         mCapacity = capacity;
     }
 
     /**
-     * Adds a request; the caller makes room first.
+     * Adds a request. The caller must make room first.
      *
      * @param request the request
-     * @throws IllegalStateException if the queue is full or has the request already
+     * @throws IllegalStateException if the queue is full or already contains the request
      */
     void add(RequestHead request) {
         if (isFull() || contains(request.id())) {
@@ -48,10 +48,10 @@
     }
 
     /**
-     * Takes a request out.
+     * Removes a request.
      *
      * @param request the request
-     * @return the request, or empty if it does not wait
+     * @return the removed request, or empty if it is not waiting
      */
     Optional<RequestHead> remove(RequestId request) {
         Entry entry = mById.remove(request);
@@ -63,7 +63,7 @@
     }
 
     /**
-     * Gives the request with the earliest deadline.
+     * Returns the request with the earliest deadline, without removing it.
      *
      * @return the first request
      * @throws java.util.NoSuchElementException if the queue is empty
@@ -88,7 +88,9 @@
         return mEntries.size();
     }
 
-    /** Goes through the requests in order; must not be used across changes. */
+    /**
+     * Returns an iterator over the requests in order, which must not be used after a modification.
+     */
     @Override
     public Iterator<RequestHead> iterator() {
         return mEntries.stream().map(Entry::request).iterator();
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/DefaultAdmission.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/DefaultAdmission.java
@@ -18,12 +18,13 @@
 import java.util.Optional;
 
 /**
- * Admits by exact counts, with one queue in the order of deadlines.
+ * Default implementation of {@link Admission} that admits by exact slot counts and queues requests
+ * in the order of their deadlines.
  *
- * <p>A request is refused as soon as the estimate of its wait shows that it can't meet its
- * deadline; of those that compete the one with the lowest priority is refused. Between two calls
- * either no usable slot is free or nothing waits, save for work that must not repeat, which does
- * not go to a server in its trickle while another is in use.
+ * <p>A request is refused as soon as its estimated wait shows that it cannot meet its deadline;
+ * among competing requests the one with the lowest priority is refused. Between two calls either no
+ * usable slot is free or no request waits. The exception is non-idempotent work, which is not sent
+ * to a server on trial while another server is in use.
  *
  * @since 0.1
  */
@@ -40,22 +41,23 @@
     private final DeadlineQueue mQueue;
     private final WaitEstimator mEstimator = new WaitEstimator();
     private final OverloadCheck mOverloadCheck = new OverloadCheck(mEstimator);
-    private final AttemptEvaluator mJudge;
+    private final AttemptEvaluator mAttemptEvaluator;
     private final Map<RequestId, Dispatch> mDispatches = new HashMap<>();
     private Optional<SlotShare> mShare = Optional.empty();
-    private AdmissionShare mInUse = AdmissionShare.FAIR_SHARE;
+    private AdmissionShare mEffectiveShare = AdmissionShare.FAIR_SHARE;
     private boolean mPaused;
     private long mPauseEndNanos;
     private long mLastCallNanos;
 
     /**
-     * Starts without backend servers; everything is refused until {@link #configure}.
+     * Creates an admission without backend servers, which refuses every request until {@link
+     * #configure} is called.
      *
      * @param shard the shard whose work is admitted
-     * @param settings the limits and paces
-     * @param timeSource the clock
-     * @param sink carries out the decisions
-     * @param timeline takes events
+     * @param settings the limits and rates
+     * @param timeSource the source of the monotonic time
+     * @param sink receives the decisions
+     * @param timeline records events
      */
     public DefaultAdmission(
             Shard shard,
@@ -67,14 +69,15 @@
     }
 
     /**
-     * Starts without backend servers, with a way to choose among them.
+     * Creates an admission without backend servers that chooses among servers with the given
+     * selector.
      *
      * @param shard the shard whose work is admitted
-     * @param settings the limits and paces
-     * @param timeSource the clock
-     * @param sink carries out the decisions
-     * @param timeline takes events
-     * @param selector chooses among servers with a free slot
+     * @param settings the limits and rates
+     * @param timeSource the source of the monotonic time
+     * @param sink receives the decisions
+     * @param timeline records events
+     * @param selector the strategy that chooses among servers with a free slot
      */
     public DefaultAdmission(
             Shard shard,
@@ -90,22 +93,22 @@
         mTimeline = Assert.notNull(timeline, "A time line");
         mServers = new BackendServerTable(settings, Assert.notNull(selector, "A selector"));
         mQueue = new DeadlineQueue(settings.maximumWaiting());
-        mJudge = new AttemptEvaluator(settings.outliers(), mServers, this::record);
+        mAttemptEvaluator = new AttemptEvaluator(settings.outliers(), mServers, this::record);
         mLastCallNanos = timeSource.monotonicNanos();
     }
 
     @Override
     public void configure(List<BackendServerSpecification> servers, SlotShare share) {
-        long nanos = enter();
+        long nanos = beginCall();
         mServers.configure(servers, nanos);
         mShare = Optional.of(share);
-        use(mPaused ? AdmissionShare.FAIR_SHARE : share.share(), nanos);
-        act(nanos);
+        applyShare(mPaused ? AdmissionShare.FAIR_SHARE : share.share(), nanos);
+        processQueue(nanos);
     }
 
     @Override
     public void offer(RequestHead request) {
-        long nanos = enter();
+        long nanos = beginCall();
         Assert.isTrue(
                 !mQueue.contains(request.id()) && !mDispatches.containsKey(request.id()),
                 "Request %s must not be offered twice.",
@@ -116,35 +119,35 @@
             return;
         }
         if (mQueue.isFull()) {
-            RequestHead weakest = mOverloadCheck.weakest(mQueue, request);
-            mQueue.remove(weakest.id());
-            refuse(weakest, queueFull(counts, nanos));
-            if (weakest.equals(request)) {
+            RequestHead lowest = mOverloadCheck.findLowestPriority(mQueue, request);
+            mQueue.remove(lowest.id());
+            refuse(lowest, queueFull(counts, nanos));
+            if (lowest.equals(request)) {
                 return;
             }
         }
         mQueue.add(request);
-        refuseHopeless(request.id(), nanos);
+        refuseInfeasible(request.id(), nanos);
         dispatchWaiting(nanos);
     }
 
     @Override
     public boolean cancel(RequestId request) {
-        long nanos = enter();
+        long nanos = beginCall();
         boolean waited = mQueue.remove(request).isPresent();
-        act(nanos);
+        processQueue(nanos);
         return waited;
     }
 
     @Override
     public void complete(RequestId request, AttemptOutcome outcome) {
-        long nanos = enter();
+        long nanos = beginCall();
         Dispatch dispatch = mDispatches.remove(request);
         Assert.isTrue(dispatch != null, "Request %s must be in flight, but is not.", request);
         BackendServerState server = dispatch.server();
         if (outcome.mayStillRun()) {
             long release = dispatch.request().deadlineNanos() + mSettings.grace().toNanos();
-            server.held().giveUp(dispatch.nanos(), Math.max(nanos, release));
+            server.held().abandon(dispatch.nanos(), Math.max(nanos, release));
         } else {
             server.held().end();
         }
@@ -152,22 +155,22 @@
         if (outcome == AttemptOutcome.ANSWERED || outcome == AttemptOutcome.TIMED_OUT) {
             mEstimator.sample(held);
         }
-        mJudge.evaluate(server, outcome, held, nanos);
-        act(nanos);
+        mAttemptEvaluator.evaluate(server, outcome, held, nanos);
+        processQueue(nanos);
     }
 
     @Override
-    public void observe(BackendServerId server, BackendServerSignal sign) {
-        long nanos = enter();
+    public void observe(BackendServerId server, BackendServerSignal signal) {
+        long nanos = beginCall();
         Optional<BackendServerState> state = mServers.find(server);
-        state.ifPresent(found -> mJudge.observe(found, sign, nanos));
+        state.ifPresent(found -> mAttemptEvaluator.observe(found, signal, nanos));
         mServers.advance(nanos);
-        act(nanos);
+        processQueue(nanos);
     }
 
     @Override
     public void advance() {
-        act(enter());
+        processQueue(beginCall());
     }
 
     @Override
@@ -182,11 +185,14 @@
     }
 
     private DegradationStep step() {
-        return mInUse.step(mServers.withheld());
+        return mEffectiveShare.step(mServers.withheld());
     }
 
-    /** Notes a call, and with it a pause before it; lets time act on the servers. */
-    private long enter() {
+    /**
+     * Records the time of a call, detects a pause of the process before it, and advances the
+     * servers.
+     */
+    private long beginCall() {
         long nanos = mTimeSource.monotonicNanos();
         boolean late = nanos - mLastCallNanos > mSettings.pauseLimit().toNanos();
         if (late && mShare.isPresent()) {
@@ -199,39 +205,43 @@
         return nanos;
     }
 
-    /** Another admitter may have begun: membership gets as long as the limit to say so. */
+    /**
+     * Falls back to the fair share, since another admitter may have taken over during the pause.
+     * Membership gets as long as the pause limit to report one.
+     */
     private void pause(long nanos) {
         mPaused = true;
         mPauseEndNanos = nanos + mSettings.pauseLimit().toNanos();
-        use(AdmissionShare.FAIR_SHARE, nanos);
+        applyShare(AdmissionShare.FAIR_SHARE, nanos);
         record("admission-paused", "", Duration.ofNanos(nanos - mLastCallNanos).toString());
     }
 
     private void resume(long nanos) {
         mPaused = false;
         boolean fair = mShare.map(SlotShare::share).equals(Optional.of(AdmissionShare.FAIR_SHARE));
-        use(fair ? AdmissionShare.FAIR_SHARE : AdmissionShare.WIDENING, nanos);
+        applyShare(fair ? AdmissionShare.FAIR_SHARE : AdmissionShare.WIDENING, nanos);
     }
 
-    private void act(long nanos) {
+    private void processQueue(long nanos) {
         if (!mQueue.isEmpty() && mServers.counts().usable() == 0) {
             refuseAll(nanos);
             return;
         }
-        refuseHopeless(null, nanos);
+        refuseInfeasible(null, nanos);
         dispatchWaiting(nanos);
     }
 
-    private void use(AdmissionShare share, long nanos) {
+    private void applyShare(AdmissionShare share, long nanos) {
         if (mShare.isEmpty()) {
             return;
         }
-        boolean widens = share == AdmissionShare.WIDENING && mInUse != AdmissionShare.WIDENING;
-        mInUse = share;
+        boolean widens =
+                share == AdmissionShare.WIDENING && mEffectiveShare != AdmissionShare.WIDENING;
+        mEffectiveShare = share;
         for (BackendServerState server : mServers.all()) {
             BackendServerSpecification specification = server.specification();
             int fairSlots = mShare.get().fairSlots(specification);
-            server.share(share, fairSlots);
+            server.setShare(share, fairSlots);
             if (widens) {
                 server.withheld().start(specification.slots() - fairSlots, nanos);
             }
@@ -260,16 +270,16 @@
         mSink.dispatch(request, server.id());
     }
 
-    private void refuseHopeless(RequestId newest, long nanos) {
+    private void refuseInfeasible(RequestId newest, long nanos) {
         while (!mQueue.isEmpty()) {
             SlotCounts counts = mServers.counts();
-            Optional<RequestHead> victim =
-                    mOverloadCheck.firstVictim(mQueue, newest, counts, nanos);
-            if (victim.isEmpty()) {
+            Optional<RequestHead> refused =
+                    mOverloadCheck.findRequestToRefuse(mQueue, newest, counts, nanos);
+            if (refused.isEmpty()) {
                 return;
             }
-            mQueue.remove(victim.get().id());
-            refuse(victim.get(), noCapacity(victim.get(), counts, nanos));
+            mQueue.remove(refused.get().id());
+            refuse(refused.get(), noCapacity(refused.get(), counts, nanos));
         }
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/DegradationStep.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/DegradationStep.java
@@ -1,17 +1,21 @@
 package io.masticpond.core.admission;
 
 /**
- * Says what decisions rest on now, from the best snapshot to the poorest.
+ * Degree to which the information behind admission decisions is degraded, from the best to the
+ * poorest.
  *
  * @since 0.1
  */
 public enum DegradationStep {
     /** One admitter counts every request itself. */
     EXACT,
-    /** The admitter has just changed, and slots widen from the fair share. */
+    /** The admitter has just changed, and its usable slots widen from the fair share. */
     WIDENING,
-    /** Headroom of other places is old; they get no more than the work they last took. */
+    /**
+     * Headroom reports of other locations are outdated; these get no more requests than they last
+     * accepted.
+     */
     STALE,
-    /** Other admitters may be at work; each keeps to its static fair share. */
+    /** Other admitters may be active; each stays within its static fair share. */
     FAIR_SHARE
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/EjectionState.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/EjectionState.java
@@ -3,20 +3,21 @@
 import java.time.Duration;
 
 /**
- * Says whether a backend server is in use, ejected, or back with a trickle of requests.
+ * State of a backend server: in use, ejected, or on trial after an ejection.
  *
- * <p>An ejection ends in a trickle: one request at a time. Good answers in a row put the server
- * back in use, a failure ejects it again for twice as long.
+ * <p>An ejection ends in a trial, as in a half-open circuit breaker: the server gets one request at
+ * a time. Consecutive good answers put it back in use, and a failure ejects it again for twice as
+ * long.
  */
 final class EjectionState {
 
-    /** Why a server is not in use. */
+    /** Reason why a server is not in use. */
     enum Reason {
-        /** Its answers: errors, or latency far above its peers'. */
+        /** Its answers are errors, or their latency is far above that of its peers. */
         ANSWERS(true),
-        /** It says itself that it is not well, and no answer says otherwise. */
+        /** It reports itself as unhealthy, and no recent answer contradicts the report. */
         REPORT(true),
-        /** No connection could be made, so that no request can run there at all. */
+        /** No connection could be established, so no request can run there. */
         UNREACHABLE(false);
 
         private final boolean mBounded;
@@ -26,9 +27,9 @@
         }
 
         /**
-         * Tells whether ejections for this reason are bounded to a part of a zone.
+         * Returns whether ejections for this reason are limited to a part of an availability zone.
          *
-         * @return whether they are
+         * @return whether they are limited
          */
         boolean isBounded() {
             return mBounded;
@@ -38,10 +39,10 @@
     private enum Condition {
         IN_USE,
         EJECTED,
-        TRICKLE
+        TRIAL
     }
 
-    private static final int GREATEST_DOUBLING = 16;
+    private static final int MAX_DOUBLINGS = 16;
 
     private final OutlierSettings mSettings;
     private Condition mCondition = Condition.IN_USE;
@@ -49,22 +50,22 @@
     private int mEjections;
     private long mUntilNanos;
     private long mReturnNanos;
-    private long mLastTrickleNanos;
+    private long mLastTrialNanos;
 
     /**
-     * Starts in use.
+     * Creates the state of a server that is in use.
      *
-     * @param settings when and how long to eject
+     * @param settings the conditions and durations of ejections
      */
     EjectionState(OutlierSettings settings) {
         mSettings = settings;
     }
 
     /**
-     * Ejects the server; longer if it was ejected a short time ago.
+     * Ejects the server, for longer if it was ejected recently.
      *
-     * @param reason why
-     * @param nanos the time now
+     * @param reason the reason of the ejection
+     * @param nanos the current monotonic time, in nanoseconds
      */
     void eject(Reason reason, long nanos) {
         boolean longInUse = nanos - mReturnNanos > mSettings.maximumEjection().toNanos();
@@ -75,7 +76,7 @@
                 reason == Reason.UNREACHABLE
                         ? mSettings.unreachableBackoff()
                         : mSettings.ejection();
-        long doubled = first.toNanos() << Math.min(mEjections, GREATEST_DOUBLING);
+        long doubled = first.toNanos() << Math.min(mEjections, MAX_DOUBLINGS);
         mUntilNanos = nanos + Math.min(doubled, mSettings.maximumEjection().toNanos());
         mEjections++;
         mReason = reason;
@@ -83,25 +84,25 @@
     }
 
     /**
-     * Lets time end an ejection.
+     * Ends the ejection if its time has passed.
      *
-     * @param nanos the time now
-     * @return whether the trickle begins
+     * @param nanos the current monotonic time, in nanoseconds
+     * @return whether the trial begins
      */
     boolean advance(long nanos) {
         if (mCondition != Condition.EJECTED || mUntilNanos - nanos > 0) {
             return false;
         }
-        mCondition = Condition.TRICKLE;
-        mLastTrickleNanos = nanos - mSettings.trialInterval().toNanos();
+        mCondition = Condition.TRIAL;
+        mLastTrialNanos = nanos - mSettings.trialInterval().toNanos();
         return true;
     }
 
     /**
-     * Takes that the server says it is well, which ends only an ejection that its own word or a
-     * failed connection brought about.
+     * Handles a report of the server that it is healthy. It ends only an ejection that the server's
+     * own report or a failed connection caused.
      *
-     * @param nanos the time now
+     * @param nanos the current monotonic time, in nanoseconds
      */
     void reportedHealthy(long nanos) {
         if (mCondition == Condition.EJECTED && mReason != Reason.ANSWERS) {
@@ -110,15 +111,15 @@
     }
 
     /**
-     * Takes the good answers in a row since the trickle began.
+     * Evaluates the consecutive good answers since the trial began.
      *
-     * @param consecutiveAnswers the good answers
-     * @param nanos the time now
+     * @param consecutiveAnswers the number of consecutive good answers
+     * @param nanos the current monotonic time, in nanoseconds
      * @return whether the server is back in use
      */
     boolean answered(int consecutiveAnswers, long nanos) {
         int needed = mReason == Reason.UNREACHABLE ? 1 : mSettings.trialAnswers();
-        if (mCondition != Condition.TRICKLE || consecutiveAnswers < needed) {
+        if (mCondition != Condition.TRIAL || consecutiveAnswers < needed) {
             return false;
         }
         mCondition = Condition.IN_USE;
@@ -126,32 +127,32 @@
         return true;
     }
 
-    /** Puts the server in use with a clean record, since it started anew. */
+    /** Puts the server back in use without a history of ejections, since it restarted. */
     void reset() {
         mCondition = Condition.IN_USE;
         mEjections = 0;
     }
 
     /**
-     * Counts what the standing leaves of the usable slots.
+     * Limits the usable slots according to the state.
      *
-     * @param slots the usable slots otherwise
-     * @return none while ejected, at most one in a trickle
+     * @param slots the slots that are usable while the server is in use
+     * @return 0 while ejected, at most 1 on trial, otherwise all slots
      */
     int limit(int slots) {
         if (mCondition == Condition.EJECTED) {
             return 0;
         }
-        return mCondition == Condition.TRICKLE ? Math.min(1, slots) : slots;
+        return mCondition == Condition.TRIAL ? Math.min(1, slots) : slots;
     }
 
     /**
-     * Notes that a request of the trickle leaves.
+     * Records that a trial request is sent.
      *
-     * @param nanos the time now
+     * @param nanos the current monotonic time, in nanoseconds
      */
     void trialSent(long nanos) {
-        mLastTrickleNanos = nanos;
+        mLastTrialNanos = nanos;
     }
 
     boolean isInUse() {
@@ -159,11 +160,11 @@
     }
 
     boolean isOnTrial() {
-        return mCondition == Condition.TRICKLE;
+        return mCondition == Condition.TRIAL;
     }
 
     boolean isTrialDue(long nanos) {
-        return isOnTrial() && nanos - mLastTrickleNanos >= mSettings.trialInterval().toNanos();
+        return isOnTrial() && nanos - mLastTrialNanos >= mSettings.trialInterval().toNanos();
     }
 
     boolean isEjectedWithinBound() {
@@ -175,7 +176,7 @@
     }
 
     /**
-     * Tells when the ejection ends.
+     * Returns the time at which the ejection ends.
      *
      * @return nanoseconds of the monotonic clock, or {@link Long#MAX_VALUE} if not ejected
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/Headroom.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/Headroom.java
@@ -1,27 +1,28 @@
 package io.masticpond.core.admission;
 
 /**
- * Counts of one shard as its admitter sees them, exact for what it sent itself.
+ * Snapshot of the counts of one shard at its admitter, exact for the requests that it sent itself.
  *
  * @param usableSlots the slots that may be used now, over all backend servers
  * @param inFlight the requests at backend servers
  * @param waiting the requests in the queue
- * @param expectedWaitNanos how long a request offered now would wait, in nanoseconds
- * @param step the step of degradation in force
+ * @param expectedWaitNanos the expected wait of a request offered now, in nanoseconds
+ * @param step the degradation step in force
  * @since 0.1
  */
 public record Headroom(
         int usableSlots, int inFlight, int waiting, long expectedWaitNanos, DegradationStep step) {
 
-    /** No slots at all. */
+    /** Headroom without any slots. */
     public static final Headroom NONE =
             new Headroom(0, 0, 0, Long.MAX_VALUE, DegradationStep.EXACT);
 
     /**
-     * Adds up the counts of two shards of one region; work goes to the shard with the shorter wait.
+     * Returns the sum of the counts of two shards of one region. Requests go to the shard with the
+     * shorter wait.
      *
      * @param other the counts of the other shard
-     * @return the sums, with the shorter wait and the poorer step
+     * @return the sums, with the shorter wait and the more degraded step
      */
     public Headroom plus(Headroom other) {
         return new Headroom(
@@ -33,7 +34,7 @@
     }
 
     /**
-     * Counts the slots that are free now.
+     * Returns the number of free slots.
      *
      * @return the free slots, not negative
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/HeldSlots.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/HeldSlots.java
@@ -5,118 +5,120 @@
 import java.util.List;
 
 /**
- * Counts the slots of one backend server, exactly.
+ * Exact count of the held slots of one backend server.
  *
- * <p>A slot is held by a request in flight, or by one that was given up while the server may still
- * work on it. The latter is freed when the server must have ended it, or when a report that must be
- * younger than the dispatch shows fewer requests than would be there with it.
+ * <p>A slot is held by a request in flight, or by an abandoned request that the server may still
+ * process. The slot of an abandoned request is freed when the server must have ended it, or when a
+ * report that is certainly newer than the dispatch shows fewer requests than the server would have
+ * with it.
  */
 final class HeldSlots {
 
-    private record GivenUp(long dispatchNanos, long releaseNanos) {}
+    private record AbandonedRequest(long dispatchNanos, long releaseNanos) {}
 
     private final long mReportLagNanos;
-    private final List<GivenUp> mGivenUp = new ArrayList<>();
+    private final List<AbandonedRequest> mAbandoned = new ArrayList<>();
     private int mInFlight;
-    private int mLeastSinceTurn;
-    private int mLeastBeforeTurn;
-    private long mTurnNanos;
+    private int mMinSinceRotation;
+    private int mMinBeforeRotation;
+    private long mRotationNanos;
     private boolean mRestarted;
     private long mRestartNanos;
 
     /**
-     * Starts with nothing held.
+     * Creates a count without held slots.
      *
-     * @param reportLagNanos how old a report may be
-     * @param nanos the time now
+     * @param reportLagNanos the maximum age of a report, in nanoseconds
+     * @param nanos the current monotonic time, in nanoseconds
      */
     HeldSlots(long reportLagNanos, long nanos) {
         mReportLagNanos = reportLagNanos;
-        mTurnNanos = nanos;
+        mRotationNanos = nanos;
     }
 
-    /** Holds a slot for a request that leaves now. */
+    /** Holds a slot for a request that is sent now. */
     void dispatch() {
         mInFlight++;
     }
 
-    /** Frees the slot of a request that surely ended. */
+    /** Frees the slot of a request that has certainly ended. */
     void end() {
         mInFlight--;
     }
 
     /**
-     * Keeps the slot of a request that ended here, but may go on at the server.
+     * Keeps the slot of a request that ended at this instance, but may still run at the server.
      *
-     * @param dispatchNanos when the request left
+     * @param dispatchNanos when the request was sent
      * @param releaseNanos when the server must have ended it
      */
-    void giveUp(long dispatchNanos, long releaseNanos) {
+    void abandon(long dispatchNanos, long releaseNanos) {
         end();
         if (!mRestarted || dispatchNanos - mRestartNanos >= 0) {
-            mGivenUp.add(new GivenUp(dispatchNanos, releaseNanos));
+            mAbandoned.add(new AbandonedRequest(dispatchNanos, releaseNanos));
         }
     }
 
     /**
-     * Lets time free slots. What is in flight before the call was so since the call before.
+     * Frees the slots whose release time has passed. The requests in flight at this call have been
+     * in flight since the previous call.
      *
-     * @param nanos the time now
+     * @param nanos the current monotonic time, in nanoseconds
      */
     void advance(long nanos) {
-        mLeastSinceTurn = Math.min(mLeastSinceTurn, mInFlight);
-        if (!mGivenUp.isEmpty()) {
-            mGivenUp.removeIf(each -> each.releaseNanos() - nanos <= 0);
+        mMinSinceRotation = Math.min(mMinSinceRotation, mInFlight);
+        if (!mAbandoned.isEmpty()) {
+            mAbandoned.removeIf(each -> each.releaseNanos() - nanos <= 0);
         }
-        if (nanos - mTurnNanos >= mReportLagNanos) {
-            mLeastBeforeTurn = mLeastSinceTurn;
-            mLeastSinceTurn = mInFlight;
-            mTurnNanos = nanos;
+        if (nanos - mRotationNanos >= mReportLagNanos) {
+            mMinBeforeRotation = mMinSinceRotation;
+            mMinSinceRotation = mInFlight;
+            mRotationNanos = nanos;
         }
     }
 
     /**
-     * Frees slots that a report shows to be free.
+     * Frees the slots that a report shows to be free.
      *
-     * @param reportedInFlight the requests that the server says it works on
-     * @param nanos the time now
+     * @param reportedInFlight the number of requests that the server reports as in flight
+     * @param nanos the current monotonic time, in nanoseconds
      */
     void report(int reportedInFlight, long nanos) {
         long newest = nanos - mReportLagNanos;
-        List<GivenUp> known =
-                mGivenUp.stream()
+        List<AbandonedRequest> known =
+                mAbandoned.stream()
                         .filter(each -> each.dispatchNanos() - newest <= 0)
-                        .sorted(Comparator.comparingLong(GivenUp::releaseNanos))
+                        .sorted(Comparator.comparingLong(AbandonedRequest::releaseNanos))
                         .toList();
         int surplus = known.size() - Math.max(0, reportedInFlight);
         for (int i = 0; i < surplus; i++) {
-            mGivenUp.remove(known.get(i));
+            mAbandoned.remove(known.get(i));
         }
     }
 
     /**
-     * Frees the slots of everything given up, now and later, that left before the server started
-     * anew.
+     * Frees the slots of all abandoned requests, now and later, that were sent before the server
+     * restarted.
      *
-     * @param nanos the time now
+     * @param nanos the current monotonic time, in nanoseconds
      */
     void restarted(long nanos) {
         mRestarted = true;
         mRestartNanos = nanos;
-        mGivenUp.clear();
+        mAbandoned.clear();
     }
 
     /**
-     * Counts the slots held.
+     * Returns the number of held slots.
      *
-     * @return requests in flight and given up
+     * @return requests in flight and abandoned requests
      */
     int held() {
-        return mInFlight + mGivenUp.size();
+        return mInFlight + mAbandoned.size();
     }
 
     /**
-     * Counts the requests in flight, without those given up.
+     * Returns the number of requests in flight, without the abandoned ones.
      *
      * @return requests that are expected to end
      */
@@ -125,23 +127,24 @@
     }
 
     /**
-     * Counts the requests that were in flight at every moment of at least a report lag.
+     * Returns the number of requests that were in flight at every moment of at least the last
+     * report lag.
      *
-     * @return the least count in that time
+     * @return the minimum count in that time
      */
-    int leastInFlight() {
-        return Math.min(mLeastBeforeTurn, mLeastSinceTurn);
+    int minInFlight() {
+        return Math.min(mMinBeforeRotation, mMinSinceRotation);
     }
 
     /**
-     * Tells when the next slot of a request given up is freed.
+     * Returns the time at which the next slot of an abandoned request is freed.
      *
      * @return nanoseconds of the monotonic clock, or {@link Long#MAX_VALUE} if there is none
      */
     long nextReleaseNanos() {
         long next = Long.MAX_VALUE;
-        for (int i = 0; i < mGivenUp.size(); i++) {
-            next = Math.min(next, mGivenUp.get(i).releaseNanos());
+        for (int i = 0; i < mAbandoned.size(); i++) {
+            next = Math.min(next, mAbandoned.get(i).releaseNanos());
         }
         return next;
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/OutlierDetector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/OutlierDetector.java
@@ -3,39 +3,44 @@
 import java.util.Collection;
 import java.util.function.ToDoubleFunction;
 
-/** Decides from answers whether a backend server stands out from its peers, within a bound. */
+/**
+ * Detector of backend servers whose answers are worse than those of their peers, with a bound on
+ * ejections.
+ */
 final class OutlierDetector {
 
-    /** A server whose peers fail this part as often does not stand out. */
+    /**
+     * A server is no outlier if the failure share of its peers is at least this part of its own.
+     */
     private static final double PEER_FAILURE_PART = 0.5;
 
-    /** Latencies are compared after this many answers, since the mean moves slowly. */
+    /** Number of answers between two comparisons of latencies, since the mean changes slowly. */
     private static final int LATENCY_INTERVAL = 8;
 
     private final OutlierSettings mSettings;
 
     /**
-     * Makes the detector.
+     * Creates a detector.
      *
-     * @param settings when to eject
+     * @param settings the conditions of an ejection
      */
     OutlierDetector(OutlierSettings settings) {
         mSettings = settings;
     }
 
     /**
-     * Tells whether a server's failures or latency are far above its peers'.
+     * Returns whether the failures or the latency of a server are far above those of its peers.
      *
      * @param server the server
      * @param all the servers of the shard
-     * @return whether it stands out
+     * @return whether it is an outlier
      */
     boolean isOutlier(BackendServerState server, Collection<BackendServerState> all) {
         return fails(server, all) || isSlow(server, all);
     }
 
     /**
-     * Tells whether one more server of the same availability zone may be ejected.
+     * Returns whether one more server of the same availability zone may be ejected.
      *
      * @param server the server
      * @param all the servers of the shard
@@ -78,7 +83,7 @@
         return server.typicalNanos() > peers * mSettings.slownessFactor();
     }
 
-    /** Gives the median over the peers whose record says something, or not a number without any. */
+    /** Returns the median over the peers with enough answers, or NaN if there are none. */
     private double peerMedian(
             BackendServerState server,
             Collection<BackendServerState> all,
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/OutlierSettings.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/OutlierSettings.java
@@ -4,19 +4,22 @@
 import java.time.Duration;
 
 /**
- * Says when a backend server is ejected, for how long, and how it comes back.
+ * Settings for the ejection of backend servers and for their return.
  *
- * @param consecutiveFailures how many failures in a row eject
- * @param failureShare the share of recent failures that ejects, from 0 to 1
- * @param slownessFactor how many times the typical latency of its peers ejects
- * @param minimumAnswers how many answers must be known before a share or latency counts
- * @param maximumEjectedShare the greatest part of an availability zone's servers that is ejected
- * @param ejection how long the first ejection lasts; each next one lasts twice as long
- * @param maximumEjection how long an ejection lasts at most
- * @param trialAnswers how many good answers in a row end the trickle
- * @param trialInterval the least time between two requests of a trickle
- * @param answerValidity how long a good answer outweighs a report that the server is not well
- * @param unreachableBackoff how long a server gets nothing after a connection failed; doubles
+ * @param consecutiveFailures the consecutive failures that eject a server
+ * @param failureShare the share of recent failures that ejects a server, above 0 and at most 1
+ * @param slownessFactor the multiple of the typical latency of its peers that ejects a server,
+ *     above 1
+ * @param minimumAnswers the number of answers required before a failure share or a latency is
+ *     evaluated
+ * @param maximumEjectedShare the maximum part of an availability zone's servers that is ejected
+ * @param ejection the duration of the first ejection; each further one lasts twice as long
+ * @param maximumEjection the maximum duration of an ejection
+ * @param trialAnswers the consecutive good answers that end a trial
+ * @param trialInterval the minimum time between two trial requests
+ * @param answerValidity how long a good answer overrides a report that the server is unhealthy
+ * @param unreachableBackoff how long a server gets no requests after a connection failed; doubles
+ *     with each failure
  * @since 0.1
  */
 public record OutlierSettings(
@@ -32,7 +35,7 @@
         Duration answerValidity,
         Duration unreachableBackoff) {
 
-    /** Suits services with answers of 10 to 1,000 milliseconds. */
+    /** Default settings for services with latencies of 10 to 1,000 milliseconds. */
     public static final OutlierSettings DEFAULT =
             new OutlierSettings(
                     5,
@@ -47,9 +50,9 @@
                     Duration.ofSeconds(2),
                     Duration.ofMillis(100));
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public OutlierSettings {
-        Assert.positive(consecutiveFailures, "The failures in a row that eject");
+        Assert.positive(consecutiveFailures, "The consecutive failures that eject");
         Assert.isTrue(
                 failureShare > 0 && failureShare <= 1,
                 "A failure share must be above 0 and at most 1, but was %s.",
@@ -58,16 +61,16 @@
                 slownessFactor > 1,
                 "A slowness factor must be above 1, but was %s.",
                 slownessFactor);
-        Assert.positive(minimumAnswers, "The answers that must be known");
+        Assert.positive(minimumAnswers, "The minimum number of answers");
         Assert.isTrue(
                 maximumEjectedShare >= 0 && maximumEjectedShare < 1,
-                "A greatest ejected share must be from 0 to below 1, but was %s.",
+                "A maximum ejected share must be from 0 to below 1, but was %s.",
                 maximumEjectedShare);
         Assert.positive(ejection.toNanos(), "An ejection");
-        Assert.positive(maximumEjection.toNanos(), "A greatest ejection");
-        Assert.positive(trialAnswers, "The answers that end a trickle");
-        Assert.notNegative(trialInterval.toNanos(), "A trickle interval");
-        Assert.notNegative(answerValidity.toNanos(), "The trust in an answer");
+        Assert.positive(maximumEjection.toNanos(), "A maximum ejection");
+        Assert.positive(trialAnswers, "The answers that end a trial");
+        Assert.notNegative(trialInterval.toNanos(), "A trial interval");
+        Assert.notNegative(answerValidity.toNanos(), "The validity of an answer");
         Assert.positive(unreachableBackoff.toNanos(), "The backoff from an unreachable server");
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/OverloadCheck.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/OverloadCheck.java
@@ -4,26 +4,28 @@
 import io.masticpond.core.request.RequestHead;
 import java.util.Optional;
 
-/** Finds which request to refuse when not all that wait can meet their deadlines. */
+/**
+ * Check that finds the request to refuse when not all waiting requests can meet their deadlines.
+ */
 final class OverloadCheck {
 
     private final WaitEstimator mEstimator;
 
     /**
-     * Makes the check.
+     * Creates a check.
      *
-     * @param estimator knows how long slots are held
+     * @param estimator the estimator of the time for which slots are held
      */
     OverloadCheck(WaitEstimator estimator) {
         mEstimator = estimator;
     }
 
     /**
-     * Estimates how long a request waits.
+     * Estimates the wait of a request.
      *
-     * @param ahead how many waiting requests go first
-     * @param counts the slots
-     * @param nanos the time now
+     * @param ahead the number of waiting requests ahead
+     * @param counts the slot counts
+     * @param nanos the current monotonic time, in nanoseconds
      * @return nanoseconds
      */
     long waitNanos(int ahead, SlotCounts counts, long nanos) {
@@ -36,28 +38,29 @@
     }
 
     /**
-     * Finds the first request that is not expected to meet its deadline, and of it and those ahead
-     * the one with the lowest priority. Refusing that one lets the others keep their places.
+     * Finds the first request that is not expected to meet its deadline, and returns the request
+     * with the lowest priority among it and those ahead. Refusing that request preserves the order
+     * of the others.
      *
-     * @param queue the requests in order
-     * @param newest the request to refuse among those with the same priority
-     * @param counts the slots
-     * @param nanos the time now
+     * @param queue the waiting requests in order
+     * @param newest the request to prefer for refusal among those with the same priority
+     * @param counts the slot counts
+     * @param nanos the current monotonic time, in nanoseconds
      * @return the request to refuse, or empty if all are expected to meet their deadlines
      */
-    Optional<RequestHead> firstVictim(
+    Optional<RequestHead> findRequestToRefuse(
             DeadlineQueue queue, RequestId newest, SlotCounts counts, long nanos) {
-        if (isEasy(queue, counts, nanos)) {
+        if (isClearlyFeasible(queue, counts, nanos)) {
             return Optional.empty();
         }
         int ahead = 0;
-        RequestHead weakest = null;
+        RequestHead lowest = null;
         for (RequestHead request : queue) {
-            weakest = weaker(weakest, request, newest);
+            lowest = lowerPriority(lowest, request, newest);
             long expectedNanos =
                     nanos + waitNanos(ahead, counts, nanos) + neededNanos(ahead, counts);
             if (expectedNanos - request.deadlineNanos() > 0) {
-                return Optional.of(weakest);
+                return Optional.of(lowest);
             }
             ahead++;
         }
@@ -67,20 +70,20 @@
     /**
      * Finds the request with the lowest priority.
      *
-     * @param queue the requests that wait
-     * @param newest a request that does not wait yet, refused among those with the same priority
-     * @return one of them
+     * @param queue the waiting requests
+     * @param newest a request that is not queued yet, preferred among those with the same priority
+     * @return one of the waiting requests or the newest one
      */
-    RequestHead weakest(DeadlineQueue queue, RequestHead newest) {
-        RequestHead weakest = newest;
+    RequestHead findLowestPriority(DeadlineQueue queue, RequestHead newest) {
+        RequestHead lowest = newest;
         for (RequestHead request : queue) {
-            weakest = weaker(weakest, request, newest.id());
+            lowest = lowerPriority(lowest, request, newest.id());
         }
-        return weakest;
+        return lowest;
     }
 
-    /** Tells at little cost whether even the longest wait would meet the earliest deadline. */
-    private boolean isEasy(DeadlineQueue queue, SlotCounts counts, long nanos) {
+    /** Determines at low cost whether even the longest wait would meet the earliest deadline. */
+    private boolean isClearlyFeasible(DeadlineQueue queue, SlotCounts counts, long nanos) {
         if (queue.isEmpty()) {
             return true;
         }
@@ -88,12 +91,16 @@
         return nanos + longest - queue.first().deadlineNanos() <= 0;
     }
 
-    /** Work that has to wait must expect its typical time; work that need not, its fastest. */
+    /**
+     * Returns the typical service time for requests that have to wait, and the fast one for those
+     * that do not.
+     */
     private long neededNanos(int ahead, SlotCounts counts) {
         return ahead < counts.free() ? mEstimator.fastNanos() : mEstimator.typicalNanos();
     }
 
-    private static RequestHead weaker(RequestHead first, RequestHead second, RequestId newest) {
+    private static RequestHead lowerPriority(
+            RequestHead first, RequestHead second, RequestId newest) {
         if (first == null || second.priority() < first.priority()) {
             return second;
         }
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/RampIn.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/RampIn.java
@@ -1,9 +1,12 @@
 package io.masticpond.core.admission;
 
-/** Limits the usable slots of a backend server that is cold or sheds, and lets them grow. */
+/**
+ * Limit on the usable slots of a backend server that is cold or sheds, which increases with good
+ * answers.
+ */
 final class RampIn {
 
-    /** No limit in force. */
+    /** Value of an absent limit. */
     static final int UNLIMITED = Integer.MAX_VALUE;
 
     private final RampInSettings mSettings;
@@ -12,38 +15,38 @@
     private long mStepNanos;
 
     /**
-     * Starts without a limit.
+     * Creates an instance without a limit.
      *
-     * @param settings the pace
+     * @param settings the settings for the increase
      */
     RampIn(RampInSettings settings) {
         mSettings = settings;
     }
 
     /**
-     * Starts over from the first limit.
+     * Restarts from the initial limit.
      *
-     * @param nanos the time now
+     * @param nanos the current monotonic time, in nanoseconds
      */
     void start(long nanos) {
         limitTo(mSettings.initialSlots(), nanos);
     }
 
     /**
-     * Lowers the limit because the server shed work.
+     * Lowers the limit because the server shed a request.
      *
-     * @param inFlight the requests that the server did take
-     * @param nanos the time now
+     * @param inFlight the number of requests that the server accepted
+     * @param nanos the current monotonic time, in nanoseconds
      */
     void shed(int inFlight, long nanos) {
         limitTo(Math.max(1, inFlight), nanos);
     }
 
     /**
-     * Counts a good answer, which may lift the limit one step.
+     * Counts a good answer, which may increase the limit by one step.
      *
-     * @param slots the slots of the server, above which no limit is needed
-     * @param nanos the time now
+     * @param slots the slots of the server, from which on no limit is needed
+     * @param nanos the current monotonic time, in nanoseconds
      */
     void answered(int slots, long nanos) {
         if (mLimit == UNLIMITED) {
@@ -61,7 +64,7 @@
     }
 
     /**
-     * Gives the usable slots.
+     * Returns the limit on the usable slots.
      *
      * @return the limit, or {@link #UNLIMITED}
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/ServerRecord.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/ServerRecord.java
@@ -1,12 +1,12 @@
 package io.masticpond.core.admission;
 
-/** What the answers of one backend server say about it; they count more than its reports. */
+/** Statistics of the answers of one backend server, which take precedence over its own reports. */
 final class ServerRecord {
 
-    /** How many recent attempts count for the share of failures. */
+    /** Number of recent attempts over which the failure share is weighted. */
     private static final double FAILURE_WINDOW = 16;
 
-    /** How many recent answers count for the latency. */
+    /** Number of recent answers over which the latency is weighted. */
     private static final int LATENCY_WINDOW = 32;
 
     private WaitEstimator mLatency = new WaitEstimator(LATENCY_WINDOW);
@@ -18,10 +18,10 @@
     private long mLastAnswerNanos;
 
     /**
-     * Takes a good answer.
+     * Records a good answer.
      *
-     * @param heldNanos how long its slot was held
-     * @param nanos the time now
+     * @param heldNanos how long its slot was held, in nanoseconds
+     * @param nanos the current monotonic time, in nanoseconds
      */
     void answered(long heldNanos, long nanos) {
         mLatency.sample(heldNanos);
@@ -32,14 +32,14 @@
         attempt(0);
     }
 
-    /** Takes a failure. */
+    /** Records a failure. */
     void failed() {
         mConsecutiveFailures++;
         mConsecutiveAnswers = 0;
         attempt(1);
     }
 
-    /** Forgets everything but the time of the last answer: the server gets a new chance. */
+    /** Resets everything but the time of the last answer, when the server gets a new chance. */
     void reset() {
         mLatency = new WaitEstimator(LATENCY_WINDOW);
         mConsecutiveFailures = 0;
@@ -69,10 +69,10 @@
     }
 
     /**
-     * Tells whether a good answer came a short time ago.
+     * Returns whether a good answer was received recently.
      *
-     * @param nanos the time now
-     * @param withinNanos how long ago counts as short
+     * @param nanos the current monotonic time, in nanoseconds
+     * @param withinNanos the maximum age of such an answer, in nanoseconds
      * @return whether there was one
      */
     boolean answeredWithin(long nanos, long withinNanos) {
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/ServerSelector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/ServerSelector.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * Chooses among the backend servers that have a free slot.
+ * Strategy interface for the choice among backend servers with a free slot.
  *
  * @since 0.1
  */
@@ -11,10 +11,10 @@
 public interface ServerSelector {
 
     /**
-     * Chooses one.
+     * Selects a backend server.
      *
      * @param candidates the backend servers with a free slot, at least one
-     * @return one of them
+     * @return one of the candidates
      */
     ServerCandidate select(List<ServerCandidate> candidates);
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/SlotShare.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/SlotShare.java
@@ -7,23 +7,25 @@
 import java.util.List;
 
 /**
- * Says which slots of the backend servers an admitter may use.
+ * Slots of the backend servers that an admitter may use.
  *
- * <p>The whole slots of a backend server are dealt to the possible admitters in turn, in the
- * rendezvous order of that server. So the static fair shares of all who know the same admitters add
- * up to the slots exactly, however few these are: an admitter may have no slot at some server, and
- * then sends it nothing. If some do not know of one admitter, the shares add up to at most its own
- * share more than the slots.
+ * <p>The slots of a backend server are assigned to the possible admitters in turn, in the
+ * rendezvous order of that server. The static fair shares of all instances that know the same
+ * admitters therefore add up to exactly the number of slots, even if there are fewer slots than
+ * admitters: an admitter without a slot at a server sends it no requests. If some instances do not
+ * know one of the admitters, the shares add up to at most the number of slots plus the share of
+ * that admitter.
  *
- * @param share how much this instance may use
- * @param self this instance, one of the admitters
- * @param admitters every instance that may admit work to the same backend servers, reachable or not
+ * @param share how many of the slots this instance may use
+ * @param self this instance, which must be one of the admitters
+ * @param admitters all instances that may admit requests to the same backend servers, reachable or
+ *     not
  * @since 0.1
  */
 public record SlotShare(AdmissionShare share, InstanceId self, List<InstanceId> admitters) {
 
     /**
-     * Checks the parts and copies the list.
+     * Validates the components and copies the list.
      *
      * @throws IllegalArgumentException if this instance is not among the admitters
      */
@@ -35,7 +37,7 @@
     }
 
     /**
-     * Gives all slots to one instance that has no rival.
+     * Returns a share that gives all slots to the only admitter.
      *
      * @param self the instance
      * @return the share
@@ -45,7 +47,7 @@
     }
 
     /**
-     * Counts the slots of a backend server in this instance's static fair share.
+     * Returns the number of slots of a backend server in this instance's static fair share.
      *
      * @param server the backend server
      * @return from 0 to the slots of the backend server
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/WaitEstimator.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/WaitEstimator.java
@@ -1,17 +1,21 @@
 package io.masticpond.core.admission;
 
 /**
- * Estimates how long slots are held, from the attempts that ended, by exponentially weighted means.
+ * Estimator of the time for which slots are held, by exponentially weighted means over completed
+ * attempts.
  *
- * <p>The typical time is the mean of the logarithms taken back, which is the median if the times
- * have a lognormal distribution.
+ * <p>The typical time is the geometric mean, which is the median if the times have a lognormal
+ * distribution.
  */
 final class WaitEstimator {
 
-    /** How many recent attempts count. */
+    /** Number of recent attempts over which the means are weighted. */
     private static final int WINDOW = 64;
 
-    /** One in twelve lognormal times of sigma 1 is shorter than this part of the typical one. */
+    /**
+     * Divisor for the fast time: one in twelve lognormal times of sigma 1 is shorter than the
+     * typical time divided by this.
+     */
     private static final int FAST_DIVISOR = 4;
 
     private final int mWindow;
@@ -19,22 +23,22 @@
     private double mMeanNanos;
     private double mMeanLogarithm;
 
-    /** Starts without a snapshot; all estimates are 0. */
+    /** Creates an estimator without samples, of which all estimates are 0. */
     WaitEstimator() {
         this(WINDOW);
     }
 
     /**
-     * Starts without a snapshot.
+     * Creates an estimator without samples.
      *
-     * @param window how many recent attempts count
+     * @param window the number of recent attempts over which the means are weighted
      */
     WaitEstimator(int window) {
         mWindow = window;
     }
 
     /**
-     * Takes how long a slot was held.
+     * Records the time for which a slot was held.
      *
      * @param nanos the time in nanoseconds
      */
@@ -46,7 +50,7 @@
     }
 
     /**
-     * Counts what was taken.
+     * Returns the number of recorded samples.
      *
      * @return the number of samples
      */
@@ -55,7 +59,7 @@
     }
 
     /**
-     * Gives the typical time that a slot is held.
+     * Returns the typical time for which a slot is held.
      *
      * @return nanoseconds; 0 without samples
      */
@@ -64,7 +68,7 @@
     }
 
     /**
-     * Gives a time that a slot is seldom held less than.
+     * Returns a time below which a slot is rarely held.
      *
      * @return nanoseconds; 0 without samples
      */
@@ -75,9 +79,9 @@
     /**
      * Estimates the time until a request gets a slot.
      *
-     * @param ahead how many waiting requests go first
+     * @param ahead the number of waiting requests ahead
      * @param freeSlots the slots that are free now
-     * @param busySlots the slots that are held by work that will end
+     * @param busySlots the slots held by requests that are expected to end
      * @return nanoseconds; 0 without samples or if a slot is free
      */
     long waitNanos(int ahead, int freeSlots, int busySlots) {
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/WeightedServerSelector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/WeightedServerSelector.java
@@ -3,16 +3,17 @@
 import java.util.List;
 
 /**
- * Chooses the server with the greatest free share for its latency, then the least recently used.
+ * {@link ServerSelector} that chooses the server with the highest latency-weighted share of free
+ * slots, and on a tie the least recently used.
  *
- * <p>A server that takes twice as long as another counts as half as free. Latencies are compared in
- * wide steps, so that chance does not keep servers out of use.
+ * <p>A server with twice the latency of the fastest counts as half as free. Small differences in
+ * latency are ignored, so that random variation does not keep servers out of use.
  *
  * @since 0.1
  */
 public final class WeightedServerSelector implements ServerSelector {
 
-    /** Latencies that differ by less than this factor count as equal. */
+    /** Factor below which latencies count as equal. */
     private static final double LATENCY_STEP = 1.5;
 
     @Override
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/WithheldSlots.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/WithheldSlots.java
@@ -1,11 +1,12 @@
 package io.masticpond.core.admission;
 
 /**
- * Withholds the slots of one backend server that an earlier admitter's work may still hold.
+ * Slots of one backend server that are withheld because requests of an earlier admitter may still
+ * hold them.
  *
- * <p>They are given back as reports show that work of others has ended, at the latest when all of
- * it must have ended. Reports that may be older than the change count for nothing, and a shed
- * answer takes a slot back.
+ * <p>They are released as reports show that the requests of other admitters have ended, at the
+ * latest when all of these must have ended. Reports that may be older than the change of admitters
+ * are ignored, and a shed answer withholds one more slot.
  */
 final class WithheldSlots {
 
@@ -16,9 +17,9 @@
     private long mStartNanos;
 
     /**
-     * Starts with nothing withheld.
+     * Creates an instance without withheld slots.
      *
-     * @param settings the settings, of which the report lag and the widening period count
+     * @param settings the settings, of which the report lag and the widening period are used
      */
     WithheldSlots(AdmissionSettings settings) {
         mReportLagNanos = settings.reportLag().toNanos();
@@ -29,7 +30,7 @@
      * Withholds slots from now on.
      *
      * @param slots the slots
-     * @param nanos the time now
+     * @param nanos the current monotonic time, in nanoseconds
      */
     void start(int slots, long nanos) {
         mAtStart = slots;
@@ -37,16 +38,16 @@
         mStartNanos = nanos;
     }
 
-    /** Gives all slots back. */
+    /** Releases all slots. */
     void clear() {
         mWithheld = 0;
         mAtStart = 0;
     }
 
     /**
-     * Lets time give slots back.
+     * Releases all slots if the widening period has passed.
      *
-     * @param nanos the time now
+     * @param nanos the current monotonic time, in nanoseconds
      */
     void advance(long nanos) {
         if (mAtStart > 0 && nanos - mStartNanos >= mPeriodNanos) {
@@ -55,11 +56,11 @@
     }
 
     /**
-     * Takes a report.
+     * Handles a report of the server.
      *
-     * @param reportedInFlight the requests that the server says it works on
-     * @param own the requests of this admitter that must be among them
-     * @param nanos the time now
+     * @param reportedInFlight the number of requests that the server reports as in flight
+     * @param own the number of requests of this admitter that must be among them
+     * @param nanos the current monotonic time, in nanoseconds
      */
     void report(int reportedInFlight, int own, long nanos) {
         if (nanos - mStartNanos < mReportLagNanos) {
@@ -68,13 +69,13 @@
         mWithheld = Math.min(mWithheld, Math.max(0, reportedInFlight - own));
     }
 
-    /** Takes a slot back, since the server shed a request. */
+    /** Withholds one more slot, since the server shed a request. */
     void shed() {
         mWithheld = Math.min(mAtStart, mWithheld + 1);
     }
 
     /**
-     * Counts the slots that are withheld.
+     * Returns the number of withheld slots.
      *
      * @return the slots
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/package-info.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/package-info.java
@@ -1,2 +1,2 @@
-/** Admission of work to the slots of backend servers near the instance; no I/O. */
+/** Admission of requests to the slots of backend servers near the instance. Performs no I/O. */
 package io.masticpond.core.admission;
--- a/masticpond-core/src/test/java/io/masticpond/core/admission/AdmissionHarness.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/admission/AdmissionHarness.java
@@ -20,7 +20,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** A real admission with a clock to move, and fake backend servers that count what they run. */
+/**
+ * A real {@link DefaultAdmission} with a manual time source, and stand-in backend servers that
+ * record the requests sent to them.
+ */
 final class AdmissionHarness implements AdmissionSink {
 
     static final ServiceId SERVICE = new ServiceId("plate-ledger");
@@ -47,7 +50,7 @@
         return harness;
     }
 
-    /** Makes servers "server-0" and on, in turn in two availability zones. */
+    /** Creates servers "server-0" and following, alternating between two availability zones. */
     static List<BackendServerSpecification> servers(int count, int slots) {
         List<BackendServerSpecification> servers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -95,7 +98,7 @@
         return id;
     }
 
-    /** Lets time pass in ticks, as a living process would. */
+    /** Lets time pass in ticks, as in a running process. */
     void pass(long millis) {
         long left = Duration.ofMillis(millis).toNanos();
         while (left > 0) {
@@ -106,7 +109,7 @@
         }
     }
 
-    /** Runs one request to its end, after some time; it must be dispatched at once. */
+    /** Completes one request after the given time; it must be dispatched at once. */
     BackendServerId run(long millis, AttemptOutcome outcome) {
         RequestId request = offer(10_000);
         require(isDispatched(request), "The request must be dispatched at once.");
@@ -136,9 +139,9 @@
                 id(server), new BackendServerSignal(BackendServerSignal.Kind.HEALTHY, inFlight));
     }
 
-    static void require(boolean condition, String sentence, Object... arguments) {
+    static void require(boolean condition, String message, Object... arguments) {
         if (!condition) {
-            throw new AssertionError(String.format(sentence, arguments));
+            throw new AssertionError(String.format(message, arguments));
         }
     }
 }
--- a/masticpond-core/src/test/java/io/masticpond/core/admission/AdmissionProperties.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/admission/AdmissionProperties.java
@@ -32,9 +32,10 @@
     private static final int SLOTS = 3;
 
     @Property(tries = 300, seed = "1")
-    void slotsHoldAndEachOfferEndsOnce(@ForAll("chains") ActionChain<World> chain) {
-        chain.withInvariant("slots", World::requireSlots)
-                .withInvariant("no waiting beside free slots", World::requireNoIdleSlot)
+    void slotsAreNotExceededAndEachOfferEndsOnce(
+            @ForAll("chains") ActionChain<AdmissionModel> chain) {
+        chain.withInvariant("slots", AdmissionModel::requireSlotsNotExceeded)
+                .withInvariant("no waiting beside free slots", AdmissionModel::requireNoIdleSlot)
                 .run()
                 .drain();
     }
@@ -69,26 +70,27 @@
     }
 
     @Provide
-    Arbitrary<ActionChain<World>> chains() {
-        return ActionChain.startWith(World::new)
-                .withAction(6, action("offer", 3_000, World::offer))
-                .withAction(4, action("pass", 400, World::pass))
-                .withAction(6, action("complete", 1_000, World::complete))
-                .withAction(1, action("cancel", 1_000, World::cancel))
-                .withAction(2, action("end at the server", 1_000, World::endAtServer))
-                .withAction(2, action("report", 1_000, World::report))
-                .withAction(1, action("leave", SERVERS, World::leave))
-                .withAction(1, action("restart", SERVERS, World::restart))
-                .withAction(1, action("configure", 64, World::configure))
+    Arbitrary<ActionChain<AdmissionModel>> chains() {
+        return ActionChain.startWith(AdmissionModel::new)
+                .withAction(6, action("offer", 3_000, AdmissionModel::offer))
+                .withAction(4, action("pass", 400, AdmissionModel::pass))
+                .withAction(6, action("complete", 1_000, AdmissionModel::complete))
+                .withAction(1, action("cancel", 1_000, AdmissionModel::cancel))
+                .withAction(2, action("end at the server", 1_000, AdmissionModel::endAtServer))
+                .withAction(2, action("report", 1_000, AdmissionModel::report))
+                .withAction(1, action("leave", SERVERS, AdmissionModel::leave))
+                .withAction(1, action("restart", SERVERS, AdmissionModel::restart))
+                .withAction(1, action("configure", 64, AdmissionModel::configure))
                 .withMaxTransformations(150);
     }
 
-    private interface Step {
+    private interface Operation {
 
-        void take(World world, int number);
+        void apply(AdmissionModel model, int number);
     }
 
-    private static Action.Independent<World> action(String name, int bound, Step step) {
+    private static Action.Independent<AdmissionModel> action(
+            String name, int bound, Operation operation) {
         return () ->
                 Arbitraries.integers()
                         .between(0, bound - 1)
@@ -96,34 +98,37 @@
                                 number ->
                                         Transformer.mutate(
                                                 name + " " + number,
-                                                world -> step.take(world, number)));
+                                                model -> operation.apply(model, number)));
     }
 
-    /** The admission, and the truth about its backend servers, whose reports are old but true. */
-    static final class World {
+    /**
+     * An admission and the actual state of its backend servers, whose reports are delayed but
+     * correct.
+     */
+    static final class AdmissionModel {
 
-        private record Seen(long nanos, int inFlight) {}
+        private record Sample(long nanos, int inFlight) {}
 
         private final AdmissionHarness mHarness = new AdmissionHarness(AdmissionSettings.DEFAULT);
         private final Map<RequestId, BackendServerId> mOpen = new HashMap<>();
         private final Map<RequestId, BackendServerId> mRunning = new HashMap<>();
-        private final Map<BackendServerId, Deque<Seen>> mHistory = new HashMap<>();
+        private final Map<BackendServerId, Deque<Sample>> mHistory = new HashMap<>();
         private final List<RequestId> mCancelled = new ArrayList<>();
-        private final Set<RequestId> mTaken = new HashSet<>();
+        private final Set<RequestId> mSeenDispatches = new HashSet<>();
 
-        World() {
+        AdmissionModel() {
             configure(0);
         }
 
         void offer(int number) {
             OperationKind kind = OperationKind.values()[number % 4];
             mHarness.offer(number, number % 10, kind);
-            settle();
+            updateModel();
         }
 
         void pass(int millis) {
             mHarness.pass(millis);
-            settle();
+            updateModel();
         }
 
         void complete(int number) {
@@ -137,7 +142,7 @@
                 mRunning.remove(request);
             }
             mHarness.mAdmission.complete(request, outcome);
-            settle();
+            updateModel();
         }
 
         void cancel(int number) {
@@ -151,36 +156,36 @@
                     mCancelled.add(request);
                 }
             }
-            settle();
+            updateModel();
         }
 
         void endAtServer(int number) {
             if (!mRunning.isEmpty()) {
                 mRunning.remove(List.copyOf(mRunning.keySet()).get(number % mRunning.size()));
             }
-            settle();
+            updateModel();
         }
 
         void report(int number) {
             BackendServerId server = AdmissionHarness.id(number % SERVERS);
-            Deque<Seen> history = mHistory.getOrDefault(server, new ArrayDeque<>());
-            List<Seen> known = List.copyOf(history);
+            Deque<Sample> history = mHistory.getOrDefault(server, new ArrayDeque<>());
+            List<Sample> known = List.copyOf(history);
             if (!known.isEmpty()) {
                 mHarness.report(number % SERVERS, known.get(number % known.size()).inFlight());
             }
-            settle();
+            updateModel();
         }
 
         void leave(int number) {
             mHarness.signal(number, BackendServerSignal.Kind.LEAVING);
-            settle();
+            updateModel();
         }
 
         void restart(int number) {
             mRunning.values().removeIf(AdmissionHarness.id(number)::equals);
             mHistory.remove(AdmissionHarness.id(number));
             mHarness.signal(number, BackendServerSignal.Kind.STARTED);
-            settle();
+            updateModel();
         }
 
         void configure(int number) {
@@ -192,13 +197,13 @@
             }
             AdmissionShare share = AdmissionShare.values()[number % 3];
             mHarness.mAdmission.configure(servers, AdmissionHarness.share(share));
-            settle();
+            updateModel();
         }
 
-        /** Lets everything end: nothing may be left without its one end. */
+        /** Completes everything and checks that each request ended exactly once. */
         void drain() {
             mHarness.pass(4_000);
-            settle();
+            updateModel();
             while (!mOpen.isEmpty()) {
                 complete(0);
             }
@@ -211,7 +216,7 @@
             }
         }
 
-        void requireSlots() {
+        void requireSlotsNotExceeded() {
             for (int i = 0; i < SERVERS; i++) {
                 int running = running(AdmissionHarness.id(i));
                 require(running <= SLOTS, "Server %d runs %d requests.", i, running);
@@ -228,11 +233,14 @@
             return (int) mRunning.values().stream().filter(server::equals).count();
         }
 
-        /** Takes new dispatches, lets servers end what is past its deadline, and keeps history. */
-        private void settle() {
+        /**
+         * Records new dispatches, ends requests past their deadline at the servers, and records the
+         * history.
+         */
+        private void updateModel() {
             mHarness.mDispatched.forEach(
                     (request, server) -> {
-                        if (mTaken.add(request)) {
+                        if (mSeenDispatches.add(request)) {
                             mOpen.put(request, server);
                             mRunning.put(request, server);
                         }
@@ -248,9 +256,9 @@
             long lag = AdmissionSettings.DEFAULT.reportLag().toNanos();
             for (int i = 0; i < SERVERS; i++) {
                 BackendServerId server = AdmissionHarness.id(i);
-                Deque<Seen> history = mHistory.computeIfAbsent(server, key -> new ArrayDeque<>());
-                history.add(new Seen(nanos, running(server)));
-                history.removeIf(seen -> seen.nanos() < nanos - lag);
+                Deque<Sample> history = mHistory.computeIfAbsent(server, key -> new ArrayDeque<>());
+                history.add(new Sample(nanos, running(server)));
+                history.removeIf(sample -> sample.nanos() < nanos - lag);
             }
         }
     }
--- a/masticpond-core/src/test/java/io/masticpond/core/admission/DefaultAdmissionTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/admission/DefaultAdmissionTest.java
@@ -24,9 +24,9 @@
         harness.run(100, AttemptOutcome.ANSWERED);
         harness.offer(1_000);
         harness.offer(1_000);
-        RequestId hopeless = harness.offer(150);
-        require(harness.isRefused(hopeless), "150 ms can't hold a wait and an answer of 100 ms.");
-        Refusal refusal = harness.mRefused.get(hopeless);
+        RequestId infeasible = harness.offer(150);
+        require(harness.isRefused(infeasible), "150 ms can't hold a wait and an answer of 100 ms.");
+        Refusal refusal = harness.mRefused.get(infeasible);
         require(refusal.verdict() == Verdict.DID_NOT_RUN, "A refused request did not run.");
         require(refusal.cause() == RefusalCause.NO_CAPACITY, "The cause must be the capacity.");
         require(
@@ -73,7 +73,7 @@
     }
 
     @Example
-    void requestGivenUpInTheQueueIsAnsweredBeforeItsDeadline() {
+    void waitingRequestIsRefusedBeforeItsDeadline() {
         AdmissionHarness harness = AdmissionHarness.whole(1, 1);
         harness.run(100, AttemptOutcome.ANSWERED);
         harness.offer(5_000);
@@ -84,7 +84,7 @@
     }
 
     @Example
-    void slotOfLostAnswerStaysCountedUntilTheServerMustHaveEnded() {
+    void slotOfLostAnswerStaysCountedUntilDeadlineAndGracePass() {
         AdmissionHarness harness = AdmissionHarness.whole(1, 1);
         RequestId lost = harness.offer(400);
         harness.pass(50);
@@ -97,7 +97,7 @@
     }
 
     @Example
-    void reportFreesTheSlotOnlyIfItIsYoungerThanTheDispatch() {
+    void reportFreesTheSlotOnlyIfItIsNewerThanTheDispatch() {
         AdmissionHarness harness = AdmissionHarness.whole(1, 1);
         RequestId cancelled = harness.offer(60_000);
         harness.mAdmission.complete(cancelled, AttemptOutcome.CANCELLED);
@@ -113,7 +113,7 @@
     }
 
     @Example
-    void restartedServerHasNoOldWork() {
+    void restartedServerHoldsNoSlotsOfOldRequests() {
         AdmissionHarness harness = AdmissionHarness.whole(1, 1);
         RequestId old = harness.offer(60_000);
         harness.pass(50);
@@ -121,11 +121,11 @@
         harness.mAdmission.complete(old, AttemptOutcome.BROKEN);
         require(
                 harness.isDispatched(harness.offer(1_000)),
-                "The old request died with the server.");
+                "The old request ended with the server.");
     }
 
     @Example
-    void leavingServerGetsNothingUntilItStartsAnew() {
+    void leavingServerGetsNoRequestsUntilItRestarts() {
         AdmissionHarness harness = AdmissionHarness.whole(2, 2);
         harness.signal(0, BackendServerSignal.Kind.LEAVING);
         harness.signal(0, BackendServerSignal.Kind.HEALTHY);
@@ -136,15 +136,15 @@
         }
         require(
                 !harness.mDispatched.containsValue(AdmissionHarness.id(0)),
-                "Neither a health answer nor the same configuration takes the sign back.");
+                "Neither a health answer nor the same configuration revokes the signal.");
         harness.signal(0, BackendServerSignal.Kind.STARTED);
         require(
                 harness.mDispatched.containsValue(AdmissionHarness.id(0)),
-                "A server that started anew takes what waits.");
+                "A restarted server gets the waiting requests.");
     }
 
     @Example
-    void drainsTakenBackOpenTheServerAndForgetNoWorkInFlight() {
+    void cancelledDrainReopensServerAndKeepsRequestsInFlightCounted() {
         AdmissionHarness harness = AdmissionHarness.whole(1, 1);
         RequestId inFlight = harness.offer(1_000);
         harness.signal(0, BackendServerSignal.Kind.LEAVING);
@@ -156,7 +156,7 @@
     }
 
     @Example
-    void drainByConfigurationHoldsAtOnceAndIsTakenBackByConfiguration() {
+    void drainByConfigurationAppliesAtOnceAndIsRevertedByConfiguration() {
         AdmissionHarness harness = AdmissionHarness.whole(1, 1);
         RequestId inFlight = harness.offer(1_000);
         harness.mAdmission.configure(
@@ -170,11 +170,11 @@
         harness.mAdmission.complete(inFlight, AttemptOutcome.ANSWERED);
         harness.mAdmission.configure(
                 AdmissionHarness.servers(1, 1), SlotShare.whole(AdmissionHarness.SELF));
-        require(harness.isDispatched(harness.offer(1_000)), "The drain was taken back.");
+        require(harness.isDispatched(harness.offer(1_000)), "The drain was revoked.");
     }
 
     @Example
-    void twoAdmittersTogetherKeepToTheSlots() {
+    void admittersTogetherStayWithinTheSlots() {
         int dispatched = 0;
         for (var self : AdmissionHarness.ADMITTERS) {
             AdmissionHarness harness = new AdmissionHarness(AdmissionSettings.DEFAULT);
@@ -190,7 +190,7 @@
     }
 
     @Example
-    void newAdmitterWidensByReportsAndAtTheLatestByTime() {
+    void newAdmitterWidensByReportsOrAfterTheWideningPeriod() {
         AdmissionHarness harness = new AdmissionHarness(AdmissionSettings.DEFAULT);
         harness.mAdmission.configure(
                 AdmissionHarness.servers(4, 3), share(AdmissionShare.WIDENING));
@@ -204,7 +204,7 @@
         harness.pass(600);
         harness.report(0, 0);
         int withOneServer = harness.mAdmission.headroom().usableSlots();
-        require(withOneServer > start.usableSlots(), "A younger report must widen.");
+        require(withOneServer > start.usableSlots(), "A newer report must widen.");
         harness.pass(5_000);
         Headroom end = harness.mAdmission.headroom();
         require(end.usableSlots() == 12, "In the end all slots must be usable.");
@@ -212,7 +212,7 @@
     }
 
     @Example
-    void newAdmitterThatIsBusyKnowsItsOwnWorkInReports() {
+    void busyNewAdmitterRecognizesItsOwnRequestsInReports() {
         AdmissionHarness harness = new AdmissionHarness(AdmissionSettings.DEFAULT);
         harness.mAdmission.configure(
                 AdmissionHarness.servers(4, 3), share(AdmissionShare.WIDENING));
@@ -240,7 +240,7 @@
     }
 
     @Example
-    void pausedAdmitterWakesWithItsFairShare() {
+    void pausedAdmitterResumesWithItsFairShare() {
         AdmissionHarness harness = AdmissionHarness.whole(4, 3);
         harness.mAdmission.configure(AdmissionHarness.servers(4, 3), share(AdmissionShare.WHOLE));
         require(harness.mAdmission.headroom().usableSlots() == 12, "All slots are usable.");
@@ -248,7 +248,7 @@
         for (int i = 0; i < 20; i++) {
             harness.offer(1_000);
         }
-        require(harness.mDispatched.size() < 12, "Another admitter may have begun meanwhile.");
+        require(harness.mDispatched.size() < 12, "Another admitter may have taken over meanwhile.");
         require(
                 harness.mAdmission.headroom().step() == DegradationStep.FAIR_SHARE,
                 "The step must be visible.");
@@ -272,7 +272,7 @@
         harness.pass(10_000);
         require(
                 harness.mAdmission.headroom().step() == DegradationStep.FAIR_SHARE,
-                "Another admitter is at work.");
+                "Another admitter is active.");
     }
 
     @Example
@@ -310,7 +310,7 @@
     }
 
     @Example
-    void serverWithFreeShareIsTakenInTurn() {
+    void serversWithEqualFreeShareAreUsedInTurn() {
         AdmissionHarness harness = AdmissionHarness.whole(3, 2);
         List<BackendServerId> servers = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
--- a/masticpond-core/src/test/java/io/masticpond/core/admission/OutlierTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/admission/OutlierTest.java
@@ -18,7 +18,7 @@
     private static final BackendServerId BAD = AdmissionHarness.id(0);
 
     @Example
-    void serverThatAnswersErrorsFastIsEjected() {
+    void serverThatFailsFastIsEjected() {
         AdmissionHarness harness = AdmissionHarness.whole(4, 2);
         Map<BackendServerId, Integer> counts = runRounds(harness, 60, this::badFailsFast);
         int atBad = counts.getOrDefault(BAD, 0);
@@ -34,7 +34,7 @@
             harness.signal(0, BackendServerSignal.Kind.HEALTHY);
             runRounds(harness, 1, this::badFailsFast);
         }
-        require(countAtBad(harness) == before, "A lying health endpoint must change nothing.");
+        require(countAtBad(harness) == before, "A wrong health endpoint must change nothing.");
     }
 
     @Example
@@ -48,7 +48,7 @@
     }
 
     @Example
-    void unhealthyReportsOfAllServersEjectOnlyPart() {
+    void unhealthyReportsOfAllServersEjectHalfOfThem() {
         AdmissionHarness harness = AdmissionHarness.whole(4, 2);
         for (int i = 0; i < 4; i++) {
             harness.signal(i, BackendServerSignal.Kind.UNHEALTHY);
@@ -84,21 +84,21 @@
             harness.pass(20);
             fast.forEach(each -> harness.mAdmission.complete(each, AttemptOutcome.ANSWERED));
             harness.pass(180);
-            finishAll(harness, slow);
+            completeAndCancelWaiting(harness, slow);
         }
         int atBad = countAtBad(harness);
         require(atBad < 60, "The slow server must get less than its quarter, but got %d.", atBad);
     }
 
     @Example
-    void ejectedServerReturnsByTrickleAndRamp() {
+    void ejectedServerReturnsThroughTrialAndRampIn() {
         AdmissionHarness harness = AdmissionHarness.whole(4, 4);
         runRounds(harness, 20, this::badFailsFast);
         require(harness.mAdmission.headroom().usableSlots() == 12, "The server is ejected.");
         int before = countAtBad(harness);
         harness.pass(2_000);
         runRounds(harness, 1, server -> AttemptOutcome.ANSWERED);
-        require(countAtBad(harness) == before + 1, "The trickle is one request at a time.");
+        require(countAtBad(harness) == before + 1, "The trial is one request at a time.");
         List<Integer> usable = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             runRounds(harness, 1, server -> AttemptOutcome.ANSWERED);
@@ -109,7 +109,7 @@
     }
 
     @Example
-    void workThatMustNotRepeatIsNotUsedAsTrickle() {
+    void onceOnlyRequestsAreNotUsedAsTrialRequests() {
         AdmissionHarness harness = AdmissionHarness.whole(4, 2);
         runRounds(harness, 20, this::badFailsFast);
         int before = countAtBad(harness);
@@ -152,7 +152,7 @@
         return server.equals(BAD) ? AttemptOutcome.SERVER_ERROR : AttemptOutcome.ANSWERED;
     }
 
-    /** Offers two requests for each of 4 servers, many times; bad ones end at once. */
+    /** Offers two requests for each of 4 servers in every round; failed ones complete at once. */
     private static Map<BackendServerId, Integer> runRounds(
             AdmissionHarness harness,
             int rounds,
@@ -175,13 +175,13 @@
             }
             harness.pass(20);
             good.forEach(each -> harness.mAdmission.complete(each, AttemptOutcome.ANSWERED));
-            finishAll(harness, null);
+            completeAndCancelWaiting(harness, null);
         }
         return counts;
     }
 
-    /** Ends what is in flight still, and what was dispatched only now. */
-    private static void finishAll(AdmissionHarness harness, RequestId first) {
+    /** Completes the given request, and cancels the requests that still wait. */
+    private static void completeAndCancelWaiting(AdmissionHarness harness, RequestId first) {
         if (first != null) {
             harness.mAdmission.complete(first, AttemptOutcome.ANSWERED);
         }
