--- a/masticpond-core/src/main/java/io/masticpond/core/limit/CallOutlierDetector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/CallOutlierDetector.java
@@ -12,54 +12,54 @@
 import java.util.Set;
 
 /**
- * Judges from this instance's own calls which backend servers of a service fail or are slow beside
- * their peers, though their health checks may be good.
+ * Detector of backend servers that fail or are slow compared with the other servers of their
+ * service, although their health checks may succeed. It evaluates this instance's own calls.
  *
- * <p>The penalty is for the choice among servers; it never stops one by itself. At most half of the
- * servers of a service have one, the worst, since if most are bad then it is not they that stand
- * out. A condemned server gets a request from time to time, and its record fades, so it recovers. A
- * state machine for one thread.
+ * <p>The penalty influences the choice among servers, but never excludes a server by itself. At
+ * most half of the servers of a service have a penalty, the worst ones, since servers are no
+ * outliers if most of them are bad. A penalized server gets a trial request from time to time, and
+ * its statistics decay, so that it can recover. A state machine for use by a single thread.
  *
  * @since 0.2
  */
 public final class CallOutlierDetector {
 
-    /** Verdicts are as old as this at most. */
-    private static final long VERDICT_NANOS = 100_000_000L;
+    /** Maximum age of an evaluation. */
+    private static final long EVALUATION_VALIDITY_NANOS = 100_000_000L;
 
-    /** A mean over fewer answers says nothing. */
-    private static final double LEAST_BELIEF = 0.1;
+    /** Confidence below which a mean latency is not evaluated. */
+    private static final double MIN_CONFIDENCE = 0.1;
 
     private final CallOutlierDetectorSettings mSettings;
     private final Map<ServiceId, Peers> mServices = new HashMap<>();
 
     /**
-     * Starts without any record.
+     * Creates a detector without statistics.
      *
-     * @param settings when a server stands out
+     * @param settings the conditions for an outlier
      */
     public CallOutlierDetector(CallOutlierDetectorSettings settings) {
-        mSettings = Assert.notNull(settings, "Settings of a judge");
+        mSettings = Assert.notNull(settings, "Settings of an outlier detector");
     }
 
     /**
-     * Counts a request that is being sent.
+     * Records that a request is being sent.
      *
      * @param service the service
      * @param server the server
-     * @param nowNanos the monotonic time
+     * @param nowNanos the current monotonic time, in nanoseconds
      */
     public void sent(ServiceId service, BackendServerId server, long nowNanos) {
         statistics(service, server, nowNanos).sent(nowNanos);
     }
 
     /**
-     * Counts a good answer.
+     * Records a good answer.
      *
      * @param service the service
      * @param server the server
-     * @param latencyNanos how long it took
-     * @param nowNanos the monotonic time
+     * @param latencyNanos the time until the answer, in nanoseconds
+     * @param nowNanos the current monotonic time, in nanoseconds
      */
     public void succeeded(
             ServiceId service, BackendServerId server, long latencyNanos, long nowNanos) {
@@ -67,41 +67,42 @@
     }
 
     /**
-     * Counts a failure that speaks against the server, such as a broken connection, a wrong answer
-     * or silence.
+     * Records a failure that is attributed to the server, such as a broken connection, an invalid
+     * answer or no answer.
      *
      * @param service the service
      * @param server the server
-     * @param nowNanos the monotonic time
+     * @param nowNanos the current monotonic time, in nanoseconds
      */
     public void failed(ServiceId service, BackendServerId server, long nowNanos) {
         statistics(service, server, nowNanos).failed(nowNanos);
     }
 
     /**
-     * Tells how far a server should be avoided. Costs little, so it may be asked for each candidate
-     * of each request.
+     * Returns how far a server should be avoided. Cheap enough to be called for each candidate of
+     * each request.
      *
      * @param service the service
      * @param server the server
-     * @param nowNanos the monotonic time
-     * @return 0 for a server that is as good as its peers, or is due to be tried again, to 1
+     * @param nowNanos the current monotonic time, in nanoseconds
+     * @return the penalty from 0, for a server that is as good as its peers or due for a trial
+     *     request, to 1
      */
     public double penalty(ServiceId service, BackendServerId server, long nowNanos) {
         Peers peers = mServices.get(service);
-        CallStatistics tally = peers == null ? null : peers.mTallies.get(server);
-        if (tally == null) {
+        CallStatistics statistics = peers == null ? null : peers.mStatistics.get(server);
+        if (statistics == null) {
             return 0;
         }
-        if (nowNanos - peers.mJudgedNanos >= VERDICT_NANOS) {
+        if (nowNanos - peers.mEvaluatedNanos >= EVALUATION_VALIDITY_NANOS) {
             evaluate(peers, nowNanos);
         }
-        boolean due = nowNanos - tally.lastSentNanos() >= mSettings.trialInterval().toNanos();
-        return due ? 0 : tally.penalty();
+        boolean due = nowNanos - statistics.lastSentNanos() >= mSettings.trialInterval().toNanos();
+        return due ? 0 : statistics.penalty();
     }
 
     /**
-     * Forgets what one server did, since it is gone or has started again.
+     * Removes the statistics of one server, since it was removed or has restarted.
      *
      * @param service its service
      * @param server the server
@@ -109,110 +110,112 @@
     public void forget(ServiceId service, BackendServerId server) {
         Peers peers = mServices.get(service);
         if (peers != null) {
-            peers.mTallies.remove(server);
+            peers.mStatistics.remove(server);
         }
     }
 
     /**
-     * Forgets the servers that are gone.
+     * Removes the statistics of all servers except the given ones.
      *
-     * @param present the servers that are still there
+     * @param present the servers that are still registered
      */
     public void retain(Set<BackendServerId> present) {
-        mServices.values().forEach(each -> each.mTallies.keySet().retainAll(present));
-        mServices.values().removeIf(each -> each.mTallies.isEmpty());
+        mServices.values().forEach(each -> each.mStatistics.keySet().retainAll(present));
+        mServices.values().removeIf(each -> each.mStatistics.isEmpty());
     }
 
     /**
-     * Tells what is held against a server and on what, for people.
+     * Returns the evaluation of a server, for display.
      *
      * @param service its service
      * @param server the server
-     * @param nowNanos the monotonic time
-     * @return the judgement, or empty if nothing was sent there
+     * @param nowNanos the current monotonic time, in nanoseconds
+     * @return the evaluation, or empty if no request was sent there
      */
     public Optional<ServerEvaluation> evaluation(
             ServiceId service, BackendServerId server, long nowNanos) {
         double penalty = penalty(service, server, nowNanos);
         Peers peers = mServices.get(service);
-        CallStatistics tally = peers == null ? null : peers.mTallies.get(server);
-        if (tally == null) {
+        CallStatistics statistics = peers == null ? null : peers.mStatistics.get(server);
+        if (statistics == null) {
             return Optional.empty();
         }
-        double mean = tally.successes() > 0 ? tally.meanNanos() : 0;
+        double mean = statistics.successes() > 0 ? statistics.meanNanos() : 0;
         return Optional.of(
-                new ServerEvaluation(penalty, tally.calls(), tally.failureShare(), (long) mean));
+                new ServerEvaluation(
+                        penalty, statistics.calls(), statistics.failureShare(), (long) mean));
     }
 
     private CallStatistics statistics(ServiceId service, BackendServerId server, long nowNanos) {
         return mServices
-                .computeIfAbsent(service, ignored -> new Peers(nowNanos - VERDICT_NANOS))
-                .mTallies
+                .computeIfAbsent(
+                        service, ignored -> new Peers(nowNanos - EVALUATION_VALIDITY_NANOS))
+                .mStatistics
                 .computeIfAbsent(
                         server,
                         ignored -> new CallStatistics(mSettings.halfLife().toNanos(), nowNanos));
     }
 
     private void evaluate(Peers peers, long nowNanos) {
-        peers.mJudgedNanos = nowNanos;
-        Collection<CallStatistics> tallies = peers.mTallies.values();
-        tallies.forEach(each -> each.decay(nowNanos));
+        peers.mEvaluatedNanos = nowNanos;
+        Collection<CallStatistics> all = peers.mStatistics.values();
+        all.forEach(each -> each.decay(nowNanos));
         PeerMedians failures =
-                new PeerMedians(tallies, CallStatistics::calls, CallStatistics::failureShare);
+                new PeerMedians(all, CallStatistics::calls, CallStatistics::failureShare);
         PeerMedians means =
-                new PeerMedians(tallies, CallStatistics::successes, CallStatistics::meanNanos);
-        tallies.forEach(each -> each.setPenalty(penaltyOf(each, failures, means)));
+                new PeerMedians(all, CallStatistics::successes, CallStatistics::meanNanos);
+        all.forEach(each -> each.setPenalty(penaltyOf(each, failures, means)));
         List<CallStatistics> worstFirst =
-                tallies.stream()
+                all.stream()
                         .filter(each -> each.penalty() > 0)
                         .sorted(Comparator.comparingDouble(CallStatistics::penalty).reversed())
                         .toList();
-        worstFirst.stream().skip(tallies.size() / 2).forEach(each -> each.setPenalty(0));
+        worstFirst.stream().skip(all.size() / 2).forEach(each -> each.setPenalty(0));
     }
 
-    private double penaltyOf(CallStatistics tally, PeerMedians failures, PeerMedians means) {
-        double failure = failurePenalty(tally, failures) * confidence(tally.calls());
-        double slowness = slownessPenalty(tally, means) * confidence(tally.successes());
+    private double penaltyOf(CallStatistics statistics, PeerMedians failures, PeerMedians means) {
+        double failure = failurePenalty(statistics, failures) * confidence(statistics.calls());
+        double slowness = slownessPenalty(statistics, means) * confidence(statistics.successes());
         return Math.max(failure, slowness);
     }
 
-    private double failurePenalty(CallStatistics tally, PeerMedians failures) {
-        if (tally.failureShare() <= mSettings.failureFrom()) {
+    private double failurePenalty(CallStatistics statistics, PeerMedians failures) {
+        if (statistics.failureShare() <= mSettings.minimumFailure()) {
             return 0;
         }
-        double peers = failures.without(tally);
-        double above = tally.failureShare() - (Double.isNaN(peers) ? 0 : peers);
-        return part(above, mSettings.failureFrom(), mSettings.failureFull());
+        double peers = failures.without(statistics);
+        double above = statistics.failureShare() - (Double.isNaN(peers) ? 0 : peers);
+        return part(above, mSettings.minimumFailure(), mSettings.fullFailure());
     }
 
-    private double slownessPenalty(CallStatistics tally, PeerMedians means) {
-        if (confidence(tally.successes()) < LEAST_BELIEF) {
+    private double slownessPenalty(CallStatistics statistics, PeerMedians means) {
+        if (confidence(statistics.successes()) < MIN_CONFIDENCE) {
             return 0;
         }
-        double peers = means.without(tally);
+        double peers = means.without(statistics);
         if (Double.isNaN(peers) || peers <= 0) {
             return 0;
         }
-        double multiple = tally.meanNanos() / peers;
-        return part(multiple, mSettings.slownessFrom(), mSettings.slownessFull());
+        double multiple = statistics.meanNanos() / peers;
+        return part(multiple, mSettings.minimumSlowness(), mSettings.fullSlowness());
     }
 
     private double confidence(double calls) {
-        return Math.min(1, calls / mSettings.enoughCalls());
+        return Math.min(1, calls / mSettings.fullConfidenceCalls());
     }
 
     private static double part(double value, double from, double full) {
         return Math.min(1, Math.max(0, (value - from) / (full - from)));
     }
 
-    /** The servers of one service. */
+    /** The servers of one service, with the time of their last evaluation. */
     private static final class Peers {
 
-        private final Map<BackendServerId, CallStatistics> mTallies = new HashMap<>();
-        private long mJudgedNanos;
+        private final Map<BackendServerId, CallStatistics> mStatistics = new HashMap<>();
+        private long mEvaluatedNanos;
 
-        Peers(long judgedNanos) {
-            mJudgedNanos = judgedNanos;
+        Peers(long evaluatedNanos) {
+            mEvaluatedNanos = evaluatedNanos;
         }
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/CallStatistics.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/CallStatistics.java
@@ -1,9 +1,12 @@
 package io.masticpond.core.limit;
 
-/** Counts the calls of one backend server, with older ones counting less and less. */
+/** Statistics of the calls to one backend server, with exponential decay. */
 final class CallStatistics {
 
-    /** Makes a single failure count less when there are few calls. */
+    /**
+     * Number of assumed prior calls without a failure, which reduces the weight of a single failure
+     * among few calls.
+     */
     private static final double PRIOR_CALLS = 1;
 
     private final double mHalfLifeNanos;
@@ -15,10 +18,10 @@
     private long mLastSentNanos;
 
     /**
-     * Starts with nothing counted.
+     * Creates statistics without calls.
      *
-     * @param halfLifeNanos after which time a call counts half
-     * @param nowNanos the monotonic time
+     * @param halfLifeNanos the time after which a call counts half, in nanoseconds
+     * @param nowNanos the current monotonic time, in nanoseconds
      */
     CallStatistics(long halfLifeNanos, long nowNanos) {
         mHalfLifeNanos = halfLifeNanos;
@@ -66,7 +69,9 @@
         return mFailures / (mCalls + PRIOR_CALLS);
     }
 
-    /** Gives the mean latency of the calls that succeeded, if there are any. */
+    /**
+     * Returns the mean latency of the successful calls in nanoseconds. Valid only if there are any.
+     */
     double meanNanos() {
         return mSuccessNanos / successes();
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/ColdPacer.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/ColdPacer.java
@@ -17,16 +17,17 @@
 import java.util.function.Function;
 
 /**
- * Decides whether this instance may send to a cold backend server now.
+ * Pacer that decides whether this instance may send a request to a cold backend server now.
  *
- * <p>Each cold server has owners among the instances, found by rendezvous hashing and near the
- * server if possible; all others send it nothing. An owner spaces its requests evenly, without any
- * burst, so slowly that the owners of several differing views of the fleet stay within the bound
- * together. One owner is the rule; a server that bears more has more, each with its part, since in
- * a large fleet one instance alone has too few requests for it. An instance that became an owner by
- * a change of the fleet waits until the owner before it has heard of the change.
+ * <p>Each cold server has owners among the instances, chosen by rendezvous hashing and near the
+ * server if possible; all other instances send it no requests. An owner spaces its requests evenly,
+ * without bursts, and so slowly that the owners of several differing views of the fleet together
+ * stay within the bound. Usually there is one owner. A server with a higher warm-up rate has more
+ * owners, each with its part of the rate, since in a large fleet a single instance receives too few
+ * requests for it. An instance that became an owner by a change of the fleet waits until the
+ * previous owner has received the change.
  *
- * <p>A state machine for one thread.
+ * <p>A state machine for use by a single thread.
  *
  * @since 0.2
  */
@@ -34,8 +35,8 @@
 
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** The part of its share that a server gets as soon as it is warm. */
-    private static final double FIRST_WARMTH = 0.1;
+    /** Part of its share that a server gets as soon as it is warm. */
+    private static final double INITIAL_WARMTH = 0.1;
 
     private ColdPacerSettings mSettings;
     private final OwnerOrder mOrder;
@@ -44,9 +45,9 @@
     private long mCandidatesSinceNanos;
 
     /**
-     * Starts without any cold server.
+     * Creates a pacer without cold servers.
      *
-     * @param settings the bound
+     * @param settings the settings of the bound
      * @param regions the region of each zone, as far as known
      */
     public ColdPacer(ColdPacerSettings settings, Function<ZoneId, Optional<RegionId>> regions) {
@@ -55,21 +56,21 @@
     }
 
     /**
-     * Takes another bound, for the permits after this; what was sent stays counted.
+     * Applies new settings for later permits. Requests sent before stay counted.
      *
-     * @param settings the bound
+     * @param settings the settings of the bound
      */
     public void applySettings(ColdPacerSettings settings) {
         mSettings = Assert.notNull(settings, "Settings of a pacer");
     }
 
     /**
-     * Takes note of all servers and candidates; to be called when either changes, so that later
-     * calls know how long ago that was.
+     * Updates the servers and candidates. Must be called whenever either changes, so that later
+     * calls know the time of the change.
      *
      * @param servers all registered servers
      * @param ownerCandidates the instances that may own cold servers
-     * @param nowNanos the monotonic time
+     * @param nowNanos the current monotonic time, in nanoseconds
      */
     public void update(
             Collection<RegisteredServer> servers,
@@ -79,54 +80,56 @@
         Set<BackendServerId> present = new HashSet<>();
         for (RegisteredServer server : servers) {
             present.add(server.id());
-            note(server, nowNanos);
+            updateState(server, nowNanos);
         }
         mStates.keySet().retainAll(present);
     }
 
     /**
-     * Tells whether a server is to be treated as cold: until a margin after it is said to be warm.
+     * Returns whether a server is treated as cold, which is until a margin after it is reported as
+     * warm.
      *
      * @param server the server
-     * @param nowNanos the monotonic time
-     * @return whether it is
+     * @param nowNanos the current monotonic time, in nanoseconds
+     * @return whether the server is treated as cold
      */
     public boolean isCold(RegisteredServer server, long nowNanos) {
-        ColdState state = note(server, nowNanos);
-        return state != null && state.mWarmNanos - nowNanos > 0;
+        ColdState state = updateState(server, nowNanos);
+        return state != null && state.mWarmFromNanos - nowNanos > 0;
     }
 
     /**
-     * Tells which part of its usual share a server should get: none while cold, then a part that
-     * grows within the ramp, then all.
+     * Returns the part of its regular share that a server should get: none while cold, then a part
+     * that grows during the ramp, then all.
      *
      * @param server the server
-     * @param nowNanos the monotonic time
-     * @return the part, 0 to 1
+     * @param nowNanos the current monotonic time, in nanoseconds
+     * @return the part, from 0 to 1
      */
     public double warmth(RegisteredServer server, long nowNanos) {
-        ColdState state = note(server, nowNanos);
+        ColdState state = updateState(server, nowNanos);
         if (state == null) {
             return 1;
         }
-        long warmFor = nowNanos - state.mWarmNanos;
-        if (warmFor < 0) {
+        long warmNanos = nowNanos - state.mWarmFromNanos;
+        if (warmNanos < 0) {
             return 0;
         }
-        double part = (double) warmFor / mSettings.ramp().toNanos();
-        return Math.min(1, FIRST_WARMTH + (1 - FIRST_WARMTH) * part);
+        double part = (double) warmNanos / mSettings.ramp().toNanos();
+        return Math.min(1, INITIAL_WARMTH + (1 - INITIAL_WARMTH) * part);
     }
 
     /**
-     * Takes the right to send one request to a server now, whether it is then used or not.
+     * Acquires a permit to send one request to a server now, which counts whether it is used or
+     * not.
      *
      * @param server the server
      * @param rules the rules of its service
-     * @param ownerCandidates the instances that may own cold servers, best the same list object
-     *     until it changes
+     * @param ownerCandidates the instances that may own cold servers, preferably as the same list
+     *     object until it changes
      * @param self this instance
-     * @param nowNanos the monotonic time
-     * @return whether it may be sent; always true for a warm server
+     * @param nowNanos the current monotonic time, in nanoseconds
+     * @return whether the request may be sent; always true for a warm server
      */
     public boolean tryAcquire(
             RegisteredServer server,
@@ -135,8 +138,8 @@
             InstanceId self,
             long nowNanos) {
         observe(ownerCandidates, nowNanos);
-        ColdState state = note(server, nowNanos);
-        if (state == null || state.mWarmNanos - nowNanos <= 0) {
+        ColdState state = updateState(server, nowNanos);
+        if (state == null || state.mWarmFromNanos - nowNanos <= 0) {
             return true;
         }
         double perView = mSettings.perView(rules.warmUpRate());
@@ -157,7 +160,8 @@
     }
 
     /**
-     * Names the instances that keep the pace of a server while it is cold, as this one sees it.
+     * Returns the instances that pace the requests to a server while it is cold, in the view of
+     * this instance.
      *
      * @param server the server
      * @param rules the rules of its service
@@ -172,7 +176,7 @@
         return Math.max(1, (int) (perView / mSettings.ownerShare()));
     }
 
-    private ColdState note(RegisteredServer server, long nowNanos) {
+    private ColdState updateState(RegisteredServer server, long nowNanos) {
         ColdState state = mStates.get(server.id());
         if (!server.isCold(nowNanos)) {
             return state;
@@ -181,7 +185,7 @@
             state = new ColdState(nowNanos);
             mStates.put(server.id(), state);
         }
-        state.mWarmNanos = server.coldUntilNanos() + mSettings.margin().toNanos();
+        state.mWarmFromNanos = server.coldUntilNanos() + mSettings.margin().toNanos();
         return state;
     }
 
@@ -193,7 +197,10 @@
         mCandidatesSinceNanos = nowNanos;
     }
 
-    /** An owner by two lists in a row stays one; by a new list alone it is one since that list. */
+    /**
+     * Returns whether this instance owns a server. An owner by two consecutive candidate lists
+     * remains the owner; an owner by the new list only is one since that list.
+     */
     private boolean isOwner(ColdState state, RegisteredServer server, int owners, InstanceId self) {
         if (state.mCandidates == mCandidates && state.mOwners == owners) {
             return state.mIsOwner;
@@ -212,10 +219,10 @@
         return mOrder.first(server, mCandidates, count);
     }
 
-    /** What is known of one server that is or was cold. */
+    /** State of one server that is or was cold. */
     private static final class ColdState {
 
-        private long mWarmNanos;
+        private long mWarmFromNanos;
         private long mNextNanos;
         private List<OwnerCandidate> mCandidates = List.of();
         private int mOwners;
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/ColdPacerSettings.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/ColdPacerSettings.java
@@ -4,15 +4,16 @@
 import java.time.Duration;
 
 /**
- * The bound on requests for a cold backend server over all instances, and how far to stay below.
+ * Settings for the bound on the requests to a cold backend server over all instances, and for the
+ * margins below it.
  *
- * @param rateFactor what the warm-up rate is multiplied with
- * @param slack the requests that are allowed besides, in any second
- * @param safety the part of the bound that is used, over 0 and at most 1
- * @param views how many views of the fleet may differ at one time, each with owners of its own
- * @param ownerShare how many requests a second make one more owner worth while
- * @param margin how much longer a server counts as cold
- * @param ramp how long a server that turned warm takes to its full share
+ * @param rateFactor the factor by which the warm-up rate is multiplied
+ * @param slack the additional requests in any second
+ * @param safety the part of the bound that is used, above 0 and at most 1
+ * @param views the number of differing views of the fleet at one time, each with its own owners
+ * @param ownerShare the requests per second for which one more owner is added
+ * @param margin how much longer a server is treated as cold
+ * @param ramp the time in which a server that became warm reaches its full share
  * @param settling how long an instance waits after it became an owner
  * @since 0.2
  */
@@ -30,7 +31,7 @@
     private static final int DEFAULT_VIEWS = 3;
     private static final double DEFAULT_OWNER_SHARE = 5;
 
-    /** Checks that the parts are in range. */
+    /** Validates that the components are in range. */
     public ColdPacerSettings {
         Assert.isTrue(rateFactor > 0, "A rate factor must be positive, but was %s.", rateFactor);
         Assert.isTrue(slack >= 0, "A slack must not be negative, but was %s.", slack);
@@ -47,10 +48,10 @@
     }
 
     /**
-     * Gives settings for a bound with defaults for the rest.
+     * Returns settings for a bound, with defaults for the other components.
      *
-     * @param rateFactor what the warm-up rate is multiplied with
-     * @param slack the requests that are allowed besides, in any second
+     * @param rateFactor the factor by which the warm-up rate is multiplied
+     * @param slack the additional requests in any second
      * @return the settings
      */
     public static ColdPacerSettings of(double rateFactor, double slack) {
@@ -65,7 +66,7 @@
                 Duration.ofSeconds(2));
     }
 
-    /** Gives how many requests a second the owners of one view may send together. */
+    /** Returns the requests per second that the owners of one view may send together. */
     double perView(double warmUpRate) {
         return (warmUpRate * rateFactor + slack) * safety / views;
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/OwnerCandidate.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/OwnerCandidate.java
@@ -5,7 +5,7 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * An instance that may own cold backend servers.
+ * Instance that is a candidate for the ownership of cold backend servers.
  *
  * @param id the instance
  * @param zone its availability zone
@@ -13,7 +13,7 @@
  */
 public record OwnerCandidate(InstanceId id, ZoneId zone) {
 
-    /** Checks that the parts are given. */
+    /** Validates that all components are given. */
     public OwnerCandidate {
         Assert.notNull(id, "An instance id");
         Assert.notNull(zone, "An availability zone id");
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/OwnerOrder.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/OwnerOrder.java
@@ -13,8 +13,8 @@
 import java.util.function.Function;
 
 /**
- * Orders instances for a backend server, the nearest first, so that all who see the same instances
- * agree without messages.
+ * Order of instances for a backend server, the nearest first. All instances with the same view of
+ * the instances agree on it without communication.
  *
  * @since 0.2
  */
@@ -23,7 +23,7 @@
     private final Function<ZoneId, Optional<RegionId>> mRegions;
 
     /**
-     * Makes an order.
+     * Creates an order.
      *
      * @param regions the region of each zone, as far as known
      */
@@ -32,13 +32,13 @@
     }
 
     /**
-     * Gives the first instances of a server: those of its zone, then those of its region, then the
-     * others, each by rendezvous hashing.
+     * Returns the first instances for a server: those of its availability zone, then those of its
+     * region, then the others, each group ordered by rendezvous hashing.
      *
      * @param server the server
      * @param candidates the instances
-     * @param count how many are asked for
-     * @return at most as many, the first choice first
+     * @param count the maximum number of instances to return
+     * @return at most {@code count} instances, the preferred ones first
      */
     public List<InstanceId> first(
             RegisteredServer server, Collection<OwnerCandidate> candidates, int count) {
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/PeerMedians.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/PeerMedians.java
@@ -4,21 +4,21 @@
 import java.util.Collection;
 import java.util.function.ToDoubleFunction;
 
-/** The median of a figure over all servers but one, for each of them, from one sorted array. */
+/** Medians of a value over all servers except one, for each of them, from a single sorted array. */
 final class PeerMedians {
 
-    private static final double FEWEST_CALLS = 1;
+    private static final double MIN_CALLS = 1;
 
     private final ToDoubleFunction<CallStatistics> mCalls;
     private final ToDoubleFunction<CallStatistics> mValue;
     private final double[] mSorted;
 
     /**
-     * Sorts the figures of the servers with enough calls.
+     * Creates the medians over the servers with enough calls.
      *
      * @param all the servers
-     * @param calls gives how many calls a figure rests on
-     * @param value gives the figure
+     * @param calls returns the number of calls behind a value
+     * @param value returns the value
      */
     PeerMedians(
             Collection<CallStatistics> all,
@@ -37,20 +37,21 @@
         Arrays.sort(mSorted);
     }
 
-    /** Gives the lower median of all but one, or not a number without any. */
-    double without(CallStatistics tally) {
-        boolean isCounted = isCounted(tally);
+    /** Returns the lower median over all servers except one, or NaN if there are none. */
+    double without(CallStatistics statistics) {
+        boolean isCounted = isCounted(statistics);
         int others = mSorted.length - (isCounted ? 1 : 0);
         if (others == 0) {
             return Double.NaN;
         }
         int middle = (others - 1) / 2;
         boolean isBelow =
-                isCounted && Arrays.binarySearch(mSorted, mValue.applyAsDouble(tally)) <= middle;
+                isCounted
+                        && Arrays.binarySearch(mSorted, mValue.applyAsDouble(statistics)) <= middle;
         return mSorted[isBelow ? middle + 1 : middle];
     }
 
-    private boolean isCounted(CallStatistics tally) {
-        return mCalls.applyAsDouble(tally) >= FEWEST_CALLS;
+    private boolean isCounted(CallStatistics statistics) {
+        return mCalls.applyAsDouble(statistics) >= MIN_CALLS;
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/PriorityTraffic.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/PriorityTraffic.java
@@ -5,48 +5,53 @@
 import java.util.TreeMap;
 
 /**
- * Tells which priorities are present among the requests for one service, by what arrived lately.
+ * Priorities that are present among the recent requests for one service.
  *
- * <p>Only a priority that brings a fair part of the requests can build a queue that the others wait
- * in, so only such a one takes a rank. A configuration may name many more: routes that are being
- * moved, tried out or watched, with a request now and then. Touched by one thread only.
+ * <p>Only a priority with a substantial part of the requests can build up a queue in which the
+ * others wait, so only such a priority has a rank. A configuration may contain many more
+ * priorities: routes that are being migrated, tested or monitored, with occasional requests. For
+ * use by a single thread.
  *
  * @since 0.2
  */
 final class PriorityTraffic {
 
     /**
-     * The part of the requests that makes a priority count. At a twentieth, a priority that is left
-     * out lengthens the queue of the others by a twentieth at most.
+     * Minimum part of the requests from which on a priority is present. At a twentieth, an ignored
+     * priority lengthens the queue of the others by at most a twentieth.
      */
-    private static final double LEAST_SHARE = 0.05;
+    private static final double MIN_SHARE = 0.05;
 
-    /** Requests before this count little, so that a priority that went away gives its rank back. */
-    private static final double MEMORY_SECONDS = 5;
+    /**
+     * Time constant of the decay of older requests, by which a priority without requests loses its
+     * rank.
+     */
+    private static final double DECAY_SECONDS = 5;
 
-    private static final double MEMORY_NANOS = MEMORY_SECONDS * 1e9;
+    private static final double DECAY_NANOS = DECAY_SECONDS * 1e9;
 
-    /** A count below this is as good as none and is forgotten. */
-    private static final double LEAST_COUNT = 0.01;
+    /** Count below which a priority is removed. */
+    private static final double MIN_COUNT = 0.01;
 
     private final Map<Integer, Double> mCounts = new TreeMap<>();
-    private double mAll;
+    private double mTotal;
     private long mNowNanos;
 
     /**
      * Counts a request.
      *
      * @param priority its priority
-     * @param nowNanos the monotonic time
+     * @param nowNanos the current monotonic time, in nanoseconds
      */
     void arrived(int priority, long nowNanos) {
-        fade(nowNanos);
+        decay(nowNanos);
         mCounts.merge(priority, 1.0, Double::sum);
-        mAll++;
+        mTotal++;
     }
 
     /**
-     * Gives the rank of a priority among those present; the priority itself is always taken to be.
+     * Returns the rank of a priority among those present. The priority itself always counts as
+     * present.
      *
      * @param priority the priority
      * @return 0 for the most urgent
@@ -60,10 +65,10 @@
     }
 
     /**
-     * Counts the priorities that are present.
+     * Returns the number of priorities that are present.
      *
-     * @param priority one that is taken to be
-     * @return how many, at least 1
+     * @param priority a priority that always counts as present
+     * @return the number, at least 1
      */
     int present(int priority) {
         int present = 1;
@@ -73,49 +78,49 @@
         return present;
     }
 
-    /** Gives how many requests of a priority come in a second. */
+    /** Returns the number of requests of a priority per second. */
     double perSecond(int priority, long nowNanos) {
-        fade(nowNanos);
-        return mCounts.getOrDefault(priority, 0.0) / MEMORY_SECONDS;
+        decay(nowNanos);
+        return mCounts.getOrDefault(priority, 0.0) / DECAY_SECONDS;
     }
 
-    /** Gives how many requests come in a second. */
+    /** Returns the number of requests per second. */
     double perSecond(long nowNanos) {
-        fade(nowNanos);
-        return mAll / MEMORY_SECONDS;
+        decay(nowNanos);
+        return mTotal / DECAY_SECONDS;
     }
 
-    /** Gives how many requests that are more urgent come in a second. */
+    /** Returns the number of requests with a more urgent priority per second. */
     double moreUrgentPerSecond(int priority, long nowNanos) {
-        fade(nowNanos);
+        decay(nowNanos);
         double count = 0;
         for (Map.Entry<Integer, Double> each : mCounts.entrySet()) {
             count += each.getKey() < priority ? each.getValue() : 0;
         }
-        return count / MEMORY_SECONDS;
+        return count / DECAY_SECONDS;
     }
 
     private boolean isPresent(double count) {
-        return count >= LEAST_SHARE * mAll;
+        return count >= MIN_SHARE * mTotal;
     }
 
-    private void fade(long nowNanos) {
+    private void decay(long nowNanos) {
         long passed = Math.max(0, nowNanos - mNowNanos);
         mNowNanos = nowNanos;
         if (passed == 0 || mCounts.isEmpty()) {
             return;
         }
-        double kept = Math.exp(-passed / MEMORY_NANOS);
-        mAll = 0;
+        double kept = Math.exp(-passed / DECAY_NANOS);
+        mTotal = 0;
         Iterator<Map.Entry<Integer, Double>> each = mCounts.entrySet().iterator();
         while (each.hasNext()) {
             Map.Entry<Integer, Double> entry = each.next();
             double count = entry.getValue() * kept;
-            if (count < LEAST_COUNT) {
+            if (count < MIN_COUNT) {
                 each.remove();
             } else {
                 entry.setValue(count);
-                mAll += count;
+                mTotal += count;
             }
         }
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/RateTotals.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/RateTotals.java
@@ -7,36 +7,39 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Adds up, at an instance that does so for its availability zone, what the instances of the zone
- * and the other zones told of the rates. A state machine for one thread.
+ * Sums of the rate usage that the instances of an availability zone and the other zones reported,
+ * at the instance that aggregates them for its zone. A state machine for use by a single thread.
  *
  * @since 0.2
  */
 public final class RateTotals {
 
-    /** What an instance told so long ago counts no more. */
-    private static final long KEPT_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
+    /** Time after which a report of an instance is ignored. */
+    private static final long INSTANCE_VALIDITY_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
 
-    /** The same for zones, which tell half as often. */
-    private static final long ZONE_KEPT_NANOS = TimeUnit.MILLISECONDS.toNanos(1_300);
+    /** Time after which a report of a zone is ignored. Zones report half as often. */
+    private static final long ZONE_VALIDITY_NANOS = TimeUnit.MILLISECONDS.toNanos(1_300);
 
-    /** A sum is good for so long. */
-    private static final long SUM_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+    /** Time for which a computed sum is reused. */
+    private static final long SUM_VALIDITY_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
     /**
-     * A sum, and over how many instances it goes.
+     * Sum of rate usage over a number of instances.
      *
-     * @param uses the use by the hash of the workspace
-     * @param instances how many instances
+     * @param uses the usage by the hash of the workspace
+     * @param instances the number of instances
      */
     public record Sum(Map<Integer, RateUsage> uses, int instances) {}
 
     private record ReceivedSum(Sum sum, long nanos) {}
 
-    /** A part of what one told, which is replaced by the same part told later. */
+    /** Key of a part of a report, which is replaced by a later report of the same part. */
     private record Part<T>(T reporter, int part) {
 
-        /** Written out, since the one that records get is linked at its first use, in a start. */
+        /**
+         * Explicit, since the generated implementation of a record is linked at its first use,
+         * which would be during startup.
+         */
         @Override
         public boolean equals(Object other) {
             return other instanceof Part<?> that
@@ -55,12 +58,12 @@
     private final Map<Part<ZoneId>, ReceivedSum> mZones = new HashMap<>();
 
     /**
-     * Takes what an instance of the own zone does; what it told before counts no more.
+     * Records the usage of an instance of the own zone, which replaces its previous report.
      *
      * @param instance the instance
-     * @param part which part of its workspaces this is
-     * @param uses its use by the hash of the workspace
-     * @param nowNanos the monotonic time
+     * @param part the part of its workspaces that the report covers
+     * @param uses its usage by the hash of the workspace
+     * @param nowNanos the current monotonic time, in nanoseconds
      */
     public void received(
             InstanceId instance, int part, Map<Integer, RateUsage> uses, long nowNanos) {
@@ -68,22 +71,22 @@
     }
 
     /**
-     * Takes what another zone does.
+     * Records the usage of another zone.
      *
      * @param zone the zone
-     * @param part which part of its workspaces this is
-     * @param sum the use of its instances
-     * @param nowNanos the monotonic time
+     * @param part the part of its workspaces that the report covers
+     * @param sum the sum of the usage of its instances
+     * @param nowNanos the current monotonic time, in nanoseconds
      */
     public void received(ZoneId zone, int part, Sum sum, long nowNanos) {
         mZones.put(new Part<>(zone, part), new ReceivedSum(sum, nowNanos));
     }
 
     /**
-     * Gives the use of the own zone.
+     * Returns the sum of the usage of the own zone.
      *
      * @param part the part of the workspaces whose instances are counted
-     * @param nowNanos the monotonic time
+     * @param nowNanos the current monotonic time, in nanoseconds
      * @return the sum
      */
     public Sum ofZone(int part, long nowNanos) {
@@ -91,11 +94,12 @@
     }
 
     /**
-     * Gives the use of all others, as one instance of the own zone needs it.
+     * Returns the sum of the usage of all other instances, from the point of view of one instance
+     * of the own zone.
      *
-     * @param instance the instance, which is left out
+     * @param instance the instance, which is excluded from the sum
      * @param part the part of the workspaces whose instances are counted
-     * @param nowNanos the monotonic time
+     * @param nowNanos the current monotonic time, in nanoseconds
      * @return the sum
      */
     public Sum forInstance(InstanceId instance, int part, long nowNanos) {
@@ -108,37 +112,44 @@
         Map<Integer, RateUsage> uses = new HashMap<>(all.uses());
         own.sum()
                 .uses()
-                .forEach((hash, use) -> uses.computeIfPresent(hash, (same, sum) -> sum.minus(use)));
+                .forEach(
+                        (hash, usage) ->
+                                uses.computeIfPresent(hash, (same, sum) -> sum.minus(usage)));
         return new Sum(uses, all.instances() - own.sum().instances());
     }
 
-    /** What was added up at a moment, and of what each instance then had told. */
+    /** Sums computed at one time, with the reports of the instances that they include. */
     private record Sums(
             Sum zone, Sum all, Map<Part<InstanceId>, ReceivedSum> received, long nanos) {}
 
-    /** Adds up anew only now and then, since each instance of the zone asks often. */
+    /**
+     * Returns the sums, which are computed again only when they expire, since each instance of the
+     * zone requests them often.
+     */
     private Sums sums(int part, long nowNanos) {
         Sums sums = mSums.get(part);
-        if (sums != null && nowNanos - sums.nanos() < SUM_NANOS) {
+        if (sums != null && nowNanos - sums.nanos() < SUM_VALIDITY_NANOS) {
             return sums;
         }
-        forgetOld(nowNanos);
+        removeExpired(nowNanos);
         Adder zone = new Adder(part);
-        mInstances.forEach((from, told) -> zone.add(from.part(), told.sum()));
+        mInstances.forEach((from, received) -> zone.add(from.part(), received.sum()));
         Adder all = new Adder(part);
         all.add(part, zone.sum());
-        mZones.forEach((from, told) -> all.add(from.part(), told.sum()));
+        mZones.forEach((from, received) -> all.add(from.part(), received.sum()));
         sums = new Sums(zone.sum(), all.sum(), new HashMap<>(mInstances), nowNanos);
         mSums.put(part, sums);
         return sums;
     }
 
-    private void forgetOld(long nowNanos) {
-        mInstances.values().removeIf(told -> nowNanos - told.nanos() > KEPT_NANOS);
-        mZones.values().removeIf(told -> nowNanos - told.nanos() > ZONE_KEPT_NANOS);
+    private void removeExpired(long nowNanos) {
+        mInstances
+                .values()
+                .removeIf(received -> nowNanos - received.nanos() > INSTANCE_VALIDITY_NANOS);
+        mZones.values().removeIf(received -> nowNanos - received.nanos() > ZONE_VALIDITY_NANOS);
     }
 
-    /** Adds up sums, and counts the instances of those that tell of one part. */
+    /** Accumulator that adds up sums, and counts the instances in the reports of one part. */
     private static final class Adder {
 
         private final Map<Integer, RateUsage> mUses = new HashMap<>();
@@ -150,7 +161,7 @@
         }
 
         void add(int part, Sum sum) {
-            sum.uses().forEach((hash, use) -> mUses.merge(hash, use, RateUsage::plus));
+            sum.uses().forEach((hash, usage) -> mUses.merge(hash, usage, RateUsage::plus));
             mInstances += part == mPart ? sum.instances() : 0;
         }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/RetryBudgetSettings.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/RetryBudgetSettings.java
@@ -4,17 +4,18 @@
 import java.time.Duration;
 
 /**
- * The bound on sends beyond the first of each request, for a service and over all instances.
+ * Settings for the bound on the retries to a service over all instances, which are all sends of a
+ * request after the first.
  *
- * @param ratio the extra sends for each request, not negative
- * @param slack the extra sends that are allowed besides, in each window, not negative
+ * @param ratio the retries per request, not negative
+ * @param slack the additional retries in each window, not negative
  * @param window the length of the sliding window
- * @param safety the part of the bound that is used, over 0 and at most 1
+ * @param safety the part of the bound that is used, above 0 and at most 1
  * @since 0.2
  */
 public record RetryBudgetSettings(double ratio, double slack, Duration window, double safety) {
 
-    /** Checks that the parts are in range. */
+    /** Validates that the components are in range. */
     public RetryBudgetSettings {
         Assert.isTrue(ratio >= 0, "A ratio must not be negative, but was %s.", ratio);
         Assert.isTrue(slack >= 0, "A slack must not be negative, but was %s.", slack);
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/ServiceLoad.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/ServiceLoad.java
@@ -3,16 +3,18 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * What an instance estimates of a service at one moment.
+ * Snapshot of the load of a service as estimated by an instance.
  *
- * @param usableSlots the slots of the servers that may be used, not negative
- * @param inFlight the requests that run or wait there, of all instances as far as known
- * @param meanServiceNanos how long a request holds a slot on average; 0 if not known
+ * @param usableSlots the slots of the usable servers, not negative
+ * @param inFlight the requests that run or wait there, of all instances as far as known, not
+ *     negative
+ * @param meanServiceNanos how long a request holds a slot on average, in nanoseconds; 0 if not
+ *     known
  * @since 0.2
  */
 public record ServiceLoad(int usableSlots, int inFlight, long meanServiceNanos) {
 
-    /** Checks that the numbers are not negative. */
+    /** Validates that the numbers are not negative. */
     public ServiceLoad {
         Assert.notNegative(usableSlots, "A number of slots");
         Assert.notNegative(inFlight, "A number of requests in flight");
@@ -20,7 +22,7 @@
     }
 
     /**
-     * Estimates how long one more request waits for a slot.
+     * Returns the estimated time for which one more request waits for a slot.
      *
      * @return nanoseconds; {@link Long#MAX_VALUE} if there is no slot
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRate.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRate.java
@@ -4,69 +4,82 @@
 import java.time.Duration;
 
 /**
- * This instance's view of one workspace's rate, which all instances share without a leader. A state
- * machine for one thread.
+ * This instance's view of the rate of one workspace, which all instances share without a leader. A
+ * state machine for use by a single thread.
  *
- * <p>Each instance keeps the credit of the whole fleet: it grows by the rate and falls by what was
- * sent here and by what the others told that they sent. Of that credit an instance takes, within
- * the time that news needs, its share of the demand; so the shares of all together hardly take more
- * than the credit, however late one hears of the others, and what was sent beyond it is made up
- * for. Instances of which nothing is known are held to use their equal part of the rate. So who
- * hears of nobody has its own equal part alone, and regions that are cut from each other have
- * theirs.
+ * <p>Each instance tracks the credit of the whole fleet, which grows by the rate and falls by the
+ * requests sent here and by those that the others reported. Within the time that updates take to
+ * arrive, an instance uses the part of that credit that corresponds to its share of the demand. All
+ * instances together therefore use hardly more than the credit, however late updates arrive, and
+ * any excess is compensated later. Instances without a known state are assumed to use their equal
+ * part of the rate. An instance that receives no updates therefore has only its own equal part, and
+ * regions that are disconnected from each other have theirs.
  *
  * @since 0.2
  */
 public final class SharedRate {
 
-    /** How old the news of other instances is at most while nothing fails. */
+    /** Maximum age of the updates of other instances in the absence of failures. */
     static final double LAG_SECONDS = 0.5;
 
-    /** News older than this tells nothing of what others do now. */
-    private static final double NEWS_SECONDS = 0.9;
+    /** Age from which on an update is discarded. */
+    private static final double MAX_UPDATE_AGE_SECONDS = 0.9;
 
-    /** While news is older than this, more is in doubt than the credit allows for. */
-    private static final double LATE_SECONDS = 0.45;
+    /** Age from which on an update is stale, with more uncertainty than the credit allows for. */
+    private static final double STALE_UPDATE_SECONDS = 0.45;
 
-    /** The part of its share of the rate that an instance takes meanwhile. */
-    private static final double LATE_PART = 0.5;
+    /** Part of its share of the rate that an instance uses while the update is stale. */
+    private static final double STALE_RATE_PART = 0.5;
 
-    /** One request within the last second counts at least, also before others know of it. */
-    private static final double LEAST_DEMAND = 1.3;
+    /**
+     * Minimum demand of an instance, somewhat more than one request within the last second, which
+     * counts also before others know of it.
+     */
+    private static final double MIN_DEMAND = 1.3;
 
-    /** The parts of burst and slack that are given out; the rest is for what is sent unheard. */
+    /**
+     * Parts of burst and slack that are given out. The remainder covers requests that are sent
+     * before others receive an update.
+     */
     private static final double BURST_PART = 0.45;
 
     private static final double SLACK_PART = 0.33;
 
-    /** After a start the slack may have been used by those that ran before. */
-    private static final double FIRST_SLACK_PART = 0.1;
+    /** Part of the slack after a start, since earlier runs may have used it. */
+    private static final double INITIAL_SLACK_PART = 0.1;
 
     /**
-     * Who is cut off keeps no more than its part of the credit, but for so long. Who has just
-     * started and hears of more and more keeps it: all may have started together.
+     * Time constant in which a disconnected instance loses the credit beyond its own part. An
+     * instance that has just started and receives updates of more and more instances keeps it,
+     * since all may have started together.
      */
-    private static final double CUT_SECONDS = 0.2;
+    private static final double DISCONNECTED_DECAY_SECONDS = 0.2;
 
     /**
-     * The part of what the rate had left lately that instances may take besides: what comes to one
-     * instance is uneven, and so much fits into the bound.
+     * Part of the recently unused rate that instances may use in addition. The requests that arrive
+     * at one instance are uneven, and this much fits into the bound.
      */
-    private static final double SPARE_PART = 0.5;
+    private static final double UNUSED_RATE_PART = 0.5;
 
-    /** What is taken besides comes back no sooner than it would show in the credit. */
-    private static final double SPARE_SECONDS = 2;
+    /**
+     * Time in which the additional allowance is restored, which is no sooner than its use shows in
+     * the credit.
+     */
+    private static final double UNUSED_RATE_SECONDS = 2;
 
-    /** The weight of the newest second in the demand of some seconds. */
+    /** Weight of the most recent second in the average demand of some seconds. */
     private static final double NEWEST_WEIGHT = 0.06;
 
-    /** The part of the capacity from which on the credit is ample. */
-    private static final double AMPLE_CREDIT_PART = 0.5;
+    /** Part of the capacity from which on the additional allowance is full. */
+    private static final double HIGH_CREDIT_PART = 0.5;
 
-    /** What was sent is told soon, over the time between two words of a zone. */
+    /**
+     * Steps over which sent requests are counted, which is the time between two reports of a zone,
+     * so that they are reported soon.
+     */
     private static final int USED_STEPS = 4;
 
-    private static final int ASKED_STEPS = 10;
+    private static final int DEMAND_STEPS = 10;
     private static final double NANOS = 1e9;
 
     private SharedRateSettings mSettings;
@@ -74,26 +87,26 @@
     private double mCredit;
     private double mTokens;
     private long mUpdatedNanos;
-    private long mHeardNanos;
+    private long mReceivedNanos;
     private RateUsage mOthers = RateUsage.NONE;
-    private int mHeardOf;
-    private int mMostHeardOf;
-    private double mReported;
-    private double mReportedBefore;
-    private double mUsual;
-    private double mOwn = LEAST_DEMAND;
+    private int mReportedInstances;
+    private int mMaxReportedInstances;
+    private double mReportedDemand;
+    private double mPreviousReportedDemand;
+    private double mAverageDemand;
+    private double mOwnDemand = MIN_DEMAND;
     private int mInstances;
     private final SlidingWindowCounter mUsed;
-    private final SlidingWindowCounter mAsked;
+    private final SlidingWindowCounter mDemand;
 
     /**
-     * Starts with what may be given out at once; this instance takes no more of it than its part
-     * until it hears of others.
+     * Creates a rate with the credit that may be given out at once. This instance uses no more of
+     * it than its own part until it receives updates of others.
      *
      * @param limit the workspace's limit
-     * @param settings the bound
-     * @param instances among how many instances the rate is shared
-     * @param nowNanos the monotonic time
+     * @param settings the settings of the bound
+     * @param instances the number of instances that share the rate
+     * @param nowNanos the current monotonic time, in nanoseconds
      */
     public SharedRate(RateLimit limit, SharedRateSettings settings, int instances, long nowNanos) {
         mLimit = limit;
@@ -101,17 +114,17 @@
         mInstances = Math.max(1, instances);
         mUpdatedNanos = nowNanos;
         mUsed = new SlidingWindowCounter(USED_STEPS, nowNanos);
-        mAsked = new SlidingWindowCounter(ASKED_STEPS, nowNanos);
-        mCredit = BURST_PART * most() + FIRST_SLACK_PART * mSettings.slack();
+        mDemand = new SlidingWindowCounter(DEMAND_STEPS, nowNanos);
+        mCredit = BURST_PART * burstAllowance() + INITIAL_SLACK_PART * mSettings.slack();
         mTokens = 1;
     }
 
     /**
-     * Takes another limit or bound; a lower one counts at once.
+     * Applies a new limit or bound. A lower one takes effect at once.
      *
      * @param limit the limit
-     * @param settings the bound
-     * @param nowNanos the monotonic time
+     * @param settings the settings of the bound
+     * @param nowNanos the current monotonic time, in nanoseconds
      */
     public void applySettings(RateLimit limit, SharedRateSettings settings, long nowNanos) {
         update(nowNanos);
@@ -121,10 +134,10 @@
     }
 
     /**
-     * Hears how many instances there are.
+     * Sets the number of instances.
      *
-     * @param all those that may be sending, reached or not, this one included
-     * @param nowNanos the monotonic time
+     * @param all the number of instances that may be sending, reachable or not, including this one
+     * @param nowNanos the current monotonic time, in nanoseconds
      */
     public void setInstanceCount(int all, long nowNanos) {
         update(nowNanos);
@@ -132,47 +145,54 @@
     }
 
     /**
-     * Hears what others do.
+     * Handles an update on the usage of the other instances.
      *
-     * @param others the sum over them
-     * @param heardOf how many of them are in that sum
-     * @param nowNanos the monotonic time
+     * @param others the sum of their usage
+     * @param reportedInstances the number of instances in that sum
+     * @param nowNanos the current monotonic time, in nanoseconds
      */
-    public void received(RateUsage others, int heardOf, long nowNanos) {
-        boolean isIdle = others.isNone() && mOthers.isNone() && mHeardOf == heardOf;
+    public void received(RateUsage others, int reportedInstances, long nowNanos) {
+        boolean isIdle =
+                others.isNone() && mOthers.isNone() && mReportedInstances == reportedInstances;
         if (!isIdle) {
             update(nowNanos);
         }
         mOthers = others;
-        mHeardOf = heardOf;
-        mMostHeardOf = Math.max(mMostHeardOf, heardOf);
-        mHeardNanos = nowNanos;
-        mOwn = Math.max(LEAST_DEMAND, Math.max(Math.min(mReported, mReportedBefore), mUsual));
+        mReportedInstances = reportedInstances;
+        mMaxReportedInstances = Math.max(mMaxReportedInstances, reportedInstances);
+        mReceivedNanos = nowNanos;
+        mOwnDemand =
+                Math.max(
+                        MIN_DEMAND,
+                        Math.max(
+                                Math.min(mReportedDemand, mPreviousReportedDemand),
+                                mAverageDemand));
     }
 
     /**
-     * Gives what this instance does, to be told to the others.
+     * Returns the usage of this instance, to be reported to the others.
      *
-     * @param nowNanos the monotonic time
-     * @return its use
+     * @param nowNanos the current monotonic time, in nanoseconds
+     * @return the usage
      */
     public RateUsage report(long nowNanos) {
-        RateUsage own = new RateUsage(mUsed.perSecond(nowNanos), mAsked.perSecond(nowNanos));
-        mReportedBefore = mReported;
-        mReported = own.demand();
-        mUsual += NEWEST_WEIGHT * (mReported - mUsual);
+        RateUsage own = new RateUsage(mUsed.perSecond(nowNanos), mDemand.perSecond(nowNanos));
+        mPreviousReportedDemand = mReportedDemand;
+        mReportedDemand = own.demand();
+        mAverageDemand += NEWEST_WEIGHT * (mReportedDemand - mAverageDemand);
         return own;
     }
 
     /**
-     * Counts a request that came, and decides whether it may be sent.
+     * Counts a received request and decides whether it may be sent.
      *
-     * @param draw a random number from 0 up to 1, which shares out less than one request
-     * @param nowNanos the monotonic time
-     * @return whether it may
+     * @param draw a random number from 0 (inclusive) to 1 (exclusive), which grants fractions of a
+     *     request
+     * @param nowNanos the current monotonic time, in nanoseconds
+     * @return whether it may be sent
      */
     public boolean tryAdmit(double draw, long nowNanos) {
-        mAsked.add(nowNanos);
+        mDemand.add(nowNanos);
         update(nowNanos);
         double chance = Math.min(1, mTokens);
         if (chance <= 0) {
@@ -183,9 +203,9 @@
     }
 
     /**
-     * Counts a send of a request, the first or a further one.
+     * Counts a sent request, whether a first attempt or a retry.
      *
-     * @param nowNanos the monotonic time
+     * @param nowNanos the current monotonic time, in nanoseconds
      */
     public void sent(long nowNanos) {
         update(nowNanos);
@@ -194,40 +214,40 @@
     }
 
     /**
-     * Tells when a caller that was turned away has a fair chance again: after the time in which as
-     * many requests as come in a second are let through.
+     * Returns the time after which a rejected caller has a fair chance again, which is the time in
+     * which as many requests are admitted as arrive in a second.
      *
-     * @param nowNanos the monotonic time
-     * @return the pause
+     * @param nowNanos the current monotonic time, in nanoseconds
+     * @return the time to wait
      */
     public Duration retryAfter(long nowNanos) {
         update(nowNanos);
         double debt = Math.max(0, 1 - mCredit) / mLimit.perSecond();
-        double crowd = Math.max(0, demand(nowNanos) / mLimit.perSecond() - 1);
-        return Duration.ofMillis((long) (1_000 * (LAG_SECONDS / 2 + debt + crowd)));
+        double excessDemand = Math.max(0, demand(nowNanos) / mLimit.perSecond() - 1);
+        return Duration.ofMillis((long) (1_000 * (LAG_SECONDS / 2 + debt + excessDemand)));
     }
 
     /**
-     * Gives the credit that this instance believes the whole fleet to have.
+     * Returns the credit of the whole fleet in the view of this instance.
      *
-     * @return the requests that may be sent at once; negative while too many were
+     * @return the requests that may be sent at once; negative after too many were sent
      */
     public double credit() {
         return mCredit;
     }
 
     /**
-     * Gives the demand of the whole workspace as far as it is known here.
+     * Returns the demand of the whole workspace as far as it is known to this instance.
      *
-     * @param nowNanos the monotonic time
-     * @return the requests a second that come to all instances within reach
+     * @param nowNanos the current monotonic time, in nanoseconds
+     * @return the requests per second received by all reachable instances
      */
     public double demand(long nowNanos) {
-        return mOthers.demand() + mAsked.perSecond(nowNanos);
+        return mOthers.demand() + mDemand.perSecond(nowNanos);
     }
 
     /**
-     * Gives the rate in force.
+     * Returns the rate in force.
      *
      * @return the limit
      */
@@ -238,73 +258,80 @@
     private void update(long nowNanos) {
         double passed = Math.max(0, (nowNanos - mUpdatedNanos) / NANOS);
         mUpdatedNanos = nowNanos;
-        double age = (nowNanos - mHeardNanos) / NANOS;
-        if (age > NEWS_SECONDS) {
+        double age = (nowNanos - mReceivedNanos) / NANOS;
+        if (age > MAX_UPDATE_AGE_SECONDS) {
             mOthers = RateUsage.NONE;
-            mHeardOf = 0;
+            mReportedInstances = 0;
         }
-        boolean isLate = mHeardOf > 0 && age > LATE_SECONDS;
-        double rest = rest();
-        double others = isLate ? Math.max(mOthers.used(), rest) : mOthers.used();
-        mCredit += (rest - others) * passed;
+        boolean isStale = mReportedInstances > 0 && age > STALE_UPDATE_SECONDS;
+        double reachableRate = reachableRate();
+        double others = isStale ? Math.max(mOthers.used(), reachableRate) : mOthers.used();
+        mCredit += (reachableRate - others) * passed;
         double full = fullCapacity();
         mCredit = Math.max(-full - mLimit.perSecond(), Math.min(full, mCredit));
-        if (mHeardOf < mMostHeardOf) {
-            double beyond = Math.max(0, mCredit - capacity());
-            mCredit -= beyond * Math.min(1, passed / CUT_SECONDS);
+        if (mReportedInstances < mMaxReportedInstances) {
+            double beyond = Math.max(0, mCredit - reachableCapacity());
+            mCredit -= beyond * Math.min(1, passed / DISCONNECTED_DECAY_SECONDS);
         }
-        double claim = Math.max(0, share() * usable());
-        double spare = isLate ? 0 : spare(rest, nowNanos);
-        double own = share() * rest;
-        double grows =
-                isLate
-                        ? own * LATE_PART
-                        : Math.max(own, claim / LAG_SECONDS + spare / SPARE_SECONDS);
-        mTokens = Math.min(claim + spare, mTokens + grows * passed);
+        double claim = Math.max(0, share() * usableCredit());
+        double additional = isStale ? 0 : additionalAllowance(reachableRate, nowNanos);
+        double own = share() * reachableRate;
+        double growth =
+                isStale
+                        ? own * STALE_RATE_PART
+                        : Math.max(own, claim / LAG_SECONDS + additional / UNUSED_RATE_SECONDS);
+        mTokens = Math.min(claim + additional, mTokens + growth * passed);
     }
 
-    /** Gives this instance's part of what may be taken besides, while the credit is ample. */
-    private double spare(double rest, long nowNanos) {
-        double ample = Math.max(0, Math.min(1, usable() / (AMPLE_CREDIT_PART * capacity())));
-        double unused = Math.max(0, rest - demand(nowNanos)) * mSettings.seconds();
-        return SPARE_PART * ample * unused * (share() + 1.0 / mInstances) / 2;
+    /**
+     * Returns this instance's part of the additional allowance, reduced while the credit is low.
+     */
+    private double additionalAllowance(double reachableRate, long nowNanos) {
+        double creditPart =
+                Math.max(0, Math.min(1, usableCredit() / (HIGH_CREDIT_PART * reachableCapacity())));
+        double unused = Math.max(0, reachableRate - demand(nowNanos)) * mSettings.seconds();
+        return UNUSED_RATE_PART * creditPart * unused * (share() + 1.0 / mInstances) / 2;
     }
 
     /**
-     * Gives the rate of those that hear of each other, with some of what is tolerated above it: who
-     * is cut off uses its part alone, so less than all together is sent unheard.
+     * Returns the rate of the instances that receive updates of each other, with some of the
+     * tolerance above it: a disconnected instance uses only its own part, so fewer requests are
+     * sent without updates than by all instances together.
      */
-    private double rest() {
-        double unknown = unknown();
-        double above = mSettings.tolerance() / 2 * unknown;
-        return mLimit.perSecond() * (1 - unknown) * (1 + above);
+    private double reachableRate() {
+        double unknownPart = unknownPart();
+        double above = mSettings.tolerance() / 2 * unknownPart;
+        return mLimit.perSecond() * (1 - unknownPart) * (1 + above);
     }
 
-    /** Gives the part of the rate that those have of whom nothing is known. */
-    private double unknown() {
-        return Math.max(0, mInstances - 1 - mHeardOf) / (double) mInstances;
+    /** Returns the part of the rate that belongs to instances without a known state. */
+    private double unknownPart() {
+        return Math.max(0, mInstances - 1 - mReportedInstances) / (double) mInstances;
     }
 
-    /** Gives this instance's share of the demand, its own as the others knew it at last. */
+    /**
+     * Returns this instance's share of the demand, based on its own demand as last known to the
+     * others.
+     */
     private double share() {
-        return mOwn / (mOwn + mOthers.demand());
+        return mOwnDemand / (mOwnDemand + mOthers.demand());
     }
 
-    /** Gives the credit of those that hear of each other. */
-    private double usable() {
-        return Math.min(mCredit, capacity());
+    /** Returns the credit of the instances that receive updates of each other. */
+    private double usableCredit() {
+        return Math.min(mCredit, reachableCapacity());
     }
 
-    private double capacity() {
-        return fullCapacity() * (1 - unknown());
+    private double reachableCapacity() {
+        return fullCapacity() * (1 - unknownPart());
     }
 
     private double fullCapacity() {
-        return Math.max(1, BURST_PART * most() + SLACK_PART * mSettings.slack());
+        return Math.max(1, BURST_PART * burstAllowance() + SLACK_PART * mSettings.slack());
     }
 
-    /** Gives the burst, or what is tolerated above the rate if that is more. */
-    private double most() {
+    /** Returns the burst, or the tolerance above the rate if that is more. */
+    private double burstAllowance() {
         double window = mLimit.perSecond() * mSettings.seconds();
         return Math.max(mLimit.burst(), mSettings.tolerance() * window);
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRateSettings.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRateSettings.java
@@ -4,21 +4,21 @@
 import java.time.Duration;
 
 /**
- * The bound of workspaces' rates: in any window no more than (rate x window + burst) x (1 +
- * tolerance) + slack requests of one run, over all instances.
+ * Settings for the bound on the rates of workspaces. In any window, all instances together send at
+ * most (rate x window + burst) x (1 + tolerance) + slack requests of a workspace, within one run.
  *
- * @param window the window
- * @param tolerance the tolerated share above
- * @param slack the requests tolerated besides
+ * @param window the length of the sliding window
+ * @param tolerance the tolerated excess, as a part of the rate and burst
+ * @param slack the additional number of tolerated requests
  * @since 0.2
  */
 public record SharedRateSettings(Duration window, double tolerance, double slack) {
 
-    /** What holds where a platform states nothing. */
+    /** Default settings where the platform specifies none. */
     public static final SharedRateSettings DEFAULT =
             new SharedRateSettings(Duration.ofSeconds(5), 0.1, 10);
 
-    /** Checks that the parts are in range. */
+    /** Validates that the components are in range. */
     public SharedRateSettings {
         Assert.positive(window.toNanos(), "The window of a rate");
         Assert.isTrue(tolerance >= 0, "A tolerance must not be negative.");
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRates.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRates.java
@@ -14,7 +14,7 @@
 import java.util.function.IntPredicate;
 
 /**
- * This instance's view of the rates of all workspaces. A state machine for one thread.
+ * This instance's view of the rates of all workspaces. A state machine for use by a single thread.
  *
  * @since 0.2
  */
@@ -25,19 +25,19 @@
     private int mInstances = 1;
 
     /**
-     * Starts without any workspace.
+     * Creates rates without any workspace.
      *
-     * @param settings the bound
+     * @param settings the settings of the bound
      */
     public SharedRates(SharedRateSettings settings) {
         mSettings = settings;
     }
 
     /**
-     * Takes the workspaces now in force; those that stay keep what they used.
+     * Replaces the workspaces. Workspaces that remain keep their state.
      *
      * @param workspaces the workspaces
-     * @param nowNanos the monotonic time
+     * @param nowNanos the current monotonic time, in nanoseconds
      */
     public void update(Collection<Workspace> workspaces, long nowNanos) {
         Set<WorkspaceId> limited = new HashSet<>();
@@ -62,10 +62,10 @@
     }
 
     /**
-     * Takes another bound.
+     * Applies new settings of the bound.
      *
-     * @param settings the bound
-     * @param nowNanos the monotonic time
+     * @param settings the settings of the bound
+     * @param nowNanos the current monotonic time, in nanoseconds
      */
     public void applySettings(SharedRateSettings settings, long nowNanos) {
         mSettings = settings;
@@ -73,10 +73,10 @@
     }
 
     /**
-     * Hears how many instances there are.
+     * Sets the number of instances.
      *
-     * @param all those that may be sending, reached or not, this one included
-     * @param nowNanos the monotonic time
+     * @param all the number of instances that may be sending, reachable or not, including this one
+     * @param nowNanos the current monotonic time, in nanoseconds
      */
     public void setInstanceCount(int all, long nowNanos) {
         if (all != mInstances) {
@@ -86,26 +86,32 @@
     }
 
     /**
-     * Hears what others do.
+     * Handles an update on the usage of the other instances.
      *
-     * @param others their use by the hash of the workspace
-     * @param covered of which workspaces it tells all there is
-     * @param heardOf how many instances are in it
-     * @param nowNanos the monotonic time
+     * @param others their usage by the hash of the workspace
+     * @param isCovered the hashes of the workspaces for which the update is complete
+     * @param reportedInstances the number of instances in the update
+     * @param nowNanos the current monotonic time, in nanoseconds
      */
     public void received(
-            Map<Integer, RateUsage> others, IntPredicate covered, int heardOf, long nowNanos) {
+            Map<Integer, RateUsage> others,
+            IntPredicate isCovered,
+            int reportedInstances,
+            long nowNanos) {
         mRates.forEach(
                 (id, rate) -> {
                     int hash = hash(id);
-                    if (covered.test(hash)) {
-                        rate.received(others.getOrDefault(hash, RateUsage.NONE), heardOf, nowNanos);
+                    if (isCovered.test(hash)) {
+                        rate.received(
+                                others.getOrDefault(hash, RateUsage.NONE),
+                                reportedInstances,
+                                nowNanos);
                     }
                 });
     }
 
     /**
-     * Counts the workspaces with a rate.
+     * Returns the number of workspaces with a rate.
      *
      * @return the count
      */
@@ -114,30 +120,30 @@
     }
 
     /**
-     * Gives what this instance does, to be told to the others.
+     * Returns the usage of this instance, to be reported to the others.
      *
-     * @param nowNanos the monotonic time
-     * @return its use by the hash of the workspace, of those that are in use
+     * @param nowNanos the current monotonic time, in nanoseconds
+     * @return its usage by the hash of the workspace, for workspaces that are in use
      */
     public Map<Integer, RateUsage> report(long nowNanos) {
-        Map<Integer, RateUsage> uses = new HashMap<>();
+        Map<Integer, RateUsage> usages = new HashMap<>();
         mRates.forEach(
                 (id, rate) -> {
-                    RateUsage use = rate.report(nowNanos);
-                    if (!use.isNone()) {
-                        uses.put(hash(id), use);
+                    RateUsage usage = rate.report(nowNanos);
+                    if (!usage.isNone()) {
+                        usages.put(hash(id), usage);
                     }
                 });
-        return uses;
+        return usages;
     }
 
     /**
-     * Counts a request that came, and decides whether it may be sent.
+     * Counts a received request and decides whether it may be sent.
      *
      * @param id the workspace
-     * @param draw a random number from 0 up to 1
-     * @param nowNanos the monotonic time
-     * @return whether it may; without a limit always
+     * @param draw a random number from 0 (inclusive) to 1 (exclusive)
+     * @param nowNanos the current monotonic time, in nanoseconds
+     * @return whether it may; always true without a limit
      */
     public boolean tryAdmit(WorkspaceId id, double draw, long nowNanos) {
         SharedRate rate = mRates.get(id);
@@ -145,10 +151,10 @@
     }
 
     /**
-     * Counts a send of a request.
+     * Counts a sent request.
      *
      * @param id the workspace
-     * @param nowNanos the monotonic time
+     * @param nowNanos the current monotonic time, in nanoseconds
      */
     public void sent(WorkspaceId id, long nowNanos) {
         SharedRate rate = mRates.get(id);
@@ -158,11 +164,11 @@
     }
 
     /**
-     * Tells when a caller that was turned away may come back.
+     * Returns the time after which a rejected caller may retry.
      *
      * @param id the workspace
-     * @param nowNanos the monotonic time
-     * @return the pause
+     * @param nowNanos the current monotonic time, in nanoseconds
+     * @return the time to wait
      */
     public Duration retryAfter(WorkspaceId id, long nowNanos) {
         SharedRate rate = mRates.get(id);
@@ -170,26 +176,26 @@
     }
 
     /**
-     * Tells whether a workspace has a rate.
+     * Returns whether a workspace has a rate.
      *
      * @param id the workspace
-     * @return whether it has
+     * @return whether the workspace has a rate
      */
     public boolean isLimited(WorkspaceId id) {
         return mRates.containsKey(id);
     }
 
     /**
-     * Tells whether any workspace has a rate.
+     * Returns whether no workspace has a rate.
      *
-     * @return whether none has
+     * @return whether there is none
      */
     public boolean isEmpty() {
         return mRates.isEmpty();
     }
 
     /**
-     * Gives the credit that the whole fleet is believed to have.
+     * Returns the credit of the whole fleet in the view of this instance.
      *
      * @param id a workspace with a rate
      * @return the requests that may be sent at once
@@ -199,11 +205,11 @@
     }
 
     /**
-     * Gives the demand of a workspace.
+     * Returns the demand of a workspace.
      *
      * @param id a workspace with a rate
-     * @param nowNanos the monotonic time
-     * @return the requests a second that come to all instances, as far as known
+     * @param nowNanos the current monotonic time, in nanoseconds
+     * @return the requests per second received by all instances, as far as known
      */
     public double demand(WorkspaceId id, long nowNanos) {
         return mRates.get(id).demand(nowNanos);
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRetryBudget.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRetryBudget.java
@@ -3,19 +3,21 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * This instance's part of a bound on extra sends to a service that all instances share.
+ * This instance's part of a bound on the retries to a service, which all instances share.
  *
- * <p>In each span that ends now and is from half a window to a whole one long, the instance sends
- * at most the ratio of its requests of that span and its part of the slack, times a safety factor.
- * The spans shorter than the window matter: without them, the extra sends for a crowd of requests
- * could fall into a window that none of these requests is in. Both are counted in small buckets,
- * extra sends over a little more than the span and requests over a little less.
+ * <p>In each span that ends now and is from half a window to a whole window long, the instance
+ * sends at most the ratio of its requests of that span plus its part of the slack, times a safety
+ * factor, as retries. The spans shorter than the window are necessary: without them, the retries
+ * for a burst of requests could fall into a window that contains none of these requests. Both are
+ * counted in small buckets, retries over slightly more than the span and requests over slightly
+ * less.
  *
  * <p>The parts of the slack must not add up to more than the whole while the number of instances
- * changes. So a lower number of shareholders takes hold only after a window, when what the missing
- * ones may have spent has left it; a higher one at once. An instance does not know what its earlier
- * run spent, nor have the others heard of it at once: it has no slack in its first window and the
- * full part only after the second. A state machine for one thread.
+ * changes. A lower number of shareholders therefore takes effect only after a window, when the
+ * retries that the missing instances may have sent have left it; a higher number takes effect at
+ * once. An instance neither knows the retries of its previous run, nor do the others know of the
+ * instance at once: it has no slack in its first window and its full part only after the second. A
+ * state machine for use by a single thread.
  *
  * @since 0.2
  */
@@ -23,28 +25,29 @@
 
     private static final int WINDOW_BUCKETS = 20;
 
-    /** The shortest span; a shorter one is within its bound if this one is. */
-    private static final int SHORTEST_SPAN = WINDOW_BUCKETS / 2;
+    /** Minimum span in buckets; a shorter span is within its bound if this one is. */
+    private static final int MIN_SPAN = WINDOW_BUCKETS / 2;
 
-    /** The window, the bucket that it begins in, and one more. */
-    private static final int EXTRA_BUCKETS = WINDOW_BUCKETS + 2;
+    /** Buckets of the window, the bucket in which it begins, and one more. */
+    private static final int BUCKETS = WINDOW_BUCKETS + 2;
 
     private RetryBudgetSettings mSettings;
     private final long mStartNanos;
     private final long mWindowNanos;
     private final long mBucketNanos;
-    private final int[] mFirst = new int[EXTRA_BUCKETS];
-    private final int[] mExtra = new int[EXTRA_BUCKETS];
+    private final int[] mRequests = new int[BUCKETS];
+    private final int[] mRetries = new int[BUCKETS];
     private long mBucket;
     private int mShareholders;
-    private int mFewerShareholders;
-    private long mFewerSinceNanos;
+    private int mPendingShareholders;
+    private long mPendingSinceNanos;
 
     /**
-     * Starts with nothing counted.
+     * Creates a budget without counted requests.
      *
-     * @param settings the bound
-     * @param startNanos when this run of the instance started (not when the service appeared)
+     * @param settings the settings of the bound
+     * @param startNanos the monotonic start time of this run of the instance (not the time at which
+     *     the service was added), in nanoseconds
      */
     public SharedRetryBudget(RetryBudgetSettings settings, long startNanos) {
         mSettings = Assert.notNull(settings, "Settings of a retry budget");
@@ -54,10 +57,10 @@
     }
 
     /**
-     * Takes another ratio and slack; what was sent stays counted.
+     * Applies a new ratio and slack. Requests and retries sent before stay counted.
      *
-     * @param settings the bound, over the same window
-     * @throws IllegalArgumentException if the window is another
+     * @param settings the settings of the bound, with the same window
+     * @throws IllegalArgumentException if the window differs
      */
     public void applySettings(RetryBudgetSettings settings) {
         Assert.isTrue(
@@ -69,67 +72,67 @@
     }
 
     /**
-     * Counts a request for the service, which may be sent once without asking.
+     * Counts a request for the service, whose first attempt needs no budget.
      *
-     * @param nowNanos the monotonic time
+     * @param nowNanos the current monotonic time, in nanoseconds
      */
     public void firstAttempt(long nowNanos) {
         advance(nowNanos);
-        mFirst[slot(mBucket)]++;
+        mRequests[slot(mBucket)]++;
     }
 
     /**
-     * Takes one extra send out of the budget.
+     * Takes one retry out of the budget.
      *
-     * @param nowNanos the monotonic time
-     * @param shareholders how many instances may be sending now, this one included
-     * @return whether there was one
+     * @param nowNanos the current monotonic time, in nanoseconds
+     * @param shareholders the number of instances that may be sending now, including this one
+     * @return whether the budget had one
      */
     public boolean tryRetry(long nowNanos, int shareholders) {
         if (left(nowNanos, shareholders) < 1) {
             return false;
         }
-        mExtra[slot(mBucket)]++;
+        mRetries[slot(mBucket)]++;
         return true;
     }
 
     /**
-     * Tells how many extra sends are left now.
+     * Returns the number of retries that are left now.
      *
-     * @param nowNanos the monotonic time
-     * @param shareholders how many instances may be sending now, this one included
-     * @return the number, not negative, with a fraction that grows toward the next
+     * @param nowNanos the current monotonic time, in nanoseconds
+     * @param shareholders the number of instances that may be sending now, including this one
+     * @return the number, not negative, with a fraction that grows towards the next retry
      */
     public double left(long nowNanos, int shareholders) {
         advance(nowNanos);
         observe(nowNanos, shareholders);
-        double slack = mSettings.slack() * slackPart(nowNanos) / mShareholders;
-        return Math.max(0, mSettings.safety() * slack + lowestRest());
+        double slack = mSettings.slack() * slackFactor(nowNanos) / mShareholders;
+        return Math.max(0, mSettings.safety() * slack + minimumRemainder());
     }
 
     /**
-     * Tells how the budget stands, for people.
+     * Returns the usage of the budget, for display.
      *
-     * @param nowNanos the monotonic time
-     * @param shareholders how many instances may be sending now, this one included
+     * @param nowNanos the current monotonic time, in nanoseconds
+     * @param shareholders the number of instances that may be sending now, including this one
      * @return the figures of the window that ends now
      */
     public RetryBudgetUsage usage(long nowNanos, int shareholders) {
         double left = left(nowNanos, shareholders);
-        int first = 0;
-        int extra = 0;
+        int requests = 0;
+        int retries = 0;
         for (int span = 0; span < WINDOW_BUCKETS; span++) {
-            first += mFirst[slot(mBucket - span)];
-            extra += mExtra[slot(mBucket - span)];
+            requests += mRequests[slot(mBucket - span)];
+            retries += mRetries[slot(mBucket - span)];
         }
-        double slack = mSettings.slack() * slackPart(nowNanos) / mShareholders;
-        double bound = mSettings.safety() * (slack + mSettings.ratio() * first);
-        return new RetryBudgetUsage(first, extra, bound, left);
+        double slack = mSettings.slack() * slackFactor(nowNanos) / mShareholders;
+        double bound = mSettings.safety() * (slack + mSettings.ratio() * requests);
+        return new RetryBudgetUsage(requests, retries, bound, left);
     }
 
     /**
-     * Tells by how many instances the slack is divided: the number given last, or a higher one of
-     * the last window.
+     * Returns the number of instances by which the slack is divided: the number given last, or a
+     * higher one of the last window.
      *
      * @return the number, 0 if none has been given
      */
@@ -137,63 +140,66 @@
         return mShareholders;
     }
 
-    /** Gives what the requests allow less what was sent, in the span where that is least. */
-    private double lowestRest() {
+    /**
+     * Returns the number of retries that the requests allow minus the retries sent, as the minimum
+     * over all spans.
+     */
+    private double minimumRemainder() {
         double perRequest = mSettings.safety() * mSettings.ratio();
-        int extra = mExtra[slot(mBucket)] + mExtra[slot(mBucket - 1)];
-        int first = 0;
-        double lowest = Double.MAX_VALUE;
+        int retries = mRetries[slot(mBucket)] + mRetries[slot(mBucket - 1)];
+        int requests = 0;
+        double minimum = Double.MAX_VALUE;
         for (int span = 1; span <= WINDOW_BUCKETS; span++) {
-            first += mFirst[slot(mBucket - span + 1)];
-            extra += mExtra[slot(mBucket - span - 1)];
-            if (span >= SHORTEST_SPAN) {
-                lowest = Math.min(lowest, perRequest * first - extra);
+            requests += mRequests[slot(mBucket - span + 1)];
+            retries += mRetries[slot(mBucket - span - 1)];
+            if (span >= MIN_SPAN) {
+                minimum = Math.min(minimum, perRequest * requests - retries);
             }
         }
-        return lowest;
+        return minimum;
     }
 
     /**
-     * Takes note of how many instances may be sending, as each question about the budget does.
+     * Updates the number of instances that may be sending. Each query of the budget does the same.
      *
-     * @param nowNanos the monotonic time
-     * @param shareholders how many instances may be sending now, this one included
+     * @param nowNanos the current monotonic time, in nanoseconds
+     * @param shareholders the number of instances that may be sending now, including this one
      */
     public void observe(long nowNanos, int shareholders) {
         Assert.positive(shareholders, "A number of shareholders");
         if (shareholders >= mShareholders) {
             mShareholders = shareholders;
-            mFewerShareholders = 0;
+            mPendingShareholders = 0;
             return;
         }
-        if (mFewerShareholders == 0) {
-            mFewerSinceNanos = nowNanos;
+        if (mPendingShareholders == 0) {
+            mPendingSinceNanos = nowNanos;
         }
-        mFewerShareholders = Math.max(mFewerShareholders, shareholders);
-        if (nowNanos - mFewerSinceNanos >= mWindowNanos + mBucketNanos) {
-            mShareholders = mFewerShareholders;
-            mFewerShareholders = 0;
+        mPendingShareholders = Math.max(mPendingShareholders, shareholders);
+        if (nowNanos - mPendingSinceNanos >= mWindowNanos + mBucketNanos) {
+            mShareholders = mPendingShareholders;
+            mPendingShareholders = 0;
         }
     }
 
-    private double slackPart(long nowNanos) {
+    private double slackFactor(long nowNanos) {
         double windows = (double) (nowNanos - mStartNanos) / mWindowNanos;
         return Math.min(1, Math.max(0, windows - 1));
     }
 
     private void advance(long nowNanos) {
         long bucket = Math.max(0, nowNanos - mStartNanos) / mBucketNanos;
-        if (bucket - mBucket >= EXTRA_BUCKETS) {
-            mBucket = bucket - EXTRA_BUCKETS;
+        if (bucket - mBucket >= BUCKETS) {
+            mBucket = bucket - BUCKETS;
         }
         while (mBucket < bucket) {
             mBucket++;
-            mFirst[slot(mBucket)] = 0;
-            mExtra[slot(mBucket)] = 0;
+            mRequests[slot(mBucket)] = 0;
+            mRetries[slot(mBucket)] = 0;
         }
     }
 
     private static int slot(long bucket) {
-        return Math.floorMod(bucket, EXTRA_BUCKETS);
+        return Math.floorMod(bucket, BUCKETS);
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/SlidingWindowCounter.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/SlidingWindowCounter.java
@@ -2,7 +2,10 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Counts what happened lately, in steps of a tenth of a second. For one thread. */
+/**
+ * Counter of recent events in a sliding window, in steps of a tenth of a second. For use by a
+ * single thread.
+ */
 final class SlidingWindowCounter {
 
     private static final int STEPS_PER_SECOND = 10;
@@ -12,7 +15,7 @@
     private long mStep;
     private int mSum;
 
-    /** Counts over so many steps, the one that runs included. */
+    /** Creates a counter over the given number of steps, including the current one. */
     SlidingWindowCounter(int steps, long nowNanos) {
         mCounts = new int[steps];
         mStep = nowNanos / STEP_NANOS;
@@ -24,7 +27,7 @@
         mSum++;
     }
 
-    /** Gives the rate of the events. */
+    /** Returns the rate of the events per second. */
     double perSecond(long nowNanos) {
         move(nowNanos);
         return (double) mSum * STEPS_PER_SECOND / mCounts.length;
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/package-info.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Limits that an instance keeps by itself so that the sum over all instances stays within a bound;
- * must know nothing of connections and of how instances find each other.
+ * Limits that each instance enforces locally so that the sum over all instances stays within a
+ * bound. Must not depend on connections or on how instances discover each other.
  */
 package io.masticpond.core.limit;
--- a/masticpond-core/src/test/java/io/masticpond/core/limit/AdmissionLimitTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/limit/AdmissionLimitTest.java
@@ -19,7 +19,10 @@
 import net.jqwik.api.constraints.IntRange;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Less urgent requests are refused first, early, and told when to return. */
+/**
+ * Tests that less urgent requests are refused first and on arrival, with a time after which to
+ * retry.
+ */
 final class AdmissionLimitTest {
 
     private static final long MILLI = 1_000_000L;
@@ -36,7 +39,7 @@
     }
 
     @Example
-    void limitsOfTheWaitFollowTheRank() {
+    void maximumWaitDependsOnTheRank() {
         AdmissionLimit limit = limit(0, 3, 9);
         assertThat(longestWait(limit, 9)).isEqualTo(100);
         assertThat(longestWait(limit, 3)).isEqualTo(250);
@@ -54,7 +57,7 @@
     }
 
     @Example
-    void idlePrioritiesTakeNoRank() {
+    void idlePrioritiesHaveNoRank() {
         AdmissionLimit limit = limit();
         for (int each = 0; each < 200; each++) {
             long now = each * 5 * MILLI;
@@ -67,7 +70,7 @@
     }
 
     @Example
-    void priorityThatWentAwayGivesItsRankBack() {
+    void priorityWithoutRecentRequestsLosesItsRank() {
         AdmissionLimit limit = limit(0, 1);
         assertThat(longestWait(limit, 1)).isEqualTo(100);
         for (int millis = 0; millis < 30_000; millis += 10) {
@@ -77,26 +80,27 @@
     }
 
     @Property(seed = "20270305", tries = 300)
-    void returnIsWithinTheTimeLeftAndTheExpectedWait(
+    void retryAfterIsWithinTheRemainingTimeAndTheExpectedWait(
             @ForAll @IntRange(max = 20) int slots,
             @ForAll @IntRange(max = 500) int inFlight,
             @ForAll @IntRange(max = 3_000) int leftMillis) {
         ServiceLoad load = new ServiceLoad(slots, inFlight, 100 * MILLI);
         long left = leftMillis * MILLI;
-        AdmissionDecision answer = limit(0, 1).decide(route(1, SERVICE), load, left);
-        if (answer.admitted()) {
+        AdmissionDecision decision = limit(0, 1).decide(route(1, SERVICE), load, left);
+        if (decision.admitted()) {
             return;
         }
-        assertThat(answer.retryAfterNanos()).isLessThanOrEqualTo(left / 3);
-        assertThat(answer.retryAfterNanos()).isGreaterThanOrEqualTo(Math.min(left / 3, 50 * MILLI));
+        assertThat(decision.retryAfterNanos()).isLessThanOrEqualTo(left / 3);
+        assertThat(decision.retryAfterNanos())
+                .isGreaterThanOrEqualTo(Math.min(left / 3, 50 * MILLI));
         if (slots > 0) {
             long expected = Math.max(50 * MILLI, load.expectedWaitNanos() * 3 / 2);
-            assertThat(answer.retryAfterNanos()).isLessThanOrEqualTo(expected);
+            assertThat(decision.retryAfterNanos()).isLessThanOrEqualTo(expected);
         }
     }
 
     @Property(seed = "20270306", tries = 20)
-    void overloadIsBorneByTheLeastUrgent(@ForAll long seed) {
+    void overloadAffectsTheLeastUrgentFirst(@ForAll long seed) {
         Overload overload = new Overload(new Random(seed));
         for (int millis = 0; millis < 30_000; millis++) {
             overload.step(millis, millis < 30_000 - DEADLINE_MILLIS);
@@ -107,7 +111,10 @@
         assertThat(served[0] + served[1] + served[2]).as("no slot idles").isBetween(1.9, 2.15);
     }
 
-    /** A service with 8 slots gets three halves of what it can do, a half for each priority. */
+    /**
+     * Simulation of a service with 8 slots that receives 1.5 times its capacity, half of the
+     * capacity with each of three priorities.
+     */
     private static final class Overload {
 
         private static final int SLOTS = 8;
@@ -159,7 +166,7 @@
         }
     }
 
-    /** Gives the longest expected wait in milliseconds that is admitted, in steps of 12.5. */
+    /** Returns the longest admitted expected wait in milliseconds, in steps of 12.5. */
     private static int longestWait(AdmissionLimit limit, int priority) {
         int inFlight = 7;
         while (admits(limit, priority, inFlight + 1, DEADLINE_MILLIS)) {
--- a/masticpond-core/src/test/java/io/masticpond/core/limit/ColdPacerTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/limit/ColdPacerTest.java
@@ -20,7 +20,9 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** The requests of all instances for a cold server stay within its bound in each second. */
+/**
+ * Tests that the requests of all instances to a cold server stay within its bound in each second.
+ */
 final class ColdPacerTest {
 
     private static final long MILLI = 1_000_000L;
@@ -41,7 +43,7 @@
     }
 
     @Example
-    void theOwnerThatIsNamedIsTheOneThatSends() {
+    void returnedOwnerIsTheOneThatSends() {
         List<OwnerCandidate> all = candidates(12);
         ColdPacer pacer = pacer();
         pacer.update(List.of(server(FOREVER)), all, 0);
@@ -61,14 +63,14 @@
     }
 
     @Example
-    void ownerComesNearItsPaceAndServersThatBearMoreHaveMoreOwners() {
+    void ownersNearlyReachTheirPaceAndHigherRatesHaveMoreOwners() {
         assertThat(total(candidates(12), rules(5))).isBetween(20, 28);
         assertThat(total(candidates(12), rules(50))).isBetween(120, 240);
         assertThat(total(candidates(12), rules(0))).isEqualTo(0);
     }
 
     @Example
-    void newOwnerWaitsUntilTheOldOneHasHeard() {
+    void newOwnerWaitsUntilThePreviousOneReceivedTheChange() {
         InstanceId self = new InstanceId("i0");
         ColdPacer pacer = pacer();
         RegisteredServer server = server(FOREVER);
@@ -91,7 +93,7 @@
     }
 
     @Example
-    void serverThatNeverWasColdGetsItsFullShareAtOnce() {
+    void serverThatWasNeverColdGetsItsFullShareAtOnce() {
         ColdPacer pacer = pacer();
         RegisteredServer warm = server(5 * MILLI);
         assertThat(pacer.isCold(warm, 5 * MILLI)).isFalse();
@@ -101,7 +103,7 @@
     }
 
     @Property(seed = "20270304", tries = 60)
-    void neverPassesTheBoundThoughViewsDifferAndInstancesRestart(
+    void neverExceedsTheBoundWhenViewsDifferAndInstancesRestart(
             @ForAll long seed,
             @ForAll @IntRange(min = 1, max = 12) int n,
             @ForAll @IntRange(min = 1, max = 60) int rate) {
@@ -162,7 +164,10 @@
         return seen;
     }
 
-    /** Makes instances in turn in the zones a-0, a-1, b-0 and b-1 of the regions a and b. */
+    /**
+     * Creates instances, cycling through the availability zones a-0, a-1, b-0 and b-1 of the
+     * regions a and b.
+     */
     private static List<OwnerCandidate> candidates(int count) {
         String[] zones = {"a-0", "a-1", "b-0", "b-1"};
         List<OwnerCandidate> candidates = new ArrayList<>();
--- a/masticpond-core/src/test/java/io/masticpond/core/limit/SharedRetryBudgetTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/limit/SharedRetryBudgetTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** The extra sends of all instances stay within the common bound in each window. */
+/** Tests that the retries of all instances stay within the common bound in each window. */
 final class SharedRetryBudgetTest {
 
     private static final long MILLI = 1_000_000L;
@@ -23,14 +23,14 @@
     private static final RetryBudgetSettings SETTINGS =
             new RetryBudgetSettings(RATIO, SLACK, Duration.ofSeconds(10), 0.8);
 
-    /** A cell of the simulation is this many milliseconds. */
+    /** Length of a time step of the simulation in milliseconds. */
     private static final int CELL = 50;
 
     private static final int WINDOW = 10_000 / CELL;
     private static final int CELLS = 90_000 / CELL;
 
     @Example
-    void startsWithTheRatioOnlyAndGrowsIntoItsSlack() {
+    void startsWithTheRatioOnlyAndGainsItsSlackLater() {
         SharedRetryBudget budget = new SharedRetryBudget(SETTINGS, 0);
         assertThat(budget.left(9_999 * MILLI, 2)).isEqualTo(0);
         assertThat(budget.left(15_000 * MILLI, 2)).isEqualTo(12);
@@ -44,24 +44,24 @@
     }
 
     @Example
-    void theUseOfTheWindowIsTold() {
+    void reportsTheUsageOfTheWindow() {
         SharedRetryBudget budget = new SharedRetryBudget(SETTINGS, 0);
         for (int request = 0; request < 100; request++) {
             budget.firstAttempt(30_000 * MILLI);
         }
         assertThat(budget.tryRetry(30_001 * MILLI, 2)).isTrue();
-        RetryBudgetUsage use = budget.usage(30_002 * MILLI, 2);
-        assertThat(use.requests()).isEqualTo(100);
-        assertThat(use.used()).isEqualTo(1);
-        assertThat(use.bound()).isCloseTo(24 + 16, within(1e-9));
-        assertThat(use.left()).isCloseTo(24 + 16 - 1, within(1e-9));
+        RetryBudgetUsage usage = budget.usage(30_002 * MILLI, 2);
+        assertThat(usage.requests()).isEqualTo(100);
+        assertThat(usage.used()).isEqualTo(1);
+        assertThat(usage.bound()).isCloseTo(24 + 16, within(1e-9));
+        assertThat(usage.left()).isCloseTo(24 + 16 - 1, within(1e-9));
         assertThat(budget.usage(45_000 * MILLI, 2).requests()).isZero();
     }
 
     @Example
-    void whatIsSpentStaysCountedWhenTheBoundChanges() {
+    void sentRetriesStayCountedWhenTheBoundChanges() {
         SharedRetryBudget budget = new SharedRetryBudget(SETTINGS, 0);
-        for (int extra = 0; extra < 48; extra++) {
+        for (int retry = 0; retry < 48; retry++) {
             assertThat(budget.tryRetry(30_000 * MILLI, 1)).isTrue();
         }
         budget.applySettings(new RetryBudgetSettings(RATIO, 70, Duration.ofSeconds(10), 0.8));
@@ -72,9 +72,9 @@
     }
 
     @Example
-    void whatIsSpentStaysCountedWhenTheFleetGrows() {
+    void sentRetriesStayCountedWhenTheFleetGrows() {
         SharedRetryBudget budget = new SharedRetryBudget(SETTINGS, 0);
-        for (int extra = 0; extra < 48; extra++) {
+        for (int retry = 0; retry < 48; retry++) {
             assertThat(budget.tryRetry(30_000 * MILLI, 1)).isTrue();
         }
         assertThat(budget.tryRetry(30_000 * MILLI, 1)).isFalse();
@@ -83,16 +83,18 @@
     }
 
     @Example
-    void shareOfInstancesThatWentIsTakenOverOneWindowLater() {
+    void shareOfRemovedInstancesIsTakenOverOneWindowLater() {
         SharedRetryBudget budget = new SharedRetryBudget(SETTINGS, 0);
         assertThat(budget.left(30_000 * MILLI, 4)).isEqualTo(12);
         assertThat(budget.left(31_000 * MILLI, 1)).isEqualTo(12);
         assertThat(budget.left(35_000 * MILLI, 2)).isEqualTo(12);
-        assertThat(budget.left(42_000 * MILLI, 1)).as("the most seen meanwhile").isEqualTo(24);
+        assertThat(budget.left(42_000 * MILLI, 1))
+                .as("the maximum number seen meanwhile")
+                .isEqualTo(24);
     }
 
     @Example
-    void crowdOfHalfTheWindowAgoAllowsNoExtraSendsNow() {
+    void burstMoreThanHalfTheWindowAgoAllowsNoRetriesNow() {
         SharedRetryBudget budget = new SharedRetryBudget(SETTINGS, 0);
         for (int request = 0; request < 1_000; request++) {
             budget.firstAttempt(1_000 * MILLI);
@@ -102,25 +104,25 @@
     }
 
     @Property(seed = "20270303", tries = 150)
-    void neverPassesTheCommonBound(@ForAll long seed, @ForAll @IntRange(min = 1, max = 12) int n) {
+    void neverExceedsTheCommonBound(@ForAll long seed, @ForAll @IntRange(min = 1, max = 12) int n) {
         Fleet fleet = new Fleet(new Random(seed), n);
         for (int cell = 0; cell < CELLS; cell++) {
             fleet.step(cell);
         }
-        long[] first = sums(fleet.mFirst);
-        long[] extra = sums(fleet.mExtra);
+        long[] first = sums(fleet.mRequests);
+        long[] retries = sums(fleet.mRetries);
         for (int start = 0; start + WINDOW <= CELLS; start++) {
-            long most =
+            long maximum =
                     Math.max(
                             window(first, start),
                             Math.max(
                                     window(first, start - WINDOW / 2),
                                     window(first, start - WINDOW)));
-            assertThat((double) window(extra, start))
+            assertThat((double) window(retries, start))
                     .as("window from cell %d of %d instances", start, n)
-                    .isLessThanOrEqualTo(RATIO * most + SLACK);
+                    .isLessThanOrEqualTo(RATIO * maximum + SLACK);
         }
-        assertThat(extra[CELLS]).as("some extra sends").isPositive();
+        assertThat(retries[CELLS]).as("some retries").isPositive();
     }
 
     private static long[] sums(int[] counts) {
@@ -135,17 +137,18 @@
     }
 
     /**
-     * Instances that start, stop and hear of each other late, and try as many sends as they can.
+     * Simulation of instances that start, stop and receive updates of each other late, and retry as
+     * often as they can.
      */
     private static final class Fleet {
 
-        private static final int NEWS_CELLS = 2_000 / CELL;
+        private static final int UPDATE_DELAY_CELLS = 2_000 / CELL;
 
         private final Random mRandom;
         private final SharedRetryBudget[] mBudgets;
         private final Deque<Integer> mCounts = new ArrayDeque<>();
-        private final int[] mFirst = new int[CELLS];
-        private final int[] mExtra = new int[CELLS];
+        private final int[] mRequests = new int[CELLS];
+        private final int[] mRetries = new int[CELLS];
         private double mLoad = 1;
         private boolean mIsFailing = true;
 
@@ -165,10 +168,13 @@
             }
             int alive = (int) Arrays.stream(mBudgets).filter(each -> each != null).count();
             mCounts.addLast(alive);
-            int heard = mCounts.size() > NEWS_CELLS ? mCounts.removeFirst() : mCounts.peekFirst();
+            int received =
+                    mCounts.size() > UPDATE_DELAY_CELLS
+                            ? mCounts.removeFirst()
+                            : mCounts.peekFirst();
             for (SharedRetryBudget budget : mBudgets) {
                 if (budget != null) {
-                    send(budget, cell, Math.max(1, mRandom.nextBoolean() ? heard : alive));
+                    send(budget, cell, Math.max(1, mRandom.nextBoolean() ? received : alive));
                 }
             }
         }
@@ -190,12 +196,12 @@
             int requests = (int) (mLoad * mRandom.nextDouble() * 2);
             for (int request = 0; request < requests; request++) {
                 budget.firstAttempt(nanos);
-                mFirst[cell]++;
+                mRequests[cell]++;
             }
             int tries = mIsFailing ? 4 + requests : 0;
-            for (int extra = 0; extra < tries; extra++) {
+            for (int retry = 0; retry < tries; retry++) {
                 if (budget.tryRetry(nanos, shareholders)) {
-                    mExtra[cell]++;
+                    mRetries[cell]++;
                 }
             }
         }
