--- a/masticpond-core/src/main/java/io/masticpond/core/request/OperationKind.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/request/OperationKind.java
@@ -1,18 +1,21 @@
 package io.masticpond.core.request;
 
 /**
- * Says what a repeat of an operation would do, and so which retries are allowed.
+ * Effect of repeating an operation, which determines the retries that are allowed.
  *
  * @since 0.1
  */
 public enum OperationKind {
-    /** Reads only; may be retried. */
+    /** A read-only operation, which may be retried. */
     READ(true),
-    /** Changes something, but a repeat changes nothing more; may be retried. */
+    /**
+     * An operation that changes state, but whose repetition has no further effect. It may be
+     * retried.
+     */
     IDEMPOTENT(true),
-    /** Must run at most once; carries an operation key. */
+    /** An operation that must run at most once and carries an operation key. */
     ONCE_ONLY(false),
-    /** Makes no promise about repeats, so it is attempted again only if it did not run. */
+    /** An operation with unknown effects of repetition, which is retried only if it did not run. */
     UNKNOWN(false);
 
     private final boolean mIdempotent;
@@ -22,7 +25,7 @@
     }
 
     /**
-     * Tells whether running twice has the effect of running once.
+     * Returns whether running twice has the effect of running once.
      *
      * @return whether the operation is idempotent
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/request/Refusal.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/request/Refusal.java
@@ -5,30 +5,30 @@
 import java.util.Optional;
 
 /**
- * Ends a request without an answer of a backend server, and says truthfully whether it ran.
+ * End of a request without an answer of a backend server, with what is known about whether it ran.
  *
  * @param verdict what is known about whether the request ran
- * @param cause why there is no answer
- * @param detail one sentence for people
- * @param retryAfter when the caller should come back, if that is known
+ * @param cause the reason for the missing answer
+ * @param detail one sentence for display
+ * @param retryAfter the time after which the caller should retry, if known
  * @since 0.1
  */
 public record Refusal(
         Verdict verdict, RefusalCause cause, String detail, Optional<Duration> retryAfter) {
 
-    /** Checks that all parts are given. */
+    /** Validates that all components are given. */
     public Refusal {
         Assert.notNull(verdict, "A verdict");
         Assert.notNull(cause, "A cause");
         Assert.hasText(detail, "A detail");
-        Assert.notNull(retryAfter, "A time to come back");
+        Assert.notNull(retryAfter, "A time for a retry");
     }
 
     /**
-     * Makes a refusal of a request that did not run, with no time to come back.
+     * Creates a refusal of a request that did not run, without a time for a retry.
      *
-     * @param cause why there is no answer
-     * @param detail one sentence for people
+     * @param cause the reason for the missing answer
+     * @param detail one sentence for display
      * @return the refusal
      */
     public static Refusal didNotRun(RefusalCause cause, String detail) {
@@ -36,10 +36,10 @@
     }
 
     /**
-     * Makes a refusal of a request that may have run, with no time to come back.
+     * Creates a refusal of a request that may have run, without a time for a retry.
      *
-     * @param cause why there is no answer
-     * @param detail one sentence for people
+     * @param cause the reason for the missing answer
+     * @param detail one sentence for display
      * @return the refusal
      */
     public static Refusal mayHaveRun(RefusalCause cause, String detail) {
@@ -47,9 +47,9 @@
     }
 
     /**
-     * Gives the same refusal with a time to come back.
+     * Returns this refusal with a time for a retry.
      *
-     * @param duration when the caller should come back
+     * @param duration the time after which the caller should retry
      * @return the refusal
      */
     public Refusal retryAfter(Duration duration) {
--- a/masticpond-core/src/main/java/io/masticpond/core/request/RequestHead.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/request/RequestHead.java
@@ -5,14 +5,15 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * What the decisions need to know of a request; the body stays at the edge.
+ * Metadata of a request on which decisions are based. The body remains where the request is
+ * received.
  *
- * @param id the request
- * @param service the service asked for
- * @param deadlineNanos when the answer must be there, in nanoseconds of {@link
+ * @param id the identifier of the request
+ * @param service the requested service
+ * @param deadlineNanos the time by which the request must be answered, in nanoseconds of {@link
  *     io.masticpond.core.time.TimeSource#monotonicNanos}
- * @param priority the value of the work; a higher number is refused later, from 0 to 9
- * @param kind what a repeat of the request would do
+ * @param priority the priority from 0 to 9; requests with a higher number are refused later
+ * @param kind the effect of repeating the request
  * @since 0.1
  */
 public record RequestHead(
@@ -22,7 +23,7 @@
     public static final int MAXIMUM_PRIORITY = 9;
 
     /**
-     * Checks the parts.
+     * Validates the components.
      *
      * @throws IllegalArgumentException if a part is missing or the priority is out of range
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/request/Verdict.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/request/Verdict.java
@@ -1,19 +1,19 @@
 package io.masticpond.core.request;
 
 /**
- * Says what is known about whether a request ran at a backend server.
+ * Knowledge about whether a request ran at a backend server.
  *
  * @since 0.1
  */
 public enum Verdict {
-    /** No byte left for a backend server, or the server declared that it shed the request. */
+    /** No byte was sent to a backend server, or the server stated that it shed the request. */
     DID_NOT_RUN("did-not-run") {
         @Override
         public boolean allowsRetry(boolean idempotent) {
             return true;
         }
     },
-    /** A byte may have reached a backend server and no whole answer came back. */
+    /** A byte may have reached a backend server, and no complete answer was received. */
     MAY_HAVE_RUN("may-have-run") {
         @Override
         public boolean allowsRetry(boolean idempotent) {
@@ -35,7 +35,7 @@
     }
 
     /**
-     * Tells whether the same request may be attempted again.
+     * Returns whether the same request may be attempted again.
      *
      * @param idempotent whether running the request twice has the effect of running it once
      * @return whether a retry is allowed
@@ -43,7 +43,7 @@
     public abstract boolean allowsRetry(boolean idempotent);
 
     /**
-     * Gives the form used in answers to callers.
+     * Returns the text form used in answers to callers.
      *
      * @return the words joined by hyphens
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/request/package-info.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/request/package-info.java
@@ -1,2 +1,2 @@
-/** What a request is to the decisions, and how it may end; no bodies, no HTTP. */
+/** Requests as seen by decisions, and their possible outcomes. Independent of bodies and HTTP. */
 package io.masticpond.core.request;
--- a/masticpond-core/src/test/java/io/masticpond/core/admission/DefaultAdmissionTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/admission/DefaultAdmissionTest.java
@@ -31,7 +31,7 @@
         require(refusal.cause() == RefusalCause.NO_CAPACITY, "The cause must be the capacity.");
         require(
                 refusal.retryAfter().orElseThrow().compareTo(Duration.ofMillis(50)) >= 0,
-                "The refusal must say when to come back.");
+                "The refusal must say when to retry.");
     }
 
     @Example
