--- a/masticpond-core/src/main/java/io/masticpond/core/id/BackendServerId.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/id/BackendServerId.java
@@ -1,7 +1,7 @@
 package io.masticpond.core.id;
 
 /**
- * Names a backend server.
+ * Identifier of a backend server.
  *
  * @param value the text, at most 64 letters, digits, dots, underscores and hyphens
  * @since 0.1
@@ -9,7 +9,7 @@
 public record BackendServerId(String value) implements Comparable<BackendServerId> {
 
     /**
-     * Checks the text.
+     * Validates the text.
      *
      * @throws IllegalArgumentException if the text is not an identifier
      */
@@ -17,7 +17,10 @@
         Identifiers.check(value, "A backend server id");
     }
 
-    /** Written out, since the one that records get is linked at its first use, in a start. */
+    /**
+     * Explicit, since the generated implementation of a record is linked at its first use, which
+     * would be during startup.
+     */
     @Override
     public boolean equals(Object other) {
         return other instanceof BackendServerId && value.equals(((BackendServerId) other).value);
--- a/masticpond-core/src/main/java/io/masticpond/core/id/ConfigurationVersion.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/id/ConfigurationVersion.java
@@ -3,7 +3,7 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * Numbers the accepted configurations in the one order in which they were accepted.
+ * Version of an accepted configuration, numbered in the order of acceptance.
  *
  * @param number 0 for the empty configuration before the first accepted one
  * @since 0.1
@@ -14,7 +14,7 @@
     public static final ConfigurationVersion NONE = new ConfigurationVersion(0);
 
     /**
-     * Checks the number.
+     * Validates the number.
      *
      * @throws IllegalArgumentException if the number is negative
      */
@@ -23,7 +23,7 @@
     }
 
     /**
-     * Gives the version that follows this one.
+     * Returns the next version.
      *
      * @return the next version
      */
@@ -32,10 +32,10 @@
     }
 
     /**
-     * Tells whether this version was accepted after another.
+     * Returns whether this version was accepted after another.
      *
      * @param other the other version
-     * @return whether this one is higher
+     * @return whether this version is higher
      */
     public boolean isAfter(ConfigurationVersion other) {
         return number > other.number;
--- a/masticpond-core/src/main/java/io/masticpond/core/id/Identifiers.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/id/Identifiers.java
@@ -3,10 +3,10 @@
 import io.masticpond.core.support.Assert;
 import java.util.regex.Pattern;
 
-/** Checks the text of identifiers, which is the same for every kind. */
+/** Utility class that validates the text of identifiers, with the same rules for every kind. */
 final class Identifiers {
 
-    /** The greatest length of an identifier, in characters. */
+    /** Maximum length of an identifier, in characters. */
     static final int MAXIMUM_LENGTH = 64;
 
     private static final Pattern ALLOWED = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]*");
@@ -14,12 +14,12 @@
     private Identifiers() {}
 
     /**
-     * Checks one identifier.
+     * Validates an identifier.
      *
      * @param value the text
-     * @param name what an error calls it
+     * @param name the name of the identifier in the error message
      * @return the text
-     * @throws IllegalArgumentException if it is empty, too long or has other characters than
+     * @throws IllegalArgumentException if it is empty, is too long, or has characters other than
      *     letters, digits, dots, underscores and hyphens
      */
     static String check(String value, String name) {
--- a/masticpond-core/src/main/java/io/masticpond/core/id/Incarnation.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/id/Incarnation.java
@@ -3,7 +3,8 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * Tells one run of an instance from the runs before it; a higher number is a later run.
+ * Run of an instance, distinguished from earlier runs by its number; a higher number is a later
+ * run.
  *
  * @param instance the instance
  * @param number the start of the run in milliseconds since the epoch, positive
@@ -12,7 +13,7 @@
 public record Incarnation(InstanceId instance, long number) {
 
     /**
-     * Checks the number.
+     * Validates the number.
      *
      * @throws IllegalArgumentException if the number is not positive
      */
@@ -22,11 +23,11 @@
     }
 
     /**
-     * Reads the text form "instance@number" that {@link #toString} gives.
+     * Parses the text form "instance@number" that {@link #toString} returns.
      *
      * @param text the text form
      * @return the incarnation
-     * @throws IllegalArgumentException if the text has another form
+     * @throws IllegalArgumentException if the text does not have this form
      */
     public static Incarnation parse(String text) {
         int at = text.lastIndexOf('@');
--- a/masticpond-core/src/main/java/io/masticpond/core/id/InstanceId.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/id/InstanceId.java
@@ -1,7 +1,7 @@
 package io.masticpond.core.id;
 
 /**
- * Names an instance of the system; it stays the same over restarts at one address.
+ * Identifier of an instance of the system, which is stable across restarts at one address.
  *
  * @param value the text, at most 64 letters, digits, dots, underscores and hyphens
  * @since 0.1
@@ -9,7 +9,7 @@
 public record InstanceId(String value) implements Comparable<InstanceId> {
 
     /**
-     * Checks the text.
+     * Validates the text.
      *
      * @throws IllegalArgumentException if the text is not an identifier
      */
@@ -17,7 +17,10 @@
         Identifiers.check(value, "An instance id");
     }
 
-    /** Written out, since the one that records get is linked at its first use, in a start. */
+    /**
+     * Explicit, since the generated implementation of a record is linked at its first use, which
+     * would be during startup.
+     */
     @Override
     public boolean equals(Object other) {
         return other instanceof InstanceId && value.equals(((InstanceId) other).value);
--- a/masticpond-core/src/main/java/io/masticpond/core/id/OperationName.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/id/OperationName.java
@@ -1,7 +1,7 @@
 package io.masticpond.core.id;
 
 /**
- * Names an operation of a service, a method with a path prefix.
+ * Name of an operation of a service, which is a method with a path prefix.
  *
  * @param value the text, at most 64 letters, digits, dots, underscores and hyphens
  * @since 0.1
@@ -9,7 +9,7 @@
 public record OperationName(String value) implements Comparable<OperationName> {
 
     /**
-     * Checks the text.
+     * Validates the text.
      *
      * @throws IllegalArgumentException if the text is not an identifier
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/id/PlanId.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/id/PlanId.java
@@ -1,7 +1,7 @@
 package io.masticpond.core.id;
 
 /**
- * Names a plan that an operator may confirm.
+ * Identifier of a plan that an operator may confirm.
  *
  * @param value the text, at most 64 letters, digits, dots, underscores and hyphens
  * @since 0.1
@@ -9,7 +9,7 @@
 public record PlanId(String value) implements Comparable<PlanId> {
 
     /**
-     * Checks the text.
+     * Validates the text.
      *
      * @throws IllegalArgumentException if the text is not an identifier
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/id/RequestId.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/id/RequestId.java
@@ -1,7 +1,7 @@
 package io.masticpond.core.id;
 
 /**
- * Names a request of a caller.
+ * Identifier of a request of a caller.
  *
  * @param value the text, at most 64 letters, digits, dots, underscores and hyphens
  * @since 0.1
@@ -9,7 +9,7 @@
 public record RequestId(String value) implements Comparable<RequestId> {
 
     /**
-     * Checks the text.
+     * Validates the text.
      *
      * @throws IllegalArgumentException if the text is not an identifier
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/id/RouteId.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/id/RouteId.java
@@ -1,19 +1,22 @@
 package io.masticpond.core.id;
 
 /**
- * Names a route of the configuration.
+ * Identifier of a route of the configuration.
  *
  * @param value the name
  * @since 0.2
  */
 public record RouteId(String value) implements Comparable<RouteId> {
 
-    /** Checks the name. */
+    /** Validates the name. */
     public RouteId {
         Identifiers.check(value, "A route id");
     }
 
-    /** Written out, since the one that records get is linked at its first use, in a start. */
+    /**
+     * Explicit, since the generated implementation of a record is linked at its first use, which
+     * would be during startup.
+     */
     @Override
     public boolean equals(Object other) {
         return other instanceof RouteId && value.equals(((RouteId) other).value);
--- a/masticpond-core/src/main/java/io/masticpond/core/id/ServiceId.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/id/ServiceId.java
@@ -1,7 +1,7 @@
 package io.masticpond.core.id;
 
 /**
- * Names a service that operators created.
+ * Identifier of a service that operators created.
  *
  * @param value the text, at most 64 letters, digits, dots, underscores and hyphens
  * @since 0.1
@@ -9,7 +9,7 @@
 public record ServiceId(String value) implements Comparable<ServiceId> {
 
     /**
-     * Checks the text.
+     * Validates the text.
      *
      * @throws IllegalArgumentException if the text is not an identifier
      */
@@ -17,7 +17,10 @@
         Identifiers.check(value, "A service id");
     }
 
-    /** Written out, since the one that records get is linked at its first use, in a start. */
+    /**
+     * Explicit, since the generated implementation of a record is linked at its first use, which
+     * would be during startup.
+     */
     @Override
     public boolean equals(Object other) {
         return other instanceof ServiceId && value.equals(((ServiceId) other).value);
--- a/masticpond-core/src/main/java/io/masticpond/core/id/Shard.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/id/Shard.java
@@ -3,7 +3,8 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * Names the share of a service's backend servers in a region that one admitter admits work to.
+ * Identifier of the part of a service's backend servers in a region to which one admitter admits
+ * requests.
  *
  * @param service the service
  * @param region the region
@@ -13,7 +14,7 @@
 public record Shard(ServiceId service, RegionId region, int number) {
 
     /**
-     * Checks the parts.
+     * Validates the components.
      *
      * @throws IllegalArgumentException if a part is missing or the number is negative
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/id/ShiftId.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/id/ShiftId.java
@@ -1,7 +1,7 @@
 package io.masticpond.core.id;
 
 /**
- * Names a shift of one day, such as "2026-12-02-morning".
+ * Identifier of a shift of one day, such as "2026-12-02-morning".
  *
  * @param value the text, at most 64 letters, digits, dots, underscores and hyphens
  * @since 0.1
@@ -9,7 +9,7 @@
 public record ShiftId(String value) implements Comparable<ShiftId> {
 
     /**
-     * Checks the text.
+     * Validates the text.
      *
      * @throws IllegalArgumentException if the text is not an identifier
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/id/SiteId.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/id/SiteId.java
@@ -1,7 +1,7 @@
 package io.masticpond.core.id;
 
 /**
- * Names a site, a place near clients that client blocks point to.
+ * Identifier of a site, which is a location near clients that client address blocks refer to.
  *
  * @param value the text, at most 64 letters, digits, dots, underscores and hyphens
  * @since 0.1
@@ -9,7 +9,7 @@
 public record SiteId(String value) implements Comparable<SiteId> {
 
     /**
-     * Checks the text.
+     * Validates the text.
      *
      * @throws IllegalArgumentException if the text is not an identifier
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/id/WorkspaceId.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/id/WorkspaceId.java
@@ -1,7 +1,7 @@
 package io.masticpond.core.id;
 
 /**
- * Names a workspace: a caller's account, with keys, a rate and regions of its own.
+ * Identifier of a workspace, which is a caller's account with its own keys, rate and regions.
  *
  * @param value the text, at most 64 letters, digits, dots, underscores and hyphens
  * @since 0.2
@@ -9,7 +9,7 @@
 public record WorkspaceId(String value) implements Comparable<WorkspaceId> {
 
     /**
-     * Checks the text.
+     * Validates the text.
      *
      * @throws IllegalArgumentException if the text is not an identifier
      */
@@ -17,7 +17,10 @@
         Identifiers.check(value, "A workspace id");
     }
 
-    /** Written out, since the one that records get is linked at its first use, in a start. */
+    /**
+     * Explicit, since the generated implementation of a record is linked at its first use, which
+     * would be during startup.
+     */
     @Override
     public boolean equals(Object other) {
         return other instanceof WorkspaceId && value.equals(((WorkspaceId) other).value);
--- a/masticpond-core/src/main/java/io/masticpond/core/id/ZoneId.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/id/ZoneId.java
@@ -1,7 +1,7 @@
 package io.masticpond.core.id;
 
 /**
- * Names an availability zone.
+ * Identifier of an availability zone.
  *
  * @param value the text, at most 64 letters, digits, dots, underscores and hyphens
  * @since 0.1
@@ -9,7 +9,7 @@
 public record ZoneId(String value) implements Comparable<ZoneId> {
 
     /**
-     * Checks the text.
+     * Validates the text.
      *
      * @throws IllegalArgumentException if the text is not an identifier
      */
@@ -17,7 +17,10 @@
         Identifiers.check(value, "An availability zone id");
     }
 
-    /** Written out, since the one that records get is linked at its first use, in a start. */
+    /**
+     * Explicit, since the generated implementation of a record is linked at its first use, which
+     * would be during startup.
+     */
     @Override
     public boolean equals(Object other) {
         return other instanceof ZoneId && value.equals(((ZoneId) other).value);
--- a/masticpond-core/src/main/java/io/masticpond/core/id/package-info.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/id/package-info.java
@@ -1,2 +1,2 @@
-/** Value types for identifiers; they must know nothing of what they name. */
+/** Value types for identifiers, which must not depend on what they identify. */
 package io.masticpond.core.id;
