--- a/masticpond-core/src/main/java/io/masticpond/core/time/ManualTimeSource.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/time/ManualTimeSource.java
@@ -5,7 +5,7 @@
 import java.time.Instant;
 
 /**
- * Clocks that move only when told to, for tests and measures; safe for all threads.
+ * {@link TimeSource} whose clocks advance only on request, for tests and measurements. Thread-safe.
  *
  * @since 0.1
  */
@@ -15,7 +15,7 @@
     private long mNanos;
 
     /**
-     * Starts at a wall time, with no time elapsed.
+     * Creates a time source at the given wall time, with no elapsed time.
      *
      * @param start the wall time at the start
      */
@@ -24,9 +24,9 @@
     }
 
     /**
-     * Lets time pass on both clocks.
+     * Advances both clocks.
      *
-     * @param duration how much time passes, not negative
+     * @param duration the time by which to advance, not negative
      */
     public synchronized void advance(Duration duration) {
         Assert.isTrue(!duration.isNegative(), "Time must not go back, but %s was given.", duration);
@@ -35,7 +35,7 @@
     }
 
     /**
-     * Steps the wall clock alone, as an operator or a time daemon may.
+     * Steps only the wall clock, as an operator or a time daemon may do.
      *
      * @param step the step, negative to go back
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/time/SystemTimeSource.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/time/SystemTimeSource.java
@@ -3,7 +3,7 @@
 import java.time.Instant;
 
 /**
- * The clocks of the machine.
+ * {@link TimeSource} of the clocks of the machine.
  *
  * @since 0.1
  */
@@ -14,7 +14,9 @@
         return Instant.now();
     }
 
-    /** Read without an instant, since each request asks for it. */
+    /**
+     * Reads the clock without creating an {@link Instant}, since every request calls this method.
+     */
     @Override
     public long millis() {
         return System.currentTimeMillis();
--- a/masticpond-core/src/main/java/io/masticpond/core/time/TimeSource.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/time/TimeSource.java
@@ -3,10 +3,11 @@
 import java.time.InstantSource;
 
 /**
- * Tells the wall time and the time that has elapsed, two clocks that must not be mixed.
+ * Strategy interface for access to the wall time and to the elapsed time, which are two clocks that
+ * must not be mixed.
  *
- * <p>Wall time ({@link #instant}) may jump; use it for shifts and for what people read. Elapsed
- * time ({@link #monotonicNanos}) never jumps; use it for timeouts, deadlines and rates.
+ * <p>Wall time ({@link #instant}) may jump; use it for shifts and for display. Elapsed time ({@link
+ * #monotonicNanos}) never jumps; use it for timeouts, deadlines and rates.
  *
  * @since 0.1
  * @see ManualTimeSource
@@ -14,9 +15,9 @@
 public interface TimeSource extends InstantSource {
 
     /**
-     * Tells the elapsed time since an arbitrary origin of this process.
+     * Returns the elapsed time since an arbitrary origin of this process.
      *
-     * @return nanoseconds, which only differences give a meaning
+     * @return nanoseconds, of which only differences are meaningful
      */
     long monotonicNanos();
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/time/package-info.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/time/package-info.java
@@ -1,2 +1,5 @@
-/** The clocks that are passed in; the only place that may read the machine's clocks. */
+/**
+ * Time sources that are passed to other components. The only package that may read the machine's
+ * clocks.
+ */
 package io.masticpond.core.time;
