--- a/masticpond-core/src/main/java/io/masticpond/core/support/Assert.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/support/Assert.java
@@ -3,10 +3,10 @@
 import java.util.Collection;
 
 /**
- * Checks arguments on arrival and fails with a full sentence.
+ * Assertion utility class that validates arguments, with complete sentences as error messages.
  *
  * <p>All methods throw {@link IllegalArgumentException}; none accepts or returns {@code null}
- * unless it says so.
+ * unless documented.
  *
  * @since 0.1
  */
@@ -15,11 +15,11 @@
     private Assert() {}
 
     /**
-     * Requires that a condition holds.
+     * Asserts that a condition is true.
      *
      * @param condition the condition
-     * @param format the sentence to fail with, in the syntax of {@link String#format}
-     * @param arguments the values that the sentence names
+     * @param format the error message, in the syntax of {@link String#format}
+     * @param arguments the arguments of the error message
      * @throws IllegalArgumentException if the condition is false
      */
     public static void isTrue(boolean condition, String format, Object... arguments) {
@@ -29,11 +29,11 @@
     }
 
     /**
-     * Requires a reference that is present.
+     * Asserts that a reference is not {@code null}.
      *
      * @param <T> the type of the reference
      * @param value the reference
-     * @param name what the sentence calls it, such as "A region"
+     * @param name the name of the value in the error message, such as "A region"
      * @return the reference
      * @throws IllegalArgumentException if it is {@code null}
      */
@@ -45,10 +45,10 @@
     }
 
     /**
-     * Requires a number above zero.
+     * Asserts that a number is positive.
      *
      * @param value the number
-     * @param name what the sentence calls it, such as "A capacity"
+     * @param name the name of the value in the error message, such as "A capacity"
      * @return the number
      * @throws IllegalArgumentException if it is zero or negative
      */
@@ -58,10 +58,10 @@
     }
 
     /**
-     * Requires a number that is not negative.
+     * Asserts that a number is not negative.
      *
      * @param value the number
-     * @param name what the sentence calls it, such as "A price"
+     * @param name the name of the value in the error message, such as "A price"
      * @return the number
      * @throws IllegalArgumentException if it is negative
      */
@@ -71,10 +71,10 @@
     }
 
     /**
-     * Requires text with at least one character that is not white space.
+     * Asserts that a text contains at least one character that is not white space.
      *
      * @param value the text
-     * @param name what the sentence calls it, such as "A service id"
+     * @param name the name of the value in the error message, such as "A service id"
      * @return the text
      * @throws IllegalArgumentException if it is {@code null} or blank
      */
@@ -84,11 +84,11 @@
     }
 
     /**
-     * Requires a collection with at least one element.
+     * Asserts that a collection has at least one element.
      *
      * @param <C> the type of the collection
      * @param value the collection
-     * @param name what the sentence calls it
+     * @param name the name of the value in the error message
      * @return the collection
      * @throws IllegalArgumentException if it is {@code null} or empty
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/support/HashMixer.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/support/HashMixer.java
@@ -4,7 +4,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * Spreads texts evenly over numbers, the same at every instance.
+ * Utility class that maps texts to evenly distributed numbers, which are the same at every
+ * instance.
  *
  * @since 0.2
  */
@@ -18,10 +19,10 @@
     private HashMixer() {}
 
     /**
-     * Hashes a text.
+     * Returns the hash of a text.
      *
      * @param text the text
-     * @return the hash, evenly spread
+     * @return the hash, evenly distributed
      */
     public static long hash(String text) {
         CRC32C checksum = new CRC32C();
@@ -42,7 +43,7 @@
     }
 
     /**
-     * Draws a number for a pair of hashes, evenly spread.
+     * Returns an evenly distributed number for a pair of hashes.
      *
      * @param first a hash
      * @param second another hash
--- a/masticpond-core/src/main/java/io/masticpond/core/support/package-info.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/support/package-info.java
@@ -1,2 +1,2 @@
-/** Helpers without a concern of their own; they must know no other package. */
+/** General utility classes, which must not depend on any other package. */
 package io.masticpond.core.support;
