--- a/masticpond-core/src/main/java/io/masticpond/core/limit/CallOutlierDetector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/CallOutlierDetector.java
@@ -180,12 +180,12 @@
     }
 
     private double failurePenalty(CallStatistics statistics, PeerMedians failures) {
-        if (statistics.failureShare() <= mSettings.minimumFailure()) {
+        if (statistics.failureShare() <= mSettings.failureThreshold()) {
             return 0;
         }
         double peers = failures.without(statistics);
         double above = statistics.failureShare() - (Double.isNaN(peers) ? 0 : peers);
-        return part(above, mSettings.minimumFailure(), mSettings.fullFailure());
+        return part(above, mSettings.failureThreshold(), mSettings.fullPenaltyFailure());
     }
 
     private double slownessPenalty(CallStatistics statistics, PeerMedians means) {
@@ -197,7 +197,7 @@
             return 0;
         }
         double multiple = statistics.meanNanos() / peers;
-        return part(multiple, mSettings.minimumSlowness(), mSettings.fullSlowness());
+        return part(multiple, mSettings.slownessThreshold(), mSettings.fullPenaltySlowness());
     }
 
     private double confidence(double calls) {
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/CallOutlierDetectorSettings.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/CallOutlierDetectorSettings.java
@@ -9,22 +9,22 @@
  * @param halfLife the time after which an answer counts half
  * @param fullConfidenceCalls the number of calls, after decay, from which on the statistics have
  *     full confidence
- * @param minimumFailure the excess of the failure share over that of the peers from which on a
+ * @param failureThreshold the excess of the failure share over that of the peers from which on a
  *     penalty applies
- * @param fullFailure the excess of the failure share over that of the peers that gives the full
- *     penalty
- * @param minimumSlowness the multiple of the peers' latency from which on a penalty applies
- * @param fullSlowness the multiple of the peers' latency that gives the full penalty
+ * @param fullPenaltyFailure the excess of the failure share over that of the peers that gives the
+ *     full penalty
+ * @param slownessThreshold the multiple of the peers' latency from which on a penalty applies
+ * @param fullPenaltySlowness the multiple of the peers' latency that gives the full penalty
  * @param trialInterval the time after which a penalized server gets one trial request
  * @since 0.2
  */
 public record CallOutlierDetectorSettings(
         Duration halfLife,
         double fullConfidenceCalls,
-        double minimumFailure,
-        double fullFailure,
-        double minimumSlowness,
-        double fullSlowness,
+        double failureThreshold,
+        double fullPenaltyFailure,
+        double slownessThreshold,
+        double fullPenaltySlowness,
         Duration trialInterval) {
 
     /** Default settings for most services. */
@@ -37,15 +37,15 @@
         Assert.positive(halfLife.toNanos(), "A half-life");
         Assert.isTrue(fullConfidenceCalls > 0, "A number of calls must be positive.");
         Assert.isTrue(
-                minimumFailure >= 0 && fullFailure > minimumFailure,
+                failureThreshold >= 0 && fullPenaltyFailure > failureThreshold,
                 "The failure shares must rise, but were %s and %s.",
-                minimumFailure,
-                fullFailure);
+                failureThreshold,
+                fullPenaltyFailure);
         Assert.isTrue(
-                minimumSlowness >= 1 && fullSlowness > minimumSlowness,
+                slownessThreshold >= 1 && fullPenaltySlowness > slownessThreshold,
                 "The multiples of the latency must rise from 1, but were %s and %s.",
-                minimumSlowness,
-                fullSlowness);
+                slownessThreshold,
+                fullPenaltySlowness);
         Assert.positive(trialInterval.toNanos(), "A trial interval");
     }
 }
