--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyGuard.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyGuard.java
@@ -26,25 +26,23 @@
 import java.util.function.Consumer;
 
 /**
- * Stands before the request path and lets each once-only operation run at most once.
+ * Guard in front of the request path that runs each once-only operation at most once.
  *
- * <p>Belongs to the steering duty: every method but {@link #issueKey} must be called there, and
- * every listener is called there. The contract towards the entry side:
+ * <p>Confined to the steering thread: every method but {@link #issueKey} must be called on it, and
+ * every listener is called on it. The contract with the entry side:
  *
  * <ul>
- *   <li>A request whose operation is once-only goes to {@link #submit} in place of the entry
- *       steering; what another instance passes on goes to {@link #receive}. Each ends in exactly
- *       one call of its listener.
- *   <li>The guard calls the {@link OnceOnlyRunner} for at most one request of an operation at a
- *       time, and never again once it ended otherwise than truthfully as {@link
- *       Verdict#DID_NOT_RUN}. The request it gives has an operation id, which goes to the backend
- *       server.
- *   <li>A repeat gets the outcome of the first. One that comes while the first runs waits for it
- *       until its own deadline.
- *   <li>The verdict of a refusal is about the operation, not about this attempt alone: {@link
+ *   <li>A once-only request goes to {@link #submit} instead of to the entry steering, a forwarded
+ *       one to {@link #receive}. The listener of each is called exactly once.
+ *   <li>At most one request of an operation runs at a time, and another one only after a reliable
+ *       {@link Verdict#DID_NOT_RUN}. The {@link OnceOnlyRunner} receives it with an operation id,
+ *       which is sent to the backend server.
+ *   <li>A repeated request receives the outcome of the first. One that arrives while the first runs
+ *       waits for that outcome until its own deadline.
+ *   <li>The verdict of a refusal covers the operation, not only this attempt: {@link
  *       Verdict#DID_NOT_RUN} means that no attempt with this key has run so far.
- *   <li>A caller that goes away does not end an operation that runs: the outcome is kept for its
- *       repeat. {@link #cancel} only drops the listener.
+ *   <li>A running operation continues after its caller disconnects: the outcome is kept for a
+ *       repeated request. {@link #cancel} only removes the listener.
  * </ul>
  *
  * @since 0.1
@@ -61,14 +59,14 @@
     private final OutcomeWaiters mWaiters = new OutcomeWaiters();
 
     /**
-     * Makes a guard.
+     * Creates a guard.
      *
-     * @param home issues the keys of this home and keeps its operations
-     * @param runner runs what may run
-     * @param peers passes on what has its home elsewhere
-     * @param archive the claims and outcomes at the platform
-     * @param steering runs tasks on the steering duty
-     * @param timeline takes events
+     * @param home the keys and operations of this instance
+     * @param runner runs the operations that the guard allows
+     * @param peers forwards requests whose key has another home
+     * @param archive the claims and outcomes stored at the platform
+     * @param steering runs tasks on the steering thread
+     * @param timeline records events
      */
     public OnceOnlyGuard(
             OperationHome home,
@@ -87,7 +85,7 @@
     }
 
     /**
-     * Issues an operation key for a look-up; safe for all threads.
+     * Issues an operation key for a look-up. Thread-safe.
      *
      * @return a key whose home is this instance
      */
@@ -96,12 +94,12 @@
     }
 
     /**
-     * Takes a request of a caller. Without a key the operation gets one of its own, so that it runs
-     * at most once, but a repeat of it cannot be recognised.
+     * Handles a request of a caller. Without a key the operation is given a new one, so that it
+     * runs at most once, but a repeated request cannot be recognised.
      *
      * @param request the request
-     * @param keys what the caller said about its identity
-     * @param listener takes the one end
+     * @param keys the caller's keys for the operation
+     * @param listener receives the completion
      */
     public void submit(
             SteeredRequest request, OnceOnlyKeys keys, Consumer<RequestCompletion> listener) {
@@ -123,12 +121,12 @@
     }
 
     /**
-     * Takes a request that another instance passed on, because the key has its home here or this
-     * instance took over the outcomes of its home. It is never passed on again.
+     * Handles a request that another instance forwarded because this instance is the home of the
+     * key or has adopted the outcomes of that home. It is never forwarded again.
      *
      * @param key the operation key
      * @param request the request
-     * @param listener takes the one end
+     * @param listener receives the completion
      */
     public void receive(
             OperationKey key, SteeredRequest request, Consumer<RequestCompletion> listener) {
@@ -136,12 +134,11 @@
     }
 
     /**
-     * Takes a request with a caller's own key that another instance passed on, so that it is
-     * claimed here.
+     * Handles a request that another instance forwarded so that its caller's key is claimed here.
      *
      * @param callerKey the caller's key
      * @param request the request
-     * @param listener takes the one end
+     * @param listener receives the completion
      */
     public void receiveClaim(
             CallerKey callerKey, SteeredRequest request, Consumer<RequestCompletion> listener) {
@@ -149,7 +146,7 @@
     }
 
     /**
-     * Forgets the listener of a request that waits for the outcome of another.
+     * Removes the listener of a request that waits for the outcome of another.
      *
      * @param request the request
      */
@@ -158,9 +155,9 @@
     }
 
     /**
-     * Lets time act: ends requests that waited too long, and forgets outcomes that expired.
+     * Ends waiting requests whose deadline has passed, and removes expired outcomes.
      *
-     * @param nowNanos the time, in nanoseconds of the monotonic clock
+     * @param nowNanos the current time, in nanoseconds of the monotonic clock
      */
     public void advance(long nowNanos) {
         mWaiters.endOverdue(nowNanos);
@@ -168,7 +165,7 @@
     }
 
     /**
-     * Lists the outcomes that are kept here, for handing them over.
+     * Returns the outcomes kept by this instance, to hand them over.
      *
      * @return the outcomes
      */
@@ -177,7 +174,7 @@
     }
 
     /**
-     * Takes over an outcome of a home that stops.
+     * Adopts an outcome of a home that stops.
      *
      * @param outcome the outcome
      * @return whether it is kept
@@ -186,13 +183,13 @@
         return mRegistry.adopt(outcome.key(), outcome.fingerprint(), outcome.outcome());
     }
 
-    /** Lets no further operation begin here, before a planned stop. */
+    /** Rejects new operations from now on, before a planned stop. */
     public void stop() {
         mRegistry.stop();
     }
 
     /**
-     * Counts the operations that run now.
+     * Returns the number of operations that are running.
      *
      * @return the count
      */
@@ -213,23 +210,23 @@
                 key.operationId());
     }
 
-    /** The way of one request. */
+    /** Handling of one request. */
     private final class Flow {
 
         private final SteeredRequest mRequest;
         private final Fingerprint mFingerprint;
-        private final boolean mMayPassOn;
+        private final boolean mCanForward;
         private final Consumer<RequestCompletion> mListener;
         private boolean mFirstAttempt;
 
         Flow(
                 SteeredRequest request,
                 boolean firstAttempt,
-                boolean mayPassOn,
+                boolean canForward,
                 Consumer<RequestCompletion> listener) {
             mRequest = request;
             mFirstAttempt = firstAttempt;
-            mMayPassOn = mayPassOn;
+            mCanForward = canForward;
             mListener = listener;
             mFingerprint =
                     Fingerprint.of(
@@ -238,7 +235,7 @@
                             request.body());
         }
 
-        /** Claims a caller's key at the instance that writes its bucket, or failing that here. */
+        /** Claims the key at the instance that writes its bucket, or here if that is impossible. */
         void claim(CallerKey callerKey) {
             Optional<InstanceId> claimer = mPeers.claimerOf(callerKey);
             if (claimer.isEmpty()) {
@@ -264,16 +261,16 @@
         }
 
         void claimHere(CallerKey callerKey) {
-            OperationKey own = mIssuer.issue();
+            OperationKey newKey = mIssuer.issue();
             mArchive.claim(
-                    new ClaimEntry(callerKey, own),
+                    new ClaimEntry(callerKey, newKey),
                     mRequest.head().deadlineNanos(),
-                    result -> claimed(own, result));
+                    result -> claimed(newKey, result));
         }
 
-        private void claimed(OperationKey own, ClaimResult result) {
+        private void claimed(OperationKey newKey, ClaimResult result) {
             if (result instanceof ClaimResult.Claimed) {
-                begin(own);
+                begin(newKey);
             } else if (result instanceof ClaimResult.HeldBy held) {
                 mFirstAttempt = false;
                 begin(held.operationKey());
@@ -296,11 +293,11 @@
             } else if (decision instanceof OperationDecision.InProgress) {
                 mWaiters.add(key, mRequest, mListener);
             } else if (decision instanceof OperationDecision.ForwardToHome<?> elsewhere) {
-                passOn(key, elsewhere.home().instance());
+                forwardToHome(key, elsewhere.home().instance());
             } else if (decision instanceof OperationDecision.HomeUnreachable) {
-                settleOrAskAdopter(key, OnceOnlyRefusals.homeUnreachable(mFirstAttempt));
+                completeFromArchiveOrAdopter(key, OnceOnlyRefusals.homeUnreachable(mFirstAttempt));
             } else if (decision instanceof OperationDecision.HomeTerminated) {
-                settleOrAskAdopter(key, OnceOnlyRefusals.homeTerminated(key.home()));
+                completeFromArchiveOrAdopter(key, OnceOnlyRefusals.homeTerminated(key.home()));
             } else {
                 refuse(OnceOnlyRefusals.of(decision, mFirstAttempt));
             }
@@ -313,8 +310,8 @@
                     end -> ended(key, OutcomeConverter.toOutcome(end)));
         }
 
-        private void ended(OperationKey key, OperationOutcome<RequestCompletion.Answered> how) {
-            OperationOutcome<RequestCompletion.Answered> outcome = mRegistry.complete(key, how);
+        private void ended(OperationKey key, OperationOutcome<RequestCompletion.Answered> result) {
+            OperationOutcome<RequestCompletion.Answered> outcome = mRegistry.complete(key, result);
             record("operation-ended", mRequest, key);
             if (outcome.verdict() != Verdict.DID_NOT_RUN) {
                 mArchive.keep(new KeptOutcome<>(key, mFingerprint, outcome));
@@ -323,9 +320,9 @@
             mWaiters.end(key, OutcomeConverter.toCompletion(outcome));
         }
 
-        private void passOn(OperationKey key, InstanceId home) {
+        private void forwardToHome(OperationKey key, InstanceId home) {
             Refusal notSent = OnceOnlyRefusals.homeUnreachable(mFirstAttempt);
-            if (!mMayPassOn) {
+            if (!mCanForward) {
                 refuse(notSent);
                 return;
             }
@@ -334,49 +331,48 @@
                     home,
                     key,
                     mRequest,
-                    result -> mSteering.execute(() -> asked(key, result, notSent)));
+                    result -> mSteering.execute(() -> homeAnswered(key, result, notSent)));
         }
 
-        private void asked(OperationKey key, ForwardResult result, Refusal notSent) {
+        private void homeAnswered(OperationKey key, ForwardResult result, Refusal notSent) {
             if (result instanceof ForwardResult.Ended ended) {
                 mListener.accept(ended.completion());
             } else if (result instanceof ForwardResult.Lost lost) {
                 refuse(Refusal.mayHaveRun(lost.cause(), lost.reason()));
             } else {
-                settle(key, notSent);
+                completeFromArchive(key, notSent);
             }
         }
 
-        /** Gives the outcome that the platform has, or else the refusal. */
-        private void settle(OperationKey key, Refusal otherwise) {
-            mArchive.find(
-                    key, found -> found.ifPresentOrElse(this::repeat, () -> refuse(otherwise)));
+        /** Completes with the outcome stored at the platform, or else with the refusal. */
+        private void completeFromArchive(OperationKey key, Refusal refusal) {
+            mArchive.find(key, found -> found.ifPresentOrElse(this::repeat, () -> refuse(refusal)));
         }
 
-        private void settleOrAskAdopter(OperationKey key, Refusal otherwise) {
+        private void completeFromArchiveOrAdopter(OperationKey key, Refusal refusal) {
             Optional<InstanceId> adopter =
-                    mMayPassOn ? mPeers.adopterOf(key.home()) : Optional.empty();
+                    mCanForward ? mPeers.adopterOf(key.home()) : Optional.empty();
             if (adopter.isEmpty()) {
-                settle(key, otherwise);
+                completeFromArchive(key, refusal);
                 return;
             }
             mArchive.find(
                     key,
                     found ->
                             found.ifPresentOrElse(
-                                    this::repeat, () -> askAdopter(adopter.get(), key, otherwise)));
+                                    this::repeat, () -> queryAdopter(adopter.get(), key, refusal)));
         }
 
-        private void askAdopter(InstanceId adopter, OperationKey key, Refusal otherwise) {
+        private void queryAdopter(InstanceId adopter, OperationKey key, Refusal refusal) {
             mPeers.forward(
                     adopter,
                     key,
                     mRequest,
-                    result -> mSteering.execute(() -> adopterAnswered(result, otherwise)));
+                    result -> mSteering.execute(() -> adopterAnswered(result, refusal)));
         }
 
-        /** An adopter runs nothing, so only an outcome that it kept counts. */
-        private void adopterAnswered(ForwardResult result, Refusal otherwise) {
+        /** Accepts only an outcome that the adopter kept, since it runs nothing itself. */
+        private void adopterAnswered(ForwardResult result, Refusal refusal) {
             boolean kept =
                     result instanceof ForwardResult.Ended ended
                             && ended.completion() instanceof RequestCompletion.Answered;
@@ -384,7 +380,7 @@
                 mListener.accept(((ForwardResult.Ended) result).completion());
                 return;
             }
-            refuse(otherwise);
+            refuse(refusal);
         }
 
         private void repeat(KeptOutcome<RequestCompletion.Answered> kept) {
