--- a/masticpond-core/src/main/java/io/masticpond/core/serverlimit/LimitHeader.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/serverlimit/LimitHeader.java
@@ -4,43 +4,43 @@
 import java.util.regex.Pattern;
 
 /**
- * What one answer of a backend server says about its limit.
+ * Value of the limit header in one answer of a backend server.
  *
- * @param kind whether it names a limit
- * @param perSecond the requests a second that the server takes from all instances together; only
- *     {@link Kind#LIMITED} has a finite one
+ * @param kind whether the answer states a limit
+ * @param perSecond the requests per second that the server accepts from all instances together;
+ *     finite only for {@link Kind#LIMITED}
  * @since 0.2
  */
 public record LimitHeader(Kind kind, double perSecond) {
 
     /**
-     * Whether an answer names a limit.
+     * Kinds of limit headers.
      *
      * @since 0.2
      */
     public enum Kind {
-        /** It names none, so the server takes what comes. */
+        /** No header; the server accepts any number of requests. */
         ABSENT,
-        /** It names one. */
+        /** The header states a limit. */
         LIMITED,
-        /** It names something else, which says nothing either way. */
+        /** The header is not a valid limit and is ignored. */
         MALFORMED
     }
 
-    /** An answer without a limit. */
+    /** Header of an answer that states no limit. */
     public static final LimitHeader ABSENT = new LimitHeader(Kind.ABSENT, Double.POSITIVE_INFINITY);
 
     private static final LimitHeader MALFORMED =
             new LimitHeader(Kind.MALFORMED, Double.POSITIVE_INFINITY);
 
-    /** Signs, exponents and words are no decimal number. */
+    /** Unsigned decimal number; signs, exponents and words do not match. */
     private static final Pattern DECIMAL = Pattern.compile("\\d{1,9}(\\.\\d{1,9})?");
 
     /**
-     * Reads the values of the header of one answer.
+     * Parses the header values of one answer.
      *
-     * @param values all values, none if the header is absent
-     * @return what they say; more than one value is malformed
+     * @param values all values of the header, empty if the header is absent
+     * @return the parsed header; {@link Kind#MALFORMED} if there is more than one value
      */
     public static LimitHeader parse(List<String> values) {
         if (values.isEmpty()) {
--- a/masticpond-core/src/main/java/io/masticpond/core/serverlimit/LimitListener.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/serverlimit/LimitListener.java
@@ -3,28 +3,29 @@
 import io.masticpond.core.id.BackendServerId;
 
 /**
- * Takes what the limits of servers have to tell.
+ * Callback interface for changes in the limits of backend servers.
  *
  * @since 0.2
  */
 public interface LimitListener {
 
     /**
-     * Something else is believed of a server's limit.
+     * Called when this instance's view of a server's limit has changed.
      *
-     * @param belief what is believed now
+     * @param view the new view
      */
-    void onViewChanged(LimitView belief);
+    void onViewChanged(LimitView view);
 
     /**
-     * An answer to this instance changed what is believed, so the others should hear of it.
+     * Called when an answer to this instance has changed its view, so that the other instances
+     * should receive a report.
      *
-     * @param report what the answer said
+     * @param report the statement of the answer
      */
     void onReport(LimitReport report);
 
     /**
-     * A server has named something that is no limit, for the first time.
+     * Called when a server has sent a malformed limit for the first time.
      *
      * @param server the server
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/serverlimit/LimitSenders.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/serverlimit/LimitSenders.java
@@ -9,53 +9,54 @@
 import java.util.Optional;
 import java.util.function.Function;
 
-/** Says which instances may send to a limited server, and how much each of them. */
+/** Selection of the instances that may send to a limited server, and of the share of each. */
 final class LimitSenders {
 
     private final InstanceId mSelf;
     private final OwnerOrder mOrder;
     private List<OwnerCandidate> mInstances;
-    private int mShareholders = 1;
-    private long mSinceNanos;
+    private int mShareCount = 1;
+    private long mChangedNanos;
 
     LimitSenders(OwnerCandidate self, Function<ZoneId, Optional<RegionId>> regions, long nowNanos) {
         mSelf = self.id();
         mOrder = new OwnerOrder(regions);
         mInstances = List.of(self);
-        mSinceNanos = nowNanos;
+        mChangedNanos = nowNanos;
     }
 
-    void updateInstances(List<OwnerCandidate> alive, int shareholders, long nowNanos) {
-        if (shareholders != mShareholders || (alive != mInstances && !alive.equals(mInstances))) {
-            mShareholders = Math.max(1, shareholders);
-            mInstances = List.copyOf(alive);
-            mSinceNanos = nowNanos;
+    void updateInstances(List<OwnerCandidate> aliveInstances, int shareCount, long nowNanos) {
+        if (shareCount != mShareCount
+                || (aliveInstances != mInstances && !aliveInstances.equals(mInstances))) {
+            mShareCount = Math.max(1, shareCount);
+            mInstances = List.copyOf(aliveInstances);
+            mChangedNanos = nowNanos;
         }
     }
 
     /**
-     * Finds this instance's place among the senders, if what that rests on has changed, and its
-     * part of the limit. Instances that are not heard are left their part.
+     * Updates the rank of this instance among the senders, if the instances or the number of
+     * senders have changed, and its share of the limit. Unreachable instances keep their share.
      */
-    void place(LimitedServer state, ServerLimitSettings settings, long nowNanos) {
+    void updateRank(LimitedServer state, ServerLimitSettings settings, long nowNanos) {
         if (!state.isLimited()) {
             return;
         }
-        double reached = Math.min(1, (double) mInstances.size() / mShareholders);
+        double reachableShare = Math.min(1, (double) mInstances.size() / mShareCount);
         double limit = state.mStatement.perSecond();
-        int senders = (int) Math.max(1, Math.round(settings.senders(limit) * reached));
+        int senders = (int) Math.max(1, Math.round(settings.senders(limit) * reachableShare));
         if (state.mInstances != mInstances || state.mSenders != senders) {
             boolean wasSender = state.isSender();
-            List<InstanceId> first = mOrder.first(state.mServer, mInstances, senders);
+            List<InstanceId> senderIds = mOrder.first(state.mServer, mInstances, senders);
             state.mInstances = mInstances;
             state.mSenders = senders;
-            state.mRank = first.indexOf(mSelf);
+            state.mRank = senderIds.indexOf(mSelf);
             if (state.isSender() && !wasSender) {
-                state.mSenderSinceNanos = mSinceNanos;
-                state.begin(nowNanos);
+                state.mSenderSinceNanos = mChangedNanos;
+                state.startPermits(nowNanos);
             }
         }
-        int sharing = Math.min(senders, mInstances.size());
-        state.rate(settings.rate(limit) * reached / sharing, nowNanos);
+        int senderCount = Math.min(senders, mInstances.size());
+        state.changeRate(settings.rate(limit) * reachableShare / senderCount, nowNanos);
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/serverlimit/LimitStatement.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/serverlimit/LimitStatement.java
@@ -1,12 +1,13 @@
 package io.masticpond.core.serverlimit;
 
 /**
- * What a backend server said of its limit with one answer.
+ * Statement of a backend server's limit in one answer.
  *
- * <p>Answers of several connections arrive in another order than they were made. One is certainly
- * the newer if its request was sent after the other had arrived.
+ * <p>Answers on several connections may arrive in another order than the server made them. An
+ * answer is certainly newer than another if its request was sent after the other answer had
+ * arrived.
  *
- * @param perSecond the limit, infinite if the answer named none
+ * @param perSecond the limit in requests per second, infinite if the answer stated none
  * @param sentNanos the monotonic time at which the request was sent
  * @param receivedNanos the monotonic time at which the answer arrived
  */
@@ -16,13 +17,16 @@
         return Double.isFinite(perSecond);
     }
 
-    /** Tells whether this one was made after another, with a margin for differing clocks. */
+    /**
+     * Determines whether this statement was made after another, with a margin for clocks that
+     * differ.
+     */
     boolean isAfter(LimitStatement other, long marginNanos) {
         return sentNanos - other.receivedNanos > marginNanos;
     }
 
-    /** Joins two that may have been made in either order: the lower limit counts. */
-    LimitStatement join(LimitStatement other) {
+    /** Merges two statements whose order is unknown: the lower limit applies. */
+    LimitStatement merge(LimitStatement other) {
         if (perSecond == other.perSecond) {
             return new LimitStatement(
                     perSecond,
--- a/masticpond-core/src/main/java/io/masticpond/core/serverlimit/LimitView.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/serverlimit/LimitView.java
@@ -4,15 +4,16 @@
 import io.masticpond.core.id.ServiceId;
 
 /**
- * What an instance believes of a server's limit, and what it may send there.
+ * View that an instance has of a server's limit, and the rate at which it may send to the server.
  *
  * @param server the server
- * @param service its service
- * @param perSecond the limit, infinite once it is lifted
- * @param isOwn whether an answer to this instance said so, not another instance
- * @param ageNanos how long ago the answer arrived that said so
- * @param senders how many instances may send
- * @param ownPerSecond the requests a second that this instance may send, 0 if it is no sender
+ * @param service the server's service
+ * @param perSecond the limit in requests per second, infinite once it is lifted
+ * @param isOwn whether the limit comes from an answer to this instance rather than from a report of
+ *     another instance
+ * @param ageNanos the time in nanoseconds since the answer arrived that stated the limit
+ * @param senders the number of instances that may send to the server
+ * @param ownPerSecond the requests per second that this instance may send, 0 if it is not a sender
  * @since 0.2
  */
 public record LimitView(
@@ -25,9 +26,9 @@
         double ownPerSecond) {
 
     /**
-     * Tells whether the server is limited.
+     * Determines whether the server is limited.
      *
-     * @return false once its limit is lifted
+     * @return {@code false} once its limit is lifted
      */
     public boolean isLimited() {
         return Double.isFinite(perSecond);
--- a/masticpond-core/src/main/java/io/masticpond/core/serverlimit/LimitedServer.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/serverlimit/LimitedServer.java
@@ -6,33 +6,33 @@
 import io.masticpond.core.time.Moment;
 import java.util.List;
 
-/** One server that has named a limit: the last statement, and this instance's part of it. */
+/** State of one server that has stated a limit: the latest statement, and this instance's share. */
 final class LimitedServer {
 
     private static final double NANOS_PER_SECOND = 1e9;
 
     final RegisteredServer mServer;
 
-    /** The hash of the server's id, by which other instances know it. */
+    /** Hash of the server's id, which identifies the server in reports of other instances. */
     final long mHash;
 
     LimitStatement mStatement;
 
-    /** When the statement's answer arrived, by both clocks. */
+    /** Moment at which the statement's answer arrived, by both clocks. */
     Moment mReceived;
 
     boolean mIsOwn;
 
-    /** The limit that was reported last, infinite before the first. */
+    /** Limit that was reported last, infinite before the first report. */
     double mReported = Double.POSITIVE_INFINITY;
 
-    /** When the limit was lifted, if the server is not limited. */
+    /** Monotonic time at which the limit was lifted, if the server is not limited. */
     long mLiftedNanos;
 
     List<OwnerCandidate> mInstances = List.of();
     int mSenders;
 
-    /** This instance's place among the senders, from 0; -1 if it is none. */
+    /** Rank of this instance among the senders, from 0; -1 if it is not a sender. */
     int mRank = -1;
 
     long mSenderSinceNanos;
@@ -53,14 +53,14 @@
         return mRank >= 0;
     }
 
-    /** Begins to count permits: the first ones of the senders are spread over time. */
-    void begin(long nowNanos) {
+    /** Starts to accrue permits; the first permits of the senders are spread over time. */
+    void startPermits(long nowNanos) {
         mPermits = isSender() ? (mRank + 0.5) / mSenders : 0;
         mUpdatedNanos = nowNanos;
     }
 
-    /** Takes another rate, after the permits of the one before have been counted. */
-    void rate(double perSecond, long nowNanos) {
+    /** Changes the rate after crediting the permits accrued at the previous rate. */
+    void changeRate(double perSecond, long nowNanos) {
         refill(nowNanos);
         mPerSecond = perSecond;
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/serverlimit/ServerLimitSettings.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/serverlimit/ServerLimitSettings.java
@@ -4,15 +4,15 @@
 import java.time.Duration;
 
 /**
- * The bound on the requests that reach a backend server which names a limit, summed over all
- * instances, and how instances stay below it.
+ * Settings of the bound on the requests that reach a backend server which states a limit, summed
+ * over all instances, and of the way in which instances stay below it.
  *
- * @param window the time in which requests are counted
- * @param tolerance how many times the limit the window may hold
- * @param burst the requests that it may hold besides
- * @param settling how long an instance waits after it became a sender
- * @param memory for how long a limit holds that no answer has confirmed
- * @param ramp how long a server takes to its full share after its limit is lifted
+ * @param window the time window over which requests are counted
+ * @param tolerance the multiple of the limit that the window may hold, at least 1
+ * @param burst the number of further requests that the window may hold, at least 1
+ * @param settling the time that an instance waits after it became a sender before it sends
+ * @param memory the time for which a limit holds that no answer has confirmed
+ * @param ramp the time over which a server returns to its full share after its limit is lifted
  * @since 0.2
  */
 public record ServerLimitSettings(
@@ -23,7 +23,7 @@
         Duration memory,
         Duration ramp) {
 
-    /** What holds where a platform states nothing. */
+    /** Default settings, used where a platform specifies none. */
     public static final ServerLimitSettings DEFAULT =
             new ServerLimitSettings(
                     Duration.ofSeconds(4),
@@ -34,19 +34,22 @@
                     Duration.ofSeconds(2));
 
     /**
-     * The parts of what is tolerated that senders use with their first requests; the rest is for
-     * instances that see other senders.
+     * Fractions of the tolerated excess that senders use with their first requests; the rest is for
+     * instances whose view of the senders differs.
      */
-    private static final double TOLERANCE_PART = 0.75;
+    private static final double TOLERANCE_FRACTION = 0.75;
 
-    private static final double BURST_PART = 0.6;
+    private static final double BURST_FRACTION = 0.6;
 
-    /** A server that names a lower limit gets this part of its burst in a window, to ask again. */
-    private static final double TRIAL_PART = 0.2;
+    /**
+     * Fraction of the burst that a server with a lower limit gets per window, so that instances
+     * notice when it lifts the limit.
+     */
+    private static final double TRIAL_FRACTION = 0.2;
 
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** Checks that the parts are in range. */
+    /** Validates the ranges of the components. */
     public ServerLimitSettings {
         Assert.positive(window.toNanos(), "The window of a server's limit");
         Assert.isTrue(tolerance >= 1, "A tolerance must be 1 or more, but was %s.", tolerance);
@@ -57,20 +60,21 @@
     }
 
     /**
-     * Gives how many instances may send to a server. Each may send one request at once and its part
-     * of the limit after that, so a window holds the limit and one request for each of them.
+     * Returns the number of instances that may send to a server. Each may send one request
+     * immediately and its share of the limit after that, so a window holds the limit and one
+     * request for each sender.
      *
-     * @param perSecond the limit
-     * @return the count, at least 1
+     * @param perSecond the limit in requests per second
+     * @return the number of senders, at least 1
      */
     int senders(double perSecond) {
         double tolerated = (tolerance - 1) * seconds() * perSecond;
-        return (int) Math.max(1, TOLERANCE_PART * tolerated + BURST_PART * burst);
+        return (int) Math.max(1, TOLERANCE_FRACTION * tolerated + BURST_FRACTION * burst);
     }
 
-    /** Gives the rate that is used: never so low that a lifted limit is not noticed. */
+    /** Returns the rate to apply for a limit, never so low that a lifted limit goes unnoticed. */
     double rate(double perSecond) {
-        return Math.max(perSecond, TRIAL_PART * burst / seconds());
+        return Math.max(perSecond, TRIAL_FRACTION * burst / seconds());
     }
 
     private double seconds() {
--- a/masticpond-core/src/main/java/io/masticpond/core/serverlimit/ServerLimits.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/serverlimit/ServerLimits.java
@@ -18,59 +18,59 @@
 import java.util.function.Function;
 
 /**
- * Keeps the limits that backend servers name, over all instances together and without a message for
- * each request.
+ * Enforcement of the limits that backend servers state, over all instances together and without a
+ * message for each request.
  *
- * <p>A limited server has a few senders, the first instances of its order; all others leave it out.
- * Each sender has an equal part of the limit and at most one request in hand, so what reaches the
- * server in a window is the limit and one request for each sender, and the number of senders
- * follows from what is tolerated beyond the limit. Instances that are cut off count for their part,
- * so groups that do not hear of each other stay within the bound together. What an answer says is
- * told to the others, since an instance that sends nothing hears nothing.
+ * <p>A limited server has a few senders, the first instances of its order; all other instances
+ * exclude it. Each sender has an equal share of the limit and holds at most one permit, so a window
+ * holds the limit and one request for each sender, and the number of senders follows from the
+ * excess that is tolerated. Unreachable instances keep their share, so that partitioned groups stay
+ * within the bound together. Limits are reported to the other instances, since an instance that
+ * sends no requests receives no answers.
  *
- * <p>A state machine for one thread.
+ * <p>Not thread-safe: confined to one thread.
  *
  * @since 0.2
  */
 public final class ServerLimits {
 
-    /** A change below this share of the limit is not worth a message. */
-    private static final double LEAST_CHANGE = 0.1;
+    /** Changes up to this fraction of the previously reported limit are not reported. */
+    private static final double MINIMUM_CHANGE = 0.1;
 
-    /** How far the ages that two instances tell of one moment may be apart. */
+    /** Greatest difference between the ages that two instances report for the same moment. */
     private static final long CLOCK_MARGIN_NANOS = 100_000_000;
 
     private final LimitSenders mSenders;
-    private final LimitListener mOutput;
+    private final LimitListener mListener;
     private final Map<BackendServerId, LimitedServer> mServers = new LinkedHashMap<>();
     private final Set<BackendServerId> mMalformed = new HashSet<>();
     private ServerLimitSettings mSettings;
     private long mMalformedCount;
 
     /**
-     * Starts without any limited server, and with this instance alone.
+     * Creates an instance without limited servers, with this instance as the only sender.
      *
-     * @param settings the bound
+     * @param settings the settings of the bound
      * @param self this instance
-     * @param regions the region of each zone, as far as known
-     * @param output takes what is to be told
-     * @param nowNanos the monotonic time
+     * @param regions the region of each zone, empty if unknown
+     * @param listener the listener to notify of changes
+     * @param nowNanos the current monotonic time
      */
     public ServerLimits(
             ServerLimitSettings settings,
             OwnerCandidate self,
             Function<ZoneId, Optional<RegionId>> regions,
-            LimitListener output,
+            LimitListener listener,
             long nowNanos) {
         mSettings = Assert.notNull(settings, "Settings of server limits");
         mSenders = new LimitSenders(self, regions, nowNanos);
-        mOutput = Assert.notNull(output, "An output of server limits");
+        mListener = Assert.notNull(listener, "A listener of server limits");
     }
 
     /**
-     * Takes other settings, for what is decided after this.
+     * Replaces the settings for subsequent decisions.
      *
-     * @param settings the settings
+     * @param settings the new settings
      */
     public void applySettings(ServerLimitSettings settings) {
         mSettings = Assert.notNull(settings, "Settings of server limits");
@@ -78,32 +78,34 @@
     }
 
     /**
-     * Hears which instances there are.
+     * Updates the instances that may send.
      *
-     * @param alive those that are heard, this one included; best the same list until it changes
-     * @param shareholders how many may be sending, heard or not
-     * @param nowNanos the monotonic time
+     * @param alive the reachable instances, including this one; pass the same list while it is
+     *     unchanged to avoid comparisons
+     * @param shareCount the number of instances that may be sending, whether reachable or not
+     * @param nowNanos the current monotonic time
      */
-    public void updateInstances(List<OwnerCandidate> alive, int shareholders, long nowNanos) {
-        mSenders.updateInstances(alive, shareholders, nowNanos);
+    public void updateInstances(List<OwnerCandidate> alive, int shareCount, long nowNanos) {
+        mSenders.updateInstances(alive, shareCount, nowNanos);
     }
 
     /**
-     * Hears which servers are registered. A limit outlives the entry of its server, which may be
-     * lost and made anew while the server goes on; the next answer, or the end of the memory, ends
-     * it.
+     * Removes the records of malformed limits of servers that are not registered. A limit is kept
+     * longer than the registry entry of its server, since the entry may be lost and created again
+     * while the server keeps running; the limit ends with the next answer or when the memory
+     * expires.
      *
-     * @param servers their ids
+     * @param servers the ids of the registered servers
      */
     public void retain(Set<BackendServerId> servers) {
         mMalformed.retainAll(servers);
     }
 
     /**
-     * Takes what an answer of a server says.
+     * Applies the limit header of an answer to this instance.
      *
      * @param server the server
-     * @param header what it says
+     * @param header the limit header of the answer
      * @param sentNanos the monotonic time at which the request was sent
      * @param now the moment at which the answer arrived
      */
@@ -111,50 +113,50 @@
         if (header.kind() == LimitHeader.Kind.MALFORMED) {
             mMalformedCount++;
             if (mMalformed.add(server.id())) {
-                mOutput.onMalformed(server.id());
+                mListener.onMalformed(server.id());
             }
             return;
         }
         long nowNanos = now.monotonicNanos();
-        LimitStatement said = new LimitStatement(header.perSecond(), sentNanos, nowNanos);
-        take(server, said, now, true, nowNanos);
+        LimitStatement statement = new LimitStatement(header.perSecond(), sentNanos, nowNanos);
+        apply(server, statement, now, true, nowNanos);
     }
 
     /**
-     * Takes what another instance tells of a server.
+     * Applies a report of another instance.
      *
      * @param server the server
-     * @param report what it tells
-     * @param now the present moment
-     * @return whether that was news
+     * @param report the report
+     * @param now the current moment
+     * @return whether the report changed the limit
      */
     public boolean received(RegisteredServer server, LimitReport report, Moment now) {
         if (report.receivedAgoNanos() > mSettings.memory().toNanos()) {
             return false;
         }
         long nowNanos = now.monotonicNanos();
-        LimitStatement said =
+        LimitStatement statement =
                 new LimitStatement(
                         report.perSecond(),
                         nowNanos - report.sentAgoNanos(),
                         nowNanos - report.receivedAgoNanos());
         Moment received = now.minusNanos(report.receivedAgoNanos());
-        return take(server, said, received, false, nowNanos);
+        return apply(server, statement, received, false, nowNanos);
     }
 
-    /** Takes a statement unless a newer one is known; tells whether that changed the limit. */
-    private boolean take(
+    /** Applies a statement unless a newer one is known; returns whether that changed the limit. */
+    private boolean apply(
             RegisteredServer server,
-            LimitStatement said,
+            LimitStatement statement,
             Moment received,
             boolean isOwn,
             long nowNanos) {
         LimitedServer state = mServers.get(server.id());
-        if (state == null && !said.isLimited()) {
+        if (state == null && !statement.isLimited()) {
             return false;
         }
         LimitStatement before = state == null ? null : state.mStatement;
-        LimitStatement now = before == null ? said : newest(before, said, isOwn);
+        LimitStatement now = before == null ? statement : newest(before, statement, isOwn);
         if (now.equals(before)) {
             return false;
         }
@@ -164,13 +166,13 @@
         }
         boolean wasLimited = before != null && before.isLimited();
         state.mStatement = now;
-        if (now.receivedNanos() == said.receivedNanos()) {
+        if (now.receivedNanos() == statement.receivedNanos()) {
             state.mReceived = received;
             state.mIsOwn = isOwn;
         }
-        place(state, nowNanos);
+        updateRank(state, nowNanos);
         if (now.isLimited() && !wasLimited) {
-            state.begin(nowNanos);
+            state.startPermits(nowNanos);
         } else if (wasLimited && !now.isLimited()) {
             state.mLiftedNanos = nowNanos;
         }
@@ -178,12 +180,12 @@
     }
 
     private static LimitStatement newest(
-            LimitStatement before, LimitStatement said, boolean isOwn) {
+            LimitStatement before, LimitStatement statement, boolean isOwn) {
         long margin = isOwn ? 0 : CLOCK_MARGIN_NANOS;
-        if (said.isAfter(before, margin)) {
-            return said;
+        if (statement.isAfter(before, margin)) {
+            return statement;
         }
-        return before.isAfter(said, margin) ? before : before.join(said);
+        return before.isAfter(statement, margin) ? before : before.merge(statement);
     }
 
     private boolean publish(LimitedServer state, long nowNanos) {
@@ -191,55 +193,58 @@
         double change = Math.abs(limit - state.mReported);
         boolean isSame =
                 limit == state.mReported
-                        || Double.isFinite(change) && change <= LEAST_CHANGE * state.mReported;
+                        || Double.isFinite(change) && change <= MINIMUM_CHANGE * state.mReported;
         if (isSame) {
             return false;
         }
         state.mReported = limit;
-        mOutput.onViewChanged(view(state, nowNanos));
+        mListener.onViewChanged(view(state, nowNanos));
         if (state.mIsOwn) {
-            mOutput.onReport(report(state, 0));
+            mListener.onReport(report(state, 0));
         }
         return true;
     }
 
-    private static LimitReport report(LimitedServer state, long agoNanos) {
+    private static LimitReport report(LimitedServer state, long ageNanos) {
         LimitStatement statement = state.mStatement;
-        long took = Math.max(0, statement.receivedNanos() - statement.sentNanos());
-        return new LimitReport(state.mHash, statement.perSecond(), agoNanos + took, agoNanos);
+        long tookNanos = Math.max(0, statement.receivedNanos() - statement.sentNanos());
+        return new LimitReport(state.mHash, statement.perSecond(), ageNanos + tookNanos, ageNanos);
     }
 
     /**
-     * Tells whether a server is limited, so that it takes a permit to send there.
+     * Determines whether a server is limited, so that a request to it requires a permit.
      *
      * @param server the server
-     * @param nowNanos the monotonic time
-     * @return whether it is
+     * @param nowNanos the current monotonic time
+     * @return whether the server is limited
      */
     public boolean isLimited(RegisteredServer server, long nowNanos) {
         LimitedServer state = mServers.get(server.id());
         return state != null && isLimited(state, nowNanos);
     }
 
-    /** Tells whether a limit is in force: one that nothing has confirmed for long is not. */
+    /**
+     * Determines whether a limit is in force; it is not once it has gone unconfirmed for the memory
+     * time.
+     */
     private boolean isLimited(LimitedServer state, long nowNanos) {
         return state.isLimited()
                 && nowNanos - state.mStatement.receivedNanos() <= mSettings.memory().toNanos();
     }
 
     /**
-     * Tells whether this instance may send a request to a server now.
+     * Determines whether this instance may send a request to a server now.
      *
      * @param server the server
-     * @param nowNanos the monotonic time
-     * @return whether it may; true for one that is not limited
+     * @param nowNanos the current monotonic time
+     * @return whether it may; {@code true} for a server that is not limited
      */
     public boolean hasPermit(RegisteredServer server, long nowNanos) {
         return !isLimited(server, nowNanos) || hasPermit(mServers.get(server.id()), nowNanos);
     }
 
     private boolean hasPermit(LimitedServer state, long nowNanos) {
-        place(state, nowNanos);
+        updateRank(state, nowNanos);
         long sinceNanos = nowNanos - state.mSenderSinceNanos;
         return state.isSender()
                 && sinceNanos >= mSettings.settling().toNanos()
@@ -247,11 +252,12 @@
     }
 
     /**
-     * Takes the right to send one request to a server, whether it is then used or not.
+     * Acquires the permit to send one request to a server. The permit is consumed whether or not a
+     * request is then sent.
      *
      * @param server the server
-     * @param nowNanos the monotonic time
-     * @return whether there was one; true for a server that is not limited
+     * @param nowNanos the current monotonic time
+     * @return whether a permit was available; {@code true} for a server that is not limited
      */
     public boolean tryPermit(RegisteredServer server, long nowNanos) {
         if (!hasPermit(server, nowNanos)) {
@@ -264,12 +270,12 @@
     }
 
     /**
-     * Tells which part of the keys a server takes: all, but fewer for a while after its limit was
-     * lifted, so that not all instances return at one moment.
+     * Returns the fraction of the keys that a server takes: all, but fewer for a while after its
+     * limit was lifted, so that not all instances return at the same moment.
      *
      * @param server the server
-     * @param nowNanos the monotonic time
-     * @return the part, 0 to 1
+     * @param nowNanos the current monotonic time
+     * @return the fraction, 0 to 1
      */
     public double share(RegisteredServer server, long nowNanos) {
         LimitedServer state = mServers.get(server.id());
@@ -280,75 +286,78 @@
     }
 
     /**
-     * Gives what this instance may send to a limited server.
+     * Returns the rate at which this instance may send to a limited server.
      *
      * @param server the server
-     * @param nowNanos the monotonic time
-     * @return requests a second, 0 if it is no sender or the server is not limited
+     * @param nowNanos the current monotonic time
+     * @return requests per second, 0 if this instance is not a sender or the server is not limited
      */
     public double ownPerSecond(RegisteredServer server, long nowNanos) {
         if (!isLimited(server, nowNanos)) {
             return 0;
         }
         LimitedServer state = mServers.get(server.id());
-        place(state, nowNanos);
+        updateRank(state, nowNanos);
         return state.isSender() ? state.mPerSecond : 0;
     }
 
-    private void place(LimitedServer state, long nowNanos) {
-        mSenders.place(state, mSettings, nowNanos);
+    private void updateRank(LimitedServer state, long nowNanos) {
+        mSenders.updateRank(state, mSettings, nowNanos);
     }
 
     /**
-     * Gives what is known, to be told to an instance that may not have heard it. What was lifted
-     * long ago is forgotten.
+     * Returns reports of all known limits, for an instance that may not have received them. Removes
+     * servers whose limit was lifted longer ago than the memory time.
      *
-     * @param now the present moment
-     * @return a report for each server, in the same order until there are others
+     * @param now the current moment
+     * @return a report for each server, in the same order while the servers are unchanged
      */
     public List<LimitReport> reports(Moment now) {
         long memory = mSettings.memory().toNanos();
-        mServers.values().removeIf(each -> isOver(each, now.monotonicNanos()));
+        mServers.values().removeIf(each -> hasExpired(each, now.monotonicNanos()));
         List<LimitReport> reports = new ArrayList<>();
         for (LimitedServer each : mServers.values()) {
-            long agoNanos = Math.max(0, each.mReceived.nanosUntil(now));
-            if (agoNanos <= memory) {
-                reports.add(report(each, agoNanos));
+            long ageNanos = Math.max(0, each.mReceived.nanosUntil(now));
+            if (ageNanos <= memory) {
+                reports.add(report(each, ageNanos));
             }
         }
         return reports;
     }
 
-    /** Tells whether a limit has ended long ago, by an answer or for want of one. */
-    private boolean isOver(LimitedServer state, long nowNanos) {
+    /**
+     * Determines whether a limit ended longer ago than the memory time, by an answer or because no
+     * answer confirmed it.
+     */
+    private boolean hasExpired(LimitedServer state, long nowNanos) {
         if (isLimited(state, nowNanos)) {
             return false;
         }
         if (state.isLimited()) {
             state.mStatement = new LimitStatement(Double.POSITIVE_INFINITY, nowNanos, nowNanos);
-            mOutput.onViewChanged(view(state, nowNanos));
+            mListener.onViewChanged(view(state, nowNanos));
             return true;
         }
         return nowNanos - state.mLiftedNanos > mSettings.memory().toNanos();
     }
 
     /**
-     * Tells what is believed of each server that is limited, or was a moment ago.
+     * Returns this instance's view of each server that is limited or was limited recently.
      *
-     * @param nowNanos the monotonic time
-     * @return the beliefs, by service and server
+     * @param nowNanos the current monotonic time
+     * @return the views, ordered by service and server
      */
     public List<LimitView> views(long nowNanos) {
-        List<LimitView> beliefs = new ArrayList<>();
-        mServers.values().forEach(each -> beliefs.add(view(each, nowNanos)));
-        beliefs.sort(
+        List<LimitView> views = new ArrayList<>();
+        mServers.values().forEach(each -> views.add(view(each, nowNanos)));
+        views.sort(
                 Comparator.comparing((LimitView each) -> each.service().value())
                         .thenComparing(each -> each.server().value()));
-        return beliefs;
+        return views;
     }
 
     private LimitView view(LimitedServer state, long nowNanos) {
-        place(state, nowNanos);
+        updateRank(state, nowNanos);
         boolean isSender = state.isLimited() && state.isSender();
         return new LimitView(
                 state.mServer.id(),
@@ -361,28 +370,28 @@
     }
 
     /**
-     * Tells whether no server has named a limit lately.
+     * Determines whether no server has stated a limit recently.
      *
-     * @return whether it is so
+     * @return whether no limit is known
      */
     public boolean isEmpty() {
         return mServers.isEmpty();
     }
 
     /**
-     * Tells whether nothing is known of a server's limit.
+     * Determines whether nothing is known of a server's limit.
      *
      * @param server the server
-     * @return whether an answer without a limit tells nothing new
+     * @return whether an answer without a limit would change nothing
      */
     public boolean isUnknown(BackendServerId server) {
         return !mServers.containsKey(server);
     }
 
     /**
-     * Counts the answers that named something which is no limit.
+     * Returns the number of answers with a malformed limit.
      *
-     * @return how many since the start
+     * @return the number since the start
      */
     public long malformed() {
         return mMalformedCount;
--- a/masticpond-core/src/main/java/io/masticpond/core/serverlimit/package-info.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/serverlimit/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Limits that backend servers name in their answers: the requests a second that a server takes from
- * all instances together. Knows no sockets, threads or wall clock.
+ * Limits that backend servers state in their answers: the requests per second that a server accepts
+ * from all instances together. Independent of sockets, threads and the wall clock.
  */
 package io.masticpond.core.serverlimit;
--- a/masticpond-core/src/test/java/io/masticpond/core/serverlimit/LimitFleet.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/serverlimit/LimitFleet.java
@@ -19,41 +19,42 @@
 import java.util.function.Predicate;
 
 /**
- * Instances that send to one server which names a limit, on one simulated clock: news takes its
- * time and may be lost, and each instance learns for itself which others there are.
+ * Simulated fleet of instances that send to one server which states a limit, on one simulated
+ * clock: reports take time and may be lost, and each instance detects for itself which others are
+ * alive.
  */
 final class LimitFleet {
 
     private static final int REGIONS = 3;
     private static final int ZONES = 6;
-    private static final long WORK_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
-    private static final long BUNDLE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+    private static final long SERVICE_TIME_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+    private static final long BATCH_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
     private static final long REPEAT_NANOS = TimeUnit.SECONDS.toNanos(1);
-    private static final int MOST_ON_THE_WAY_MILLIS = 40;
-    private static final long SILENT_NANOS = TimeUnit.MILLISECONDS.toNanos(2_300);
-    private static final int SILENT_SPREAD_MILLIS = 900;
+    private static final int MAXIMUM_TRANSIT_MILLIS = 40;
+    private static final long FAILURE_DETECTION_NANOS = TimeUnit.MILLISECONDS.toNanos(2_300);
+    private static final int FAILURE_DETECTION_SPREAD_MILLIS = 900;
     private static final int JOIN_SPREAD_MILLIS = 600;
-    private static final long TOLD_BEFORE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
-    private static final int TELLERS = 3;
-    private static final long TOLD_AFTER_START_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+    private static final long INFORMED_BEFORE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+    private static final int REPORTERS = 3;
+    private static final long REPORT_AFTER_START_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
-    /** Something that happens at a time; of two at one time the first that was planned. */
+    /** Event at a time; of two events at the same time, the one scheduled first comes first. */
     private record Event(long atNanos, long order, Runnable action) {}
 
-    /** A request at the server, and whether it came from an instance that was told of a limit. */
-    private record Received(long nanos, boolean wasTold) {}
+    /** Request that reached the server, and whether its instance had been informed of a limit. */
+    private record Received(long nanos, boolean wasInformed) {}
 
-    /** One instance. */
+    /** Simulated instance. */
     final class Instance implements LimitListener {
 
         final OwnerCandidate mSelf;
         final int mRegion;
         ServerLimits mLimits;
         boolean mIsUp = true;
-        long mStoodStillNanos;
+        long mSuspendedNanos;
         boolean mIsSuspended;
         long mRun;
-        long mToldNanos;
+        long mInformedNanos;
         long mMessages;
         private List<OwnerCandidate> mView = List.of();
 
@@ -68,7 +69,7 @@
 
         private void start() {
             mRun++;
-            mToldNanos = Long.MAX_VALUE;
+            mInformedNanos = Long.MAX_VALUE;
             mLimits =
                     new ServerLimits(
                             ServerLimitSettings.DEFAULT,
@@ -79,7 +80,7 @@
         }
 
         private long monotonic() {
-            return mNowNanos - mStoodStillNanos;
+            return mNowNanos - mSuspendedNanos;
         }
 
         private Moment moment() {
@@ -90,8 +91,8 @@
             return mIsUp && !mIsSuspended;
         }
 
-        /** Takes the instances that it hears now. */
-        private void look() {
+        /** Updates the instances that this instance can reach now. */
+        private void updateView() {
             if (!isActing()) {
                 return;
             }
@@ -108,54 +109,54 @@
         }
 
         private boolean reaches(Instance other) {
-            return !mIsCut || other.mRegion == mRegion;
+            return !mIsPartitioned || other.mRegion == mRegion;
         }
 
-        /** A request comes whose key has its home at the server. */
+        /** Handles a client request whose key is homed at the server. */
         private void arrive() {
             if (!isActing()) {
                 return;
             }
-            mAsked++;
+            mRequests++;
             if (mLimits.share(mServer, monotonic()) < mRandom.nextDouble()
                     || !mLimits.tryPermit(mServer, monotonic())) {
                 return;
             }
             long run = mRun;
             long sent = monotonic();
-            after(onTheWay(), () -> serve(run, sent));
+            after(transitNanos(), () -> serve(run, sent));
         }
 
         private void serve(long run, long sent) {
-            boolean wasTold = run == mRun && mNowNanos - mToldNanos > TOLD_BEFORE_NANOS;
-            mArrived.add(new Received(mNowNanos, wasTold));
-            long work = (long) (WORK_NANOS * (0.5 + mRandom.nextDouble()));
+            boolean wasInformed = run == mRun && mNowNanos - mInformedNanos > INFORMED_BEFORE_NANOS;
+            mArrived.add(new Received(mNowNanos, wasInformed));
+            long serviceNanos = (long) (SERVICE_TIME_NANOS * (0.5 + mRandom.nextDouble()));
             after(
-                    work,
+                    serviceNanos,
                     () -> {
-                        LimitHeader header = mNamed;
-                        after(onTheWay(), () -> hear(run, sent, header));
+                        LimitHeader header = mLimitHeader;
+                        after(transitNanos(), () -> receive(run, sent, header));
                     });
         }
 
-        private void hear(long run, long sent, LimitHeader header) {
+        private void receive(long run, long sent, LimitHeader header) {
             if (isActing() && run == mRun) {
-                if (header.kind() == LimitHeader.Kind.LIMITED && mToldNanos == Long.MAX_VALUE) {
-                    mToldNanos = mNowNanos;
+                if (header.kind() == LimitHeader.Kind.LIMITED && mInformedNanos == Long.MAX_VALUE) {
+                    mInformedNanos = mNowNanos;
                 }
                 mLimits.answered(mServer, header, sent, moment());
             }
         }
 
         @Override
-        public void onViewChanged(LimitView belief) {
+        public void onViewChanged(LimitView view) {
             mChanges++;
         }
 
         @Override
         public void onReport(LimitReport report) {
             after(
-                    BUNDLE_NANOS,
+                    BATCH_NANOS,
                     () -> mInstances.stream().filter(e -> e != this).forEach(e -> send(e, report)));
         }
 
@@ -164,11 +165,11 @@
 
         private void send(Instance to, LimitReport report) {
             mMessages++;
-            if (mRandom.nextDouble() < mLost || !reaches(to)) {
+            if (mRandom.nextDouble() < mLossShare || !reaches(to)) {
                 return;
             }
             after(
-                    onTheWay(),
+                    transitNanos(),
                     () -> {
                         if (to.isActing()) {
                             to.mLimits.received(mServer, report, to.moment());
@@ -176,26 +177,26 @@
                     });
         }
 
-        private void repeat() {
-            tellAll(mInstances.get(mRandom.nextInt(mInstances.size())));
+        private void repeatReport() {
+            sendAllReports(mInstances.get(mRandom.nextInt(mInstances.size())));
         }
 
         void kill() {
             mIsUp = false;
         }
 
-        void startAgain() {
+        void restart() {
             mIsUp = true;
             mView = List.of();
             start();
-            look();
-            for (int teller = 0; teller < TELLERS; teller++) {
+            updateView();
+            for (int reporter = 0; reporter < REPORTERS; reporter++) {
                 Instance from = mInstances.get(mRandom.nextInt(mInstances.size()));
-                after(TOLD_AFTER_START_NANOS, () -> from.tellAll(this));
+                after(REPORT_AFTER_START_NANOS, () -> from.sendAllReports(this));
             }
         }
 
-        private void tellAll(Instance to) {
+        private void sendAllReports(Instance to) {
             if (isActing()) {
                 mLimits.reports(moment()).forEach(report -> send(to, report));
             }
@@ -207,8 +208,8 @@
                     nanos,
                     () -> {
                         mIsSuspended = false;
-                        mStoodStillNanos += nanos;
-                        after(0, this::look);
+                        mSuspendedNanos += nanos;
+                        after(0, this::updateView);
                         viewsChange(false);
                     });
             viewsChange(true);
@@ -230,12 +231,12 @@
                     false,
                     0);
     private final List<Received> mArrived = new ArrayList<>();
-    private LimitHeader mNamed = LimitHeader.ABSENT;
-    private double mLost;
-    private boolean mIsCut;
+    private LimitHeader mLimitHeader = LimitHeader.ABSENT;
+    private double mLossShare;
+    private boolean mIsPartitioned;
     private long mNowNanos;
     private long mOrder;
-    private int mAsked;
+    private int mRequests;
     private int mChanges;
 
     LimitFleet(int instances, double demandPerSecond, long seed) {
@@ -243,60 +244,62 @@
         for (int number = 0; number < instances; number++) {
             mInstances.add(new Instance(number));
         }
-        mInstances.forEach(Instance::look);
-        demand(demandPerSecond);
-        after(REPEAT_NANOS, this::repeat);
+        mInstances.forEach(Instance::updateView);
+        scheduleRequests(demandPerSecond);
+        after(REPEAT_NANOS, this::repeatReport);
     }
 
     private static int regionOf(ZoneId zone) {
         return Integer.parseInt(zone.value().substring("zone-".length())) % REGIONS;
     }
 
-    private void demand(double perSecond) {
+    private void scheduleRequests(double perSecond) {
         long gap = (long) (-Math.log(1 - mRandom.nextDouble()) / perSecond * 1e9);
         after(
                 gap,
                 () -> {
                     mInstances.get(mRandom.nextInt(mInstances.size())).arrive();
-                    demand(perSecond);
+                    scheduleRequests(perSecond);
                 });
     }
 
-    private void repeat() {
-        mInstances.forEach(Instance::repeat);
-        after(REPEAT_NANOS, this::repeat);
+    private void repeatReport() {
+        mInstances.forEach(Instance::repeatReport);
+        after(REPEAT_NANOS, this::repeatReport);
     }
 
-    private long onTheWay() {
-        return TimeUnit.MILLISECONDS.toNanos(1 + mRandom.nextInt(MOST_ON_THE_WAY_MILLIS));
+    private long transitNanos() {
+        return TimeUnit.MILLISECONDS.toNanos(1 + mRandom.nextInt(MAXIMUM_TRANSIT_MILLIS));
     }
 
     List<Instance> instances() {
         return mInstances;
     }
 
-    void lose(double share) {
-        mLost = share;
+    void setLossShare(double share) {
+        mLossShare = share;
     }
 
-    /** Cuts the regions from each other, or joins them. */
-    void cut(boolean isCut) {
-        mIsCut = isCut;
-        viewsChange(isCut);
+    /** Partitions the regions from each other, or reconnects them. */
+    void setPartitioned(boolean isPartitioned) {
+        mIsPartitioned = isPartitioned;
+        viewsChange(isPartitioned);
     }
 
-    /** All instances notice, each in its time, that others have gone or come. */
+    /**
+     * Schedules when each instance detects, after its own delay, that others have left or joined.
+     */
     void viewsChange(boolean isLoss) {
         for (Instance each : mInstances) {
-            int spread = isLoss ? SILENT_SPREAD_MILLIS : JOIN_SPREAD_MILLIS;
+            int spread = isLoss ? FAILURE_DETECTION_SPREAD_MILLIS : JOIN_SPREAD_MILLIS;
             long wait = TimeUnit.MILLISECONDS.toNanos(mRandom.nextInt(spread));
-            after(wait + (isLoss ? SILENT_NANOS : 0), each::look);
+            after(wait + (isLoss ? FAILURE_DETECTION_NANOS : 0), each::updateView);
         }
     }
 
-    /** The server names a limit from now on; null for none. */
-    void name(Double perSecond) {
-        mNamed =
+    /** Sets the limit that the server states from now on; {@code null} for none. */
+    void setLimit(Double perSecond) {
+        mLimitHeader =
                 perSecond == null
                         ? LimitHeader.ABSENT
                         : new LimitHeader(LimitHeader.Kind.LIMITED, perSecond);
@@ -306,7 +309,7 @@
         mEvents.add(new Event(mNowNanos + nanos, mOrder++, action));
     }
 
-    void pass(double seconds) {
+    void advance(double seconds) {
         long endNanos = mNowNanos + (long) (seconds * 1e9);
         while (!mEvents.isEmpty() && mEvents.peek().atNanos() <= endNanos) {
             Event event = mEvents.remove();
@@ -320,22 +323,25 @@
         return mNowNanos / 1e9;
     }
 
-    /** Counts what reached the server since a time. */
+    /** Returns the number of requests that reached the server since a time. */
     long received(double fromSeconds) {
         return mArrived.stream().filter(each -> each.nanos() >= fromSeconds * 1e9).count();
     }
 
-    /** Gives the fullest window since a time, as a part of what users allow. */
-    double worst(double fromSeconds, double limit) {
-        return worst(fromSeconds, limit, each -> true);
+    /** Returns the load of the fullest window since a time, as a fraction of the allowed bound. */
+    double maximumUse(double fromSeconds, double limit) {
+        return maximumUse(fromSeconds, limit, each -> true);
     }
 
-    /** Gives the same of the instances whose run had been told half a second before, as stated. */
-    double worstOfTold(double fromSeconds, double limit) {
-        return worst(fromSeconds, limit, Received::wasTold);
+    /**
+     * Returns the same fraction for the instances whose run had been informed half a second before,
+     * as the bound is specified.
+     */
+    double maximumUseOfInformed(double fromSeconds, double limit) {
+        return maximumUse(fromSeconds, limit, Received::wasInformed);
     }
 
-    private double worst(double fromSeconds, double limit, Predicate<Received> which) {
+    private double maximumUse(double fromSeconds, double limit, Predicate<Received> which) {
         long window = ServerLimitSettings.DEFAULT.window().toNanos();
         List<Long> times =
                 mArrived.stream()
@@ -345,15 +351,15 @@
                         .sorted()
                         .toList();
         int first = 0;
-        int most = 0;
+        int maximum = 0;
         for (int last = 0; last < times.size(); last++) {
             while (times.get(last) - times.get(first) >= window) {
                 first++;
             }
-            most = Math.max(most, last - first + 1);
+            maximum = Math.max(maximum, last - first + 1);
         }
         ServerLimitSettings bound = ServerLimitSettings.DEFAULT;
-        return most / (bound.tolerance() * window / 1e9 * limit + bound.burst());
+        return maximum / (bound.tolerance() * window / 1e9 * limit + bound.burst());
     }
 
     long messages() {
--- a/masticpond-core/src/test/java/io/masticpond/core/serverlimit/LimitHeaderTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/serverlimit/LimitHeaderTest.java
@@ -8,16 +8,16 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
 
-/** Tests which texts name a limit. */
+/** Tests which header values are parsed as a limit. */
 class LimitHeaderTest {
 
     @Example
-    void noHeaderIsNoLimit() {
+    void absentHeaderIsNoLimit() {
         assertThat(LimitHeader.parse(List.of())).isEqualTo(LimitHeader.ABSENT);
     }
 
     @Property(seed = "3", tries = 200)
-    void everyDecimalNumberNamesOne(@ForAll @DoubleRange(min = 0, max = 1e6) double limit) {
+    void parsesDecimalNumberAsLimit(@ForAll @DoubleRange(min = 0, max = 1e6) double limit) {
         String text = String.format(java.util.Locale.ROOT, " %.6f ", limit);
         LimitHeader header = LimitHeader.parse(List.of(text));
         assertThat(header.kind()).isEqualTo(LimitHeader.Kind.LIMITED);
@@ -25,7 +25,7 @@
     }
 
     @Example
-    void everythingElseSaysNothing() {
+    void reportsOtherValuesAsMalformed() {
         List<String> texts =
                 List.of(
                         "",
