--- a/masticpond-core/src/main/java/io/masticpond/core/statement/LeavingHeader.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/statement/LeavingHeader.java
@@ -3,30 +3,32 @@
 import java.util.List;
 
 /**
- * What one answer of a backend server says about its leaving.
+ * Value of the leaving header in one answer of a backend server.
  *
  * @since 0.2
  */
 public enum LeavingHeader {
-    /** It says nothing. */
+    /** The header is absent. */
     ABSENT,
-    /** The server leaves, so it takes no new requests. */
+    /** The server is leaving and accepts no new requests. */
     LEAVING,
-    /** It says something else, which means nothing. */
+    /** The header is not valid and is ignored. */
     MALFORMED;
 
-    private static final String YES = "1";
+    private static final String LEAVING_VALUE = "1";
 
     /**
-     * Reads the values of the header of one answer.
+     * Parses the header values of one answer.
      *
-     * @param values all values, none if the header is absent
-     * @return what they say; of several, one that says that the server leaves is enough
+     * @param values all values of the header, empty if the header is absent
+     * @return the parsed header; {@link #LEAVING} if at least one of several values states it
      */
     public static LeavingHeader parse(List<String> values) {
         if (values.isEmpty()) {
             return ABSENT;
         }
-        return values.stream().anyMatch(value -> value.trim().equals(YES)) ? LEAVING : MALFORMED;
+        return values.stream().anyMatch(value -> value.trim().equals(LEAVING_VALUE))
+                ? LEAVING
+                : MALFORMED;
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/statement/PauseHeader.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/statement/PauseHeader.java
@@ -6,44 +6,44 @@
 import java.util.regex.Pattern;
 
 /**
- * What one answer of a backend server says about a pause: for how long it wants no requests from
- * the instance that it answers.
+ * Value of the pause header in one answer of a backend server: the time for which the server
+ * requests a pause from the instance that receives the answer.
  *
- * @param kind whether it asks for one
- * @param length how long; zero unless it asks for one
+ * @param kind whether the answer requests a pause
+ * @param length the length of the pause; zero unless a pause is requested
  * @since 0.2
  */
 public record PauseHeader(Kind kind, Duration length) {
 
     /**
-     * Whether an answer asks for a pause.
+     * Kinds of pause headers.
      *
      * @since 0.2
      */
     public enum Kind {
-        /** It asks for none. */
+        /** No header; no pause is requested. */
         ABSENT,
-        /** It asks for one. */
+        /** The header requests a pause. */
         PAUSE,
-        /** It says something else, which means nothing. */
+        /** The header is not a valid pause and is ignored. */
         MALFORMED
     }
 
-    /** An answer that asks for no pause. */
+    /** Header of an answer that requests no pause. */
     public static final PauseHeader ABSENT = new PauseHeader(Kind.ABSENT, Duration.ZERO);
 
     private static final PauseHeader MALFORMED = new PauseHeader(Kind.MALFORMED, Duration.ZERO);
 
-    /** Seconds; signs, exponents, words and dates are none. */
+    /** Number of seconds; signs, exponents, words and dates do not match. */
     private static final Pattern SECONDS = Pattern.compile("\\d{1,15}(\\.\\d{1,15})?");
 
     private static final int NANOS_DIGITS = 9;
 
     /**
-     * Reads the values of the header of one answer.
+     * Parses the header values of one answer.
      *
-     * @param values all values, none if the header is absent
-     * @return what they say; of several pauses the longest
+     * @param values all values of the header, empty if the header is absent
+     * @return the parsed header; the longest of several valid pauses
      */
     public static PauseHeader parse(List<String> values) {
         if (values.isEmpty()) {
--- a/masticpond-core/src/main/java/io/masticpond/core/statement/ServerStatement.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/statement/ServerStatement.java
@@ -7,38 +7,41 @@
 import java.util.Optional;
 
 /**
- * What a backend server states of itself in the head of one answer.
+ * Statement of a backend server about itself in the head of one answer.
  *
- * @param limit the limit that it names
- * @param load the load that it tells, if it tells one
- * @param leaving whether it leaves
- * @param pause the pause that it asks for
+ * @param limit the limit header
+ * @param load the reported load, empty if the answer has none
+ * @param leaving the leaving header
+ * @param pause the pause header
  * @since 0.2
  */
 public record ServerStatement(
         LimitHeader limit, Optional<ReportedLoad> load, LeavingHeader leaving, PauseHeader pause) {
 
-    /** A shorter pause says no more than the refusal that asks for it. */
+    /**
+     * Shortest pause that counts as a withdrawal; a shorter one conveys no more than the refusal
+     * that requests it.
+     */
     private static final Duration SHORTEST_PAUSE = Duration.ofMillis(100);
 
-    /** An answer that states nothing. */
+    /** Statement of an answer without any of the headers. */
     public static final ServerStatement NONE =
             new ServerStatement(
                     LimitHeader.ABSENT, Optional.empty(), LeavingHeader.ABSENT, PauseHeader.ABSENT);
 
-    /** Checks that the parts are given. */
+    /** Checks that no component is {@code null}. */
     public ServerStatement {
         Assert.notNull(limit, "A limit");
         Assert.notNull(load, "A load");
-        Assert.notNull(leaving, "A word on leaving");
+        Assert.notNull(leaving, "A leaving header");
         Assert.notNull(pause, "A pause");
     }
 
     /**
-     * Tells whether the server wants no requests for a time or for good, so that a refusal is no
-     * sign of a fault.
+     * Determines whether the server refuses requests temporarily or permanently, so that a refusal
+     * is not a sign of a fault.
      *
-     * @return whether it leaves or asks for a pause that is worth the name
+     * @return whether it is leaving or requests a pause of at least 100 ms
      */
     public boolean isWithdrawing() {
         return leaving == LeavingHeader.LEAVING || pause.length().compareTo(SHORTEST_PAUSE) >= 0;
--- a/masticpond-core/src/main/java/io/masticpond/core/statement/ServerWithdrawals.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/statement/ServerWithdrawals.java
@@ -13,142 +13,142 @@
 import java.util.Set;
 
 /**
- * Keeps which backend servers have said in their answers that they take no requests.
+ * Registry of the backend servers that have stated in their answers that they accept no requests.
  *
- * <p>What a server says of itself goes before the registry, which may be silent for long, and holds
- * for its lifetime: an answer to an earlier request takes nothing back, nor does an entry that says
- * otherwise, nor one that was lost and is made anew. A server that leaves gets nothing from then
- * on; one that asked for a pause gets nothing until its latest end, and its keys return over a
- * while.
+ * <p>A server's own statement overrides its registry entry, which may be out of date for long, and
+ * holds for the lifetime of the server: an answer to an earlier request does not revoke it, nor
+ * does an entry that states otherwise, nor one that was lost and is created again. A server that is
+ * leaving receives no further requests; a server that requested a pause receives none until the
+ * latest end of its pauses, and its keys return gradually.
  *
- * <p>A state machine for one thread.
+ * <p>Not thread-safe: confined to one thread.
  *
  * @since 0.2
  */
 public final class ServerWithdrawals {
 
-    private final WithdrawalListener mOutput;
+    private final WithdrawalListener mListener;
     private final Map<BackendServerId, Withdrawal> mServers = new HashMap<>();
     private WithdrawalSettings mSettings;
-    private long mMalformed;
+    private long mMalformedCount;
 
     /**
-     * Starts without any withdrawal.
+     * Creates an instance without any withdrawals.
      *
-     * @param settings for how long they count
-     * @param output takes what is to be told
+     * @param settings the times for which withdrawals count
+     * @param listener the listener to notify of changes
      */
-    public ServerWithdrawals(WithdrawalSettings settings, WithdrawalListener output) {
+    public ServerWithdrawals(WithdrawalSettings settings, WithdrawalListener listener) {
         mSettings = Assert.notNull(settings, "Settings of withdrawals");
-        mOutput = Assert.notNull(output, "An output of withdrawals");
+        mListener = Assert.notNull(listener, "A listener of withdrawals");
     }
 
     /**
-     * Takes other settings, for what is decided after this.
+     * Replaces the settings for subsequent decisions.
      *
-     * @param settings the settings
+     * @param settings the new settings
      */
     public void applySettings(WithdrawalSettings settings) {
         mSettings = Assert.notNull(settings, "Settings of withdrawals");
     }
 
     /**
-     * Takes what an answer of a server states.
+     * Applies the statement in an answer of a server.
      *
      * @param server the server
-     * @param statement what it states
+     * @param statement the statement
      * @param nowNanos the monotonic time at which the head of the answer arrived
      */
     public void answered(RegisteredServer server, ServerStatement statement, long nowNanos) {
         switch (statement.leaving()) {
-            case LEAVING -> leaves(server, nowNanos);
-            case MALFORMED -> malformed(server, StatementPart.LEAVING, nowNanos);
+            case LEAVING -> recordLeaving(server, nowNanos);
+            case MALFORMED -> recordMalformed(server, StatementPart.LEAVING, nowNanos);
             case ABSENT -> {}
-            default -> throw new IllegalStateException("The word is unknown.");
+            default -> throw new IllegalStateException("The leaving header is unknown.");
         }
         switch (statement.pause().kind()) {
-            case PAUSE -> pauses(server, statement.pause().length(), nowNanos);
-            case MALFORMED -> malformed(server, StatementPart.PAUSE, nowNanos);
+            case PAUSE -> recordPause(server, statement.pause().length(), nowNanos);
+            case MALFORMED -> recordMalformed(server, StatementPart.PAUSE, nowNanos);
             case ABSENT -> {}
-            default -> throw new IllegalStateException("The kind is unknown.");
+            default -> throw new IllegalStateException("The kind of pause header is unknown.");
         }
     }
 
-    private void leaves(RegisteredServer server, long nowNanos) {
-        Withdrawal state = state(server, nowNanos);
-        boolean isNews = !state.mIsLeaving;
+    private void recordLeaving(RegisteredServer server, long nowNanos) {
+        Withdrawal state = stateOf(server, nowNanos);
+        boolean isChanged = !state.mIsLeaving;
         state.mIsLeaving = true;
-        if (isNews) {
-            mOutput.onViewChanged(view(state, WithdrawalView.State.LEAVING, nowNanos));
+        if (isChanged) {
+            mListener.onViewChanged(view(state, WithdrawalView.State.LEAVING, nowNanos));
         }
     }
 
-    private void pauses(RegisteredServer server, Duration asked, long nowNanos) {
+    private void recordPause(RegisteredServer server, Duration requested, long nowNanos) {
         Duration longest = mSettings.longestPause();
-        if (asked.compareTo(longest) > 0) {
-            malformed(server, StatementPart.PAUSE, nowNanos);
+        if (requested.compareTo(longest) > 0) {
+            recordMalformed(server, StatementPart.PAUSE, nowNanos);
         }
-        long nanos = asked.compareTo(longest) > 0 ? longest.toNanos() : asked.toNanos();
-        Withdrawal state = state(server, nowNanos);
-        boolean isNews = !state.mIsPaused;
-        if (nanos == 0 || !isNews && state.mUntilNanos - nowNanos >= nanos) {
+        long nanos = requested.compareTo(longest) > 0 ? longest.toNanos() : requested.toNanos();
+        Withdrawal state = stateOf(server, nowNanos);
+        boolean isChanged = !state.mIsPaused;
+        if (nanos == 0 || !isChanged && state.mPauseEndNanos - nowNanos >= nanos) {
             return;
         }
         state.mIsPaused = true;
-        state.mUntilNanos = nowNanos + nanos;
+        state.mPauseEndNanos = nowNanos + nanos;
         state.mPauseNanos = nanos;
-        if (isNews) {
-            mOutput.onViewChanged(view(state, WithdrawalView.State.PAUSED, nowNanos));
+        if (isChanged) {
+            mListener.onViewChanged(view(state, WithdrawalView.State.PAUSED, nowNanos));
         }
     }
 
-    private void malformed(RegisteredServer server, StatementPart part, long nowNanos) {
-        mMalformed++;
-        Withdrawal state = state(server, nowNanos);
-        if (state.mMalformed.add(part)) {
-            mOutput.onMalformed(server.id(), part);
+    private void recordMalformed(RegisteredServer server, StatementPart part, long nowNanos) {
+        mMalformedCount++;
+        Withdrawal state = stateOf(server, nowNanos);
+        if (state.mMalformedParts.add(part)) {
+            mListener.onMalformed(server.id(), part);
         }
     }
 
-    private Withdrawal state(RegisteredServer server, long nowNanos) {
+    private Withdrawal stateOf(RegisteredServer server, long nowNanos) {
         Withdrawal state = mServers.computeIfAbsent(server.id(), id -> new Withdrawal());
         state.mServer = server;
-        state.mSaidNanos = nowNanos;
+        state.mStatedNanos = nowNanos;
         return state;
     }
 
     /**
-     * Tells whether a server has said that it leaves.
+     * Determines whether a server has stated that it is leaving.
      *
      * @param server the server
-     * @param nowNanos the monotonic time
-     * @return whether it takes no requests any more
+     * @param nowNanos the current monotonic time
+     * @return whether it accepts no requests any more
      */
     public boolean isLeaving(RegisteredServer server, long nowNanos) {
         Withdrawal state = mServers.get(server.id());
-        return state != null && state.mIsLeaving && holds(state, server, nowNanos);
+        return state != null && state.mIsLeaving && isInForce(state, server, nowNanos);
     }
 
     /**
-     * Tells for how long a server still wants no requests.
+     * Returns the remaining time of a server's pause.
      *
      * @param server the server
-     * @param nowNanos the monotonic time
-     * @return nanoseconds, 0 if it has not asked for a pause or that is over
+     * @param nowNanos the current monotonic time
+     * @return nanoseconds, 0 if the server has not requested a pause or the pause is over
      */
     public long pausedForNanos(RegisteredServer server, long nowNanos) {
         Withdrawal state = mServers.get(server.id());
-        boolean isPaused = state != null && state.mIsPaused && holds(state, server, nowNanos);
-        return isPaused ? Math.max(0, state.mUntilNanos - nowNanos) : 0;
+        boolean isPaused = state != null && state.mIsPaused && isInForce(state, server, nowNanos);
+        return isPaused ? Math.max(0, state.mPauseEndNanos - nowNanos) : 0;
     }
 
     /**
-     * Tells which part of the keys a server takes: all, but fewer for a while after its pause, so
-     * that not all instances return at one moment.
+     * Returns the fraction of the keys that a server takes: all, but fewer for a while after its
+     * pause, so that not all instances return at the same moment.
      *
      * @param server the server
-     * @param nowNanos the monotonic time
-     * @return the part, 0 to 1
+     * @param nowNanos the current monotonic time
+     * @return the fraction, 0 to 1
      */
     public double share(RegisteredServer server, long nowNanos) {
         Withdrawal state = mServers.get(server.id());
@@ -156,52 +156,53 @@
             return 1;
         }
         double ramp = Math.min(mSettings.ramp().toNanos(), state.mPauseNanos);
-        return Math.min(1, Math.max(0, (nowNanos - state.mUntilNanos) / ramp));
+        return Math.min(1, Math.max(0, (nowNanos - state.mPauseEndNanos) / ramp));
     }
 
     /**
-     * Ends the pauses that are over; to be called often.
+     * Ends the pauses that are over; to be called frequently.
      *
-     * @param nowNanos the monotonic time
+     * @param nowNanos the current monotonic time
      */
     public void refresh(long nowNanos) {
         for (Withdrawal state : mServers.values()) {
-            if (state.mIsPaused && state.mUntilNanos - nowNanos <= 0) {
+            if (state.mIsPaused && state.mPauseEndNanos - nowNanos <= 0) {
                 state.mIsPaused = false;
                 if (!state.mIsLeaving) {
-                    mOutput.onViewChanged(view(state, WithdrawalView.State.RETURNED, nowNanos));
+                    mListener.onViewChanged(view(state, WithdrawalView.State.RETURNED, nowNanos));
                 }
             }
         }
-        mServers.values().removeIf(state -> hasReturned(state, nowNanos));
+        mServers.values().removeIf(state -> hasFullyReturned(state, nowNanos));
     }
 
-    private boolean hasReturned(Withdrawal state, long nowNanos) {
+    private boolean hasFullyReturned(Withdrawal state, long nowNanos) {
         long rampNanos = mSettings.ramp().toNanos();
-        boolean hasAllKeys = nowNanos - state.mUntilNanos >= rampNanos;
+        boolean hasAllKeys = nowNanos - state.mPauseEndNanos >= rampNanos;
         boolean isWithdrawn = state.mIsLeaving || state.mIsPaused;
-        return !isWithdrawn && state.mMalformed.isEmpty() && hasAllKeys;
+        return !isWithdrawn && state.mMalformedParts.isEmpty() && hasAllKeys;
     }
 
-    private boolean holds(Withdrawal state, RegisteredServer server, long nowNanos) {
+    private boolean isInForce(Withdrawal state, RegisteredServer server, long nowNanos) {
         return state.mServer.isSameRun(server) || isRemembered(state, nowNanos);
     }
 
     private boolean isRemembered(Withdrawal state, long nowNanos) {
-        return nowNanos - state.mSaidNanos <= mSettings.memory().toNanos();
+        return nowNanos - state.mStatedNanos <= mSettings.memory().toNanos();
     }
 
     /**
-     * Forgets the servers that have long been gone or have long started anew.
+     * Removes the withdrawals of servers that were removed from the registry or restarted longer
+     * ago than the memory time.
      *
-     * @param servers those that are registered
-     * @param nowNanos the monotonic time
+     * @param servers the registered servers
+     * @param nowNanos the current monotonic time
      */
     public void retain(Map<BackendServerId, RegisteredServer> servers, long nowNanos) {
-        mServers.values().removeIf(state -> isOver(state, servers, nowNanos));
+        mServers.values().removeIf(state -> hasExpired(state, servers, nowNanos));
     }
 
-    private boolean isOver(
+    private boolean hasExpired(
             Withdrawal state, Map<BackendServerId, RegisteredServer> servers, long nowNanos) {
         RegisteredServer registered = servers.get(state.mServer.id());
         boolean isSameRun = registered != null && state.mServer.isSameRun(registered);
@@ -209,30 +210,30 @@
             return false;
         }
         if (registered != null && (state.mIsLeaving || state.mIsPaused)) {
-            mOutput.onViewChanged(view(state, WithdrawalView.State.RETURNED, nowNanos));
+            mListener.onViewChanged(view(state, WithdrawalView.State.RETURNED, nowNanos));
         }
         return true;
     }
 
     /**
-     * Tells what is believed of each server that has withdrawn.
+     * Returns this instance's view of each server that has withdrawn.
      *
-     * @param nowNanos the monotonic time
-     * @return the beliefs, by service and server
+     * @param nowNanos the current monotonic time
+     * @return the views, ordered by service and server
      */
     public List<WithdrawalView> views(long nowNanos) {
-        List<WithdrawalView> beliefs = new ArrayList<>();
+        List<WithdrawalView> views = new ArrayList<>();
         for (Withdrawal state : mServers.values()) {
             if (state.mIsLeaving) {
-                beliefs.add(view(state, WithdrawalView.State.LEAVING, nowNanos));
+                views.add(view(state, WithdrawalView.State.LEAVING, nowNanos));
             } else if (state.mIsPaused) {
-                beliefs.add(view(state, WithdrawalView.State.PAUSED, nowNanos));
+                views.add(view(state, WithdrawalView.State.PAUSED, nowNanos));
             }
         }
-        beliefs.sort(
+        views.sort(
                 Comparator.comparing((WithdrawalView each) -> each.service().value())
                         .thenComparing(each -> each.server().value()));
-        return beliefs;
+        return views;
     }
 
     private static WithdrawalView view(Withdrawal state, WithdrawalView.State now, long nowNanos) {
@@ -240,44 +241,48 @@
                 state.mServer.id(),
                 state.mServer.service(),
                 now,
-                nowNanos - state.mSaidNanos,
-                state.mIsPaused ? Math.max(0, state.mUntilNanos - nowNanos) : 0);
+                nowNanos - state.mStatedNanos,
+                state.mIsPaused ? Math.max(0, state.mPauseEndNanos - nowNanos) : 0);
     }
 
     /**
-     * Tells whether no server has stated anything of this kind.
+     * Determines whether no server statement is recorded.
      *
-     * @return whether it is so
+     * @return whether nothing is recorded
      */
     public boolean isEmpty() {
         return mServers.isEmpty();
     }
 
     /**
-     * Counts the answers that stated something which means nothing.
+     * Returns the number of malformed headers received.
      *
-     * @return how many since the start
+     * @return the number since the start
      */
     public long malformed() {
-        return mMalformed;
+        return mMalformedCount;
     }
 
-    /** What one server has said. */
+    /** Recorded statements of one server. */
     private static final class Withdrawal {
 
-        /** As registered when it said so last. */
+        /** Registration of the server at its latest statement. */
         private RegisteredServer mServer;
 
         private boolean mIsLeaving;
         private boolean mIsPaused;
 
-        /** When its last pause ends or ended. */
-        private long mUntilNanos;
+        /** Monotonic time at which its last pause ends or ended. */
+        private long mPauseEndNanos;
 
-        /** How long its last pause was from the answer that asked for it, 0 if it had none. */
+        /**
+         * Length of its last pause, counted from the answer that requested it; 0 if it had none.
+         */
         private long mPauseNanos;
 
-        private long mSaidNanos;
-        private final Set<StatementPart> mMalformed = EnumSet.noneOf(StatementPart.class);
+        /** Monotonic time of the latest statement. */
+        private long mStatedNanos;
+
+        private final Set<StatementPart> mMalformedParts = EnumSet.noneOf(StatementPart.class);
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/statement/StatementPart.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/statement/StatementPart.java
@@ -1,13 +1,13 @@
 package io.masticpond.core.statement;
 
 /**
- * What a part of a server's statement is about.
+ * Parts of a server's statement.
  *
  * @since 0.2
  */
 public enum StatementPart {
-    /** Whether it leaves. */
+    /** Whether the server is leaving. */
     LEAVING,
-    /** For how long it wants no requests. */
+    /** The time for which the server requests a pause. */
     PAUSE
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/statement/WithdrawalListener.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/statement/WithdrawalListener.java
@@ -3,24 +3,24 @@
 import io.masticpond.core.id.BackendServerId;
 
 /**
- * Takes what the withdrawals of servers have to tell.
+ * Callback interface for withdrawals of backend servers.
  *
  * @since 0.2
  */
 public interface WithdrawalListener {
 
     /**
-     * Something else is believed of a server.
+     * Called when this instance's view of a server has changed.
      *
-     * @param belief what is believed now
+     * @param view the new view
      */
-    void onViewChanged(WithdrawalView belief);
+    void onViewChanged(WithdrawalView view);
 
     /**
-     * A server has stated something that means nothing, for the first time.
+     * Called when a server has sent a malformed header of a kind for the first time.
      *
      * @param server the server
-     * @param part what it was about
+     * @param part the part of the statement
      */
     void onMalformed(BackendServerId server, StatementPart part);
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/statement/WithdrawalSettings.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/statement/WithdrawalSettings.java
@@ -4,22 +4,23 @@
 import java.time.Duration;
 
 /**
- * For how long it counts that a backend server has withdrawn.
+ * Settings of the times for which the withdrawal of a backend server counts.
  *
- * @param memory for how long a statement outlives what seems to be another run of its server: an
- *     entry that was lost and made anew looks the same
- * @param longestPause the longest pause that a server gets, whatever it asks for
- * @param ramp how long a server takes to its full share after a pause, at most as long as that
+ * @param memory the time for which a statement is kept after its server appears to have restarted;
+ *     a registry entry that was lost and created again looks the same as a restart
+ * @param longestPause the upper bound of a pause; longer requests are cut to it
+ * @param ramp the time over which a server returns to its full share after a pause, at most the
+ *     length of the pause
  * @since 0.2
  */
 public record WithdrawalSettings(Duration memory, Duration longestPause, Duration ramp) {
 
-    /** What holds where a platform states nothing. */
+    /** Default settings, used where a platform specifies none. */
     public static final WithdrawalSettings DEFAULT =
             new WithdrawalSettings(
                     Duration.ofMinutes(2), Duration.ofMinutes(10), Duration.ofMillis(1_500));
 
-    /** Checks that the parts are in range. */
+    /** Validates the ranges of the components. */
     public WithdrawalSettings {
         Assert.positive(memory.toNanos(), "The memory of a withdrawal");
         Assert.positive(longestPause.toNanos(), "The longest pause");
--- a/masticpond-core/src/main/java/io/masticpond/core/statement/WithdrawalView.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/statement/WithdrawalView.java
@@ -4,29 +4,29 @@
 import io.masticpond.core.id.ServiceId;
 
 /**
- * What an instance believes of a server that has said that it takes no requests.
+ * View that an instance has of a server which has stated that it accepts no requests.
  *
  * @param server the server
- * @param service its service
- * @param state whether it takes any
- * @param ageNanos how long ago the answer arrived that said so
- * @param leftNanos how long its pause still lasts, 0 if it has none
+ * @param service the server's service
+ * @param state whether it accepts requests
+ * @param ageNanos the time in nanoseconds since the answer arrived that stated it
+ * @param leftNanos the remaining time of its pause in nanoseconds, 0 if it has none
  * @since 0.2
  */
 public record WithdrawalView(
         BackendServerId server, ServiceId service, State state, long ageNanos, long leftNanos) {
 
     /**
-     * Whether a server takes requests.
+     * States of a withdrawal.
      *
      * @since 0.2
      */
     public enum State {
-        /** It takes none any more. */
+        /** The server accepts no requests any more. */
         LEAVING,
-        /** It takes none for a time. */
+        /** The server accepts no requests until its pause is over. */
         PAUSED,
-        /** What it had said does not hold any more. */
+        /** The server's statement is no longer in force. */
         RETURNED
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/statement/package-info.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/statement/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What backend servers state of themselves in the heads of their answers, and what holds of them
- * for it. Knows no connections and no names of headers.
+ * Statements of backend servers about themselves in the heads of their answers, and the withdrawals
+ * that follow from them. Independent of connections and of header names.
  */
 package io.masticpond.core.statement;
--- a/masticpond-core/src/test/java/io/masticpond/core/statement/StatementHeadersTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/statement/StatementHeadersTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Shows what each value of the headers means in which backend servers state that they withdraw. */
+/** Tests the parsing of the headers in which backend servers state that they withdraw. */
 class StatementHeadersTest {
 
     private static PauseHeader pause(String... values) {
@@ -16,7 +16,7 @@
     }
 
     @Example
-    void pauseIsGivenInSeconds() {
+    void parsesPauseInSeconds() {
         assertThat(pause()).isEqualTo(PauseHeader.ABSENT);
         assertThat(pause("3").length()).isEqualTo(Duration.ofSeconds(3));
         assertThat(pause(" 0.25 ").length()).isEqualTo(Duration.ofMillis(250));
@@ -25,7 +25,7 @@
     }
 
     @Example
-    void whatIsNoNumberOfSecondsMeansNothing() {
+    void reportsOtherValuesAsMalformedPause() {
         for (String value :
                 List.of(
                         "",
@@ -46,12 +46,12 @@
     }
 
     @Example
-    void ofSeveralPausesTheLongestCounts() {
+    void usesLongestOfSeveralPauses() {
         assertThat(pause("2", "5", "soon").length()).isEqualTo(Duration.ofSeconds(5));
     }
 
     @Example
-    void onlyOneSaysThatTheServerLeaves() {
+    void acceptsOnlyOneAsLeaving() {
         assertThat(LeavingHeader.parse(List.of())).isEqualTo(LeavingHeader.ABSENT);
         assertThat(LeavingHeader.parse(List.of(" 1 "))).isEqualTo(LeavingHeader.LEAVING);
         assertThat(LeavingHeader.parse(List.of("0", "1"))).isEqualTo(LeavingHeader.LEAVING);
@@ -63,7 +63,7 @@
     }
 
     @Property(seed = "35")
-    void anyTextHasSomeMeaning(@ForAll String text) {
+    void parsesAnyText(@ForAll String text) {
         assertThat(pause(text).length()).isGreaterThanOrEqualTo(Duration.ZERO);
         assertThat(LeavingHeader.parse(List.of(text))).isNotNull();
     }
