--- a/masticpond-core/src/main/java/io/masticpond/core/region/DefaultRegionSelector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/DefaultRegionSelector.java
@@ -24,11 +24,12 @@
 import java.util.Set;
 
 /**
- * Chooses the nearest region with headroom, and a cheaper one where that is fast enough.
+ * Default implementation of {@link RegionSelector} that chooses the nearest region with headroom,
+ * or a cheaper region where that is fast enough.
  *
  * <p>A request spills to the next region once its wait for a slot would cost more than the
- * distance. What cannot be taken anywhere in time is refused here, the lowest priority first. See
- * docs/design/region-selection.md.
+ * distance. A request that no region can serve in time is refused here, the lowest priority first.
+ * See docs/design/region-selection.md.
  *
  * @since 0.1
  */
@@ -36,34 +37,33 @@
 
     private final RegionId mOwnRegion;
     private final TimeSource mTimeSource;
-    private final RegionSelectorParameters mKnobs;
+    private final RegionSelectorParameters mParameters;
     private final Map<RegionId, LinkShare> mLinks = new LinkedHashMap<>();
     private Map<ServiceId, Map<RegionId, RegionView>> mServices = new LinkedHashMap<>();
     private int mInstancesInRegion = 1;
     private int mInstancesInAll = 1;
 
     /**
-     * Starts with a configuration and with this instance as the only one.
+     * Creates a selector with a configuration and with this instance as the only one.
      *
      * @param ownRegion the region of this instance
      * @param configuration the configuration in force
-     * @param timeSource the clocks
-     * @param knobs the adjustable numbers
+     * @param timeSource the source of time
+     * @param parameters the adjustable parameters
      */
     public DefaultRegionSelector(
             RegionId ownRegion,
             Configuration configuration,
             TimeSource timeSource,
-            RegionSelectorParameters knobs) {
+            RegionSelectorParameters parameters) {
         mOwnRegion = Assert.notNull(ownRegion, "A region id");
         mTimeSource = Assert.notNull(timeSource, "A time source");
-        mKnobs = Assert.notNull(knobs, "The knobs of a region selector");
+        mParameters = Assert.notNull(parameters, "The parameters of a region selector");
         configure(configuration);
     }
 
     /**
-     * Takes a configuration in place of the one before. What is known of a region that stays is
-     * kept.
+     * Replaces the configuration. The state of a region that remains configured is kept.
      *
      * @param configuration the configuration in force from now on
      */
@@ -89,36 +89,36 @@
         Map<RegionId, RegionView> before = mServices.getOrDefault(service.id(), Map.of());
         Map<RegionId, RegionView> views = new LinkedHashMap<>();
         for (RegionSpecification region : configuration.content().regions()) {
-            ServiceRegion place = place(configuration, service, region.id());
-            if (place.slots() == 0) {
+            ServiceRegion serviceRegion = serviceRegion(configuration, service, region.id());
+            if (serviceRegion.slots() == 0) {
                 continue;
             }
             LinkShare link = mLinks.get(region.id());
             RegionView view = before.get(region.id());
             if (view == null) {
-                view = new RegionView(place, mKnobs, link, now);
+                view = new RegionView(serviceRegion, mParameters, link, now);
             }
-            view.configure(place, link);
+            view.configure(serviceRegion, link);
             views.put(region.id(), view);
         }
         return views;
     }
 
-    private ServiceRegion place(
+    private ServiceRegion serviceRegion(
             Configuration configuration, ServiceSpecification service, RegionId region) {
         int slots =
                 configuration.backendServers(service.id(), region).stream()
                         .filter(server -> !server.leaving())
                         .mapToInt(BackendServerSpecification::slots)
                         .sum();
-        boolean own = region.equals(mOwnRegion);
-        long oneWay =
+        boolean isOwn = region.equals(mOwnRegion);
+        long oneWayNanos =
                 findLink(configuration, region)
                         .map(link -> Duration.ofNanos(link.oneWayMicros() * 1000))
-                        .orElse(mKnobs.defaultOneWay())
+                        .orElse(mParameters.defaultOneWay())
                         .toNanos();
         return new ServiceRegion(
-                region, own, slots, service.priceMicros(region), own ? 0 : 2 * oneWay);
+                region, isOwn, slots, service.priceMicros(region), isOwn ? 0 : 2 * oneWayNanos);
     }
 
     private LinkShare link(
@@ -140,18 +140,22 @@
     }
 
     /**
-     * Takes how many instances there are, among which links and static shares are divided.
+     * Sets the numbers of instances among which links and static shares are divided.
      *
-     * @param inRegion the instances of this region that are not known to be gone, with this one
-     * @param inAll the instances of all regions that are not known to be gone, with this one
+     * @param inRegion the number of instances of this region that are not known to have terminated,
+     *     including this one
+     * @param inAllRegions the number of instances of all regions that are not known to have
+     *     terminated, including this one
      */
-    public void setInstanceCounts(int inRegion, int inAll) {
+    public void setInstanceCounts(int inRegion, int inAllRegions) {
         Assert.positive(inRegion, "A count of instances");
-        Assert.isTrue(inAll >= inRegion, "All instances must be at least %d.", inRegion);
+        Assert.isTrue(inAllRegions >= inRegion, "All instances must be at least %d.", inRegion);
         mInstancesInRegion = inRegion;
-        mInstancesInAll = inAll;
-        mLinks.values().forEach(link -> link.setSharers(inRegion));
-        mServices.values().forEach(views -> views.values().forEach(v -> v.setSenders(inAll)));
+        mInstancesInAll = inAllRegions;
+        mLinks.values().forEach(link -> link.setInstances(inRegion));
+        mServices
+                .values()
+                .forEach(views -> views.values().forEach(v -> v.setSenders(inAllRegions)));
     }
 
     @Override
@@ -169,39 +173,39 @@
         List<RegionOption> options = new ArrayList<>(views.size());
         for (RegionView view : views.values()) {
             if (!tried.contains(view.region())) {
-                options.add(view.weigh(request, now));
+                options.add(view.evaluate(request, now));
             }
         }
         RegionOption best = best(options, request.deadlineNanos() - now);
         if (best == null) {
             return Either.left(RegionRefusals.explain(options, views.isEmpty()));
         }
-        best.view().chosen(request.id(), now);
+        best.view().recordChoice(request.id(), now);
         return Either.right(best.view().region());
     }
 
     private RegionOption best(List<RegionOption> options, long remainingNanos) {
         RegionOption fastest = null;
         for (RegionOption option : options) {
-            if (option.isOpen() && (fastest == null || option.fasterThan(fastest))) {
+            if (option.isAvailable() && (fastest == null || option.isFasterThan(fastest))) {
                 fastest = option;
             }
         }
         RegionOption best = fastest;
         for (RegionOption option : options) {
-            if (option.isOpen()
-                    && drawsByPrice(option, remainingNanos)
-                    && option.cheaperThan(best)) {
+            if (option.isAvailable()
+                    && isEligibleByPrice(option, remainingNanos)
+                    && option.isCheaperThan(best)) {
                 best = option;
             }
         }
         return best;
     }
 
-    private boolean drawsByPrice(RegionOption option, long remainingNanos) {
+    private boolean isEligibleByPrice(RegionOption option, long remainingNanos) {
         return option.hasSlotReserve()
-                && !option.heldDown()
-                && option.totalNanos() <= remainingNanos * mKnobs.fastEnoughShare();
+                && !option.isHeldDown()
+                && option.totalNanos() <= remainingNanos * mParameters.fastEnoughShare();
     }
 
     @Override
@@ -227,7 +231,7 @@
     }
 
     /**
-     * Tells what decisions for a region rest on now.
+     * Returns the step of degradation that applies to decisions for a region now.
      *
      * @param service the service
      * @param region the region
@@ -240,7 +244,7 @@
     }
 
     /**
-     * Lists what is known of each region for each service, for metrics.
+     * Returns the status of each region for each service, for metrics.
      *
      * @return one entry for each service and region with backend servers
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/region/HeadroomSnapshot.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/HeadroomSnapshot.java
@@ -3,16 +3,19 @@
 import io.masticpond.core.admission.DegradationStep;
 import io.masticpond.core.admission.Headroom;
 
-/** The counts that an admitter last reported, with their age and what was sent since. */
+/**
+ * Snapshot of the headroom that an admitter last reported, with its age and the number of requests
+ * sent since.
+ */
 final class HeadroomSnapshot {
 
-    private final RegionSelectorParameters mKnobs;
+    private final RegionSelectorParameters mParameters;
     private Headroom mHeadroom;
     private long mObservedNanos;
     private int mSentSince;
 
-    HeadroomSnapshot(RegionSelectorParameters knobs) {
-        mKnobs = knobs;
+    HeadroomSnapshot(RegionSelectorParameters parameters) {
+        mParameters = parameters;
     }
 
     void observe(Headroom headroom, long nowNanos) {
@@ -21,54 +24,56 @@
         mSentSince = 0;
     }
 
-    void forget() {
+    void clear() {
         mHeadroom = null;
     }
 
-    void sent() {
+    void recordSent() {
         mSentSince++;
     }
 
-    /** Tells what decisions may rest on, by the age of the report and the admitter's own step. */
+    /** Returns the step of degradation, by the age of the report and the admitter's own step. */
     DegradationStep step(long nowNanos) {
-        if (mHeadroom == null || nowNanos - mObservedNanos > mKnobs.staleFor().toNanos()) {
+        if (mHeadroom == null || nowNanos - mObservedNanos > mParameters.staleFor().toNanos()) {
             return DegradationStep.FAIR_SHARE;
         }
-        DegradationStep own = mHeadroom.step();
-        if (nowNanos - mObservedNanos <= mKnobs.freshFor().toNanos()) {
-            return own;
+        DegradationStep admitterStep = mHeadroom.step();
+        if (nowNanos - mObservedNanos <= mParameters.freshFor().toNanos()) {
+            return admitterStep;
         }
-        return own.compareTo(DegradationStep.STALE) > 0 ? own : DegradationStep.STALE;
+        return admitterStep.compareTo(DegradationStep.STALE) > 0
+                ? admitterStep
+                : DegradationStep.STALE;
     }
 
-    /** Tells whether the counts are too old to be used. */
+    /** Determines whether the report is missing or too old to be used. */
     boolean isUnknown(long nowNanos) {
-        return mHeadroom == null || nowNanos - mObservedNanos > mKnobs.staleFor().toNanos();
+        return mHeadroom == null || nowNanos - mObservedNanos > mParameters.staleFor().toNanos();
     }
 
-    /** Tells whether the counts are older than exact ones may be. */
-    boolean isOld(long nowNanos) {
-        return mHeadroom == null || nowNanos - mObservedNanos > mKnobs.freshFor().toNanos();
+    /** Determines whether the report is missing or too old to count as exact. */
+    boolean isStale(long nowNanos) {
+        return mHeadroom == null || nowNanos - mObservedNanos > mParameters.freshFor().toNanos();
     }
 
     /**
-     * Counts the slots that are free, less what was sent since.
+     * Returns the number of free slots, less the requests sent since the report.
      *
-     * @param senders how many instances are taken to send as much as this one
-     * @return the free slots; negative for requests beyond the slots
+     * @param senders the number of instances that are assumed to send as much as this one
+     * @return the number of free slots; negative if there are more requests than slots
      */
     int free(int senders) {
         return mHeadroom.freeSlots() - mSentSince * senders;
     }
 
     /**
-     * Estimates the wait of a request offered now.
+     * Estimates the wait of a request that is sent now.
      *
-     * @param senders how many instances are taken to send as much as this one
-     * @param workNanos how long a slot is held by a request
+     * @param senders the number of instances that are assumed to send as much as this one
+     * @param serviceTimeNanos the time in nanoseconds for which a request holds a slot
      * @return the wait in nanoseconds
      */
-    long waitNanos(int senders, long workNanos) {
+    long waitNanos(int senders, long serviceTimeNanos) {
         if (mHeadroom.usableSlots() == 0) {
             return Long.MAX_VALUE / 4;
         }
@@ -76,7 +81,7 @@
         if (free > 0 && mHeadroom.waiting() == 0) {
             return 0;
         }
-        long ahead = Math.max(0, 1 - free) * workNanos / mHeadroom.usableSlots();
+        long ahead = Math.max(0, 1 - free) * serviceTimeNanos / mHeadroom.usableSlots();
         return Math.min(Long.MAX_VALUE / 4, mHeadroom.expectedWaitNanos()) + ahead;
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/region/LinkShare.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/LinkShare.java
@@ -1,9 +1,10 @@
 package io.masticpond.core.region;
 
 /**
- * This instance's share of the requests a second that may cross a link between regions.
+ * Rate limiter for this instance's share of the requests per second that may cross a link between
+ * regions.
  *
- * <p>A token bucket that holds the tokens of a tenth of a second, and one at least.
+ * <p>A token bucket with a capacity of the tokens of a tenth of a second, at least one.
  */
 final class LinkShare {
 
@@ -16,30 +17,30 @@
     private long mUpdatedNanos;
 
     /**
-     * Starts with a full bucket of the share of one among one.
+     * Creates a full bucket for a link that is used by a single instance.
      *
-     * @param linkPerSecond the limit of the link; 0 for none
-     * @param nowNanos the elapsed time
+     * @param linkPerSecond the limit of the link in requests per second; 0 for none
+     * @param nowNanos the current monotonic time
      */
     LinkShare(long linkPerSecond, long nowNanos) {
         mLinkPerSecond = linkPerSecond;
         mUpdatedNanos = nowNanos;
-        setSharers(1);
+        setInstances(1);
         mTokens = burst();
     }
 
-    /** Tells whether the limit is the same, so that the bucket can be kept. */
+    /** Determines whether the limit is the same, so that the bucket can be kept. */
     boolean hasLimit(long linkPerSecond) {
         return mLinkPerSecond == linkPerSecond;
     }
 
-    /** Sets among how many instances the link is shared evenly. */
-    void setSharers(int sharers) {
-        mPerSecond = (double) mLinkPerSecond / Math.max(1, sharers);
+    /** Sets the number of instances that share the link evenly. */
+    void setInstances(int instances) {
+        mPerSecond = (double) mLinkPerSecond / Math.max(1, instances);
         mTokens = Math.min(mTokens, burst());
     }
 
-    /** Tells whether a request may cross now. */
+    /** Determines whether a request may cross the link now. */
     boolean hasToken(long nowNanos) {
         if (mLinkPerSecond == 0) {
             return true;
@@ -50,14 +51,14 @@
         return mTokens >= 1;
     }
 
-    /** Takes the token of a request that crosses. */
-    void take() {
+    /** Consumes the token of a request that crosses the link. */
+    void takeToken() {
         if (mLinkPerSecond > 0) {
             mTokens--;
         }
     }
 
-    /** Tells after how long the next token is there, in nanoseconds. */
+    /** Returns the time until the next token is available, in nanoseconds. */
     long nanosToToken() {
         if (mLinkPerSecond == 0 || mTokens >= 1) {
             return 0;
--- a/masticpond-core/src/main/java/io/masticpond/core/region/RegionAvailability.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/RegionAvailability.java
@@ -2,91 +2,100 @@
 
 import java.time.Duration;
 
-/** Whether a region takes work, with slow return after losses and a pause after refusals. */
+/** Availability of a region, with a hold-down after losses and a backoff after refusals. */
 final class RegionAvailability {
 
-    /** A region that stayed for this many longest hold-downs is forgiven its earlier losses. */
-    private static final int FORGIVING_FACTOR = 2;
+    /** Number of maximum hold-downs after which an earlier loss is disregarded. */
+    private static final int LOSS_MEMORY_FACTOR = 2;
 
-    private final RegionSelectorParameters mKnobs;
-    private boolean mReachable = true;
-    private boolean mHeld;
-    private long mHeldUntilNanos;
+    private final RegionSelectorParameters mParameters;
+    private boolean mIsReachable = true;
+    private boolean mIsHeldDown;
+    private long mHoldDownEndNanos;
     private long mLostNanos;
-    private long mHoldNanos;
-    private boolean mAttemptLost;
-    private boolean mBacksOff;
-    private long mBackoffUntilNanos;
+    private long mHoldDownNanos;
+    private boolean mIsAttemptLost;
+    private boolean mIsBackingOff;
+    private long mBackoffEndNanos;
     private long mBackoffNanos;
 
-    RegionAvailability(RegionSelectorParameters knobs) {
-        mKnobs = knobs;
+    RegionAvailability(RegionSelectorParameters parameters) {
+        mParameters = parameters;
     }
 
     boolean isReachable() {
-        return mReachable;
+        return mIsReachable;
     }
 
-    /** Takes the loss of the region; tells whether it was there before. */
-    boolean lost(long nowNanos) {
-        if (!mReachable) {
+    /** Records the loss of the region; returns whether it was reachable before. */
+    boolean recordLoss(long nowNanos) {
+        if (!mIsReachable) {
             return false;
         }
-        long forgiving = FORGIVING_FACTOR * mKnobs.maximumHoldDown().toNanos();
-        boolean again = mHoldNanos > 0 && nowNanos - mLostNanos < forgiving;
-        mHoldNanos = longer(again ? mHoldNanos : 0, mKnobs.holdDown(), mKnobs.maximumHoldDown());
+        long lossMemoryNanos = LOSS_MEMORY_FACTOR * mParameters.maximumHoldDown().toNanos();
+        boolean isRepeated = mHoldDownNanos > 0 && nowNanos - mLostNanos < lossMemoryNanos;
+        mHoldDownNanos =
+                nextDelayNanos(
+                        isRepeated ? mHoldDownNanos : 0,
+                        mParameters.holdDown(),
+                        mParameters.maximumHoldDown());
         mLostNanos = nowNanos;
-        mReachable = false;
+        mIsReachable = false;
         return true;
     }
 
-    /** Takes the return of the region; tells whether it was lost before. */
-    boolean returned(long nowNanos) {
-        if (mReachable) {
+    /** Records the return of the region; returns whether it was unreachable before. */
+    boolean recordReturn(long nowNanos) {
+        if (mIsReachable) {
             return false;
         }
-        mReachable = true;
-        mHeld = true;
-        mHeldUntilNanos = nowNanos + mHoldNanos;
+        mIsReachable = true;
+        mIsHeldDown = true;
+        mHoldDownEndNanos = nowNanos + mHoldDownNanos;
         return true;
     }
 
-    /** Tells whether other regions should be used if they can, after a loss. */
+    /** Determines whether other regions are preferred, after a loss of the region or an attempt. */
     boolean isHeldDown(long nowNanos) {
-        mHeld = mHeld && nowNanos - mHeldUntilNanos < 0;
-        return mHeld || (mAttemptLost && backoffNanos(nowNanos) > 0);
+        mIsHeldDown = mIsHeldDown && nowNanos - mHoldDownEndNanos < 0;
+        return mIsHeldDown || (mIsAttemptLost && backoffNanos(nowNanos) > 0);
     }
 
-    /** Takes a refusal; all refusals within one pause count once. */
-    void refused(long nowNanos) {
+    /** Records a refusal; refusals during a backoff have no effect. */
+    void recordRefusal(long nowNanos) {
         if (backoffNanos(nowNanos) > 0) {
             return;
         }
         mBackoffNanos =
-                longer(mBackoffNanos, mKnobs.refusalBackoff(), mKnobs.maximumRefusalBackoff());
-        mBackoffUntilNanos = nowNanos + mBackoffNanos;
-        mBacksOff = true;
-        mAttemptLost = false;
+                nextDelayNanos(
+                        mBackoffNanos,
+                        mParameters.refusalBackoff(),
+                        mParameters.maximumRefusalBackoff());
+        mBackoffEndNanos = nowNanos + mBackoffNanos;
+        mIsBackingOff = true;
+        mIsAttemptLost = false;
     }
 
-    /** Takes a broken link to the admitter, such as when its process died. */
-    void attemptLost(long nowNanos) {
-        refused(nowNanos);
-        mAttemptLost = true;
+    /** Records a broken link to the admitter, such as after its process terminated. */
+    void recordLostAttempt(long nowNanos) {
+        recordRefusal(nowNanos);
+        mIsAttemptLost = true;
     }
 
-    void answered() {
+    void recordAnswer() {
         mBackoffNanos = 0;
-        mAttemptLost = false;
+        mIsAttemptLost = false;
     }
 
-    /** Tells for how long the region is to be skipped because it refused; 0 for not at all. */
+    /**
+     * Returns the time in nanoseconds for which the region is skipped after a refusal; 0 for none.
+     */
     long backoffNanos(long nowNanos) {
-        mBacksOff = mBacksOff && nowNanos - mBackoffUntilNanos < 0;
-        return mBacksOff ? mBackoffUntilNanos - nowNanos : 0;
+        mIsBackingOff = mIsBackingOff && nowNanos - mBackoffEndNanos < 0;
+        return mIsBackingOff ? mBackoffEndNanos - nowNanos : 0;
     }
 
-    private static long longer(long before, Duration first, Duration maximum) {
+    private static long nextDelayNanos(long before, Duration first, Duration maximum) {
         return before == 0 ? first.toNanos() : Math.min(maximum.toNanos(), 2 * before);
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/region/RegionOption.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/RegionOption.java
@@ -3,46 +3,47 @@
 import io.masticpond.core.request.RefusalCause;
 
 /**
- * A region weighed for one request.
+ * Evaluation of a region for one request.
  *
  * @param view the region
- * @param waitNanos how long the request would wait for a slot
- * @param totalNanos how long its answer would take, with the distance and the work itself
- * @param hasSlotReserve whether enough slots are free there for price to draw traffic
- * @param heldDown whether it came back only a short time ago
- * @param block why it cannot take the request, or {@code null} if it can
- * @param retryNanos when it might take the request if it cannot now; 0 if that is not known
+ * @param waitNanos the estimated time that the request would wait for a slot
+ * @param totalNanos the estimated time to the answer, including the round trip and the processing
+ * @param hasSlotReserve whether enough slots are free there for traffic to be drawn by price
+ * @param isHeldDown whether the region returned only recently
+ * @param refusalCause the reason why the region cannot take the request, or {@code null} if it can
+ * @param retryNanos the time after which the region might take the request if it cannot now; 0 if
+ *     unknown
  */
 record RegionOption(
         RegionView view,
         long waitNanos,
         long totalNanos,
         boolean hasSlotReserve,
-        boolean heldDown,
-        RefusalCause block,
+        boolean isHeldDown,
+        RefusalCause refusalCause,
         long retryNanos) {
 
     static RegionOption blocked(RegionView view, RefusalCause cause, long retryNanos) {
         return new RegionOption(view, 0, Long.MAX_VALUE, false, false, cause, retryNanos);
     }
 
-    boolean isOpen() {
-        return block == null;
+    boolean isAvailable() {
+        return refusalCause == null;
     }
 
-    /** Tells whether this one is better on time alone; a region that just came back is last. */
-    boolean fasterThan(RegionOption other) {
-        if (heldDown != other.heldDown) {
-            return other.heldDown;
+    /** Determines whether this option is better by time alone; held-down regions come last. */
+    boolean isFasterThan(RegionOption other) {
+        if (isHeldDown != other.isHeldDown) {
+            return other.isHeldDown;
         }
         return totalNanos < other.totalNanos;
     }
 
-    /** Tells whether this one is better on price, then on time. */
-    boolean cheaperThan(RegionOption other) {
+    /** Determines whether this option is better by price, then by time. */
+    boolean isCheaperThan(RegionOption other) {
         if (view.priceMicros() != other.view.priceMicros()) {
             return view.priceMicros() < other.view.priceMicros();
         }
-        return fasterThan(other);
+        return isFasterThan(other);
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/region/RegionRamp.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/RegionRamp.java
@@ -1,87 +1,91 @@
 package io.masticpond.core.region;
 
 /**
- * Bounds how fast the traffic of this instance to a region grows, so that its caches can fill.
+ * Bound on the growth of this instance's traffic to a region, so that the region's caches can fill.
  *
- * <p>The limit is on requests in flight. It is multiplied by the growth factor each second while
- * the traffic presses against it, and halves in each idle half-life otherwise.
+ * <p>The limit applies to requests in flight. It is multiplied by the growth factor each second
+ * while the traffic is close to the limit, and halves in each idle half-life otherwise.
  */
 final class RegionRamp {
 
     private static final double NANOS_PER_SECOND = 1e9;
-    private static final double LONGEST_STEP_SECONDS = 0.25;
-    private static final double PRESSING_SHARE = 0.75;
+    private static final double MAXIMUM_STEP_SECONDS = 0.25;
+    private static final double GROWTH_THRESHOLD = 0.75;
 
-    private final RegionSelectorParameters mKnobs;
+    private final RegionSelectorParameters mParameters;
     private double mCeiling;
     private double mColdLimit;
     private double mLimit;
     private long mUpdatedNanos;
-    private boolean mOpen;
+    private boolean mIsUnlimited;
 
     /**
-     * Starts a ramp.
+     * Creates a ramp.
      *
-     * @param knobs the growth factor and half-life
-     * @param ceiling the limit at which a region that returns is warm
-     * @param open whether there is no limit until the region is lost
-     * @param nowNanos the elapsed time
+     * @param parameters the parameters with the growth factor and the half-life
+     * @param ceiling the limit at which a returning region is warm
+     * @param isUnlimited whether there is no limit until the region is lost
+     * @param nowNanos the current monotonic time
      */
-    RegionRamp(RegionSelectorParameters knobs, double ceiling, boolean open, long nowNanos) {
-        mKnobs = knobs;
+    RegionRamp(
+            RegionSelectorParameters parameters,
+            double ceiling,
+            boolean isUnlimited,
+            long nowNanos) {
+        mParameters = parameters;
         mCeiling = ceiling;
-        mOpen = open;
+        mIsUnlimited = isUnlimited;
         mColdLimit = 1;
         mLimit = 1;
         mUpdatedNanos = nowNanos;
     }
 
-    /** Sets where a cold region starts. */
+    /** Sets the limit at which a cold region starts. */
     void setColdLimit(double coldLimit) {
-        boolean cold = mLimit <= mColdLimit;
+        boolean isCold = mLimit <= mColdLimit;
         mColdLimit = Math.max(1, coldLimit);
-        mLimit = cold ? mColdLimit : Math.max(mLimit, mColdLimit);
+        mLimit = isCold ? mColdLimit : Math.max(mLimit, mColdLimit);
     }
 
-    /** Sets the limit at which a region that returns is warm. */
+    /** Sets the limit at which a returning region is warm. */
     void setCeiling(double ceiling) {
         mCeiling = ceiling;
     }
 
-    /** Starts from the cold limit again. */
-    void cool(long nowNanos) {
-        mOpen = false;
+    /** Resets the limit to that of a cold region. */
+    void resetToCold(long nowNanos) {
+        mIsUnlimited = false;
         mLimit = mColdLimit;
         mUpdatedNanos = nowNanos;
     }
 
-    /** Tells how many requests may be in flight now. */
+    /** Returns the number of requests that may be in flight now. */
     double limit() {
-        return mOpen ? Double.POSITIVE_INFINITY : mLimit;
+        return mIsUnlimited ? Double.POSITIVE_INFINITY : mLimit;
     }
 
     /**
-     * Lets time act and tells whether one request more may go.
+     * Updates the limit for the elapsed time and determines whether one more request may be sent.
      *
      * @param inFlight the requests of this instance in flight at the region
-     * @param stayOpen whether the limit ends for good once the region is warm
-     * @param nowNanos the elapsed time
-     * @return whether one more may go
+     * @param endsWhenWarm whether the limit is removed once the region is warm
+     * @param nowNanos the current monotonic time
+     * @return whether one more request may be sent
      */
-    boolean admits(int inFlight, boolean stayOpen, long nowNanos) {
-        if (mOpen) {
+    boolean admits(int inFlight, boolean endsWhenWarm, long nowNanos) {
+        if (mIsUnlimited) {
             return true;
         }
         double seconds = Math.max(0, (nowNanos - mUpdatedNanos) / NANOS_PER_SECOND);
         mUpdatedNanos = nowNanos;
-        if (inFlight + 1 > mLimit * PRESSING_SHARE) {
-            double step = Math.min(seconds, LONGEST_STEP_SECONDS);
-            mLimit = Math.min(mCeiling, mLimit * Math.pow(mKnobs.growthPerSecond(), step));
+        if (inFlight + 1 > mLimit * GROWTH_THRESHOLD) {
+            double step = Math.min(seconds, MAXIMUM_STEP_SECONDS);
+            mLimit = Math.min(mCeiling, mLimit * Math.pow(mParameters.growthPerSecond(), step));
         } else {
-            double halfLife = mKnobs.idleHalfLife().toNanos() / NANOS_PER_SECOND;
+            double halfLife = mParameters.idleHalfLife().toNanos() / NANOS_PER_SECOND;
             mLimit = Math.max(mColdLimit, mLimit * Math.pow(0.5, seconds / halfLife));
         }
-        mOpen = stayOpen && mLimit >= mCeiling;
+        mIsUnlimited = endsWhenWarm && mLimit >= mCeiling;
         return inFlight + 1 <= mLimit;
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/region/RegionRefusals.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/RegionRefusals.java
@@ -5,13 +5,13 @@
 import java.time.Duration;
 import java.util.List;
 
-/** Words the refusal of a request that no region can take. */
+/** Factory for the refusals of requests that no region can take. */
 final class RegionRefusals {
 
-    private static final Duration SHORTEST_RETRY = Duration.ofMillis(100);
-    private static final Duration LONGEST_RETRY = Duration.ofSeconds(10);
+    private static final Duration MINIMUM_RETRY = Duration.ofMillis(100);
+    private static final Duration MAXIMUM_RETRY = Duration.ofSeconds(10);
 
-    /** The causes from the one that most likely ends soon to the one that least likely does. */
+    /** Causes in the order of how soon they are likely to end. */
     private static final List<RefusalCause> ORDER =
             List.of(
                     RefusalCause.LINK_FULL,
@@ -22,11 +22,11 @@
     private RegionRefusals() {}
 
     /**
-     * Explains why no region was chosen.
+     * Creates the refusal that explains why no region was chosen.
      *
-     * @param options the regions weighed, all blocked; empty if all were tried
-     * @param noServers whether the service has no backend servers at all
-     * @return the refusal, as did not run
+     * @param options the evaluated regions, none of which is available; empty if all were tried
+     * @param noServers whether the service has no backend servers
+     * @return the refusal, with the verdict that the request did not run
      */
     static Refusal explain(List<RegionOption> options, boolean noServers) {
         if (noServers) {
@@ -35,24 +35,25 @@
         }
         if (options.isEmpty()) {
             return Refusal.didNotRun(RefusalCause.NO_CAPACITY, "Every region refused the request.")
-                    .retryAfter(SHORTEST_RETRY);
+                    .retryAfter(MINIMUM_RETRY);
         }
-        RegionOption first = options.get(0);
+        RegionOption foremost = options.get(0);
         long retryNanos = Long.MAX_VALUE;
         for (RegionOption option : options) {
-            if (ORDER.indexOf(option.block()) < ORDER.indexOf(first.block())) {
-                first = option;
+            if (ORDER.indexOf(option.refusalCause()) < ORDER.indexOf(foremost.refusalCause())) {
+                foremost = option;
             }
             if (option.retryNanos() > 0) {
                 retryNanos = Math.min(retryNanos, option.retryNanos());
             }
         }
-        return Refusal.didNotRun(first.block(), detail(first)).retryAfter(bounded(retryNanos));
+        return Refusal.didNotRun(foremost.refusalCause(), detail(foremost))
+                .retryAfter(bounded(retryNanos));
     }
 
     private static String detail(RegionOption option) {
         String region = option.view().region().value();
-        return switch (option.block()) {
+        return switch (option.refusalCause()) {
             case LINK_FULL -> "The link to region " + region + " has no share left.";
             case DEADLINE -> "The deadline is too near for region " + region + ".";
             case NO_BACKEND_SERVER -> "No region of the service can be reached.";
@@ -62,9 +63,9 @@
 
     private static Duration bounded(long nanos) {
         Duration duration = Duration.ofNanos(nanos);
-        if (nanos == Long.MAX_VALUE || duration.compareTo(SHORTEST_RETRY) < 0) {
-            return SHORTEST_RETRY;
+        if (nanos == Long.MAX_VALUE || duration.compareTo(MINIMUM_RETRY) < 0) {
+            return MINIMUM_RETRY;
         }
-        return duration.compareTo(LONGEST_RETRY) > 0 ? LONGEST_RETRY : duration;
+        return duration.compareTo(MAXIMUM_RETRY) > 0 ? MAXIMUM_RETRY : duration;
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/region/RegionSelector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/RegionSelector.java
@@ -9,48 +9,51 @@
 import java.util.Set;
 
 /**
- * Chooses the region that a request goes to, at the instance that took it from the caller.
+ * Strategy interface for choosing the region of a request, at the instance that received it from
+ * the client.
  *
- * <p>A state machine for one thread. A choice takes a share of the link it crosses and counts
- * against the budgets; each choice must be ended by one {@link #ended}.
+ * <p>Implementations are confined to one thread. A choice consumes a share of the link that it
+ * crosses and counts against the budgets; each choice must be followed by exactly one call of
+ * {@link #ended}.
  *
  * @since 0.1
  */
 public interface RegionSelector {
 
     /**
-     * Chooses a region.
+     * Selects a region.
      *
      * @param request the request
-     * @param tried the regions that refused this request already, truthfully as did not run
+     * @param tried the regions that have refused this request with the true verdict that it did not
+     *     run
      * @return the region, or the refusal with which the request ends
      */
     Either<Refusal, RegionId> select(RequestHead request, Set<RegionId> tried);
 
     /**
-     * Takes the counts that an admitter reported.
+     * Records the headroom that an admitter reported.
      *
      * @param service the service
      * @param region the region of the admitter
-     * @param headroom the counts
+     * @param headroom the reported headroom
      */
     void observe(ServiceId service, RegionId region, Headroom headroom);
 
     /**
-     * Ends a choice.
+     * Records the outcome of a choice.
      *
      * @param request the request
      * @param region the region that was chosen
-     * @param end how it ended there
+     * @param end the outcome of the request there
      */
     void ended(RequestHead request, RegionId region, RegionAttemptOutcome end);
 
     /**
-     * Takes whether an admitter for a service can be reached in a region.
+     * Sets whether an admitter of a service can be reached in a region.
      *
      * @param service the service
      * @param region the region
-     * @param reachable whether any instance there can be reached
+     * @param reachable whether at least one instance there can be reached
      */
     void setReachable(ServiceId service, RegionId region, boolean reachable);
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/region/RegionSelectorParameters.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/RegionSelectorParameters.java
@@ -4,22 +4,23 @@
 import java.time.Duration;
 
 /**
- * The adjustable numbers of the choice of regions.
+ * Adjustable parameters of the choice of regions.
  *
- * @param freshFor how long reported headroom counts as exact
- * @param staleFor the age from which reported headroom is not used at all
- * @param fastEnoughShare the share of the time to the deadline within which a cheaper region is
- *     fast enough, above 0 and at most 1
- * @param priceReserveShare the share of a region's slots that must be free before price draws
- *     traffic to it, from 0 to 1
- * @param coldShare the share of this instance's fair share of slots that a cold region starts with
- * @param growthPerSecond the factor by which traffic to a region may grow in a second, above 1
- * @param idleHalfLife the time in which the traffic that an idle region may take halves
- * @param holdDown how long a region that came back is avoided if others can take the work
- * @param maximumHoldDown the longest such time, after repeated losses
- * @param refusalBackoff how long a region is skipped after it refused on old headroom, at first
- * @param maximumRefusalBackoff the longest such time
- * @param defaultOneWay the one-way delay of a link that operators did not state
+ * @param freshFor the time for which reported headroom counts as exact
+ * @param staleFor the age beyond which reported headroom is not used
+ * @param fastEnoughShare the share of the time to the deadline within which a cheaper region must
+ *     answer, above 0 and at most 1
+ * @param priceReserveShare the share of a region's slots that must be free before traffic is drawn
+ *     to it by price, from 0 to 1
+ * @param coldShare the share of this instance's fair share of slots at which a cold region starts
+ * @param growthPerSecond the factor by which traffic to a region may grow per second, above 1
+ * @param idleHalfLife the time in which the traffic limit of an idle region halves
+ * @param holdDown the time for which a returning region is avoided if others can take the requests
+ * @param maximumHoldDown the maximum hold-down, after repeated losses
+ * @param refusalBackoff the initial time for which a region with stale headroom is skipped after a
+ *     refusal
+ * @param maximumRefusalBackoff the maximum refusal backoff
+ * @param defaultOneWay the one-way delay of a link that is not configured
  * @since 0.1
  */
 public record RegionSelectorParameters(
@@ -36,7 +37,7 @@
         Duration maximumRefusalBackoff,
         Duration defaultOneWay) {
 
-    /** The values that are used unless operators say otherwise. */
+    /** Default values, used unless operators override them. */
     public static final RegionSelectorParameters DEFAULT =
             new RegionSelectorParameters(
                     Duration.ofMillis(1500),
@@ -52,7 +53,7 @@
                     Duration.ofSeconds(1),
                     Duration.ofMillis(20));
 
-    /** Checks the ranges. */
+    /** Validates the ranges of the components. */
     public RegionSelectorParameters {
         Assert.isTrue(
                 staleFor.compareTo(freshFor) >= 0,
--- a/masticpond-core/src/main/java/io/masticpond/core/region/RegionStatus.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/RegionStatus.java
@@ -5,14 +5,14 @@
 import io.masticpond.core.id.ServiceId;
 
 /**
- * What this instance knows of a region for a service now, for metrics.
+ * Status of a region for a service as this instance sees it, for metrics.
  *
  * @param service the service
  * @param region the region
  * @param step the step of degradation in force
- * @param reachable whether the region takes work
+ * @param reachable whether the region can be reached
  * @param inFlight the requests that this instance has in flight there
- * @param limit how many slots its requests may hold there; infinite if there is no limit
+ * @param limit the number of slots that its requests may hold there; infinite if there is no limit
  * @since 0.1
  */
 public record RegionStatus(
--- a/masticpond-core/src/main/java/io/masticpond/core/region/RegionView.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/RegionView.java
@@ -10,75 +10,79 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What this instance knows of one region for one service, and what it has in flight there. */
+/** View that this instance has of one region for one service, and its requests in flight there. */
 final class RegionView {
 
     private static final double ANSWER_WEIGHT = 0.05;
-    private static final double WORST_WAIT_SHARE = 0.5;
+    private static final double MINIMUM_WAIT_SHARE = 0.5;
 
-    private final RegionSelectorParameters mKnobs;
+    private final RegionSelectorParameters mParameters;
     private final HeadroomSnapshot mSnapshot;
     private final RegionRamp mRamp;
     private final RegionAvailability mAvailability;
-    private final Map<RequestId, Long> mStarted = new HashMap<>();
-    private ServiceRegion mPlace;
+    private final Map<RequestId, Long> mStartNanos = new HashMap<>();
+    private ServiceRegion mServiceRegion;
     private LinkShare mLink;
     private int mSenders = 1;
     private int mFairShare = 1;
-    private int mLastTaken;
-    private double mWorkNanos;
-
-    RegionView(ServiceRegion place, RegionSelectorParameters knobs, LinkShare link, long nowNanos) {
-        mPlace = place;
-        mKnobs = knobs;
+    private int mInFlightAtReport;
+    private double mServiceTimeNanos;
+
+    RegionView(
+            ServiceRegion serviceRegion,
+            RegionSelectorParameters parameters,
+            LinkShare link,
+            long nowNanos) {
+        mServiceRegion = serviceRegion;
+        mParameters = parameters;
         mLink = link;
-        mSnapshot = new HeadroomSnapshot(knobs);
-        mRamp = new RegionRamp(knobs, place.slots(), place.isOwn(), nowNanos);
-        mAvailability = new RegionAvailability(knobs);
+        mSnapshot = new HeadroomSnapshot(parameters);
+        mRamp = new RegionRamp(parameters, serviceRegion.slots(), serviceRegion.isOwn(), nowNanos);
+        mAvailability = new RegionAvailability(parameters);
     }
 
-    /** Takes a new configuration of the region, and keeps what is known of it. */
-    void configure(ServiceRegion place, LinkShare link) {
-        mPlace = place;
+    /** Applies a new configuration of the region and keeps its state. */
+    void configure(ServiceRegion serviceRegion, LinkShare link) {
+        mServiceRegion = serviceRegion;
         mLink = link;
-        mRamp.setCeiling(place.slots());
+        mRamp.setCeiling(serviceRegion.slots());
     }
 
     RegionId region() {
-        return mPlace.region();
+        return mServiceRegion.region();
     }
 
     long priceMicros() {
-        return mPlace.priceMicros();
+        return mServiceRegion.priceMicros();
     }
 
     int inFlight() {
-        return mStarted.size();
+        return mStartNanos.size();
     }
 
-    /** Sets how many instances send to this region from the same snapshot. */
+    /** Sets the number of instances that send to this region based on the same snapshot. */
     void setSenders(int senders) {
-        mSenders = mPlace.isOwn() ? 1 : Math.max(1, senders);
-        mFairShare = Math.max(1, mPlace.slots() / Math.max(1, senders));
-        mRamp.setColdLimit(mKnobs.coldShare() * mPlace.slots() / Math.max(1, senders));
+        mSenders = mServiceRegion.isOwn() ? 1 : Math.max(1, senders);
+        mFairShare = Math.max(1, mServiceRegion.slots() / Math.max(1, senders));
+        mRamp.setColdLimit(mParameters.coldShare() * mServiceRegion.slots() / Math.max(1, senders));
     }
 
     void observe(Headroom headroom, long nowNanos) {
         mSnapshot.observe(headroom, nowNanos);
-        mLastTaken = Math.max(1, inFlight());
+        mInFlightAtReport = Math.max(1, inFlight());
     }
 
     void setReachable(boolean reachable, long nowNanos) {
-        if (reachable && mAvailability.returned(nowNanos)) {
-            mRamp.cool(nowNanos);
+        if (reachable && mAvailability.recordReturn(nowNanos)) {
+            mRamp.resetToCold(nowNanos);
         }
-        if (!reachable && mAvailability.lost(nowNanos)) {
-            mSnapshot.forget();
+        if (!reachable && mAvailability.recordLoss(nowNanos)) {
+            mSnapshot.clear();
         }
     }
 
-    /** Weighs the region for a request. */
-    RegionOption weigh(RequestHead request, long nowNanos) {
+    /** Evaluates the region for a request. */
+    RegionOption evaluate(RequestHead request, long nowNanos) {
         if (!mAvailability.isReachable()) {
             return RegionOption.blocked(this, RefusalCause.NO_BACKEND_SERVER, 0);
         }
@@ -86,80 +90,93 @@
             return RegionOption.blocked(this, RefusalCause.LINK_FULL, mLink.nanosToToken());
         }
         long backoff = mAvailability.backoffNanos(nowNanos);
-        if (backoff > 0 && mSnapshot.isOld(nowNanos)) {
+        if (backoff > 0 && mSnapshot.isStale(nowNanos)) {
             return RegionOption.blocked(this, RefusalCause.NO_CAPACITY, backoff);
         }
-        if (!withinLimit(nowNanos)) {
-            return RegionOption.blocked(this, RefusalCause.NO_CAPACITY, (long) mWorkNanos);
+        if (!isWithinLimit(nowNanos)) {
+            return RegionOption.blocked(this, RefusalCause.NO_CAPACITY, (long) mServiceTimeNanos);
         }
-        return weighTime(request, nowNanos);
+        return evaluateTime(request, nowNanos);
     }
 
-    private RegionOption weighTime(RequestHead request, long nowNanos) {
-        boolean unknown = mSnapshot.isUnknown(nowNanos);
-        long wait = unknown ? 0 : mSnapshot.waitNanos(mSenders, (long) mWorkNanos);
-        long travelAndWork = mPlace.roundTripNanos() + (long) mWorkNanos;
-        long spare = request.deadlineNanos() - nowNanos - travelAndWork;
-        if (spare <= 0 && mPlace.roundTripNanos() >= request.deadlineNanos() - nowNanos) {
+    private RegionOption evaluateTime(RequestHead request, long nowNanos) {
+        boolean isUnknown = mSnapshot.isUnknown(nowNanos);
+        long wait = isUnknown ? 0 : mSnapshot.waitNanos(mSenders, (long) mServiceTimeNanos);
+        long travelAndServiceNanos = mServiceRegion.roundTripNanos() + (long) mServiceTimeNanos;
+        long slackNanos = request.deadlineNanos() - nowNanos - travelAndServiceNanos;
+        if (slackNanos <= 0
+                && mServiceRegion.roundTripNanos() >= request.deadlineNanos() - nowNanos) {
             return RegionOption.blocked(this, RefusalCause.DEADLINE, 0);
         }
-        if (wait > 0 && wait > spare * waitShare(request.priority())) {
+        if (wait > 0 && wait > slackNanos * waitShare(request.priority())) {
             return RegionOption.blocked(this, RefusalCause.NO_CAPACITY, wait);
         }
-        boolean roomy = !unknown && mSnapshot.hasFreeShare(mSenders, mKnobs.priceReserveShare());
+        boolean hasSlotReserve =
+                !isUnknown && mSnapshot.hasFreeShare(mSenders, mParameters.priceReserveShare());
         boolean heldDown = mAvailability.isHeldDown(nowNanos);
-        return new RegionOption(this, wait, wait + travelAndWork, roomy, heldDown, null, 0);
+        return new RegionOption(
+                this, wait, wait + travelAndServiceNanos, hasSlotReserve, heldDown, null, 0);
     }
 
-    /** Lets low priorities wait for a small part of their spare time only, so they end first. */
+    /**
+     * Returns the share of the remaining time that a request may wait; low priorities may wait for
+     * a smaller share, so that they are refused first.
+     */
     private static double waitShare(int priority) {
         double rank = (double) priority / RequestHead.MAXIMUM_PRIORITY;
-        return WORST_WAIT_SHARE + (1 - WORST_WAIT_SHARE) * rank;
+        return MINIMUM_WAIT_SHARE + (1 - MINIMUM_WAIT_SHARE) * rank;
     }
 
-    private boolean withinLimit(long nowNanos) {
+    private boolean isWithinLimit(long nowNanos) {
         int slotsHeld = (int) (inFlight() * slotShare());
-        if (!mRamp.admits(slotsHeld, mPlace.isOwn(), nowNanos)) {
+        if (!mRamp.admits(slotsHeld, mServiceRegion.isOwn(), nowNanos)) {
             return false;
         }
-        if (mPlace.isOwn() || !mSnapshot.isOld(nowNanos)) {
+        if (mServiceRegion.isOwn() || !mSnapshot.isStale(nowNanos)) {
             return true;
         }
         if (mSnapshot.isUnknown(nowNanos)) {
             return slotsHeld < mFairShare;
         }
-        return inFlight() < Math.max(mLastTaken, mFairShare);
+        return inFlight() < Math.max(mInFlightAtReport, mFairShare);
     }
 
-    /** Tells which part of its time in flight a request holds a slot; the rest it travels. */
+    /**
+     * Returns the share of its time in flight for which a request holds a slot; the rest is travel.
+     */
     private double slotShare() {
-        return mWorkNanos == 0 ? 1 : mWorkNanos / (mWorkNanos + mPlace.roundTripNanos());
+        return mServiceTimeNanos == 0
+                ? 1
+                : mServiceTimeNanos / (mServiceTimeNanos + mServiceRegion.roundTripNanos());
     }
 
-    void chosen(RequestId request, long nowNanos) {
-        mStarted.put(request, nowNanos);
-        mSnapshot.sent();
-        mLink.take();
+    void recordChoice(RequestId request, long nowNanos) {
+        mStartNanos.put(request, nowNanos);
+        mSnapshot.recordSent();
+        mLink.takeToken();
     }
 
     void ended(RequestId request, RegionAttemptOutcome end, long nowNanos) {
-        Long started = mStarted.remove(request);
-        if (started == null) {
+        Long startNanos = mStartNanos.remove(request);
+        if (startNanos == null) {
             return;
         }
         switch (end) {
-            case ANSWERED -> answered(nowNanos - started);
-            case REFUSED -> mAvailability.refused(nowNanos);
-            case LOST -> mAvailability.attemptLost(nowNanos);
+            case ANSWERED -> recordAnswer(nowNanos - startNanos);
+            case REFUSED -> mAvailability.recordRefusal(nowNanos);
+            case LOST -> mAvailability.recordLostAttempt(nowNanos);
             case FAILED -> {}
-            default -> throw new IllegalStateException("No such end: " + end + ".");
+            default -> throw new IllegalStateException("Unknown outcome: " + end + ".");
         }
     }
 
-    private void answered(long nanos) {
-        double work = Math.max(0, nanos - mPlace.roundTripNanos());
-        mWorkNanos = mWorkNanos == 0 ? work : mWorkNanos + ANSWER_WEIGHT * (work - mWorkNanos);
-        mAvailability.answered();
+    private void recordAnswer(long nanos) {
+        double serviceTime = Math.max(0, nanos - mServiceRegion.roundTripNanos());
+        mServiceTimeNanos =
+                mServiceTimeNanos == 0
+                        ? serviceTime
+                        : mServiceTimeNanos + ANSWER_WEIGHT * (serviceTime - mServiceTimeNanos);
+        mAvailability.recordAnswer();
     }
 
     DegradationStep step(long nowNanos) {
--- a/masticpond-core/src/main/java/io/masticpond/core/region/RetryBudget.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/RetryBudget.java
@@ -5,20 +5,21 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * Bounds retries to a share of the first attempts, so that retries cannot multiply an overload.
+ * Budget that limits retries to a share of the first attempts, so that retries cannot multiply an
+ * overload.
  *
- * <p>A token bucket: each first attempt puts in the share, each retry takes one. Spilling to the
- * next region after a truthful refusal is not a retry, since it costs no backend server work and
- * each region is tried once. A state machine for one thread.
+ * <p>A token bucket: each first attempt adds the share, each retry consumes one token. Spilling to
+ * the next region after a truthful refusal is not a retry, since it costs no backend server work
+ * and each region is tried once. Not thread-safe: confined to one thread.
  *
  * @since 0.1
  */
 public final class RetryBudget {
 
-    /** The share of first attempts that may be retried unless operators say otherwise. */
+    /** Default share of first attempts that may be retried. */
     public static final double DEFAULT_SHARE = 0.1;
 
-    /** The retries that may come at once after a quiet time unless operators say otherwise. */
+    /** Default number of retries that may be made at once after an idle period. */
     public static final int DEFAULT_BURST = 10;
 
     private final double mShare;
@@ -28,10 +29,10 @@
     private long mRetries;
 
     /**
-     * Starts with a full bucket.
+     * Creates a full bucket.
      *
-     * @param share the retries for each first attempt, from 0 to 1
-     * @param burst the retries that may come at once, at least 1
+     * @param share the number of retries per first attempt, from 0 to 1
+     * @param burst the number of retries that may be made at once, at least 1
      */
     public RetryBudget(double share, int burst) {
         Assert.isTrue(share >= 0 && share <= 1, "A share must be from 0 to 1, but was %s.", share);
@@ -41,17 +42,17 @@
         mTokens = burst;
     }
 
-    /** Counts a first attempt. */
+    /** Records a first attempt. */
     public void firstAttempt() {
         mFirstAttempts++;
         mTokens = Math.min(mBurst, mTokens + mShare);
     }
 
     /**
-     * Takes one retry out of the budget if the request may be attempted again.
+     * Consumes one retry of the budget if the request may be attempted again.
      *
-     * @param verdict what is known about whether the attempt before ran
-     * @param kind what a repeat of the request would do
+     * @param verdict the verdict whether the previous attempt ran
+     * @param kind the kind of operation, which says whether a repeat is safe
      * @return whether the request may be attempted again now
      */
     public boolean tryRetry(Verdict verdict, OperationKind kind) {
@@ -59,9 +60,9 @@
     }
 
     /**
-     * Takes one attempt out of the budget.
+     * Consumes one attempt of the budget.
      *
-     * @return whether there was one
+     * @return whether an attempt was available
      */
     boolean tryTake() {
         if (mTokens < 1) {
@@ -73,7 +74,7 @@
     }
 
     /**
-     * Counts the first attempts so far.
+     * Returns the number of first attempts so far.
      *
      * @return the count
      */
@@ -82,7 +83,7 @@
     }
 
     /**
-     * Counts the retries so far.
+     * Returns the number of retries so far.
      *
      * @return the count
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/region/ShardChooser.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/ShardChooser.java
@@ -8,24 +8,25 @@
 import java.util.Map;
 
 /**
- * Chooses the shard of a region that a request goes to.
+ * Load balancer that chooses the shard of a region to which a request is sent.
  *
  * <p>Shards in the availability zone of this instance cost no distance; the others cost one round
- * trip between availability zones. The shortest wait with the distance wins, then the larger share
- * of free slots; equals take turns. A shard of which nothing is known counts as free, since its
- * admitter refuses what it cannot take. A state machine for one thread.
+ * trip between availability zones. The shard with the lowest sum of wait and distance is chosen,
+ * then the one with the larger share of free slots; equal shards are used in rotation. A shard
+ * without known headroom counts as free, since its admitter refuses requests that it cannot take.
+ * Not thread-safe: confined to one thread.
  *
  * @since 0.1
  */
 public final class ShardChooser {
 
     private final long mDistanceNanos;
-    private int mTurn;
+    private int mNextOffset;
 
     /**
-     * Makes a chooser.
+     * Creates a chooser.
      *
-     * @param roundTrip the time to another availability zone of the region and back
+     * @param roundTrip the round-trip time to another availability zone of the region
      */
     public ShardChooser(Duration roundTrip) {
         mDistanceNanos = Assert.notNull(roundTrip, "A round trip").toNanos();
@@ -34,14 +35,14 @@
     /**
      * Chooses a shard.
      *
-     * @param shards the shards that can be reached, at least one
+     * @param shards the reachable shards, at least one
      * @param ownNumber the number of the shard in the availability zone of this instance, or -1
-     * @param headrooms the newest counts of each shard; a shard may be missing
-     * @return the shard
+     * @param headrooms the latest headroom of each shard; a shard may be missing
+     * @return the chosen shard
      */
     public Shard choose(List<Shard> shards, int ownNumber, Map<Shard, Headroom> headrooms) {
         Assert.notEmpty(shards, "The shards to choose from");
-        int first = Math.floorMod(mTurn++, shards.size());
+        int first = Math.floorMod(mNextOffset++, shards.size());
         Shard best = shards.get(first);
         for (int i = 1; i < shards.size(); i++) {
             Shard shard = shards.get((first + i) % shards.size());
--- a/masticpond-core/src/main/java/io/masticpond/core/region/ShardHeadrooms.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/ShardHeadrooms.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 
 /**
- * Keeps the newest counts of each shard for as long as they are of use, less what was sent since.
+ * Registry of the latest headroom of each shard while it is fresh, less the requests sent since.
  *
- * <p>A state machine for one thread.
+ * <p>Not thread-safe: confined to one thread.
  *
  * @since 0.1
  */
@@ -23,10 +23,10 @@
     private final Map<Shard, Entry> mEntries = new HashMap<>();
 
     /**
-     * Starts without counts.
+     * Creates an empty registry.
      *
-     * @param timeSource the clocks
-     * @param freshFor how long counts are of use
+     * @param timeSource the source of time
+     * @param freshFor the time for which reported headroom is used
      */
     public ShardHeadrooms(TimeSource timeSource, Duration freshFor) {
         mTimeSource = Assert.notNull(timeSource, "A time source");
@@ -34,17 +34,17 @@
     }
 
     /**
-     * Takes counts that an admitter reported.
+     * Records the headroom that an admitter reported.
      *
      * @param shard the shard
-     * @param headroom the counts
+     * @param headroom the reported headroom
      */
     public void observe(Shard shard, Headroom headroom) {
         mEntries.put(shard, new Entry(headroom, mTimeSource.monotonicNanos()));
     }
 
     /**
-     * Counts a request that was sent to a shard and that its counts do not hold yet.
+     * Records a request that was sent to a shard and is not yet part of its reported headroom.
      *
      * @param shard the shard
      */
@@ -56,18 +56,18 @@
     }
 
     /**
-     * Gives the counts that are of use now.
+     * Returns the headroom of the shards whose reports are fresh.
      *
-     * @param shards the shards asked for
-     * @return the counts with what was sent since as in flight; shards of which nothing new is
-     *     known are missing
+     * @param shards the requested shards
+     * @return the headroom, with requests sent since the report counted as in flight; shards
+     *     without a fresh report are missing
      */
     public Map<Shard, Headroom> fresh(Collection<Shard> shards) {
         long now = mTimeSource.monotonicNanos();
         Map<Shard, Headroom> fresh = new HashMap<>();
         for (Shard shard : shards) {
             Entry entry = mEntries.get(shard);
-            if (entry != null && now - entry.mNanos <= mFreshNanos) {
+            if (entry != null && now - entry.mObservedNanos <= mFreshNanos) {
                 fresh.put(shard, entry.current());
             }
         }
@@ -77,12 +77,12 @@
     private static final class Entry {
 
         private final Headroom mHeadroom;
-        private final long mNanos;
+        private final long mObservedNanos;
         private int mSentSince;
 
-        Entry(Headroom headroom, long nanos) {
+        Entry(Headroom headroom, long observedNanos) {
             mHeadroom = headroom;
-            mNanos = nanos;
+            mObservedNanos = observedNanos;
         }
 
         Headroom current() {
--- a/masticpond-core/src/main/java/io/masticpond/core/region/ShardScope.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/ShardScope.java
@@ -17,12 +17,13 @@
 import java.util.stream.IntStream;
 
 /**
- * Says which backend servers one admitter admits work to, and who may be that admitter.
+ * Scopes of a shard: the backend servers to which one admitter admits requests, and the instances
+ * that may be that admitter.
  *
  * @since 0.1
  */
 public enum ShardScope {
-    /** One admitter for all backend servers of a region: the best pooling. */
+    /** One admitter for all backend servers of a region, which pools them best. */
     REGION {
         @Override
         public int shardCount(RegionSpecification region) {
@@ -30,11 +31,13 @@
         }
 
         @Override
-        boolean holds(RegionSpecification region, Shard shard, ZoneId zone) {
+        boolean contains(RegionSpecification region, Shard shard, ZoneId zone) {
             return region.zones().contains(zone);
         }
     },
-    /** One admitter for each availability zone: a zone that is cut off keeps its own servers. */
+    /**
+     * One admitter for each availability zone, so that a partitioned zone keeps its own servers.
+     */
     ZONE {
         @Override
         public int shardCount(RegionSpecification region) {
@@ -42,23 +45,23 @@
         }
 
         @Override
-        boolean holds(RegionSpecification region, Shard shard, ZoneId zone) {
+        boolean contains(RegionSpecification region, Shard shard, ZoneId zone) {
             return shard.number() == region.zones().indexOf(zone);
         }
     };
 
     /**
-     * Counts the shards of each service in a region.
+     * Returns the number of shards of each service in a region.
      *
      * @param region the region
-     * @return the count, at least 1; shards are numbered from 0
+     * @return the number, at least 1; shards are numbered from 0
      */
     public abstract int shardCount(RegionSpecification region);
 
-    abstract boolean holds(RegionSpecification region, Shard shard, ZoneId zone);
+    abstract boolean contains(RegionSpecification region, Shard shard, ZoneId zone);
 
     /**
-     * Lists the shards of a service in a region that have backend servers.
+     * Returns the shards of a service in a region that have backend servers.
      *
      * @param configuration the configuration
      * @param service the service
@@ -66,7 +69,7 @@
      * @return the shards in the order of their numbers
      */
     public List<Shard> shards(Configuration configuration, ServiceId service, RegionId region) {
-        return find(configuration, region).stream()
+        return findRegion(configuration, region).stream()
                 .flatMap(found -> IntStream.range(0, shardCount(found)).boxed())
                 .map(number -> new Shard(service, region, number))
                 .filter(shard -> !servers(configuration, shard).isEmpty())
@@ -74,28 +77,29 @@
     }
 
     /**
-     * Lists the backend servers of a shard.
+     * Returns the backend servers of a shard.
      *
      * @param configuration the configuration
      * @param shard the shard
-     * @return the backend servers in the order stated
+     * @return the backend servers in the order of the configuration
      */
     public List<BackendServerSpecification> servers(Configuration configuration, Shard shard) {
-        Optional<RegionSpecification> region = find(configuration, shard.region());
+        Optional<RegionSpecification> region = findRegion(configuration, shard.region());
         return configuration.backendServers(shard.service(), shard.region()).stream()
-                .filter(server -> holds(region.orElseThrow(), shard, server.zone()))
+                .filter(server -> contains(region.orElseThrow(), shard, server.zone()))
                 .toList();
     }
 
     /**
-     * Orders the instances that may admit work to a shard, the admitter first. Where all instances
-     * near the shard are known to be gone, those of the region stand in for it.
+     * Returns the instances that may admit requests to a shard in order, the admitter first. If all
+     * instances in the scope of the shard are known to have terminated, those of the region replace
+     * them.
      *
      * @param configuration the configuration
      * @param shard the shard
-     * @param members all instances that are known
-     * @param missing the instances that may be at work out of sight
-     * @return the instances that admit work, in order
+     * @param members all known instances
+     * @param missing the unreachable instances that may still be running
+     * @return the instances that admit requests, in order
      */
     public List<InstanceId> admitters(
             Configuration configuration,
@@ -111,15 +115,15 @@
     }
 
     /**
-     * Lists the instances that may be at work on a shard: those that are near its backend servers,
-     * whatever their state, and those of the region if all of the former are known to be gone.
-     * Instances that are out of sight may be cut off together with their backend servers, and then
-     * go on by themselves.
+     * Returns the instances that may be admitting requests to a shard: those in the scope of its
+     * backend servers, in any state, or those of the region if all of the former are known to have
+     * terminated. Unreachable instances may be partitioned together with their backend servers and
+     * then continue on their own.
      *
      * @param configuration the configuration
      * @param shard the shard
-     * @param members all instances that are known
-     * @param missing the instances that may be at work out of sight
+     * @param members all known instances
+     * @param missing the unreachable instances that may still be running
      * @return the instances in the order given
      */
     public List<Member> possibleAdmitters(
@@ -127,21 +131,23 @@
             Shard shard,
             Collection<Member> members,
             Set<InstanceId> missing) {
-        Optional<RegionSpecification> region = find(configuration, shard.region());
+        Optional<RegionSpecification> region = findRegion(configuration, shard.region());
         if (region.isEmpty()) {
             return List.of();
         }
-        List<Member> near =
-                members.stream().filter(each -> holds(region.get(), shard, each.zone())).toList();
-        for (Member member : near) {
+        List<Member> scopeMembers =
+                members.stream()
+                        .filter(each -> contains(region.get(), shard, each.zone()))
+                        .toList();
+        for (Member member : scopeMembers) {
             if (member.state().admits() || missing.contains(member.id())) {
-                return near;
+                return scopeMembers;
             }
         }
         return members.stream().filter(each -> region.get().zones().contains(each.zone())).toList();
     }
 
-    private static Optional<RegionSpecification> find(
+    private static Optional<RegionSpecification> findRegion(
             Configuration configuration, RegionId region) {
         return configuration.content().regions().stream()
                 .filter(found -> found.id().equals(region))
--- a/masticpond-core/src/main/java/io/masticpond/core/region/package-info.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/package-info.java
@@ -1,2 +1,2 @@
-/** Choice of the region that a request goes to, and the budgets for doing so; no I/O. */
+/** Selection of the region of a request, with the related budgets. Performs no I/O. */
 package io.masticpond.core.region;
--- a/masticpond-core/src/test/java/io/masticpond/core/region/DefaultRegionSelectorTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/region/DefaultRegionSelectorTest.java
@@ -21,99 +21,101 @@
 import java.util.Set;
 import net.jqwik.api.Example;
 
-/** Choice of regions under failure. */
+/** Tests the choice of regions, also under failure. */
 final class DefaultRegionSelectorTest {
 
     private static final Duration WORK = Duration.ofMillis(40);
 
     @Example
-    void spillsOnlyOnceQueueingCostsMoreThanTheDistance() {
-        RegionFixture scene = RegionFixture.plain();
-        scene.reportAll(10);
-        scene.report(CASA, SLOTS, Duration.ofMillis(35));
-        assertThat(scene.select().get())
-                .as("35 ms of queue cost less than 40 ms of travel")
+    void spillsOnlyWhenQueueingCostsMoreThanDistance() {
+        RegionFixture fixture = RegionFixture.withDefaults();
+        fixture.reportAll(10);
+        fixture.report(CASA, SLOTS, Duration.ofMillis(35));
+        assertThat(fixture.select().get())
+                .as("35 ms of queueing cost less than 40 ms of travel")
                 .isEqualTo(CASA);
-        scene.report(CASA, SLOTS, Duration.ofMillis(45));
-        assertThat(scene.select().get()).isEqualTo(FES);
+        fixture.report(CASA, SLOTS, Duration.ofMillis(45));
+        assertThat(fixture.select().get()).isEqualTo(FES);
     }
 
     @Example
     void skipsTriedRegionsAndRefusesTruthfullyAfterTheLast() {
-        RegionFixture scene = RegionFixture.plain();
-        scene.reportAll(10);
-        RequestHead head = scene.request(5);
-        assertThat(scene.mSelector.select(head, Set.of(CASA)).get()).isEqualTo(FES);
-        assertThat(scene.mSelector.select(head, Set.of(CASA, FES)).get()).isEqualTo(AGADIR);
-        Refusal refusal = scene.mSelector.select(head, Set.of(CASA, FES, AGADIR)).getLeft();
+        RegionFixture fixture = RegionFixture.withDefaults();
+        fixture.reportAll(10);
+        RequestHead head = fixture.request(5);
+        assertThat(fixture.mSelector.select(head, Set.of(CASA)).get()).isEqualTo(FES);
+        assertThat(fixture.mSelector.select(head, Set.of(CASA, FES)).get()).isEqualTo(AGADIR);
+        Refusal refusal = fixture.mSelector.select(head, Set.of(CASA, FES, AGADIR)).getLeft();
         assertThat(refusal.verdict()).isEqualTo(Verdict.DID_NOT_RUN);
         assertThat(refusal.cause()).isEqualTo(RefusalCause.NO_CAPACITY);
         assertThat(refusal.retryAfter().isPresent()).isTrue();
     }
 
     @Example
-    void goesToTheCheaperRegionOnlyWhileItIsRoomyAndFastEnough() {
-        RegionFixture scene = new RegionFixture(Map.of(CASA, 9L, FES, 5L, AGADIR, 9L), 0);
-        scene.reportAll(5);
-        assertThat(scene.select().get()).isEqualTo(FES);
-        scene.report(FES, 35, Duration.ZERO);
-        assertThat(scene.select().get())
+    void choosesCheaperRegionOnlyWithSlotReserveAndInTime() {
+        RegionFixture fixture = new RegionFixture(Map.of(CASA, 9L, FES, 5L, AGADIR, 9L), 0);
+        fixture.reportAll(5);
+        assertThat(fixture.select().get()).isEqualTo(FES);
+        fixture.report(FES, 35, Duration.ZERO);
+        assertThat(fixture.select().get())
                 .as("price must not fill a region's last slots")
                 .isEqualTo(CASA);
-        scene.report(FES, 5, Duration.ZERO);
-        RequestHead hasty =
+        fixture.report(FES, 5, Duration.ZERO);
+        RequestHead shortDeadline =
                 new RequestHead(
-                        scene.request(5).id(),
+                        fixture.request(5).id(),
                         SERVICE,
-                        scene.mTime.monotonicNanos() + Duration.ofMillis(60).toNanos(),
+                        fixture.mTime.monotonicNanos() + Duration.ofMillis(60).toNanos(),
                         5,
                         OperationKind.READ);
-        assertThat(scene.mSelector.select(hasty, Set.of()).get()).isEqualTo(CASA);
+        assertThat(fixture.mSelector.select(shortDeadline, Set.of()).get()).isEqualTo(CASA);
     }
 
     @Example
-    void takesTheNearestOnPriceTieEveryTime() {
-        RegionFixture scene = new RegionFixture(Map.of(CASA, 7L, FES, 7L, AGADIR, 7L), 0);
-        RegionChoiceStatistics tally =
-                scene.run(Duration.ofSeconds(5), 200, WORK, () -> scene.reportAll(8));
-        assertThat(tally.changes()).isEqualTo(0);
-        assertThat(tally.count(CASA)).isEqualTo(1000);
+    void choosesNearestRegionOnPriceTie() {
+        RegionFixture fixture = new RegionFixture(Map.of(CASA, 7L, FES, 7L, AGADIR, 7L), 0);
+        RegionChoiceStatistics statistics =
+                fixture.run(Duration.ofSeconds(5), 200, WORK, () -> fixture.reportAll(8));
+        assertThat(statistics.changes()).isEqualTo(0);
+        assertThat(statistics.count(CASA)).isEqualTo(1000);
     }
 
     @Example
-    void keepsToItsShareOfFullLinkAndSaysSo() {
-        RegionFixture scene = new RegionFixture(Map.of(), 90);
-        scene.mSelector.setReachable(SERVICE, CASA, false);
-        scene.mSelector.setReachable(SERVICE, AGADIR, false);
-        RegionChoiceStatistics tally =
-                scene.run(
+    void limitsTrafficToShareOfLinkAndReportsFullLink() {
+        RegionFixture fixture = new RegionFixture(Map.of(), 90);
+        fixture.mSelector.setReachable(SERVICE, CASA, false);
+        fixture.mSelector.setReachable(SERVICE, AGADIR, false);
+        RegionChoiceStatistics statistics =
+                fixture.run(
                         Duration.ofSeconds(10),
                         200,
                         Duration.ofMillis(2),
-                        () -> scene.reportAll(0));
+                        () -> fixture.reportAll(0));
         int share = 90 / 3 * 10;
-        assertThat(tally.count(FES) <= share + 3).as("sent " + tally.count(FES)).isTrue();
-        assertThat(tally.count(FES) >= share * 0.9).as("sent " + tally.count(FES)).isTrue();
-        assertThat(tally.refused()).isEqualTo(2000 - tally.count(FES));
+        assertThat(statistics.count(FES) <= share + 3).as("sent " + statistics.count(FES)).isTrue();
+        assertThat(statistics.count(FES) >= share * 0.9)
+                .as("sent " + statistics.count(FES))
+                .isTrue();
+        assertThat(statistics.refused()).isEqualTo(2000 - statistics.count(FES));
         int burst = 3;
         for (int i = 0; i < burst; i++) {
-            scene.select();
+            fixture.select();
         }
-        Refusal refusal = scene.select().getLeft();
+        Refusal refusal = fixture.select().getLeft();
         assertThat(refusal.cause()).isEqualTo(RefusalCause.LINK_FULL);
         assertThat(refusal.verdict()).isEqualTo(Verdict.DID_NOT_RUN);
     }
 
     @Example
     void refusesTheLowestPriorityFirstWhenAllRegionsAreFull() {
-        RegionFixture scene = RegionFixture.plain();
+        RegionFixture fixture = RegionFixture.withDefaults();
         for (RegionId region : Set.of(CASA, FES, AGADIR)) {
-            scene.report(region, SLOTS, Duration.ofMillis(1200));
+            fixture.report(region, SLOTS, Duration.ofMillis(1200));
         }
         int lowestTaken = 10;
         for (int priority = 9; priority >= 0; priority--) {
             Either<Refusal, RegionId> choice =
-                    scene.mSelector.select(scene.request(priority), Set.of());
+                    fixture.mSelector.select(fixture.request(priority), Set.of());
             if (choice.isRight()) {
                 assertThat(priority)
                         .as("a lower priority was taken instead")
@@ -128,51 +130,54 @@
 
     @Example
     void degradesStepByStepWhenMeasurementsStop() {
-        RegionFixture scene = RegionFixture.plain();
-        assertThat(scene.mSelector.step(SERVICE, FES)).isEqualTo(DegradationStep.FAIR_SHARE);
-        scene.reportAll(10);
-        assertThat(scene.mSelector.step(SERVICE, FES)).isEqualTo(DegradationStep.EXACT);
-        scene.mTime.advance(Duration.ofSeconds(2));
-        assertThat(scene.mSelector.step(SERVICE, FES)).isEqualTo(DegradationStep.STALE);
-        scene.mTime.advance(Duration.ofSeconds(4));
-        assertThat(scene.mSelector.step(SERVICE, FES)).isEqualTo(DegradationStep.FAIR_SHARE);
-        scene.mSelector.setReachable(SERVICE, CASA, false);
-        RegionChoiceStatistics tally = scene.run(Duration.ofSeconds(20), 400, WORK, () -> {});
+        RegionFixture fixture = RegionFixture.withDefaults();
+        assertThat(fixture.mSelector.step(SERVICE, FES)).isEqualTo(DegradationStep.FAIR_SHARE);
+        fixture.reportAll(10);
+        assertThat(fixture.mSelector.step(SERVICE, FES)).isEqualTo(DegradationStep.EXACT);
+        fixture.mTime.advance(Duration.ofSeconds(2));
+        assertThat(fixture.mSelector.step(SERVICE, FES)).isEqualTo(DegradationStep.STALE);
+        fixture.mTime.advance(Duration.ofSeconds(4));
+        assertThat(fixture.mSelector.step(SERVICE, FES)).isEqualTo(DegradationStep.FAIR_SHARE);
+        fixture.mSelector.setReachable(SERVICE, CASA, false);
+        RegionChoiceStatistics statistics =
+                fixture.run(Duration.ofSeconds(20), 400, WORK, () -> {});
         int fairShare = SLOTS / 9;
-        long most = Duration.ofSeconds(20).dividedBy(WORK) * fairShare;
-        assertThat(tally.count(FES) <= most).as(tally.count(FES) + " of at most " + most).isTrue();
-        assertThat(tally.count(FES) >= most * 0.8)
-                .as(tally.count(FES) + " of at most " + most)
+        long maximum = Duration.ofSeconds(20).dividedBy(WORK) * fairShare;
+        assertThat(statistics.count(FES) <= maximum)
+                .as(statistics.count(FES) + " of at most " + maximum)
+                .isTrue();
+        assertThat(statistics.count(FES) >= maximum * 0.8)
+                .as(statistics.count(FES) + " of at most " + maximum)
                 .isTrue();
     }
 
     @Example
-    void takesNothingFromTheWallClock() {
-        RegionFixture scene = RegionFixture.plain();
-        scene.reportAll(10);
-        scene.mTime.stepWallClock(Duration.ofHours(-3));
-        assertThat(scene.mSelector.step(SERVICE, FES)).isEqualTo(DegradationStep.EXACT);
-        assertThat(scene.select().get()).isEqualTo(CASA);
-        scene.mTime.stepWallClock(Duration.ofHours(9));
-        assertThat(scene.mSelector.step(SERVICE, FES)).isEqualTo(DegradationStep.EXACT);
-        assertThat(scene.select().get()).isEqualTo(CASA);
+    void isIndependentOfWallClock() {
+        RegionFixture fixture = RegionFixture.withDefaults();
+        fixture.reportAll(10);
+        fixture.mTime.stepWallClock(Duration.ofHours(-3));
+        assertThat(fixture.mSelector.step(SERVICE, FES)).isEqualTo(DegradationStep.EXACT);
+        assertThat(fixture.select().get()).isEqualTo(CASA);
+        fixture.mTime.stepWallClock(Duration.ofHours(9));
+        assertThat(fixture.mSelector.step(SERVICE, FES)).isEqualTo(DegradationStep.EXACT);
+        assertThat(fixture.select().get()).isEqualTo(CASA);
     }
 
     @Example
-    void refusesWhatItCannotServe() {
-        RegionFixture scene = RegionFixture.plain();
-        RequestHead late = scene.request(5);
-        scene.mTime.advance(RegionFixture.DEADLINE);
-        assertThat(scene.mSelector.select(late, Set.of()).getLeft().cause())
+    void refusesRequestsThatCannotBeServed() {
+        RegionFixture fixture = RegionFixture.withDefaults();
+        RequestHead late = fixture.request(5);
+        fixture.mTime.advance(RegionFixture.DEADLINE);
+        assertThat(fixture.mSelector.select(late, Set.of()).getLeft().cause())
                 .isEqualTo(RefusalCause.DEADLINE);
         RequestHead unknown =
                 new RequestHead(
                         late.id(), new ServiceId("none"), Long.MAX_VALUE, 5, OperationKind.READ);
-        assertThat(scene.mSelector.select(unknown, Set.of()).getLeft().cause())
+        assertThat(fixture.mSelector.select(unknown, Set.of()).getLeft().cause())
                 .isEqualTo(RefusalCause.NOT_FOUND);
         for (RegionId region : Set.of(CASA, FES, AGADIR)) {
-            scene.mSelector.setReachable(SERVICE, region, false);
+            fixture.mSelector.setReachable(SERVICE, region, false);
         }
-        assertThat(scene.select().getLeft().cause()).isEqualTo(RefusalCause.NO_BACKEND_SERVER);
+        assertThat(fixture.select().getLeft().cause()).isEqualTo(RefusalCause.NO_BACKEND_SERVER);
     }
 }
--- a/masticpond-core/src/test/java/io/masticpond/core/region/RegionChoiceStatistics.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/region/RegionChoiceStatistics.java
@@ -6,7 +6,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Counts where requests went, and how often the region changed from one to the next. */
+/**
+ * Statistics of the regions chosen for requests, and of the changes from one request to the next.
+ */
 final class RegionChoiceStatistics {
 
     private final Map<RegionId, Integer> mCounts = new HashMap<>();
--- a/masticpond-core/src/test/java/io/masticpond/core/region/RegionFixture.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/region/RegionFixture.java
@@ -28,7 +28,10 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** A selector at an instance in casa, with two zones of two servers of 10 slots in each region. */
+/**
+ * Fixture with a selector at an instance in casa, and two zones of two servers of 10 slots in each
+ * region.
+ */
 final class RegionFixture {
 
     static final ServiceId SERVICE = new ServiceId("layout-view");
@@ -56,7 +59,7 @@
         mSelector.setInstanceCounts(INSTANCES_PER_REGION, 3 * INSTANCES_PER_REGION);
     }
 
-    static RegionFixture plain() {
+    static RegionFixture withDefaults() {
         return new RegionFixture(Map.of(), 0);
     }
 
@@ -125,9 +128,13 @@
         return mSelector.select(request(5), Set.of());
     }
 
-    /** Offers work of a fixed duration at a steady rate; counts where it goes. */
-    RegionChoiceStatistics run(Duration duration, int perSecond, Duration work, Runnable eachTick) {
-        RegionChoiceStatistics tally = new RegionChoiceStatistics();
+    /**
+     * Sends requests of a fixed duration at a steady rate and returns statistics of the chosen
+     * regions.
+     */
+    RegionChoiceStatistics run(
+            Duration duration, int perSecond, Duration serviceTime, Runnable eachTick) {
+        RegionChoiceStatistics statistics = new RegionChoiceStatistics();
         Duration tick = Duration.ofSeconds(1).dividedBy(perSecond);
         long end = mTime.monotonicNanos() + duration.toNanos();
         while (mTime.monotonicNanos() < end) {
@@ -136,11 +143,12 @@
             mRunning.removeIf(each -> each.finish(now, mSelector));
             RequestHead head = request(5);
             Either<Refusal, RegionId> choice = mSelector.select(head, Set.of());
-            tally.add(choice);
-            choice.peek(region -> mRunning.add(new Running(head, region, now + work.toNanos())));
+            statistics.add(choice);
+            choice.peek(
+                    region -> mRunning.add(new Running(head, region, now + serviceTime.toNanos())));
             mTime.advance(tick);
         }
-        return tally;
+        return statistics;
     }
 
     private record Running(RequestHead head, RegionId region, long endNanos) {
--- a/masticpond-core/src/test/java/io/masticpond/core/region/RetryBudgetProperties.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/region/RetryBudgetProperties.java
@@ -9,11 +9,14 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Retries stay a tenth of first attempts and never repeat what may have run. */
+/**
+ * Verifies that retries stay within a tenth of the first attempts and never repeat a request that
+ * may have run.
+ */
 final class RetryBudgetProperties {
 
     @Property(seed = "20261202")
-    void neverPassesTheShareOfFirstAttempts(@ForAll List<Boolean> retries) {
+    void neverExceedsShareOfFirstAttempts(@ForAll List<Boolean> retries) {
         RetryBudget budget = new RetryBudget(0.1, 3);
         for (boolean retry : retries) {
             if (retry) {
@@ -26,12 +29,12 @@
     }
 
     @Example
-    void neverRepeatsWhatMayHaveRunUnlessIdempotent() {
+    void retriesRequestThatMayHaveRunOnlyIfIdempotent() {
         RetryBudget budget = new RetryBudget(0.1, 10);
         assertThat(budget.tryRetry(Verdict.MAY_HAVE_RUN, OperationKind.ONCE_ONLY)).isFalse();
         assertThat(budget.tryRetry(Verdict.MAY_HAVE_RUN, OperationKind.UNKNOWN)).isFalse();
         assertThat(budget.tryRetry(Verdict.RAN, OperationKind.READ)).isFalse();
-        assertThat(budget.retries()).as("a refused retry takes nothing").isEqualTo(0);
+        assertThat(budget.retries()).as("a refused retry consumes no budget").isEqualTo(0);
         assertThat(budget.tryRetry(Verdict.MAY_HAVE_RUN, OperationKind.IDEMPOTENT)).isTrue();
         assertThat(budget.tryRetry(Verdict.DID_NOT_RUN, OperationKind.ONCE_ONLY)).isTrue();
     }
--- a/masticpond-core/src/test/java/io/masticpond/core/region/ShardScopeTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/region/ShardScopeTest.java
@@ -22,7 +22,10 @@
 import java.util.Set;
 import net.jqwik.api.Example;
 
-/** Who admits to what when instances die or are cut off, and which shard gets a request. */
+/**
+ * Tests the admitters of shards when instances terminate or are partitioned, and the choice of a
+ * shard.
+ */
 final class ShardScopeTest {
 
     private static final Configuration CONFIGURATION = RegionFixture.configuration(Map.of(), 0);
@@ -30,7 +33,7 @@
     private static final Shard SECOND = new Shard(RegionFixture.SERVICE, RegionFixture.CASA, 1);
 
     @Example
-    void sharesEachServerAmongTheShardsOnce() {
+    void assignsEachServerToOneShard() {
         for (ShardScope scope : ShardScope.values()) {
             List<Shard> shards =
                     scope.shards(CONFIGURATION, RegionFixture.SERVICE, RegionFixture.CASA);
@@ -44,26 +47,26 @@
     }
 
     @Example
-    void keepsToTheZoneWhileAnInstanceOfItIsLive() {
+    void usesAdmittersOfZoneWhileOneIsLive() {
         assertThat(admitters(SECOND, MemberState.LIVE, Set.of()))
                 .containsExactly(new InstanceId("c"));
     }
 
     @Example
-    void standsInForZoneWhoseInstancesAreGone() {
+    void usesAdmittersOfRegionWhenZoneHasNone() {
         assertThat(admitters(SECOND, MemberState.DEAD, Set.of()))
                 .containsExactlyInAnyOrder(new InstanceId("a"), new InstanceId("b"));
     }
 
     @Example
-    void leavesZoneThatMayBeCutOffToItself() {
+    void doesNotReplaceAdmittersOfZoneThatMayBePartitioned() {
         assertThat(admitters(SECOND, MemberState.DEAD, Set.of(new InstanceId("c")))).isEmpty();
         assertThat(admitters(SECOND, MemberState.SUSPECT, Set.of(new InstanceId("c")))).isEmpty();
         assertThat(admitters(FIRST, MemberState.DEAD, Set.of(new InstanceId("c")))).hasSize(2);
     }
 
     @Example
-    void choosesTheOwnZoneWhileItsWaitCostsLessThanTheDistance() {
+    void choosesOwnZoneWhileWaitCostsLessThanDistance() {
         ShardChooser chooser = new ShardChooser(Duration.ofMillis(2));
         List<Shard> shards = List.of(FIRST, SECOND);
         Headroom free = new Headroom(20, 0, 0, 0, DegradationStep.EXACT);
@@ -78,7 +81,7 @@
     }
 
     @Example
-    void takesTurnsWhenNothingNewIsKnown() {
+    void rotatesShardsWithoutFreshHeadroom() {
         ManualTimeSource time = new ManualTimeSource(Instant.EPOCH);
         ShardHeadrooms headrooms = new ShardHeadrooms(time, Duration.ofSeconds(1));
         ShardChooser chooser = new ShardChooser(Duration.ofMillis(2));
@@ -90,11 +93,11 @@
         Set<Shard> chosen = new HashSet<>();
         chosen.add(chooser.choose(shards, -1, headrooms.fresh(shards)));
         chosen.add(chooser.choose(shards, -1, headrooms.fresh(shards)));
-        assertThat(chosen).as("old counts must not keep all work on one shard").hasSize(2);
+        assertThat(chosen).as("stale headroom must not keep all requests on one shard").hasSize(2);
     }
 
     @Example
-    void countsWhatWasSentSinceTheLastReport() {
+    void countsRequestsSentSinceLastReport() {
         ManualTimeSource time = new ManualTimeSource(Instant.EPOCH);
         ShardHeadrooms headrooms = new ShardHeadrooms(time, Duration.ofSeconds(1));
         headrooms.observe(FIRST, new Headroom(20, 18, 0, 0, DegradationStep.EXACT));
@@ -106,7 +109,10 @@
         assertThat(headrooms.fresh(List.of(FIRST)).get(FIRST).freeSlots()).isEqualTo(2);
     }
 
-    /** Has two live instances in the first zone and one with a state in the second. */
+    /**
+     * Returns the admitters for two live instances in the first zone and one with the given state
+     * in the second.
+     */
     private static List<InstanceId> admitters(
             Shard shard, MemberState state, Set<InstanceId> missing) {
         List<Member> members =
