--- a/masticpond-core/src/main/java/io/masticpond/core/placement/AnswerSizes.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/AnswerSizes.java
@@ -9,44 +9,49 @@
 import java.util.stream.Collectors;
 
 /**
- * The usual sizes of the answers of each route, as observed, and what they add to a distance. A
- * connection sends some 14,600 bytes before it waits for the other end (ten segments, RFC 6928),
- * and twice as many in each round trip from then on; so an answer of 90 kB crosses regions in three
- * round trips and not in one. It fills the links between them besides, which are the dearest there
- * are. Touched by one thread only.
+ * Moving averages of the observed answer sizes of each route, and the round trips that they add to
+ * a distance. A connection sends some 14,600 bytes before it waits for an acknowledgement (ten
+ * segments, RFC 6928), and twice as many in each further round trip; so an answer of 90 kB crosses
+ * regions in three round trips instead of one. Large answers also use the links between regions,
+ * which are the most expensive ones.
+ *
+ * <p>Not thread-safe: confined to one thread.
  *
  * @since 0.2
  */
 final class AnswerSizes {
 
-    private static final double FIRST_ROUND_BYTES = 14_600;
-    private static final double NEWEST_SHARE = 0.1;
+    private static final double INITIAL_WINDOW_BYTES = 14_600;
+    private static final double SMOOTHING_FACTOR = 0.1;
 
-    /** More routes than this are not told apart from small ones, which bounds the memory. */
-    private static final int MOST_ROUTES = 10_000;
+    /**
+     * Maximum number of tracked routes, which bounds the memory; answers of further routes count as
+     * small.
+     */
+    private static final int MAXIMUM_ROUTES = 10_000;
 
     private final Map<RouteId, Double> mMeanBytes = new HashMap<>();
 
-    /** Takes the size of an answer. */
-    void answered(RouteId route, long bytes) {
-        Double before = mMeanBytes.get(route);
-        if (before != null) {
-            mMeanBytes.put(route, before + NEWEST_SHARE * (bytes - before));
-        } else if (mMeanBytes.size() < MOST_ROUTES) {
+    /** Records the size of an answer. */
+    void recordSize(RouteId route, long bytes) {
+        Double previousMean = mMeanBytes.get(route);
+        if (previousMean != null) {
+            mMeanBytes.put(route, previousMean + SMOOTHING_FACTOR * (bytes - previousMean));
+        } else if (mMeanBytes.size() < MAXIMUM_ROUTES) {
             mMeanBytes.put(route, (double) bytes);
         }
     }
 
     /**
-     * Gives how many round trips an answer takes after the first. Whole ones only, so that all
-     * instances agree on them though each has seen other answers.
+     * Returns the number of round trips that an answer takes after the first. Only whole round
+     * trips are counted, so that all instances agree although each has observed different answers.
      */
     int furtherRounds(RouteId route) {
-        double rounds = 1 + mMeanBytes.getOrDefault(route, 0.0) / FIRST_ROUND_BYTES;
+        double rounds = 1 + mMeanBytes.getOrDefault(route, 0.0) / INITIAL_WINDOW_BYTES;
         return Math.getExponent(rounds);
     }
 
-    /** Forgets the routes that are gone. */
+    /** Removes routes that are no longer configured. */
     void retain(RoutingConfiguration configuration) {
         Set<RouteId> present =
                 configuration.routes().stream().map(Route::id).collect(Collectors.toSet());
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/AvoidReason.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/AvoidReason.java
@@ -1,15 +1,15 @@
 package io.masticpond.core.placement;
 
 /**
- * Why requests are kept away from a backend server for a time.
+ * Reasons for temporarily avoiding a backend server.
  *
  * @since 0.2
  */
 public enum AvoidReason {
-    /** It said that a request was not meant for it. */
+    /** The server stated that a request was not addressed to it. */
     MISDIRECTED,
-    /** It turned a request away, most likely for want of room. */
+    /** The server rejected a request, most likely for lack of capacity. */
     TURNED_AWAY,
-    /** No connection to it could be opened. */
+    /** No connection to the server could be opened. */
     UNREACHABLE
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/CacheMissCost.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/CacheMissCost.java
@@ -3,69 +3,74 @@
 import java.util.Arrays;
 
 /**
- * What cache misses at its servers cost the requests of one service, as measured: the last answers
- * fall into quick ones and those that took more than twice as long. As long as a good part is slow,
- * each further server that a key uses would have to fetch its object, and evict another one for it.
- * Touched by one thread only.
+ * Measured cost of cache misses for the requests of one service. The latest answers are divided
+ * into quick ones and those that took more than twice as long. While a considerable part is slow,
+ * each further server that a key uses would have to fetch the key's object and evict another one
+ * for it.
+ *
+ * <p>Not thread-safe: confined to one thread.
  *
  * @since 0.2
  */
 final class CacheMissCost {
 
-    private static final int KEPT = 64;
+    private static final int SAMPLES = 64;
 
-    /** Sorting the kept times each time would cost more than it tells. */
-    private static final int WORK_OUT_EVERY = 8;
+    /**
+     * Number of answers between measurements, since sorting the samples for each answer would be
+     * too expensive.
+     */
+    private static final int MEASURE_INTERVAL = 8;
 
-    /** The part of the answers that may be quick by chance. */
-    private static final int QUICK_PART = 20;
+    /** One in this many answers may be quick by chance. */
+    private static final int QUICK_DIVISOR = 20;
 
     private static final double SLOW_MULTIPLE = 2;
 
-    private final long[] mTimes = new long[KEPT];
+    private final long[] mTimes = new long[SAMPLES];
     private final double mAssumed;
     private long mCount;
     private double mMeasured;
 
     /**
-     * Starts without any answer.
+     * Creates an instance without samples.
      *
-     * @param assumed the cost that is assumed at first and given up as answers come
+     * @param assumed the cost that is assumed at first and gradually replaced by the measured one
      */
     CacheMissCost(double assumed) {
         mAssumed = assumed;
     }
 
-    /** Takes the time of an answer that did not wait for a slot. */
-    void answeredIn(long nanos) {
-        mTimes[(int) (mCount % KEPT)] = nanos;
+    /** Records the time of an answer whose request did not wait for a slot. */
+    void recordAnswerTime(long nanos) {
+        mTimes[(int) (mCount % SAMPLES)] = nanos;
         mCount++;
-        if (mCount % WORK_OUT_EVERY == 0) {
+        if (mCount % MEASURE_INTERVAL == 0) {
             mMeasured = measure();
         }
     }
 
     /**
-     * Gives the time that requests take beyond that of quick ones, on the average, in times of a
-     * quick one.
+     * Returns the average time that requests take beyond that of quick ones, as a multiple of the
+     * time of a quick one.
      */
     double value() {
-        if (mCount < WORK_OUT_EVERY) {
+        if (mCount < MEASURE_INTERVAL) {
             return mAssumed;
         }
-        double assumedPart = Math.max(0, 1 - (double) mCount / KEPT);
-        return assumedPart * mAssumed + (1 - assumedPart) * mMeasured;
+        double assumedShare = Math.max(0, 1 - (double) mCount / SAMPLES);
+        return assumedShare * mAssumed + (1 - assumedShare) * mMeasured;
     }
 
     private double measure() {
-        int kept = (int) Math.min(KEPT, mCount);
-        long[] sorted = Arrays.copyOf(mTimes, kept);
+        int sampleCount = (int) Math.min(SAMPLES, mCount);
+        long[] sorted = Arrays.copyOf(mTimes, sampleCount);
         Arrays.sort(sorted);
-        double quick = Math.max(1, sorted[kept / QUICK_PART]);
+        double quick = Math.max(1, sorted[sampleCount / QUICK_DIVISOR]);
         double excess = 0;
         for (long time : sorted) {
             excess += time > quick * SLOW_MULTIPLE ? time / quick - 1 : 0;
         }
-        return excess / kept;
+        return excess / sampleCount;
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/Candidates.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/Candidates.java
@@ -3,56 +3,56 @@
 import java.util.OptionalDouble;
 
 /**
- * What one request may use of the servers of its service.
+ * Strategy interface that determines which servers of its service a request may use.
  *
  * @since 0.2
  */
 public interface Candidates {
 
     /**
-     * Tells whether a server may take the request; a server that is cold may be one. Asked once for
-     * each server.
+     * Determines whether a server may take the request; a cold server may be usable. Called once
+     * for each server.
      *
      * @param load the server
-     * @return whether it may
+     * @return whether the server may take the request
      */
     boolean isUsable(ServerLoad load);
 
     /**
-     * Tells whether a server is cold.
+     * Determines whether a server is cold.
      *
      * @param load the server
-     * @return whether it is
+     * @return whether the server is cold
      */
     boolean isCold(ServerLoad load);
 
     /**
-     * Tells whether a server takes requests at a bounded rate, because it is cold or has named a
-     * limit.
+     * Determines whether a server accepts requests at a bounded rate, because it is cold or has
+     * stated a limit.
      *
      * @param load the server
-     * @return whether it takes a permit to send there
+     * @return whether a request to the server requires a permit
      */
     default boolean isPaced(ServerLoad load) {
         return isCold(load);
     }
 
     /**
-     * Tells what the servers take that have named limits, if no other server may take the request.
-     * Known once all servers have been asked for with {@link #isUsable}.
+     * Returns the rate of the servers that have stated limits, if no other server may take the
+     * request. Available after {@link #isUsable} has been called for all servers.
      *
-     * @return the requests a second that this instance may send to them, or empty if there are
-     *     others or none
+     * @return the requests per second that this instance may send to them, or empty if other
+     *     servers may take the request or none may
      */
     default OptionalDouble limitedPerSecond() {
         return OptionalDouble.empty();
     }
 
     /**
-     * Takes the permit to send the request to a paced server; asked for the chosen one alone.
+     * Acquires the permit to send the request to a paced server; called only for the chosen server.
      *
      * @param load the server
-     * @return whether there was one
+     * @return whether a permit was available
      */
     boolean tryPermit(ServerLoad load);
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/Distance.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/Distance.java
@@ -1,7 +1,7 @@
 package io.masticpond.core.placement;
 
 /**
- * How far a backend server is from this instance.
+ * Distances of a backend server from this instance.
  *
  * @since 0.2
  */
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/LoadGate.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/LoadGate.java
@@ -8,64 +8,66 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Refuses at arrival what the backend servers could not answer in time.
+ * Strategy interface for refusing requests on arrival that the backend servers could not answer in
+ * time.
  *
  * @since 0.2
  */
 @FunctionalInterface
 public interface LoadGate {
 
-    /** Admits everything. */
+    /** Gate that admits all requests. */
     LoadGate OPEN = (request, chosen, now) -> Optional.empty();
 
     /**
-     * Counts a request for a service, once.
+     * Records a request for a service; called once for each request.
      *
      * @param route its route
-     * @param service the service picked
-     * @param nowNanos the monotonic time
+     * @param service the chosen service
+     * @param nowNanos the current monotonic time
      */
     default void arrived(Route route, ServiceId service, long nowNanos) {}
 
     /**
-     * Forgets what a configuration does not name any more.
+     * Removes the state of routes and services that are no longer configured.
      *
      * @param configuration the configuration in force
      */
     default void retain(RoutingConfiguration configuration) {}
 
     /**
-     * Decides on a request that only servers with limits may take, by its urgency: the more urgent
-     * ones are left what they need.
+     * Decides by priority whether to admit a request that only limited servers may take: capacity
+     * is reserved for the more urgent requests.
      *
-     * @param request what is known of it
-     * @param perSecond the requests a second that this instance may send to these servers
-     * @param nowNanos the monotonic time
-     * @return whether it may be sent if there is a permit
+     * @param request the request
+     * @param perSecond the requests per second that this instance may send to these servers
+     * @param nowNanos the current monotonic time
+     * @return whether the request may be sent if a permit is available
      */
     default boolean admits(PlacementRequest request, double perSecond, long nowNanos) {
         return true;
     }
 
     /**
-     * Tells when a client should return whose request these servers do not take now.
+     * Returns the time after which a client should retry a request that the limited servers cannot
+     * take now.
      *
-     * @param request what is known of it
-     * @param perSecond the requests a second that this instance may send to these servers
-     * @param nowNanos the monotonic time
-     * @return the time until then
+     * @param request the request
+     * @param perSecond the requests per second that this instance may send to these servers
+     * @param nowNanos the current monotonic time
+     * @return the time in nanoseconds
      */
     default long retryAfterNanos(PlacementRequest request, double perSecond, long nowNanos) {
         return TimeUnit.SECONDS.toNanos(1);
     }
 
     /**
-     * Decides on a request.
+     * Decides whether to refuse a request.
      *
-     * @param request what is known of it
-     * @param chosen the server that it would be sent to
-     * @param nowNanos the monotonic time
-     * @return why and until when it is refused, empty if it is admitted
+     * @param request the request
+     * @param chosen the server to which it would be sent
+     * @param nowNanos the current monotonic time
+     * @return the decision with the time after which to retry, or empty if the request is admitted
      */
     Optional<AdmissionDecision> refuse(PlacementRequest request, ServerLoad chosen, long nowNanos);
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/Placement.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/Placement.java
@@ -3,48 +3,50 @@
 import io.masticpond.core.limit.AdmissionDecision;
 
 /**
- * What is to be done with a request now.
+ * Decision on a request.
  *
  * @since 0.2
  */
 public sealed interface Placement {
 
     /**
-     * It is sent to a backend server.
+     * The request is sent to a backend server.
      *
-     * @param choice the server and what decided it
+     * @param choice the chosen server and its score
      */
     record Placed(ServerChoice choice) implements Placement {}
 
     /**
-     * It is refused, since it would be answered too late wherever it may go.
+     * The request is refused, since no usable server could answer it in time.
      *
-     * @param decision why, and when the client should return
+     * @param decision the decision, with the time after which the client should retry
      */
     record Refused(AdmissionDecision decision) implements Placement {}
 
-    /** It is refused, since the servers that may take it want nothing more for now. */
+    /**
+     * The request is refused, since the servers that may take it accept no more requests for now.
+     */
     sealed interface Throttled extends Placement {
 
         /**
-         * Tells when the client should return.
+         * Returns the time after which the client should retry.
          *
-         * @return the time until then
+         * @return the time in nanoseconds
          */
         long retryAfterNanos();
 
         /**
-         * Names the cause.
+         * Returns the cause.
          *
-         * @return one of a fixed set of words
+         * @return one of a fixed set of values
          */
         String cause();
     }
 
     /**
-     * The servers have named limits, which are used up.
+     * The servers have stated limits, which are exhausted.
      *
-     * @param retryAfterNanos when the client should return
+     * @param retryAfterNanos the time after which the client should retry
      */
     record Limited(long retryAfterNanos) implements Throttled {
 
@@ -55,9 +57,9 @@
     }
 
     /**
-     * The servers have asked for pauses.
+     * The servers have requested pauses.
      *
-     * @param retryAfterNanos when the first of them is over
+     * @param retryAfterNanos the time until the first pause is over
      */
     record Paused(long retryAfterNanos) implements Throttled {
 
@@ -67,6 +69,6 @@
         }
     }
 
-    /** No server may take it. */
+    /** No server may take the request. */
     record NoServer() implements Placement {}
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/PlacementRequest.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/PlacementRequest.java
@@ -5,17 +5,17 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * What the choice of a server goes by.
+ * Properties of a request on which the choice of a server is based.
  *
  * @param route the route
- * @param service the service picked
+ * @param service the chosen service
  * @param keyHash the hash of the key, or a random number for a request without one
- * @param leftNanos the time that the client and the route leave
+ * @param leftNanos the remaining time in nanoseconds by the limits of the client and the route
  * @since 0.2
  */
 public record PlacementRequest(Route route, ServiceId service, long keyHash, long leftNanos) {
 
-    /** Checks that the parts are given. */
+    /** Checks that no component is {@code null}. */
     public PlacementRequest {
         Assert.notNull(route, "A route");
         Assert.notNull(service, "A service");
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/PlacementSettings.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/PlacementSettings.java
@@ -3,16 +3,17 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * How much each thing counts in the choice of a backend server. A number drawn by hash for each
- * pair of key and server ranks the servers; the penalty of another region makes a server the first
- * of fewer keys, by a factor. The other penalties are compared among the ranks.
+ * Weights of the criteria for the choice of a backend server. Servers are ranked by a hash of each
+ * pair of key and server; the penalty of another region reduces the share of the keys for which a
+ * server ranks first, by a factor. The other penalties are compared across the ranks.
  *
  * @param otherZone the penalty of a server in another zone, in this region or not
  * @param otherRegion the penalty of a server in another region, as a weight of the ranks
- * @param homes how many servers know a key's object
- * @param perHome the penalty of each rank among the servers that a key prefers
- * @param cacheMiss the penalty of a server that does not hold the object, in times of a request
- * @param perQueued the penalty of a queue that lasts as long as one request
+ * @param homes the number of servers that cache a key's object
+ * @param perHome the penalty of each rank among the preferred servers of a key
+ * @param cacheMiss the penalty of a server that does not cache the object, as a multiple of the
+ *     time of a request
+ * @param perQueued the penalty of a queue that takes as long as one request
  * @param perBusy the penalty of a server whose slots are all busy, in proportion below
  * @param failing the penalty of a server that fails all its requests, in proportion below
  * @since 0.2
@@ -27,10 +28,12 @@
         double perBusy,
         double failing) {
 
-    /** The penalty of a distance that makes a server the first of 1/e as many keys is 1/this. */
+    /** Reciprocal of the penalty that reduces the keys for which a server ranks first to 1/e. */
     private static final double DISTANCE_SCALE = 5;
 
-    /** The penalties that measured best; docs/bench/ROUNDS.md has the runs. */
+    /**
+     * Default penalties, which gave the best measurements; see docs/bench/ROUNDS.md for the runs.
+     */
     public static final PlacementSettings DEFAULT =
             new PlacementSettings(0.2, 0.35, 2, 0.1, 1.5, 1.0, 0.1, 2.0);
 
@@ -49,7 +52,8 @@
     }
 
     /**
-     * Gives how likely a server is to be a key's first, compared with one of the own region.
+     * Returns the likelihood that a server ranks first for a key, relative to a server of this
+     * instance's region.
      *
      * @param distance the distance
      * @param furtherRounds the round trips that an answer takes after the first
@@ -63,7 +67,7 @@
     }
 
     /**
-     * Gives what is held against a server of another zone when ranks are compared.
+     * Returns the penalty of a server of another zone when ranks are compared.
      *
      * @param distance the distance
      * @return the penalty
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/PriorityLoadGate.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/PriorityLoadGate.java
@@ -14,8 +14,10 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Refuses a request whose chosen backend server would answer it too late, the least urgent first.
- * Traffic thread only.
+ * {@link LoadGate} that refuses requests whose chosen backend server would answer too late, the
+ * least urgent first.
+ *
+ * <p>Not thread-safe: confined to the traffic thread.
  *
  * @since 0.2
  */
@@ -26,14 +28,14 @@
     private final Map<ServiceId, AdmissionLimit> mLimits = new HashMap<>();
 
     /**
-     * Makes a gate.
+     * Creates a gate.
      *
-     * @param settings how long a request may be expected to wait
-     * @param random chance, which spreads the returns of clients
+     * @param settings the settings with the expected wait that a request may have
+     * @param random the source of randomness, which spreads the retries of clients
      */
     public PriorityLoadGate(AdmissionLimitSettings settings, UniformRandomProvider random) {
         mSettings = Assert.notNull(settings, "Settings of an admission limit");
-        mRandom = Assert.notNull(random, "A source of chance");
+        mRandom = Assert.notNull(random, "A source of randomness");
     }
 
     @Override
@@ -54,9 +56,9 @@
                         chosen.server().slots(),
                         (int) Math.floor(chosen.inFlight(nowNanos)),
                         (long) chosen.serviceNanos());
-        AdmissionDecision answer =
+        AdmissionDecision decision =
                 limit(request.service()).decide(request.route(), load, request.leftNanos());
-        return answer.admitted() ? Optional.empty() : Optional.of(answer);
+        return decision.admitted() ? Optional.empty() : Optional.of(decision);
     }
 
     @Override
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/ReportedLoad.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/ReportedLoad.java
@@ -3,11 +3,11 @@
 import java.util.Optional;
 
 /**
- * The load that a backend server told with an answer.
+ * Load that a backend server reported with an answer.
  *
- * @param running the requests that it runs
- * @param waiting the requests that wait for a slot there
- * @param slots how many it runs at one time
+ * @param running the number of requests that the server is processing
+ * @param waiting the number of requests that wait for a slot there
+ * @param slots the number of requests that the server processes concurrently
  * @since 0.2
  */
 public record ReportedLoad(int running, int waiting, int slots) {
@@ -15,20 +15,21 @@
     private static final int PARTS = 3;
 
     /**
-     * Tells whether the server could begin another request at once. One that turns requests away
-     * nevertheless does not want for room, and what keeps it from serving lasts longer.
+     * Determines whether the server could start another request immediately. A server that rejects
+     * requests although it has a free slot does not lack capacity, and the cause of its rejections
+     * lasts longer.
      *
-     * @return whether a slot was free and nothing waited
+     * @return whether a slot was free and no request waited
      */
     public boolean hasFreeSlot() {
         return waiting == 0 && running < slots;
     }
 
     /**
-     * Reads "running,waiting,slots".
+     * Parses "running,waiting,slots".
      *
-     * @param text the text, or null
-     * @return the load, or empty if the text is none
+     * @param text the text, or {@code null}
+     * @return the load, or empty if the text is not a valid load
      */
     public static Optional<ReportedLoad> parse(String text) {
         if (text == null) {
@@ -44,8 +45,8 @@
                             Integer.parseInt(parts[0].trim()),
                             Integer.parseInt(parts[1].trim()),
                             Integer.parseInt(parts[2].trim()));
-            boolean sound = load.running >= 0 && load.waiting >= 0 && load.slots > 0;
-            return sound ? Optional.of(load) : Optional.empty();
+            boolean isValid = load.running >= 0 && load.waiting >= 0 && load.slots > 0;
+            return isValid ? Optional.of(load) : Optional.empty();
         } catch (NumberFormatException e) {
             return Optional.empty();
         }
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/RequestPlacer.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/RequestPlacer.java
@@ -13,8 +13,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decides where a request goes, or that it is refused: the choice of a server, and the gate that
- * holds its expected wait against what the request may wait. Touched by one thread only.
+ * Decides to which server a request is sent or whether it is refused, by the choice of a server and
+ * a gate that compares the server's expected wait with the wait that the request allows.
+ *
+ * <p>Not thread-safe: confined to one thread.
  *
  * @since 0.2
  */
@@ -26,13 +28,13 @@
 
     private final ServerChooser mChooser;
     private final LoadGate mGate;
-    private final SharedLoads mShared = new SharedLoads();
+    private final SharedLoads mSharedLoads = new SharedLoads();
 
     /**
-     * Joins the two.
+     * Creates a placer.
      *
-     * @param chooser chooses among servers
-     * @param gate refuses what would be late
+     * @param chooser the chooser of servers
+     * @param gate the gate that refuses requests which would be answered too late
      */
     public RequestPlacer(ServerChooser chooser, LoadGate gate) {
         mChooser = Assert.notNull(chooser, "A server chooser");
@@ -40,7 +42,7 @@
     }
 
     /**
-     * Gives what chooses among servers.
+     * Returns the chooser of servers.
      *
      * @return the chooser
      */
@@ -49,43 +51,44 @@
     }
 
     /**
-     * Gives what the instances around are told of loads, and tell.
+     * Returns the loads that this instance exchanges with its neighbors.
      *
-     * @return the loads to tell
+     * @return the shared loads
      */
     public SharedLoads sharedLoads() {
-        return mShared;
+        return mSharedLoads;
     }
 
     /**
-     * Takes the load that a server told with an answer, after its request was counted as ended; one
-     * of a run that is over is told to nobody, since others know the next run by the same id.
+     * Records the load that a server reported with an answer, after its request was counted as
+     * ended. The load of a terminated run is ignored and not shared, since other instances know the
+     * next run by the same id.
      *
      * @param load the server
-     * @param told the load that it told
-     * @param nowNanos the monotonic time
+     * @param reported the reported load
+     * @param nowNanos the current monotonic time
      */
-    public void reported(ServerLoad load, ReportedLoad told, long nowNanos) {
+    public void reported(ServerLoad load, ReportedLoad reported, long nowNanos) {
         if (load.isTerminated()) {
             return;
         }
-        load.reported(told, nowNanos);
-        mShared.answered(load, told);
+        load.reported(reported, nowNanos);
+        mSharedLoads.recordLoad(load, reported);
     }
 
     /**
-     * Counts a request, once, before it is placed.
+     * Records a request before it is placed; called once for each request.
      *
      * @param route its route
-     * @param service the service picked
-     * @param nowNanos the monotonic time
+     * @param service the chosen service
+     * @param nowNanos the current monotonic time
      */
     public void arrived(Route route, ServiceId service, long nowNanos) {
         mGate.arrived(route, service, nowNanos);
     }
 
     /**
-     * Forgets what a configuration does not name any more.
+     * Removes the state of routes and services that are no longer configured.
      *
      * @param configuration the configuration in force
      */
@@ -95,13 +98,13 @@
     }
 
     /**
-     * Places a request that no server has had yet.
+     * Places a request for its first attempt.
      *
-     * @param request what is known of it
+     * @param request the request
      * @param servers the servers of its service
-     * @param candidates what it may use of them
-     * @param nowNanos the monotonic time
-     * @return where it goes, or why not
+     * @param candidates determines which of the servers it may use
+     * @param nowNanos the current monotonic time
+     * @return the chosen server, or the reason why there is none
      */
     public Placement place(
             PlacementRequest request,
@@ -111,7 +114,7 @@
         List<ServerLoad> usable = usable(servers, candidates);
         OptionalDouble limited = candidates.limitedPerSecond();
         if (limited.isPresent() && !mGate.admits(request, limited.getAsDouble(), nowNanos)) {
-            return nowhere(request, candidates, nowNanos);
+            return noPlacement(request, candidates, nowNanos);
         }
         Placement placement = choose(request, usable, candidates, nowNanos);
         if (!(placement instanceof Placement.Placed placed)) {
@@ -132,13 +135,13 @@
     }
 
     /**
-     * Places a request that a server did not answer; it is past the gate.
+     * Places a request again that a server did not answer; the gate has already admitted it.
      *
-     * @param request what is known of it
+     * @param request the request
      * @param servers the servers of its service
-     * @param candidates what it may still use of them
-     * @param nowNanos the monotonic time
-     * @return where it goes, or that there is nothing left
+     * @param candidates determines which of the servers it may still use
+     * @param nowNanos the current monotonic time
+     * @return the chosen server, or the reason why there is none
      */
     public Placement placeAgain(
             PlacementRequest request,
@@ -158,7 +161,7 @@
         return usable;
     }
 
-    private Placement nowhere(PlacementRequest request, Candidates candidates, long nowNanos) {
+    private Placement noPlacement(PlacementRequest request, Candidates candidates, long nowNanos) {
         OptionalDouble limited = candidates.limitedPerSecond();
         return limited.isPresent()
                 ? new Placement.Limited(
@@ -166,7 +169,7 @@
                 : new Placement.NoServer();
     }
 
-    /** Chooses a server; a paced one needs a permit, and is left out if there is none. */
+    /** Chooses a server; a paced server requires a permit and is excluded if there is none. */
     private Placement choose(
             PlacementRequest request,
             List<ServerLoad> usable,
@@ -175,7 +178,7 @@
         while (true) {
             Optional<ServerChoice> choice = mChooser.choose(usable, request, nowNanos);
             if (choice.isEmpty()) {
-                return nowhere(request, candidates, nowNanos);
+                return noPlacement(request, candidates, nowNanos);
             }
             ServerLoad load = choice.get().load();
             if (!candidates.isPaced(load) || candidates.tryPermit(load)) {
@@ -186,10 +189,10 @@
     }
 
     /**
-     * Counts a request that is being sent.
+     * Records that a request is being sent.
      *
      * @param load the server
-     * @param nowNanos the monotonic time
+     * @param nowNanos the current monotonic time
      */
     public void sent(ServerLoad load, long nowNanos) {
         load.requestStarted();
@@ -197,30 +200,30 @@
     }
 
     /**
-     * Takes a good answer; one of a run that is over teaches nothing.
+     * Records a successful answer; an answer of a terminated run is ignored.
      *
      * @param load the server
-     * @param nanos the time from the sending to the answer
-     * @param waited whether requests waited for a slot there
-     * @param nowNanos the monotonic time
+     * @param nanos the time in nanoseconds from the sending to the answer
+     * @param hasWaited whether requests waited for a slot there
+     * @param nowNanos the current monotonic time
      */
-    public void succeeded(ServerLoad load, long nanos, boolean waited, long nowNanos) {
+    public void succeeded(ServerLoad load, long nanos, boolean hasWaited, long nowNanos) {
         if (load.isTerminated()) {
             return;
         }
         load.answeredIn(nanos);
         RegisteredServer server = load.server();
         mChooser.outlierDetector().succeeded(server.service(), server.id(), nanos, nowNanos);
-        if (!waited) {
+        if (!hasWaited) {
             mChooser.answeredIn(server.service(), nanos);
         }
     }
 
     /**
-     * Takes a failure that speaks against a server; one of a run that is over does not.
+     * Records a failure that is attributed to a server; a failure of a terminated run is ignored.
      *
      * @param load the server
-     * @param nowNanos the monotonic time
+     * @param nowNanos the current monotonic time
      */
     public void failed(ServerLoad load, long nowNanos) {
         if (load.isTerminated()) {
@@ -230,37 +233,37 @@
     }
 
     /**
-     * Takes that a server is not the one that the registry names at its address.
+     * Records that a server is not the one that is registered with its address.
      *
      * @param load the server
-     * @param nowNanos the monotonic time
+     * @param nowNanos the current monotonic time
      */
     public void misdirected(ServerLoad load, long nowNanos) {
         load.avoidUntil(nowNanos + MISDIRECTED_AVOID_NANOS, AvoidReason.MISDIRECTED);
     }
 
     /**
-     * Takes that no connection to a server could be opened.
+     * Records that no connection to a server could be opened.
      *
      * @param load the server
-     * @param nowNanos the monotonic time
+     * @param nowNanos the current monotonic time
      */
     public void unreachable(ServerLoad load, long nowNanos) {
         load.avoidUntil(nowNanos + UNREACHABLE_AVOID_NANOS, AvoidReason.UNREACHABLE);
     }
 
     /**
-     * Takes that a server turned a request away. One that is full is left alone for a moment. One
-     * that had room is judged beside its peers: if it alone turns requests away it is avoided, but
-     * if all do, leaving it alone would only send its keys to servers that do not know them, or to
-     * another region, for the same answer.
+     * Records that a server rejected a request. A full server is avoided for a moment. A server
+     * with a free slot is evaluated in comparison with its peers: it is avoided if it alone rejects
+     * requests; if all do, avoiding it would only send its keys to servers that do not cache them,
+     * or to another region, with the same result.
      *
      * @param load the server
-     * @param told the load that it told with that, or empty
-     * @param nowNanos the monotonic time
+     * @param reported the load that it reported with the rejection, or empty
+     * @param nowNanos the current monotonic time
      */
-    public void rejectedByServer(ServerLoad load, Optional<ReportedLoad> told, long nowNanos) {
-        if (told.filter(ReportedLoad::hasFreeSlot).isPresent()) {
+    public void rejectedByServer(ServerLoad load, Optional<ReportedLoad> reported, long nowNanos) {
+        if (reported.filter(ReportedLoad::hasFreeSlot).isPresent()) {
             failed(load, nowNanos);
         } else {
             load.avoidUntil(nowNanos + FULL_AVOID_NANOS, AvoidReason.TURNED_AWAY);
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/ServerChooser.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/ServerChooser.java
@@ -14,94 +14,97 @@
 import java.util.Optional;
 
 /**
- * Chooses a backend server: each key has a few homes, its first servers by weighted rendezvous
- * hashing, and among these the load and the zone decide. A server of another region weighs less by
- * the same factor however many servers there are, so that a region with few servers keeps few keys.
- * All instances of a region draw the same preferences, so a key meets a server that had it lately,
- * whichever instance asks; a server that would be new to it is chosen only if all its homes are
- * much longer. Homes after the first cost a cache miss, as long as many answers show that servers
- * do not hold their objects: where objects are many, each key keeps to one server.
+ * Load balancer that chooses a backend server. Each key has a few homes, its first servers by
+ * weighted rendezvous hashing, and the choice among these depends on load and zone. The weight of a
+ * server of another region is lower by the same factor regardless of the number of servers, so that
+ * a region with few servers keeps few keys. All instances of a region compute the same preferences,
+ * so a key is sent to a server that has processed it recently, whichever instance sends it; a
+ * server that has not cached the key's object is chosen only if all homes have much longer queues.
+ * Homes after the first cost a cache miss while many answers show that servers do not cache their
+ * objects: if there are many objects, each key stays with one server.
  *
  * @since 0.2
  */
 public final class ServerChooser {
 
     /**
-     * A server that fetches an object works longer, and evicts another one that it fetches again.
+     * Factor of the cost of a cache miss: the server takes longer to fetch the object, and evicts
+     * another one that it must fetch again.
      */
-    private static final double FETCHED_AND_EVICTED = 2;
+    private static final double FETCH_AND_EVICTION_FACTOR = 2;
 
     private PlacementSettings mSettings;
-    private final CallOutlierDetector mJudge;
+    private final CallOutlierDetector mOutlierDetector;
     private final Map<ServiceId, CacheMissCost> mCacheMissCosts = new HashMap<>();
-    private final AnswerSizes mSizes = new AnswerSizes();
+    private final AnswerSizes mAnswerSizes = new AnswerSizes();
 
     /**
-     * Makes a chooser.
+     * Creates a chooser.
      *
-     * @param settings how much each thing counts
-     * @param judge tells which servers fail or are slow
+     * @param settings the weights of the criteria
+     * @param outlierDetector the detector of servers that fail or are slow
      */
-    public ServerChooser(PlacementSettings settings, CallOutlierDetector judge) {
+    public ServerChooser(PlacementSettings settings, CallOutlierDetector outlierDetector) {
         mSettings = Assert.notNull(settings, "Placement settings");
-        mJudge = Assert.notNull(judge, "A judge of outliers");
+        mOutlierDetector = Assert.notNull(outlierDetector, "An outlier detector");
     }
 
     /**
-     * Takes other settings, for the choices after this.
+     * Replaces the settings for subsequent choices.
      *
-     * @param settings how much each thing counts
+     * @param settings the weights of the criteria
      */
     public void applySettings(PlacementSettings settings) {
         mSettings = Assert.notNull(settings, "Placement settings");
     }
 
     /**
-     * Takes the time of an answer that did not wait for a slot.
+     * Records the time of an answer whose request did not wait for a slot.
      *
      * @param service the service
-     * @param nanos the time from the sending to the answer
+     * @param nanos the time in nanoseconds from the sending to the answer
      */
     public void answeredIn(ServiceId service, long nanos) {
         mCacheMissCosts
                 .computeIfAbsent(service, id -> new CacheMissCost(mSettings.cacheMiss()))
-                .answeredIn(nanos);
+                .recordAnswerTime(nanos);
     }
 
     /**
-     * Takes the size of an answer.
+     * Records the size of an answer.
      *
      * @param route the route of the request
-     * @param bytes the size of its body
+     * @param bytes the size of its body in bytes
      */
     public void answered(RouteId route, long bytes) {
-        mSizes.answered(route, bytes);
+        mAnswerSizes.recordSize(route, bytes);
     }
 
     /**
-     * Forgets the routes that are gone.
+     * Removes routes that are no longer configured.
      *
      * @param configuration the configuration in force
      */
     public void retain(RoutingConfiguration configuration) {
-        mSizes.retain(configuration);
+        mAnswerSizes.retain(configuration);
     }
 
     /**
-     * Gives the judge, who must hear of each send and its end.
+     * Returns the outlier detector, which must be notified of the start and the end of each
+     * request.
      *
-     * @return the judge
+     * @return the outlier detector
      */
     public CallOutlierDetector outlierDetector() {
-        return mJudge;
+        return mOutlierDetector;
     }
 
     /**
      * Chooses a server.
      *
      * @param usable the servers that may take the request
-     * @param request what is known of the request
-     * @param nowNanos the monotonic time
+     * @param request the request
+     * @param nowNanos the current monotonic time
      * @return the choice, or empty if no server is usable
      */
     public Optional<ServerChoice> choose(
@@ -132,11 +135,11 @@
     }
 
     /**
-     * Tells what {@link #choose} makes of all of them, to explain a choice.
+     * Ranks all usable servers as {@link #choose} does, to explain a choice.
      *
      * @param usable the servers that may take the request
-     * @param request what is known of the request
-     * @param nowNanos the monotonic time
+     * @param request the request
+     * @param nowNanos the current monotonic time
      * @return the usable servers, the chosen one first
      */
     public List<ServerChoice> ranked(
@@ -156,9 +159,9 @@
      * Chooses among a key's other homes, for a request that would be refused at the chosen one.
      *
      * @param usable the servers that may take the request
-     * @param request what is known of the request
+     * @param request the request
      * @param chosen the server that was chosen
-     * @param nowNanos the monotonic time
+     * @param nowNanos the current monotonic time
      * @return the least loaded of the others, or empty if none is usable
      */
     public Optional<ServerChoice> otherHome(
@@ -170,9 +173,9 @@
                 .max(Comparator.comparingDouble(ServerChoice::score));
     }
 
-    /** Gives the servers, the most preferred first. */
+    /** Returns the servers, the most preferred first. */
     private List<Preference> preferences(List<ServerLoad> usable, PlacementRequest request) {
-        int rounds = mSizes.furtherRounds(request.route().id());
+        int rounds = mAnswerSizes.furtherRounds(request.route().id());
         List<Preference> preferences = new ArrayList<>(usable.size());
         for (ServerLoad server : usable) {
             preferences.add(new Preference(server, preference(server, request.keyHash(), rounds)));
@@ -181,9 +184,9 @@
         return preferences;
     }
 
-    /** Gives the first of the preferences alone, without sorting the others. */
+    /** Returns only the homes, the first of the preferences, without sorting the others. */
     private List<Preference> homes(List<ServerLoad> usable, PlacementRequest request) {
-        int rounds = mSizes.furtherRounds(request.route().id());
+        int rounds = mAnswerSizes.furtherRounds(request.route().id());
         int count = Math.min(mSettings.homes(), usable.size());
         List<Preference> homes = new ArrayList<>(count + 1);
         for (ServerLoad server : usable) {
@@ -209,19 +212,22 @@
     }
 
     /**
-     * Tells how much a key prefers a server, whatever its load.
+     * Returns the preference of a key for a server, regardless of load.
      *
      * @param load the server
      * @param keyHash the hash of the key
      * @param furtherRounds the round trips that an answer takes after the first
-     * @return at most 0; the greatest is the first home
+     * @return a value of at most 0; the server with the greatest is the first home
      */
     double preference(ServerLoad load, long keyHash, int furtherRounds) {
         double drawn = Math.log(HashMixer.fraction(keyHash, load.hash()));
         return drawn / mSettings.weight(load.distance(), furtherRounds);
     }
 
-    /** A key's first servers hold its object, if objects are few; others would have to fetch it. */
+    /**
+     * Returns the penalty of a rank. The homes of a key cache its object if there are few objects;
+     * other servers would have to fetch it.
+     */
     private double rankPenalty(int rank, double perHome) {
         if (rank < mSettings.homes()) {
             return rank * perHome;
@@ -229,19 +235,21 @@
         return nonHomePenalty(rank, perHome);
     }
 
-    /** Gives the least penalty of servers from a rank on that do not hold the object. */
+    /** Returns the lowest penalty, from a rank on, of servers that do not cache the object. */
     private double nonHomePenalty(int rank, double perHome) {
         return Math.max(mSettings.cacheMiss(), perHome) + rank * mSettings.perHome();
     }
 
-    /** Gives the penalty of each further home, the same for all servers of one service. */
+    /**
+     * Returns the penalty of each further home, which is the same for all servers of one service.
+     */
     private double perHome(List<ServerLoad> servers) {
         if (servers.isEmpty()) {
             return mSettings.perHome();
         }
         CacheMissCost cost = mCacheMissCosts.get(servers.get(0).server().service());
         double miss = cost == null ? mSettings.cacheMiss() : cost.value();
-        return Math.max(mSettings.perHome(), FETCHED_AND_EVICTED * miss);
+        return Math.max(mSettings.perHome(), FETCH_AND_EVICTION_FACTOR * miss);
     }
 
     private double loadPenalty(ServerLoad load, long nowNanos) {
@@ -255,9 +263,9 @@
     }
 
     private double penalty(ServerLoad load, long nowNanos) {
-        return mJudge.penalty(load.server().service(), load.server().id(), nowNanos);
+        return mOutlierDetector.penalty(load.server().service(), load.server().id(), nowNanos);
     }
 
-    /** How much a key prefers a server, whatever its load. */
+    /** Preference of a key for a server, regardless of load. */
     private record Preference(ServerLoad load, double value) {}
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/ServerLoad.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/ServerLoad.java
@@ -7,41 +7,43 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What this instance knows of the load of one backend server: its own requests there exactly, those
- * of other instances by the server's last report, which fades. Touched by one thread only.
+ * Load of one backend server as this instance knows it: the exact number of its own requests there,
+ * and an estimate of those of other instances by the server's last report, which decays.
+ *
+ * <p>Not thread-safe: confined to one thread.
  *
  * @since 0.2
  */
 public final class ServerLoad {
 
-    private static final double FADE_NANOS = TimeUnit.SECONDS.toNanos(2);
-    private static final double NEWEST_SHARE = 0.6;
-    private static final double SERVICE_TIME_SHARE = 0.1;
+    private static final double DECAY_NANOS = TimeUnit.SECONDS.toNanos(2);
+    private static final double LOAD_SMOOTHING_FACTOR = 0.6;
+    private static final double SERVICE_TIME_SMOOTHING_FACTOR = 0.1;
 
-    /** About how long a load waits until it is told, and travels. */
-    private static final long HEARD_AGE_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+    /** Approximate time that a load waits until it is reported, including the transmission. */
+    private static final long PEER_REPORT_AGE_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
-    /** The most requests for each slot that another instance is believed to have seen. */
-    private static final int MOST_FOR_EACH_SLOT = 4;
+    /** Maximum number of requests per slot that is accepted in a report of another instance. */
+    private static final int MAXIMUM_REQUESTS_PER_SLOT = 4;
 
     private final long mHash;
     private RegisteredServer mServer;
     private Distance mDistance;
-    private int mOwn;
-    private double mOthers;
-    private long mOthersNanos;
+    private int mOwnRequests;
+    private double mOtherRequests;
+    private long mOtherRequestsNanos;
     private double mServiceNanos;
     private long mAvoidUntilNanos;
     private AvoidReason mAvoidReason;
-    private boolean mOver;
-    private boolean mSaidToBeFull;
+    private boolean mIsTerminated;
+    private boolean mIsReportedFull;
     private boolean mIsReported;
 
     /**
-     * Starts with a server that nothing was sent to.
+     * Creates the load of a server to which no request was sent.
      *
      * @param server the server
-     * @param distance how far it is
+     * @param distance the distance of the server
      */
     public ServerLoad(RegisteredServer server, Distance distance) {
         mServer = Assert.notNull(server, "A backend server");
@@ -50,10 +52,10 @@
     }
 
     /**
-     * Takes news of the registry.
+     * Applies an update of the registry.
      *
-     * @param server the same server as now registered
-     * @param distance how far it is
+     * @param server the current registration of the same server
+     * @param distance the distance of the server
      */
     public void update(RegisteredServer server, Distance distance) {
         long coldUntilNanos = mServer.coldUntilNanos();
@@ -65,16 +67,16 @@
     }
 
     /**
-     * Gives the server.
+     * Returns the server.
      *
-     * @return the server as registered, cold for longer if it was seen to be
+     * @return the server as registered, with a longer cold time if it was observed to be cold
      */
     public RegisteredServer server() {
         return mServer;
     }
 
     /**
-     * Gives the distance.
+     * Returns the distance.
      *
      * @return the distance
      */
@@ -83,7 +85,7 @@
     }
 
     /**
-     * Gives the hash of the server's id.
+     * Returns the hash of the server's id.
      *
      * @return the hash
      */
@@ -92,88 +94,89 @@
     }
 
     /**
-     * Takes that this run of the server is over; what still ends there tells nothing of a later.
+     * Marks this run of the server as terminated; requests that still end there say nothing about a
+     * later run.
      */
     void markTerminated() {
-        mOver = true;
+        mIsTerminated = true;
     }
 
     /**
-     * Tells whether this run of the server is over, as far as is known.
+     * Determines whether this run of the server is known to have terminated.
      *
-     * @return whether it is
+     * @return whether it has terminated
      */
     public boolean isTerminated() {
-        return mOver;
+        return mIsTerminated;
     }
 
-    /** Counts a request that is being sent. */
+    /** Records that a request is being sent. */
     public void requestStarted() {
-        mOwn++;
+        mOwnRequests++;
     }
 
-    /** Counts a request that has ended in any way. */
+    /** Records that a request has ended in any way. */
     public void requestEnded() {
-        mOwn--;
+        mOwnRequests--;
     }
 
     /**
-     * Takes the load that an answer told. Call it after {@link #requestEnded}: the answered request
-     * is no longer counted by either side.
+     * Records the load that was reported with an answer. Must be called after {@link
+     * #requestEnded}: the answered request is no longer counted by either side.
      *
      * @param load the load
-     * @param nowNanos the monotonic time
+     * @param nowNanos the current monotonic time
      */
     public void reported(ReportedLoad load, long nowNanos) {
-        double told = Math.max(0, load.running() + load.waiting() - mOwn);
-        double before = others(nowNanos);
-        mOthers = before + NEWEST_SHARE * (told - before);
-        mOthersNanos = nowNanos;
+        double otherRequests = Math.max(0, load.running() + load.waiting() - mOwnRequests);
+        double previous = decayedOtherRequests(nowNanos);
+        mOtherRequests = previous + LOAD_SMOOTHING_FACTOR * (otherRequests - previous);
+        mOtherRequestsNanos = nowNanos;
         mIsReported = true;
     }
 
     /**
-     * Takes the load that another instance heard of, cut to what the server's slots make likely. It
-     * has waited for its bundle, so an answer to this instance, or another neighbor's word, that
-     * came meanwhile is as good.
+     * Records a load that another instance reported, capped at a number that is plausible for the
+     * server's slots. The report was delayed by batching, so it is ignored if an answer to this
+     * instance or a report of another neighbor arrived in the meantime, which is as recent.
      *
      * @param load the load
-     * @param nowNanos the monotonic time
+     * @param nowNanos the current monotonic time
      */
     void receivedFromPeer(ReportedLoad load, long nowNanos) {
-        if (mIsReported && nowNanos - mOthersNanos < HEARD_AGE_NANOS) {
+        if (mIsReported && nowNanos - mOtherRequestsNanos < PEER_REPORT_AGE_NANOS) {
             return;
         }
-        int most = MOST_FOR_EACH_SLOT * mServer.slots();
-        int running = Math.min(load.running(), most);
-        int waiting = Math.min(load.waiting(), most - running);
+        int maximum = MAXIMUM_REQUESTS_PER_SLOT * mServer.slots();
+        int running = Math.min(load.running(), maximum);
+        int waiting = Math.min(load.waiting(), maximum - running);
         reported(new ReportedLoad(running, waiting, mServer.slots()), nowNanos);
     }
 
-    /** Notes what the instances around were told last. */
-    void setReportedFull(boolean full) {
-        mSaidToBeFull = full;
+    /** Records whether the server was last reported to the neighbors as full. */
+    void setReportedFull(boolean isFull) {
+        mIsReportedFull = isFull;
     }
 
-    /** Tells whether the instances around were told last that no slot is free there. */
+    /** Determines whether the server was last reported to the neighbors as having no free slot. */
     boolean isReportedFull() {
-        return mSaidToBeFull;
+        return mIsReportedFull;
     }
 
     /**
-     * Takes the time that a request took there, from its sending to its answer.
+     * Records the time of a request there, from its sending to its answer.
      *
-     * @param nanos the time
+     * @param nanos the time in nanoseconds
      */
     public void answeredIn(long nanos) {
         mServiceNanos =
                 mServiceNanos == 0
                         ? nanos
-                        : mServiceNanos + SERVICE_TIME_SHARE * (nanos - mServiceNanos);
+                        : mServiceNanos + SERVICE_TIME_SMOOTHING_FACTOR * (nanos - mServiceNanos);
     }
 
     /**
-     * Gives the typical time of a request there.
+     * Returns the typical time of a request there.
      *
      * @return nanoseconds, 0 before the first answer
      */
@@ -182,10 +185,10 @@
     }
 
     /**
-     * Keeps requests away from the server for a time.
+     * Avoids the server until a time.
      *
-     * @param untilNanos until when, on the monotonic clock
-     * @param reason why
+     * @param untilNanos the end on the monotonic clock
+     * @param reason the reason
      */
     public void avoidUntil(long untilNanos, AvoidReason reason) {
         mAvoidUntilNanos = untilNanos;
@@ -193,29 +196,29 @@
     }
 
     /**
-     * Tells why requests are kept away.
+     * Returns the reason why the server is avoided.
      *
-     * @param nowNanos the monotonic time
-     * @return the reason, or empty if they are not
+     * @param nowNanos the current monotonic time
+     * @return the reason, or empty if it is not avoided
      */
     public Optional<AvoidReason> avoidReason(long nowNanos) {
         return isAvoided(nowNanos) ? Optional.of(mAvoidReason) : Optional.empty();
     }
 
     /**
-     * Tells whether requests are kept away.
+     * Determines whether the server is avoided.
      *
-     * @param nowNanos the monotonic time
-     * @return whether they are
+     * @param nowNanos the current monotonic time
+     * @return whether it is avoided
      */
     public boolean isAvoided(long nowNanos) {
         return mAvoidReason != null && mAvoidUntilNanos - nowNanos > 0;
     }
 
     /**
-     * Takes the server for cold at least until a time, whatever the registry says.
+     * Treats the server as cold at least until a time, regardless of the registry.
      *
-     * @param untilNanos until when, on the monotonic clock
+     * @param untilNanos the end on the monotonic clock
      */
     public void coldUntil(long untilNanos) {
         if (mServer.coldUntilNanos() - untilNanos < 0) {
@@ -224,25 +227,25 @@
     }
 
     /**
-     * Counts the requests that this instance has there.
+     * Returns the number of requests that this instance has in flight there.
      *
-     * @return those sent that have not ended
+     * @return the number of requests sent that have not ended
      */
     public int ownInFlight() {
-        return mOwn;
+        return mOwnRequests;
     }
 
     /**
-     * Estimates the requests that run or wait there, of all instances.
+     * Estimates the number of requests of all instances that are processed or wait there.
      *
-     * @param nowNanos the monotonic time
+     * @param nowNanos the current monotonic time
      * @return the estimate
      */
     public double inFlight(long nowNanos) {
-        return mOwn + others(nowNanos);
+        return mOwnRequests + decayedOtherRequests(nowNanos);
     }
 
-    private double others(long nowNanos) {
-        return mOthers * Math.exp(-(nowNanos - mOthersNanos) / FADE_NANOS);
+    private double decayedOtherRequests(long nowNanos) {
+        return mOtherRequests * Math.exp(-(nowNanos - mOtherRequestsNanos) / DECAY_NANOS);
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/ServerTable.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/ServerTable.java
@@ -17,8 +17,10 @@
 import java.util.Set;
 
 /**
- * The backend servers of all services with their loads, following the snapshot of the fleet.
- * Touched by one thread only.
+ * Table of the backend servers of all services with their loads, updated from snapshots of the
+ * fleet.
+ *
+ * <p>Not thread-safe: confined to one thread.
  *
  * @since 0.2
  */
@@ -32,9 +34,9 @@
     private Set<ZoneId> mEvacuated = Set.of();
 
     /**
-     * Starts with no servers.
+     * Creates an empty table.
      *
-     * @param ownZone the zone of this instance
+     * @param ownZone the availability zone of this instance
      * @param regions the region of each zone
      */
     public ServerTable(ZoneId ownZone, Map<ZoneId, RegionId> regions) {
@@ -44,14 +46,14 @@
     }
 
     /**
-     * Takes a new snapshot.
+     * Applies a new snapshot.
      *
      * @param snapshot the snapshot
-     * @param nowNanos the monotonic time
-     * @return the servers that are gone, or that have started again since
+     * @param nowNanos the current monotonic time
+     * @return the servers that were removed or have restarted since the previous snapshot
      */
     public List<RegisteredServer> update(FleetSnapshot snapshot, long nowNanos) {
-        List<RegisteredServer> gone = removeOver(snapshot);
+        List<RegisteredServer> removed = removeTerminated(snapshot);
         Map<ServiceId, List<ServerLoad>> services = new HashMap<>();
         for (RegisteredServer server : snapshot.servers().values()) {
             ServerLoad load = mLoads.get(server.id());
@@ -63,46 +65,46 @@
             }
             services.computeIfAbsent(server.service(), id -> new ArrayList<>()).add(load);
         }
-        coolReturned(snapshot, nowNanos);
+        markReturnedCold(snapshot, nowNanos);
         mServices = services;
         mByHash.clear();
         mLoads.values().forEach(load -> mByHash.put(load.hash(), load));
         mEvacuated = snapshot.evacuatedZones();
-        return gone;
+        return removed;
     }
 
     /**
-     * Gives the servers of a service.
+     * Returns the servers of a service.
      *
      * @param service the service
-     * @return all of them, usable or not
+     * @return all servers, whether usable or not
      */
     public List<ServerLoad> of(ServiceId service) {
         return mServices.getOrDefault(service, List.of());
     }
 
     /**
-     * Finds a server by the hash of its id, as other instances name it.
+     * Returns the server with a hash of its id, which identifies it in reports of other instances.
      *
      * @param hash the hash
-     * @return the server, or null if it is unknown
+     * @return the server, or {@code null} if it is unknown
      */
     public ServerLoad byHash(long hash) {
         return mByHash.get(hash);
     }
 
     /**
-     * Tells whether nothing may be sent to a zone's servers.
+     * Determines whether no request may be sent to the servers of a zone.
      *
      * @param zone the zone
-     * @return whether it is evacuated
+     * @return whether the zone is evacuated
      */
     public boolean isEvacuated(ZoneId zone) {
         return !mEvacuated.isEmpty() && mEvacuated.contains(zone);
     }
 
     /**
-     * Gives the region of a server.
+     * Returns the region of a server.
      *
      * @param server the server
      * @return its region, or empty if its zone is unknown
@@ -111,24 +113,29 @@
         return Optional.ofNullable(mRegions.get(server.zone()));
     }
 
-    private List<RegisteredServer> removeOver(FleetSnapshot snapshot) {
-        List<RegisteredServer> gone = new ArrayList<>();
+    private List<RegisteredServer> removeTerminated(FleetSnapshot snapshot) {
+        List<RegisteredServer> removed = new ArrayList<>();
         mLoads.values()
                 .removeIf(
                         load -> {
-                            RegisteredServer now = snapshot.servers().get(load.server().id());
-                            boolean over = now == null || !now.isSameRun(load.server());
-                            if (over) {
+                            RegisteredServer registered =
+                                    snapshot.servers().get(load.server().id());
+                            boolean isTerminated =
+                                    registered == null || !registered.isSameRun(load.server());
+                            if (isTerminated) {
                                 load.markTerminated();
-                                gone.add(load.server());
+                                removed.add(load.server());
                             }
-                            return over;
+                            return isTerminated;
                         });
-        return gone;
+        return removed;
     }
 
-    /** Servers of a zone that is taken back may be cold before the registry says so. */
-    private void coolReturned(FleetSnapshot snapshot, long nowNanos) {
+    /**
+     * Marks the servers of zones that are no longer evacuated as cold, since they may be cold
+     * before the registry states it.
+     */
+    private void markReturnedCold(FleetSnapshot snapshot, long nowNanos) {
         for (ZoneId zone : mEvacuated) {
             if (snapshot.evacuatedZones().contains(zone)) {
                 continue;
@@ -153,7 +160,7 @@
             return Distance.SAME_ZONE;
         }
         RegionId region = mRegions.get(zone);
-        boolean near = region != null && region.equals(mRegions.get(mOwnZone));
-        return near ? Distance.SAME_REGION : Distance.OTHER_REGION;
+        boolean isSameRegion = region != null && region.equals(mRegions.get(mOwnZone));
+        return isSameRegion ? Distance.SAME_REGION : Distance.OTHER_REGION;
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/SharedLoads.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/SharedLoads.java
@@ -7,103 +7,105 @@
 import java.util.Map;
 
 /**
- * Chooses which loads of backend servers this instance tells its neighbors, and takes theirs.
+ * Exchange of the loads of backend servers with the neighbors of this instance.
  *
- * <p>An instance hears of a server with the answers to its own requests only: one of a hundred
- * instances once in half a minute, while a queue lasts a second or two. So the instances of an
- * availability zone tell each other of servers without a free slot, and once that they have one
- * again; what lies below hardly changes a choice, and telling it would cost three times as much. In
- * a model of 95 instances ({@code ./measure decisions}) 0.15 instead of 0.24 of the answers in a
- * burst are late.
+ * <p>An instance receives the load of a server only with the answers to its own requests: with a
+ * hundred instances, once in half a minute for each server, while a queue lasts a second or two. So
+ * the instances of an availability zone report to each other the servers without a free slot, and
+ * report once that a server has a free slot again; lower loads hardly change a choice, and
+ * reporting them would cost three times as much. In a model of 95 instances ({@code ./measure
+ * decisions}) 0.15 instead of 0.24 of the answers in a burst are late.
  *
- * <p>Touched by one thread only.
+ * <p>Not thread-safe: confined to one thread.
  *
  * @since 0.2
  */
 public final class SharedLoads {
 
-    /** Servers told of at once at most; the rest waits for the next time. */
-    private static final int MOST_AT_ONCE = 100;
+    /** Maximum number of loads reported at once; the rest remains pending. */
+    private static final int MAXIMUM_BATCH = 100;
 
-    /** Servers that wait to be told of at most, so that a storm of answers takes bounded memory. */
-    private static final int MOST_WAITING = 1_024;
+    /** Maximum number of pending loads, so that a burst of answers takes bounded memory. */
+    private static final int MAXIMUM_PENDING = 1_024;
 
-    private final Map<Long, LoadReport> mWaiting = new HashMap<>();
-    private Runnable mWhenWaiting = () -> {};
-    private long mTold;
-    private long mHeard;
+    private final Map<Long, LoadReport> mPending = new HashMap<>();
+    private Runnable mPendingListener = () -> {};
+    private long mReportedCount;
+    private long mReceivedCount;
 
     /**
-     * Says what to do when there is something to tell, such as to {@link #take} it a while later.
+     * Sets the action to run when loads are pending, such as to schedule a call of {@link #take}.
      *
-     * @param action runs with the first load that waits, and again if a take leaves some
+     * @param action the action, which runs when the first load becomes pending, and again if a call
+     *     of {@link #take} leaves some pending
      */
     public void setPendingListener(Runnable action) {
-        mWhenWaiting = Assert.notNull(action, "An action");
+        mPendingListener = Assert.notNull(action, "An action");
     }
 
     /**
-     * Takes the load that a server told with an answer to this instance.
+     * Records the load that a server reported with an answer to this instance.
      *
      * @param server the server
      * @param load the load
      */
-    void answered(ServerLoad server, ReportedLoad load) {
-        boolean full = !load.hasFreeSlot();
-        if ((full || server.isReportedFull())
-                && (mWaiting.size() < MOST_WAITING || mWaiting.containsKey(server.hash()))) {
-            boolean isFirst = mWaiting.isEmpty();
-            mWaiting.put(server.hash(), new LoadReport(server.hash(), load));
-            server.setReportedFull(full);
+    void recordLoad(ServerLoad server, ReportedLoad load) {
+        boolean isFull = !load.hasFreeSlot();
+        if ((isFull || server.isReportedFull())
+                && (mPending.size() < MAXIMUM_PENDING || mPending.containsKey(server.hash()))) {
+            boolean isFirst = mPending.isEmpty();
+            mPending.put(server.hash(), new LoadReport(server.hash(), load));
+            server.setReportedFull(isFull);
             if (isFirst) {
-                mWhenWaiting.run();
+                mPendingListener.run();
             }
         }
     }
 
     /**
-     * Tells whether there is anything to tell.
+     * Determines whether loads are pending.
      *
-     * @return whether there is
+     * @return whether at least one load is pending
      */
     public boolean hasPending() {
-        return !mWaiting.isEmpty();
+        return !mPending.isEmpty();
     }
 
     /**
-     * Takes out what is to be told now.
+     * Removes and returns the loads to report now.
      *
-     * @return the newest load of each server, not told before
+     * @return the latest unreported load of each server
      */
     public List<LoadReport> take() {
         List<LoadReport> reports = new ArrayList<>();
-        for (LoadReport each : mWaiting.values()) {
-            if (reports.size() == MOST_AT_ONCE) {
+        for (LoadReport each : mPending.values()) {
+            if (reports.size() == MAXIMUM_BATCH) {
                 break;
             }
             reports.add(each);
         }
-        reports.forEach(each -> mWaiting.remove(each.serverHash()));
-        mTold += reports.size();
+        reports.forEach(each -> mPending.remove(each.serverHash()));
+        mReportedCount += reports.size();
         if (hasPending()) {
-            mWhenWaiting.run();
+            mPendingListener.run();
         }
         return reports;
     }
 
     /**
-     * Takes what a neighbor told. A load beyond what the server's slots make likely is cut, so that
-     * a neighbor that tells nonsense does no more harm than one that is silent for a while.
+     * Applies the reports of a neighbor. A load that is implausibly high for the server's slots is
+     * capped, so that a neighbor with invalid reports does no more harm than one that is
+     * unresponsive for a while.
      *
-     * @param servers the servers that this instance knows
-     * @param reports the loads, of servers that may be unknown here
-     * @param nowNanos the monotonic time
+     * @param servers the servers known to this instance
+     * @param reports the reports, possibly of servers that are unknown here
+     * @param nowNanos the current monotonic time
      */
     public void receive(ServerTable servers, List<LoadReport> reports, long nowNanos) {
         for (LoadReport each : reports) {
             ServerLoad server = servers.byHash(each.serverHash());
             if (server != null) {
-                mHeard++;
+                mReceivedCount++;
                 server.receivedFromPeer(each.load(), nowNanos);
                 server.setReportedFull(!each.load().hasFreeSlot());
             }
@@ -111,20 +113,20 @@
     }
 
     /**
-     * Counts the loads told.
+     * Returns the number of loads reported.
      *
-     * @return how many since the start
+     * @return the number since the start
      */
     public long reportedCount() {
-        return mTold;
+        return mReportedCount;
     }
 
     /**
-     * Counts the loads heard of servers that are known here.
+     * Returns the number of loads received for servers that are known here.
      *
-     * @return how many since the start
+     * @return the number since the start
      */
     public long receivedCount() {
-        return mHeard;
+        return mReceivedCount;
     }
 }
--- a/masticpond-core/src/test/java/io/masticpond/core/placement/CacheMissCostTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/placement/CacheMissCostTest.java
@@ -5,7 +5,9 @@
 
 import net.jqwik.api.Example;
 
-/** The cost follows the part of the answers that are slow, whatever the quick ones take. */
+/**
+ * Verifies that the cost follows the share of slow answers, regardless of the time of quick ones.
+ */
 class CacheMissCostTest {
 
     private static final double ASSUMED = 1.5;
@@ -13,7 +15,7 @@
     private final CacheMissCost mCost = new CacheMissCost(ASSUMED);
 
     @Example
-    void theAssumedCostHoldsUntilAnswersTellAnother() {
+    void replacesAssumedCostGraduallyByMeasuredCost() {
         assertThat(mCost.value()).isEqualTo(ASSUMED);
         answers(32, 100, 100);
         assertThat(mCost.value()).isEqualTo(ASSUMED / 2, within(0.01));
@@ -22,7 +24,7 @@
     }
 
     @Example
-    void slowAnswersCountByHowMuchLongerTheyTook() {
+    void weighsSlowAnswersByTheirExcessTime() {
         answers(64, 100, 400);
         assertThat(mCost.value()).isEqualTo(1.5, within(0.01));
         answers(64, 1_000, 1_900);
@@ -31,7 +33,7 @@
 
     private void answers(int count, long even, long odd) {
         for (int each = 0; each < count; each++) {
-            mCost.answeredIn(each % 2 == 0 ? even : odd);
+            mCost.recordAnswerTime(each % 2 == 0 ? even : odd);
         }
     }
 }
--- a/masticpond-core/src/test/java/io/masticpond/core/placement/RequestPlacerTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/placement/RequestPlacerTest.java
@@ -22,8 +22,8 @@
 import net.jqwik.api.Example;
 
 /**
- * Each server is asked for once in a choice, whatever becomes of it: who asks counts those that are
- * left out, and the line of a request tells them.
+ * Guards against a choice that checks a server more than once: the caller counts the excluded
+ * servers in the check, and logs the count in the line of the request.
  */
 class RequestPlacerTest {
 
@@ -31,22 +31,22 @@
 
     private final List<ServerLoad> mServers =
             IntStream.range(0, 4).mapToObj(RequestPlacerTest::server).toList();
-    private final Asked mAsked = new Asked();
+    private final CountingCandidates mCandidates = new CountingCandidates();
     private LoadGate mGate = LoadGate.OPEN;
 
     @Example
-    void coldServersWithoutPermitAreLeftOutAndNoneIsAskedForAgain() {
-        mAsked.mCold.addAll(mServers.subList(0, 3));
+    void excludesColdServersWithoutPermitAndChecksEachServerOnce() {
+        mCandidates.mCold.addAll(mServers.subList(0, 3));
         assertThat(placed()).isSameAs(mServers.get(3));
-        assertThat(mAsked.mUsableCalls).isEqualTo(4);
-        mAsked.mCold.addAll(mServers);
+        assertThat(mCandidates.mUsableCalls).isEqualTo(4);
+        mCandidates.mCold.addAll(mServers);
         assertThat(place()).isInstanceOf(Placement.NoServer.class);
     }
 
     @Example
-    void theOtherHomeIsFoundAmongTheSameServers() {
+    void findsOtherHomeWithoutCheckingServersAgain() {
         ServerLoad first = placed();
-        mAsked.mUsableCalls = 0;
+        mCandidates.mUsableCalls = 0;
         mGate =
                 (request, chosen, now) ->
                         chosen == first
@@ -54,9 +54,9 @@
                                 : Optional.empty();
         ServerLoad other = placed();
         assertThat(other).isNotSameAs(first);
-        assertThat(mAsked.mUsableCalls).isEqualTo(4);
-        mAsked.mCold.add(other);
-        assertThat(placed()).as("the next warm one").isNotIn(first, other);
+        assertThat(mCandidates.mUsableCalls).isEqualTo(4);
+        mCandidates.mCold.add(other);
+        assertThat(placed()).as("the next warm server").isNotIn(first, other);
     }
 
     private ServerLoad placed() {
@@ -85,7 +85,7 @@
                 .place(
                         new PlacementRequest(route, SERVICE, 42, 1_000_000_000L),
                         mServers,
-                        mAsked,
+                        mCandidates,
                         0);
     }
 
@@ -102,8 +102,8 @@
                 Distance.SAME_ZONE);
     }
 
-    /** Counts the questions, and gives no permit. */
-    private static final class Asked implements Candidates {
+    /** Candidates that count the checks of servers and grant no permits. */
+    private static final class CountingCandidates implements Candidates {
 
         private final Set<ServerLoad> mCold = new HashSet<>();
         private int mUsableCalls;
--- a/masticpond-core/src/test/java/io/masticpond/core/placement/ServerChooserTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/placement/ServerChooserTest.java
@@ -25,7 +25,10 @@
 import java.util.stream.IntStream;
 import net.jqwik.api.Example;
 
-/** Keys are spread over near and far servers alike, however many servers there are. */
+/**
+ * Verifies that keys are spread over near and far servers in the same way regardless of the number
+ * of servers.
+ */
 class ServerChooserTest {
 
     private static final int KEYS = 4_000;
@@ -36,7 +39,7 @@
                     new CallOutlierDetector(CallOutlierDetectorSettings.DEFAULT));
 
     @Example
-    void theShareThatLeavesSmallRegionsDoesNotDependOnTheNumberOfServers() {
+    void shareThatLeavesSmallRegionIsIndependentOfServerCount() {
         double few = farShare(2, 14);
         double many = farShare(20, 140);
         assertThat(few).isBetween(0.3, 0.8);
@@ -44,13 +47,13 @@
     }
 
     @Example
-    void aRegionWithRoomKeepsMostOfItsKeys() {
+    void regionWithCapacityKeepsMostOfItsKeys() {
         assertThat(farShare(6, 10)).isLessThan(0.3);
         assertThat(farShare(80, 90)).isLessThan(0.3);
     }
 
     @Example
-    void largeAnswersStayInTheRegionAndSmallOnesDoNot() {
+    void keepsOnlyLargeAnswersInRegion() {
         mChooser.answered(new RouteId("r"), 14_000);
         assertThat(farShare(2, 12)).as("one round trip").isGreaterThan(0.4);
         for (int each = 0; each < 50; each++) {
@@ -58,11 +61,11 @@
         }
         assertThat(farShare(2, 12)).as("three round trips").isLessThan(0.05);
         mChooser.retain(new RoutingConfiguration(2, List.of(), Map.of(), RequestLimits.DEFAULT));
-        assertThat(farShare(2, 12)).as("the route is gone").isGreaterThan(0.4);
+        assertThat(farShare(2, 12)).as("the route is removed").isGreaterThan(0.4);
     }
 
     @Example
-    void zonesOfOneRegionAgreeOnTheServerOfEachKeyWhileObjectsMustBeLearned() {
+    void zonesOfOneRegionChooseSameServerWhileCacheMissesAreExpensive() {
         List<ServerLoad> one = region(0);
         List<ServerLoad> other = region(1);
         for (int key = 0; key < KEYS; key++) {
@@ -71,7 +74,7 @@
     }
 
     @Example
-    void keysHaveTwoServersPerRegionAndPreferTheNearOneWhereAllKnowTheirObjects() {
+    void prefersNearOfTwoHomesWhenAllServersCacheObjects() {
         answers(64, 0);
         assertThat(nearShare(region(0))).isBetween(0.7, 0.8);
         assertThat(nearShare(region(1))).isBetween(0.7, 0.8);
@@ -83,14 +86,17 @@
     }
 
     @Example
-    void shortQueuesSendKeysToTheirOtherServerOnlyIfThatKnowsTheObject() {
+    void shortQueueMovesKeysOnlyIfOtherHomeCachesObject() {
         answers(64, 0);
         assertThat(leavingShare()).isGreaterThan(0.9);
         answers(32, 32);
         assertThat(leavingShare()).isLessThan(0.1);
     }
 
-    /** Gives how many keys leave their first server if its slots and two places are taken. */
+    /**
+     * Returns the share of the keys that leave their first server if its slots and two places are
+     * taken.
+     */
     private double leavingShare() {
         int left = 0;
         for (int key = 0; key < KEYS; key++) {
@@ -106,7 +112,7 @@
     }
 
     @Example
-    void choiceIsTheBestOfAllWhateverTheLoads() {
+    void choiceIsBestOfAllServersUnderAnyLoad() {
         Random random = new Random(31);
         for (int round = 0; round < 400; round++) {
             answers(random.nextInt(20), random.nextInt(20));
@@ -183,7 +189,7 @@
         return IntStream.range(0, 20).mapToObj(n -> server(n, Distance.SAME_ZONE)).toList();
     }
 
-    /** Gives twenty servers in two zones, as an instance of one of the zones sees them. */
+    /** Returns twenty servers in two zones, as an instance of one of the zones sees them. */
     private static List<ServerLoad> region(int ownZone) {
         return IntStream.range(0, 20)
                 .mapToObj(
--- a/masticpond-core/src/test/java/io/masticpond/core/placement/SharedLoadsTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/placement/SharedLoadsTest.java
@@ -18,78 +18,83 @@
 import java.util.concurrent.TimeUnit;
 import net.jqwik.api.Example;
 
-/** What an instance tells its neighbors of loads, and what it makes of theirs. */
+/** Tests which loads an instance reports to its neighbors, and how it applies theirs. */
 class SharedLoadsTest {
 
     private static final ServiceId SERVICE = new ServiceId("reader");
     private static final ZoneId ZONE = new ZoneId("a");
     private static final ReportedLoad FULL = new ReportedLoad(4, 2, 4);
-    private static final ReportedLoad ROOM = new ReportedLoad(2, 0, 4);
+    private static final ReportedLoad WITH_FREE_SLOT = new ReportedLoad(2, 0, 4);
 
     private final ServerTable mServers = table(0);
     private final ServerLoad mServer = mServers.of(SERVICE).get(0);
-    private final SharedLoads mShared = new SharedLoads();
+    private final SharedLoads mSharedLoads = new SharedLoads();
 
     @Example
-    void serverWithRoomIsNotToldOf() {
-        mShared.answered(mServer, ROOM);
-        assertThat(mShared.hasPending()).isFalse();
+    void doesNotReportServerWithFreeSlot() {
+        mSharedLoads.recordLoad(mServer, WITH_FREE_SLOT);
+        assertThat(mSharedLoads.hasPending()).isFalse();
     }
 
     @Example
-    void fullServerIsToldOfAndOnceWhenItHasRoomAgain() {
-        mShared.answered(mServer, FULL);
-        assertThat(mShared.take()).containsExactly(new LoadReport(mServer.hash(), FULL));
-        mShared.answered(mServer, ROOM);
-        assertThat(mShared.take()).containsExactly(new LoadReport(mServer.hash(), ROOM));
-        mShared.answered(mServer, ROOM);
-        assertThat(mShared.take()).isEmpty();
-        assertThat(mShared.reportedCount()).isEqualTo(2);
+    void reportsFullServerAndOnceWhenSlotIsFreeAgain() {
+        mSharedLoads.recordLoad(mServer, FULL);
+        assertThat(mSharedLoads.take()).containsExactly(new LoadReport(mServer.hash(), FULL));
+        mSharedLoads.recordLoad(mServer, WITH_FREE_SLOT);
+        assertThat(mSharedLoads.take())
+                .containsExactly(new LoadReport(mServer.hash(), WITH_FREE_SLOT));
+        mSharedLoads.recordLoad(mServer, WITH_FREE_SLOT);
+        assertThat(mSharedLoads.take()).isEmpty();
+        assertThat(mSharedLoads.reportedCount()).isEqualTo(2);
     }
 
     @Example
-    void theNewestLoadIsTold() {
-        mShared.answered(mServer, FULL);
-        mShared.answered(mServer, new ReportedLoad(4, 9, 4));
-        assertThat(mShared.take()).extracting(each -> each.load().waiting()).containsExactly(9);
+    void reportsLatestLoad() {
+        mSharedLoads.recordLoad(mServer, FULL);
+        mSharedLoads.recordLoad(mServer, new ReportedLoad(4, 9, 4));
+        assertThat(mSharedLoads.take())
+                .extracting(each -> each.load().waiting())
+                .containsExactly(9);
     }
 
     @Example
-    void whatNeighborsTellsCountsLikeAnAnswerAndFades() {
+    void appliesReportOfNeighborLikeAnswerAndDecaysIt() {
         mServers.of(SERVICE).forEach(server -> assertThat(server.inFlight(0)).isZero());
-        mShared.receive(mServers, List.of(new LoadReport(mServer.hash(), FULL)), 0);
+        mSharedLoads.receive(mServers, List.of(new LoadReport(mServer.hash(), FULL)), 0);
         assertThat(mServer.inFlight(0)).isGreaterThan(3);
         assertThat(mServer.inFlight(TimeUnit.SECONDS.toNanos(10))).isLessThan(0.1);
-        assertThat(mShared.receivedCount()).isEqualTo(1);
+        assertThat(mSharedLoads.receivedCount()).isEqualTo(1);
     }
 
     @Example
-    void whoHeardThatTheServerIsFullTellsThatItHasRoomAgain() {
-        mShared.receive(mServers, List.of(new LoadReport(mServer.hash(), FULL)), 0);
-        mShared.answered(mServer, ROOM);
-        assertThat(mShared.take()).hasSize(1);
+    void reportsFreeSlotAfterReceivingThatServerIsFull() {
+        mSharedLoads.receive(mServers, List.of(new LoadReport(mServer.hash(), FULL)), 0);
+        mSharedLoads.recordLoad(mServer, WITH_FREE_SLOT);
+        assertThat(mSharedLoads.take()).hasSize(1);
     }
 
     @Example
-    void nonsenseIsCutAndUnknownServersAreNothing() {
-        ReportedLoad nonsense = new ReportedLoad(255, 255, 1);
-        mShared.receive(
+    void capsImplausibleLoadAndIgnoresUnknownServer() {
+        ReportedLoad implausible = new ReportedLoad(255, 255, 1);
+        mSharedLoads.receive(
                 mServers,
-                List.of(new LoadReport(mServer.hash(), nonsense), new LoadReport(99, nonsense)),
+                List.of(
+                        new LoadReport(mServer.hash(), implausible),
+                        new LoadReport(99, implausible)),
                 0);
         assertThat(mServer.inFlight(0)).isLessThanOrEqualTo(16);
-        assertThat(mShared.receivedCount()).isEqualTo(1);
+        assertThat(mSharedLoads.receivedCount()).isEqualTo(1);
     }
 
     @Example
-    void serverThatStartedAgainIsNotFullForWhatItsFormerRunWas() {
-        mShared.receive(mServers, List.of(new LoadReport(mServer.hash(), FULL)), 0);
+    void restartedServerDoesNotInheritLoad() {
+        mSharedLoads.receive(mServers, List.of(new LoadReport(mServer.hash(), FULL)), 0);
         mServers.update(snapshot(1), 0);
         assertThat(mServers.of(SERVICE).get(0).inFlight(0)).isZero();
     }
 
     @Example
-    void whatTheFormerRunAnswersIsNotToldOfTheNext() {
+    void doesNotReportAnswerOfTerminatedRun() {
         RequestPlacer placer =
                 new RequestPlacer(
                         new ServerChooser(
@@ -104,16 +109,16 @@
     }
 
     @Example
-    void stormOfFullServersTakesBoundedMemory() {
+    void boundsMemoryForManyFullServers() {
         for (int number = 0; number < 5_000; number++) {
-            mShared.answered(
+            mSharedLoads.recordLoad(
                     new ServerLoad(server("other-" + number, 0), Distance.SAME_ZONE), FULL);
         }
-        int told = 0;
-        while (mShared.hasPending()) {
-            told += mShared.take().size();
+        int reported = 0;
+        while (mSharedLoads.hasPending()) {
+            reported += mSharedLoads.take().size();
         }
-        assertThat(told).isBetween(500, 2_000);
+        assertThat(reported).isBetween(500, 2_000);
     }
 
     private static ServerTable table(int run) {
