--- a/masticpond-core/src/main/java/io/masticpond/core/lookup/BlockArray.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/lookup/BlockArray.java
@@ -3,47 +3,49 @@
 import io.masticpond.core.configuration.ClientBlock;
 
 /**
- * The blocks of one address family in order, in flat arrays; immutable.
+ * Immutable sorted array of the blocks of one address family, stored in flat arrays.
  *
- * <p>Blocks are nested or apart, never overlap otherwise. So the last block that starts at or
- * before an address is inside every block that holds the address, and the longest match is found by
- * following the links to the enclosing blocks from there.
+ * <p>Blocks are nested or disjoint and never overlap otherwise. So the last block that starts at or
+ * before an address is inside every block that contains the address, and the longest match is found
+ * by following the links to the enclosing blocks from there.
  */
 final class BlockArray {
 
-    /** No index. */
+    /** Marker for no index. */
     static final int NONE = -1;
 
     static final BlockArray EMPTY =
             new BlockArray(new long[0], new long[0], new byte[0], new short[0]);
 
-    private static final int DEEPEST = 130;
+    private static final int MAXIMUM_DEPTH = 130;
     private static final int BUCKET_BITS = 16;
     private static final int BYTE_MASK = 0xff;
     private static final int SHORT_MASK = 0xffff;
-    private static final int BYTES_FOR_EACH = Long.BYTES + 1 + Short.BYTES + Integer.BYTES;
+    private static final int BYTES_PER_BLOCK = Long.BYTES + 1 + Short.BYTES + Integer.BYTES;
 
     private final long[] mHighs;
 
-    /** Empty if the last 64 bits of every block are 0. */
+    /** Last 64 bits of each block; empty if they are 0 for every block. */
     private final long[] mLows;
 
     private final byte[] mLengths;
     private final short[] mSites;
 
-    /** The index of the smallest enclosing block, or {@link #NONE}. */
+    /** Index of the smallest enclosing block, or {@link #NONE}. */
     private final int[] mEnclosing;
 
-    /** Where the blocks with the same first bits start; small enough for the processor's cache. */
+    /**
+     * Start index of the blocks with the same first bits; small enough for the processor's cache.
+     */
     private final int[] mBuckets;
 
     /**
-     * Takes ordered arrays, which must not change from now on.
+     * Creates an instance with sorted arrays, which must not be changed afterwards.
      *
      * @param highs the first 64 bits of each block
      * @param lows the last 64 bits of each block, or an empty array if all are 0
      * @param lengths the prefix length of each block
-     * @param sites the number of the site of each block
+     * @param sites the site number of each block
      */
     BlockArray(long[] highs, long[] lows, byte[] lengths, short[] sites) {
         mHighs = highs;
@@ -60,7 +62,7 @@
 
     long bytes() {
         long buckets = (long) mBuckets.length * Integer.BYTES;
-        return (long) size() * BYTES_FOR_EACH + (long) mLows.length * Long.BYTES + buckets;
+        return (long) size() * BYTES_PER_BLOCK + (long) mLows.length * Long.BYTES + buckets;
     }
 
     long high(int index) {
@@ -80,22 +82,22 @@
     }
 
     /**
-     * Finds the smallest block that holds an address or block.
+     * Returns the smallest block that contains an address or block.
      *
-     * @return its index, or {@link #NONE}
+     * @return the index of the block, or {@link #NONE}
      */
     int find(long high, long low, int length) {
         int index = lastStartingUpTo(high, low);
-        while (index != NONE && !holds(index, high, low, length)) {
+        while (index != NONE && !contains(index, high, low, length)) {
             index = mEnclosing[index];
         }
         return index;
     }
 
     /**
-     * Finds where a block is or would be.
+     * Returns the position of a block, or the position at which it would be inserted.
      *
-     * @return the index of the first block that does not come before it
+     * @return the index of the first block that is not ordered before it
      */
     int lowerBound(ClientBlock block) {
         int from = 0;
@@ -134,7 +136,7 @@
         return (int) (high >>> (Long.SIZE - BUCKET_BITS));
     }
 
-    /** Counts for each bucket how many blocks come before it, with one more entry at the end. */
+    /** Returns the number of blocks before each bucket, with one more entry at the end. */
     private static int[] countBuckets(long[] highs) {
         int[] starts = new int[(1 << BUCKET_BITS) + 1];
         int next = 0;
@@ -147,7 +149,7 @@
         return starts;
     }
 
-    /** Copies blocks from one index up to another, which is left out, to the end of a builder. */
+    /** Appends the blocks from a start index to an end index, exclusive, to a builder. */
     void copyTo(BlockArrayBuilder builder, int start, int end) {
         builder.addAll(mHighs, mLows, mLengths, mSites, start, end);
     }
@@ -156,7 +158,7 @@
         return mLows.length > 0;
     }
 
-    private boolean holds(int index, long high, long low, int length) {
+    private boolean contains(int index, long high, long low, int length) {
         return length(index) <= length
                 && ClientBlock.contains(high(index), low(index), length(index), high, low);
     }
@@ -168,14 +170,14 @@
 
     private int[] linkEnclosing() {
         int[] enclosing = new int[size()];
-        int[] open = new int[DEEPEST];
+        int[] enclosingStack = new int[MAXIMUM_DEPTH];
         int depth = 0;
         for (int i = 0; i < enclosing.length; i++) {
-            while (depth > 0 && !holds(open[depth - 1], high(i), low(i), length(i))) {
+            while (depth > 0 && !contains(enclosingStack[depth - 1], high(i), low(i), length(i))) {
                 depth--;
             }
-            enclosing[i] = depth == 0 ? NONE : open[depth - 1];
-            open[depth++] = i;
+            enclosing[i] = depth == 0 ? NONE : enclosingStack[depth - 1];
+            enclosingStack[depth++] = i;
         }
         return enclosing;
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/lookup/BlockArrayBuilder.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/lookup/BlockArrayBuilder.java
@@ -2,7 +2,7 @@
 
 import io.masticpond.core.configuration.ClientBlock;
 
-/** Collects ordered blocks into flat arrays of a size that is known before. */
+/** Builder of a {@link BlockArray} from sorted blocks, with a size that is known in advance. */
 final class BlockArrayBuilder {
 
     private final long[] mHighs;
@@ -12,10 +12,10 @@
     private int mSize;
 
     /**
-     * Makes the arrays.
+     * Creates a builder.
      *
-     * @param size how many blocks there will be
-     * @param hasLows whether any block has bits set after the first 64
+     * @param size the number of blocks
+     * @param hasLows whether at least one block has bits set after the first 64
      */
     BlockArrayBuilder(int size, boolean hasLows) {
         mHighs = new long[size];
@@ -24,7 +24,7 @@
         mSites = new short[size];
     }
 
-    /** Appends a block that comes after all before. */
+    /** Appends a block, which must be ordered after all previous ones. */
     void add(ClientBlock block, int site) {
         mHighs[mSize] = block.high();
         if (mLows.length > 0) {
@@ -35,7 +35,7 @@
         mSize++;
     }
 
-    /** Appends a part of other arrays; an empty array of last 64 bits stands for zeros. */
+    /** Appends a range of other arrays; an empty array of last 64 bits stands for zeros. */
     void addAll(long[] highs, long[] lows, byte[] lengths, short[] sites, int start, int end) {
         int count = end - start;
         System.arraycopy(highs, start, mHighs, mSize, count);
@@ -47,7 +47,7 @@
         mSize += count;
     }
 
-    /** Gives the blocks; the builder must not be used any more. */
+    /** Returns the blocks; the builder must not be used afterwards. */
     BlockArray build() {
         if (mSize != mHighs.length) {
             throw new IllegalStateException("There must be " + mHighs.length + " blocks.");
--- a/masticpond-core/src/main/java/io/masticpond/core/lookup/ClientBlockChange.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/lookup/ClientBlockChange.java
@@ -6,15 +6,15 @@
 import java.util.Optional;
 
 /**
- * A change of one block in a table.
+ * Change of one block in a table.
  *
  * @param block the block
- * @param site the site that it points to from now on, or empty to remove it
+ * @param site the new site of the block, or empty to remove the block
  * @since 0.1
  */
 public record ClientBlockChange(ClientBlock block, Optional<SiteId> site) {
 
-    /** Checks that the parts are given. */
+    /** Checks that no component is {@code null}. */
     public ClientBlockChange {
         Assert.notNull(block, "A client block");
         Assert.notNull(site, "A site id");
--- a/masticpond-core/src/main/java/io/masticpond/core/lookup/ClientBlockTable.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/lookup/ClientBlockTable.java
@@ -14,19 +14,19 @@
 import java.util.Optional;
 
 /**
- * Finds the site of a client by the longest matching block, for IPv4 and IPv6.
+ * Table that maps clients to sites by the longest matching block, for IPv4 and IPv6.
  *
- * <p>Immutable, and so safe for all threads; a change makes a new table while readers go on with
- * the old one. Takes 15 bytes for a block, 23 if any prefix of its family is longer than 64 bits.
+ * <p>Immutable and therefore thread-safe; a change creates a new table while readers continue to
+ * use the old one. Takes 15 bytes per block, 23 if any prefix of its family is longer than 64 bits.
  *
  * @since 0.1
  */
 public final class ClientBlockTable {
 
-    /** The most sites that blocks may point to. */
+    /** Maximum number of sites that blocks may point to. */
     public static final int MAXIMUM_SITES = 65_535;
 
-    /** A table without blocks. */
+    /** Empty table. */
     public static final ClientBlockTable EMPTY =
             new ClientBlockTable(List.of(), new EnumMap<>(AddressFamily.class));
 
@@ -39,10 +39,10 @@
     }
 
     /**
-     * Makes a table of what operators stated.
+     * Creates a table from the configured blocks.
      *
      * @param specifications the blocks in any order
-     * @return the table, or the first fault found
+     * @return the table, or the first error found
      */
     public static Either<LookupError, ClientBlockTable> of(
             List<ClientBlockSpecification> specifications) {
@@ -59,10 +59,10 @@
     }
 
     /**
-     * Makes a table with some blocks added, pointed elsewhere or removed.
+     * Creates a table with some blocks added, mapped to another site or removed.
      *
      * @param changes the changes in any order, at most one for each block
-     * @return the new table, or the first fault found
+     * @return the new table, or the first error found
      */
     public Either<LookupError, ClientBlockTable> with(List<ClientBlockChange> changes) {
         List<ClientBlockChange> ordered = new ArrayList<>(changes);
@@ -126,10 +126,10 @@
     }
 
     /**
-     * Finds the site of a client by the longest block that holds it.
+     * Returns the site of a client by the longest block that contains it.
      *
      * @param client the client's address or block
-     * @return the site, or empty if no block holds the client
+     * @return the site, or empty if no block contains the client
      */
     public Optional<SiteId> find(ClientBlock client) {
         BlockArray array = array(client.family());
@@ -140,18 +140,18 @@
     }
 
     /**
-     * Counts the blocks.
+     * Returns the number of blocks.
      *
-     * @return the count over both families
+     * @return the number for both families together
      */
     public int size() {
         return mArrays.values().stream().mapToInt(BlockArray::size).sum();
     }
 
     /**
-     * Counts the bytes of the arrays.
+     * Returns the size of the arrays in bytes.
      *
-     * @return the bytes, without the sites' names
+     * @return the size, without the names of the sites
      */
     public long bytes() {
         return mArrays.values().stream().mapToLong(BlockArray::bytes).sum();
--- a/masticpond-core/src/main/java/io/masticpond/core/lookup/LookupDecision.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/lookup/LookupDecision.java
@@ -6,17 +6,17 @@
 import java.util.List;
 
 /**
- * The answer to a look-up.
+ * Answer to a look-up.
  *
  * @param instances the instances to use, the best first
- * @param cacheFor how long the answer may be cached
- * @param configuration the configuration version that it rests on
+ * @param cacheFor the time for which the answer may be cached
+ * @param configuration the configuration version on which the answer is based
  * @since 0.1
  */
 public record LookupDecision(
         List<Member> instances, Duration cacheFor, ConfigurationVersion configuration) {
 
-    /** Copies the list. */
+    /** Copies the list of instances. */
     public LookupDecision {
         instances = List.copyOf(instances);
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/lookup/LookupError.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/lookup/LookupError.java
@@ -3,34 +3,34 @@
 import io.masticpond.core.configuration.ClientBlock;
 
 /**
- * Says what is wrong with a client's address or with a table of client blocks.
+ * Error in a client's address or in a table of client blocks.
  *
  * @since 0.1
  */
 public sealed interface LookupError {
 
     /**
-     * Gives one sentence for people.
+     * Returns a message for operators.
      *
-     * @return the sentence
+     * @return one or two sentences
      */
     String message();
 
     /**
-     * A text that is no block.
+     * Text that is not a valid block.
      *
      * @param text the text, which is shortened
-     * @param reason one sentence that says what is wrong with it
+     * @param reason the reason in one sentence
      */
     record InvalidBlock(String text, String reason) implements LookupError {
 
-        private static final int LONGEST_TEXT = 49;
+        private static final int MAXIMUM_TEXT_LENGTH = 49;
 
-        /** Shortens the text. */
+        /** Truncates the text to 49 characters. */
         public InvalidBlock {
             text = text == null ? "" : text;
-            if (text.length() > LONGEST_TEXT) {
-                text = text.substring(0, LONGEST_TEXT) + "...";
+            if (text.length() > MAXIMUM_TEXT_LENGTH) {
+                text = text.substring(0, MAXIMUM_TEXT_LENGTH) + "...";
             }
         }
 
@@ -41,7 +41,7 @@
     }
 
     /**
-     * A block that is stated twice.
+     * Block that is configured twice.
      *
      * @param block the block
      */
@@ -53,7 +53,7 @@
     }
 
     /**
-     * More sites than a table can hold.
+     * Number of sites that exceeds the maximum of a table.
      *
      * @param sites the number of sites
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/lookup/LookupParameters.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/lookup/LookupParameters.java
@@ -4,21 +4,21 @@
 import java.time.Duration;
 
 /**
- * The adjustable numbers of look-ups.
+ * Adjustable parameters of look-ups.
  *
- * @param maximumInstances how many instances an answer names at most, at least 2
- * @param nearestZoneInstances how many of them are in the nearest availability zone, unless others
- *     lack instances
- * @param cacheFor how long an answer may be cached
+ * @param maximumInstances the maximum number of instances in an answer, at least 2
+ * @param nearestZoneInstances the number of them in the nearest availability zone, unless other
+ *     zones have too few instances
+ * @param cacheFor the time for which an answer may be cached
  * @since 0.1
  */
 public record LookupParameters(int maximumInstances, int nearestZoneInstances, Duration cacheFor) {
 
-    /** The values that are used unless operators say otherwise. */
+    /** Default values, used unless operators override them. */
     public static final LookupParameters DEFAULT =
             new LookupParameters(4, 2, Duration.ofSeconds(5));
 
-    /** Checks the ranges. */
+    /** Validates the ranges of the components. */
     public LookupParameters {
         Assert.isTrue(
                 maximumInstances >= 2,
--- a/masticpond-core/src/main/java/io/masticpond/core/lookup/RendezvousSelector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/lookup/RendezvousSelector.java
@@ -10,10 +10,10 @@
 import org.apache.commons.rng.core.source64.SplitMix64;
 
 /**
- * Spreads clients over the instances of an availability zone.
+ * Selector that spreads clients over the instances of an availability zone.
  *
- * <p>Highest random weight as in {@link io.masticpond.core.membership.Rendezvous}, with the hashes
- * of the instances worked out once, since a look-up is made for each client.
+ * <p>Uses highest random weight hashing as in {@link io.masticpond.core.membership.Rendezvous},
+ * with the hashes of the instances computed once, since a look-up is made for each client.
  */
 final class RendezvousSelector {
 
@@ -21,7 +21,7 @@
     private final long[] mHashes;
 
     /**
-     * Takes the instances of a zone.
+     * Creates a selector for the instances of a zone.
      *
      * @param members the instances in any order
      */
@@ -35,31 +35,35 @@
     }
 
     /**
-     * Adds the instances that come first for a client.
+     * Adds the instances with the highest weights for a client.
      *
      * @param key the hash of the client
-     * @param count how many instances to add; as many as there are at most
-     * @param chosen takes them in order
+     * @param count the number of instances to add; all are added if there are fewer
+     * @param chosen the list to which they are added in order
      */
     void addFirst(long key, int count, List<Member> chosen) {
-        long boundWeight = Long.MAX_VALUE;
-        int boundIndex = -1;
+        long previousWeight = Long.MAX_VALUE;
+        int previousIndex = -1;
         for (int added = 0; added < Math.min(count, size()); added++) {
-            int best = heaviestBelow(key, boundWeight, boundIndex);
+            int best = nextHeaviest(key, previousWeight, previousIndex);
             chosen.add(mMembers.get(best));
-            boundWeight = weight(key, best);
-            boundIndex = best;
+            previousWeight = weight(key, best);
+            previousIndex = best;
         }
     }
 
-    /** Finds the heaviest instance that comes after one in the order of weight, then of index. */
-    private int heaviestBelow(long key, long boundWeight, int boundIndex) {
+    /**
+     * Returns the instance with the highest weight that follows a given one in the order of weight,
+     * then of index.
+     */
+    private int nextHeaviest(long key, long previousWeight, int previousIndex) {
         int best = -1;
         long bestWeight = Long.MIN_VALUE;
         for (int i = 0; i < mHashes.length; i++) {
             long weight = weight(key, i);
-            boolean after = weight < boundWeight || (weight == boundWeight && i > boundIndex);
-            if (after && (best < 0 || weight > bestWeight)) {
+            boolean isAfter =
+                    weight < previousWeight || (weight == previousWeight && i > previousIndex);
+            if (isAfter && (best < 0 || weight > bestWeight)) {
                 best = i;
                 bestWeight = weight;
             }
@@ -71,7 +75,10 @@
         return mix(key ^ mHashes[index]);
     }
 
-    /** Gives a number that is the same for the same first address, to spread clients by. */
+    /**
+     * Returns a hash by which clients are spread; blocks with the same first address have the same
+     * hash.
+     */
     static long keyOf(ClientBlock client) {
         return mix(client.high() ^ mix(client.low()));
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/lookup/ZoneOrder.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/lookup/ZoneOrder.java
@@ -11,20 +11,24 @@
 import java.util.List;
 import java.util.function.ToLongFunction;
 
-/** Orders availability zones by how near they are to one: itself, its region, other regions. */
+/**
+ * Order of availability zones by distance from one of them: the zone itself, its region, other
+ * regions.
+ */
 final class ZoneOrder {
 
     private ZoneOrder() {}
 
     /**
-     * Orders all availability zones.
+     * Returns all availability zones in order.
      *
      * @param configuration the configuration
      * @param nearest the availability zone to start from
-     * @param turn by how many places regions of one distance are rotated from the order of names
+     * @param rotation the number of places by which regions of equal distance are rotated from the
+     *     order of names
      * @return the availability zones, the nearest first
      */
-    static List<ZoneId> from(Configuration configuration, ZoneId nearest, int turn) {
+    static List<ZoneId> from(Configuration configuration, ZoneId nearest, int rotation) {
         RegionId home = configuration.regionOf(nearest).orElse(null);
         List<RegionSpecification> regions = new ArrayList<>(configuration.content().regions());
         regions.sort(
@@ -32,7 +36,7 @@
                                 (RegionSpecification region) ->
                                         distance(configuration, home, region.id()))
                         .thenComparing(RegionSpecification::id));
-        rotateEquals(regions, region -> distance(configuration, home, region.id()), turn);
+        rotateEquals(regions, region -> distance(configuration, home, region.id()), rotation);
         List<ZoneId> zones = new ArrayList<>();
         for (RegionSpecification region : regions) {
             int start = Math.max(0, region.zones().indexOf(nearest));
@@ -46,15 +50,15 @@
     private static void rotateEquals(
             List<RegionSpecification> regions,
             ToLongFunction<RegionSpecification> distance,
-            int turn) {
+            int rotation) {
         int start = 0;
         for (int end = 1; end <= regions.size(); end++) {
-            boolean runEnds =
+            boolean isRunEnd =
                     end == regions.size()
                             || distance.applyAsLong(regions.get(end))
                                     != distance.applyAsLong(regions.get(start));
-            if (runEnds) {
-                Collections.rotate(regions.subList(start, end), turn);
+            if (isRunEnd) {
+                Collections.rotate(regions.subList(start, end), rotation);
                 start = end;
             }
         }
--- a/masticpond-core/src/main/java/io/masticpond/core/lookup/ZoneQuota.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/lookup/ZoneQuota.java
@@ -3,9 +3,10 @@
 import io.masticpond.core.id.ZoneId;
 
 /**
- * How far the instances of an availability zone fill an answer.
+ * Quota of an availability zone in an answer.
  *
  * @param zone the availability zone
- * @param upTo how many instances the answer holds after those of this zone
+ * @param cumulativeCount the number of instances in the answer up to and including those of this
+ *     zone
  */
-record ZoneQuota(ZoneId zone, int upTo) {}
+record ZoneQuota(ZoneId zone, int cumulativeCount) {}
--- a/masticpond-core/src/main/java/io/masticpond/core/lookup/ZoneQuotas.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/lookup/ZoneQuotas.java
@@ -11,15 +11,15 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Shares the places of an answer among availability zones.
+ * Distributes the places of an answer over availability zones.
  *
- * <p>The nearest zone gets its number first, then the second zone one, then the nearest zone of
- * another region one, so that a client outlives the loss of a zone and of a region. Places that are
- * left are filled from the nearest zone on.
+ * <p>The nearest zone gets its configured number first, then the second zone one place, then the
+ * nearest zone of another region one place, so that a client can survive the loss of a zone and of
+ * a region. Remaining places are filled starting with the nearest zone.
  */
 final class ZoneQuotas {
 
-    private final LookupParameters mKnobs;
+    private final LookupParameters mParameters;
     private final Configuration mConfiguration;
     private final List<ZoneId> mZones;
     private final ToIntFunction<ZoneId> mSizes;
@@ -27,48 +27,48 @@
     private int mTotal;
 
     /**
-     * Takes the zones to share among.
+     * Creates an instance for the zones over which places are distributed.
      *
-     * @param knobs how many places there are
-     * @param configuration tells the regions
+     * @param parameters the parameters with the number of places
+     * @param configuration the configuration with the regions
      * @param zones the zones with live instances, the nearest first
-     * @param sizes tells how many live instances a zone has
+     * @param sizes the function that returns the number of live instances of a zone
      */
     ZoneQuotas(
-            LookupParameters knobs,
+            LookupParameters parameters,
             Configuration configuration,
             List<ZoneId> zones,
             ToIntFunction<ZoneId> sizes) {
-        mKnobs = knobs;
+        mParameters = parameters;
         mConfiguration = configuration;
         mZones = zones;
         mSizes = sizes;
     }
 
-    List<ZoneQuota> share() {
+    List<ZoneQuota> distribute() {
         mZones.forEach(zone -> mCounts.put(zone, 0));
         if (!mZones.isEmpty()) {
-            give(mZones.get(0), mKnobs.nearestZoneInstances());
+            assign(mZones.get(0), mParameters.nearestZoneInstances());
         }
         if (mZones.size() > 1) {
-            give(mZones.get(1), 1);
+            assign(mZones.get(1), 1);
         }
-        otherRegion().ifPresent(zone -> give(zone, 1 - mCounts.get(zone)));
+        firstZoneOfOtherRegion().ifPresent(zone -> assign(zone, 1 - mCounts.get(zone)));
         for (ZoneId zone : mZones) {
-            give(zone, mKnobs.maximumInstances());
+            assign(zone, mParameters.maximumInstances());
         }
-        return accumulated();
+        return cumulativeQuotas();
     }
 
-    private void give(ZoneId zone, int wanted) {
-        int before = mCounts.get(zone);
-        int room = mKnobs.maximumInstances() - mTotal;
-        int given = Math.min(Math.min(wanted, room), mSizes.applyAsInt(zone) - before);
-        mCounts.put(zone, before + given);
-        mTotal += given;
+    private void assign(ZoneId zone, int wanted) {
+        int previous = mCounts.get(zone);
+        int remaining = mParameters.maximumInstances() - mTotal;
+        int assigned = Math.min(Math.min(wanted, remaining), mSizes.applyAsInt(zone) - previous);
+        mCounts.put(zone, previous + assigned);
+        mTotal += assigned;
     }
 
-    private Optional<ZoneId> otherRegion() {
+    private Optional<ZoneId> firstZoneOfOtherRegion() {
         if (mZones.isEmpty()) {
             return Optional.empty();
         }
@@ -78,7 +78,7 @@
                 .findFirst();
     }
 
-    private List<ZoneQuota> accumulated() {
+    private List<ZoneQuota> cumulativeQuotas() {
         List<ZoneQuota> quotas = new ArrayList<>();
         int total = 0;
         for (Map.Entry<ZoneId, Integer> entry : mCounts.entrySet()) {
--- a/masticpond-core/src/main/java/io/masticpond/core/lookup/package-info.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/lookup/package-info.java
@@ -1,2 +1,2 @@
-/** Which instances a client should use; no I/O. */
+/** Selection of the instances that a client should use. Performs no I/O. */
 package io.masticpond.core.lookup;
--- a/masticpond-core/src/test/java/io/masticpond/core/lookup/ClientBlockTableProperties.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/lookup/ClientBlockTableProperties.java
@@ -18,12 +18,15 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** Longest prefix match against a plain search, over changes. */
+/** Compares the longest prefix match with a linear search, also after changes. */
 final class ClientBlockTableProperties {
 
     private static final int SITES = 5;
 
-    /** Blocks from few bytes and bits, so that they nest and repeat often. */
+    /**
+     * Provides blocks of few distinct bytes and lengths, so that they are often nested and
+     * repeated.
+     */
     @Provide
     static Arbitrary<List<ClientBlockChange>> changes() {
         Arbitrary<Byte> few = Arbitraries.of((byte) 0, (byte) 1, (byte) 0x80, (byte) 0xff);
@@ -53,7 +56,7 @@
     }
 
     @Property(seed = "421", tries = 500)
-    void findsWhatPlainSearchFinds(
+    void findsSameSiteAsLinearSearch(
             @ForAll("changes") List<ClientBlockChange> first,
             @ForAll("changes") List<ClientBlockChange> second,
             @ForAll("changes") List<ClientBlockChange> clients) {
@@ -89,7 +92,7 @@
     }
 
     @Example
-    void namesTheFaultOfBadTable() {
+    void reportsInvalidBlocks() {
         SiteId site = new SiteId("casa-edge");
         List<ClientBlockSpecification> blocks = new ArrayList<>();
         blocks.add(new ClientBlockSpecification("10.0.0.0/8", site));
--- a/masticpond-core/src/test/java/io/masticpond/core/lookup/LookupDeciderTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/lookup/LookupDeciderTest.java
@@ -26,19 +26,19 @@
 import java.util.Random;
 import net.jqwik.api.Example;
 
-/** Answers to look-ups when instances, zones and regions go. */
+/** Tests answers to look-ups when instances, zones and regions are lost. */
 final class LookupDeciderTest {
 
     private static final List<String> REGIONS = List.of("agadir", "casa", "fes");
 
     @Example
-    void namesTheNearestFirstAndOutlivesTheLossOfZoneAndRegion() {
+    void returnsNearestFirstAndCoversLossOfZoneAndRegion() {
         List<String> zones = zones(decide(members(MemberState.LIVE), "10.1.2.3"));
         assertThat(zones).containsExactly("casa-2", "casa-2", "casa-1", "fes-1");
     }
 
     @Example
-    void leavesOutInstancesThatDoNotAdmit() {
+    void excludesInstancesThatDoNotAdmit() {
         for (MemberState state :
                 List.of(MemberState.LEAVING, MemberState.SUSPECT, MemberState.DEAD)) {
             List<Member> members = members(MemberState.LIVE);
@@ -51,7 +51,7 @@
     }
 
     @Example
-    void leavesOutInstancesWithoutConfigurationWhileOthersHaveOne() {
+    void excludesInstancesWithoutConfigurationWhileOthersHaveOne() {
         List<Member> members = members(MemberState.LIVE);
         members.replaceAll(
                 member ->
@@ -66,7 +66,7 @@
     }
 
     @Example
-    void givesTheSameAnswerWhateverTheOrderOfTheMembers() {
+    void answerIsIndependentOfMemberOrder() {
         List<Member> members = members(MemberState.LIVE);
         LookupDecision first = decide(members, "10.1.2.3");
         for (int seed = 0; seed < 20; seed++) {
@@ -76,7 +76,7 @@
     }
 
     @Example
-    void spreadsClientsEvenlyAndMovesOnlyThoseOfTheInstanceThatWent() {
+    void spreadsClientsEvenlyAndMovesOnlyThoseOfRemovedInstance() {
         List<Member> members = members(MemberState.LIVE);
         LookupDecider before = decider(members);
         members.removeIf(member -> member.id().value().equals("casa-2-a"));
@@ -95,7 +95,7 @@
     }
 
     @Example
-    void spreadsClientsOfLostRegionOverThoseEquallyNear() {
+    void spreadsClientsOfLostRegionOverEquallyNearRegions() {
         List<Member> members = members(MemberState.LIVE);
         members.removeIf(member -> member.zone().value().startsWith("agadir"));
         LookupDecider decider = decider(members);
@@ -109,7 +109,7 @@
     }
 
     @Example
-    void fallsBackToItsOwnZoneForClientsOfNoKnownSite() {
+    void usesOwnZoneForClientsWithoutKnownSite() {
         assertThat(zones(decide(members(MemberState.LIVE), "192.0.2.1")).get(0))
                 .isEqualTo("agadir-1");
         LookupDecision unknown = decider(members(MemberState.LIVE)).decide(Optional.empty());
