--- a/masticpond-entry/src/main/java/io/masticpond/entry/spending/LedgerJson.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/spending/LedgerJson.java
@@ -14,11 +14,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Ledgers as trees of JSON, read strictly and without reflection. */
+/**
+ * Codec for {@link SpendingLedger} objects as JSON trees. Reading is strict, a missing or
+ * additional field is an error, and uses no reflection.
+ */
 final class LedgerJson {
 
-    private static final int FIELDS = 10;
-    private static final int HOLDING_FIELDS = 4;
+    private static final int FIELD_COUNT = 10;
+    private static final int HOLDING_FIELD_COUNT = 4;
 
     private LedgerJson() {}
 
@@ -46,58 +49,58 @@
 
     static Either<LedgerFault, SpendingLedger> read(LedgerKey key, JsonNode tree) {
         try {
-            return document(tree).read(key);
+            return toDocument(tree).read(key);
         } catch (IllegalArgumentException e) {
             return LedgerDocument.fault(key, e.getMessage());
         }
     }
 
-    private static LedgerDocument document(JsonNode tree) {
-        checkFields(tree, FIELDS);
+    private static LedgerDocument toDocument(JsonNode tree) {
+        checkFields(tree, FIELD_COUNT);
         List<HoldingDocument> holdings = new ArrayList<>();
-        Assert.isTrue(tree.path("holdings").isArray(), "The field 'holdings' must be a list.");
+        Assert.isTrue(tree.path("holdings").isArray(), "The field 'holdings' must be an array.");
         for (JsonNode holding : tree.path("holdings")) {
-            checkFields(holding, HOLDING_FIELDS);
+            checkFields(holding, HOLDING_FIELD_COUNT);
             holdings.add(
                     new HoldingDocument(
-                            text(holding, "holder"),
-                            whole(holding, "allottedMicros"),
-                            whole(holding, "sequence"),
-                            whole(holding, "revision")));
+                            readText(holding, "holder"),
+                            readLong(holding, "allottedMicros"),
+                            readLong(holding, "sequence"),
+                            readLong(holding, "revision")));
         }
         return new LedgerDocument(
-                (int) whole(tree, "format"),
-                text(tree, "service"),
-                text(tree, "shift"),
-                whole(tree, "capMicros"),
-                whole(tree, "configurationVersion"),
-                whole(tree, "revision"),
-                whole(tree, "allottedMicros"),
-                whole(tree, "compactedMicros"),
+                (int) readLong(tree, "format"),
+                readText(tree, "service"),
+                readText(tree, "shift"),
+                readLong(tree, "capMicros"),
+                readLong(tree, "configurationVersion"),
+                readLong(tree, "revision"),
+                readLong(tree, "allottedMicros"),
+                readLong(tree, "compactedMicros"),
                 holdings,
-                whole(tree, "checksum"));
+                readLong(tree, "checksum"));
     }
 
     private static void checkFields(JsonNode tree, int count) {
         Assert.isTrue(
                 tree.isObject() && tree.size() == count,
-                "It must have %d fields, but has %d.",
+                "The object must have %d fields, but has %d.",
                 count,
                 tree.size());
     }
 
-    private static long whole(JsonNode tree, String field) {
+    private static long readLong(JsonNode tree, String field) {
         JsonNode value = tree.path(field);
         Assert.isTrue(
                 value.isIntegralNumber() && value.canConvertToLong(),
-                "The field '%s' must be a whole number.",
+                "The field '%s' must be an integer.",
                 field);
         return value.longValue();
     }
 
-    private static String text(JsonNode tree, String field) {
+    private static String readText(JsonNode tree, String field) {
         JsonNode value = tree.path(field);
-        Assert.isTrue(value.isTextual(), "The field '%s' must be a text.", field);
+        Assert.isTrue(value.isTextual(), "The field '%s' must be a string.", field);
         return value.textValue();
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/spending/SpendingPrices.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/spending/SpendingPrices.java
@@ -9,10 +9,13 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What an attempt costs; in a zone that the settings do not list, as much as anywhere. */
+/**
+ * Prices of attempts by service and availability zone. A zone without a price in the settings is
+ * charged the highest price of the service.
+ */
 final class SpendingPrices {
 
-    private final Map<ServiceId, ServicePrices> mServices = new HashMap<>();
+    private final Map<ServiceId, ServicePrices> mPricesByService = new HashMap<>();
 
     SpendingPrices(SpendingSettings settings, Map<ZoneId, RegionId> regions) {
         for (ServiceSpending spending : settings.services()) {
@@ -21,13 +24,13 @@
             regions.forEach(
                     (zone, region) ->
                             zones.put(zone, spending.prices().getOrDefault(region, highest)));
-            mServices.put(spending.service(), new ServicePrices(zones, highest));
+            mPricesByService.put(spending.service(), new ServicePrices(zones, highest));
         }
     }
 
-    /** Tells the price in millionths, 0 for a service without a cap. */
-    long micros(ServiceId service, ZoneId zone) {
-        ServicePrices prices = mServices.get(service);
+    /** Returns the price of an attempt in millionths, 0 for a service without a cap. */
+    long priceMicros(ServiceId service, ZoneId zone) {
+        ServicePrices prices = mPricesByService.get(service);
         return prices == null ? 0 : prices.zones.getOrDefault(zone, prices.highest);
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/spending/SpendingService.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/spending/SpendingService.java
@@ -39,45 +39,47 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Pays for attempts from the allotments that this instance holds, and joins the state machines of
- * the core to the traffic thread, which owns them, and to the store, which the control thread asks.
+ * {@link SpendingCheck} that charges attempts to the allotments that this instance holds. It
+ * connects the state machines of the core to the traffic thread, which owns them, and to the store,
+ * which is queried on the control thread.
  *
  * @since 0.3
  */
 public final class SpendingService implements SpendingCheck {
 
-    /** How often time acts on the accounts. */
+    /** Interval at which the spending gate is advanced. */
     public static final Duration PERIOD = Duration.ofMillis(100);
 
     private static final Logger sLogger = LoggerFactory.getLogger(SpendingService.class);
     private static final long DEFAULT_DEADLINE_MILLIS = 1_000;
-    private static final Duration SOON = Duration.ofSeconds(1);
+    private static final Duration NO_ALLOTMENT_RETRY_DELAY = Duration.ofSeconds(1);
 
-    /** How long a client is sent away if no shift with a cap comes within a week. */
-    private static final Duration LONG = Duration.ofDays(1);
+    /** Retry delay returned to a client if no shift with a cap begins within a week. */
+    private static final Duration NO_SHIFT_RETRY_DELAY = Duration.ofDays(1);
 
     private final SpendingPrices mPrices;
     private final TimeSource mTimeSource;
     private final Scheduler mTraffic;
-    private final IntSupplier mHolders;
+    private final IntSupplier mHolderCount;
     private final DefaultSpendingGate mGate;
     private final Configuration mCaps;
-    private int mToldHolders;
+    private int mReportedHolderCount;
     private boolean mStarted;
     private volatile boolean mStopped;
 
     /**
-     * Makes a desk that holds nothing yet.
+     * Creates a service that holds no allotment yet.
      *
-     * @param settings caps and prices
+     * @param settings the caps and prices
      * @param regions the region of each zone
-     * @param self this run of the instance
-     * @param store keeps the ledgers
-     * @param writesPerSecond how often all instances together may change a ledger
-     * @param holders among how many instances the caps are divided
-     * @param traffic runs tasks on the traffic thread
-     * @param control runs tasks on the control thread
-     * @param timeSource the clocks
+     * @param self the incarnation of this instance
+     * @param store the store of the ledgers
+     * @param writesPerSecond the highest number of ledger changes per second by all instances
+     *     together
+     * @param holderCount number of instances among which the caps are divided
+     * @param traffic scheduler of the traffic thread
+     * @param control executor of the control thread
+     * @param timeSource the wall clock and the monotonic clock
      */
     public SpendingService(
             SpendingSettings settings,
@@ -85,22 +87,22 @@
             Incarnation self,
             ConditionalStore store,
             int writesPerSecond,
-            IntSupplier holders,
+            IntSupplier holderCount,
             Scheduler traffic,
             Executor control,
             TimeSource timeSource) {
         mPrices = new SpendingPrices(settings, regions);
         mTimeSource = Assert.notNull(timeSource, "A time source");
         mTraffic = Assert.notNull(traffic, "A scheduler of the traffic thread");
-        mHolders = Assert.notNull(holders, "A count of holders");
-        AllotmentPolicy usual = AllotmentPolicy.DEFAULT;
+        mHolderCount = Assert.notNull(holderCount, "A count of holders");
+        AllotmentPolicy defaults = AllotmentPolicy.DEFAULT;
         mGate =
                 new DefaultSpendingGate(
                         self,
                         new AllotmentPolicy(
-                                settings.cover(), usual.shareDivisor(), writesPerSecond),
+                                settings.cover(), defaults.shareDivisor(), writesPerSecond),
                         settings.clockError(),
-                        new StoreLedgers(store, settings.ledgers(), control, this::answered),
+                        new StoreLedgers(store, settings.ledgers(), control, this::onLedgerAnswer),
                         timeSource,
                         SpendingService::log,
                         self.hashCode());
@@ -125,7 +127,7 @@
     @Override
     public Either<SpendingRefusal, Charge> charge(ServiceId service, ZoneId zone) {
         start();
-        long price = mPrices.micros(service, zone);
+        long price = mPrices.priceMicros(service, zone);
         Either<Refusal, Charge> charge = mGate.charge(service, price);
         return charge.mapLeft(refusal -> refusal(refusal, service, price));
     }
@@ -159,34 +161,35 @@
     }
 
     private void reportHolders() {
-        int holders = Math.max(1, mHolders.getAsInt());
-        if (holders != mToldHolders) {
-            mToldHolders = holders;
+        int holders = Math.max(1, mHolderCount.getAsInt());
+        if (holders != mReportedHolderCount) {
+            mReportedHolderCount = holders;
             mGate.holders(holders);
         }
     }
 
-    private void answered(LedgerKey key, LedgerAnswer answer) {
+    private void onLedgerAnswer(LedgerKey key, LedgerAnswer answer) {
         mTraffic.schedule(Duration.ZERO, () -> mGate.onAnswer(key, answer));
     }
 
     private SpendingRefusal refusal(Refusal refusal, ServiceId service, long price) {
-        boolean forNow = refusal.cause() != RefusalCause.SPENDING_CAP;
-        String cause = forNow ? "no-allotment" : refusal.cause().text();
+        boolean isTemporary = refusal.cause() != RefusalCause.SPENDING_CAP;
+        String cause = isTemporary ? "no-allotment" : refusal.cause().text();
         return new SpendingRefusal(
                 cause,
-                refusal.retryAfter().orElse(forNow ? SOON : LONG),
+                refusal.retryAfter()
+                        .orElse(isTemporary ? NO_ALLOTMENT_RETRY_DELAY : NO_SHIFT_RETRY_DELAY),
                 inputs(refusal, service, price));
     }
 
     private SpendingInputs inputs(Refusal refusal, ServiceId service, long price) {
         Instant now = mTimeSource.instant();
-        Optional<SpendingView> running =
+        Optional<SpendingView> current =
                 mGate.views().stream()
                         .filter(view -> view.key().service().equals(service))
                         .filter(view -> view.shift().contains(now))
                         .findFirst();
-        return running.map(view -> inputs(view, price))
+        return current.map(view -> inputs(view, price))
                 .orElseGet(
                         () ->
                                 new SpendingInputs(
@@ -209,7 +212,10 @@
         sLogger.warn("SPEND  {} of {}: {} {}", event, service, object, detail);
     }
 
-    /** States the caps as the core takes them, whose other parts have no say here. */
+    /**
+     * Returns the caps in the form that the core takes. All other parts of the configuration are
+     * empty, since spending does not depend on them.
+     */
     private static Configuration configuration(SpendingSettings settings) {
         List<ServiceSpecification> services =
                 settings.services().stream().map(SpendingService::specification).toList();
--- a/masticpond-entry/src/main/java/io/masticpond/entry/spending/StoreLedgers.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/spending/StoreLedgers.java
@@ -14,39 +14,43 @@
 import java.util.function.BiConsumer;
 
 /**
- * Reads and changes ledgers in the store, on the control thread, and turns what the store says into
- * answers about ledgers. What is not known of a write is never taken for a failure.
+ * {@link LedgerSink} that reads and writes ledgers in the store on the control thread, and converts
+ * the store's results to ledger answers. A write whose outcome is unknown is reported as uncertain,
+ * never as failed.
  */
 final class StoreLedgers implements LedgerSink {
 
     private final ConditionalStore mStore;
     private final String mPrefix;
     private final Executor mControl;
-    private final BiConsumer<LedgerKey, LedgerAnswer> mAnswers;
+    private final BiConsumer<LedgerKey, LedgerAnswer> mAnswerHandler;
 
     /**
-     * Makes the access to ledgers.
+     * Creates a sink for the ledgers in a store.
      *
      * @param store the store
-     * @param prefix what their names begin with
-     * @param control runs tasks on the control thread
-     * @param answers hears each answer once, on the control thread
+     * @param prefix the prefix of the names of the ledgers
+     * @param control executor of the control thread
+     * @param answerHandler receives each answer once, on the control thread
      */
     StoreLedgers(
             ConditionalStore store,
             String prefix,
             Executor control,
-            BiConsumer<LedgerKey, LedgerAnswer> answers) {
+            BiConsumer<LedgerKey, LedgerAnswer> answerHandler) {
         mStore = store;
         mPrefix = prefix;
         mControl = control;
-        mAnswers = answers;
+        mAnswerHandler = answerHandler;
     }
 
     @Override
     public void read(LedgerKey key) {
         mControl.execute(
-                () -> mStore.read(name(key), found -> mAnswers.accept(key, found(key, found))));
+                () ->
+                        mStore.read(
+                                objectName(key),
+                                result -> mAnswerHandler.accept(key, toReadAnswer(key, result))));
     }
 
     @Override
@@ -55,17 +59,17 @@
         mControl.execute(
                 () ->
                         mStore.write(
-                                name(key),
+                                objectName(key),
                                 change.expectedVersion(),
                                 LedgerJson.write(change.ledger()),
-                                result -> mAnswers.accept(key, written(result))));
+                                result -> mAnswerHandler.accept(key, toWriteAnswer(result))));
     }
 
-    private String name(LedgerKey key) {
+    private String objectName(LedgerKey key) {
         return mPrefix + "." + key.objectName();
     }
 
-    private static LedgerAnswer found(
+    private static LedgerAnswer toReadAnswer(
             LedgerKey key, Either<FeedError, Optional<Versioned>> result) {
         if (result.isLeft()) {
             return new LedgerAnswer.Unavailable();
@@ -83,7 +87,7 @@
                                         Optional.of(new VersionedLedger(revision, ledger))));
     }
 
-    private static LedgerAnswer written(Either<FeedError, Long> result) {
+    private static LedgerAnswer toWriteAnswer(Either<FeedError, Long> result) {
         if (result.isRight()) {
             return new LedgerAnswer.Written(result.get());
         }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/spending/package-info.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/spending/package-info.java
@@ -1,2 +1,5 @@
-/** Pays for attempts under the caps of shifts, from ledgers in the store; decides in the core. */
+/**
+ * Charging of attempts under the spending caps of shifts, with ledgers in the store. The decisions
+ * are made by {@code io.masticpond.core.spending}.
+ */
 package io.masticpond.entry.spending;
--- a/masticpond-entry/src/test/java/io/masticpond/entry/spending/LedgerJsonTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/spending/LedgerJsonTest.java
@@ -16,7 +16,7 @@
 import java.nio.charset.StandardCharsets;
 import net.jqwik.api.Example;
 
-/** Altered ledgers must not be taken for sound ones, and the order of fields says nothing. */
+/** Tests that an altered ledger is rejected and that the order of its fields does not matter. */
 class LedgerJsonTest {
 
     private static final LedgerKey KEY =
@@ -29,7 +29,7 @@
     private final ObjectNode mTree = (ObjectNode) LedgerJson.write(LEDGER);
 
     @Example
-    void whatIsWrittenIsReadBackInAnyOrderOfFields() throws IOException {
+    void readsWrittenLedgerInAnyFieldOrder() throws IOException {
         JsonNode format = mTree.remove("format");
         mTree.set("format", format);
         String text = new String(JsonTree.write(mTree), StandardCharsets.UTF_8);
@@ -37,7 +37,7 @@
     }
 
     @Example
-    void alteredMissingAndFurtherFieldsAreFaults() {
+    void rejectsAlteredMissingAndAdditionalFields() {
         assertThat(fault(mTree.deepCopy().put("allottedMicros", 5))).contains("checksum is wrong");
         assertThat(fault(mTree.deepCopy().put("capMicros", "7000"))).contains("'capMicros'");
         assertThat(fault(mTree.deepCopy().put("capMicros", 7000.5))).contains("'capMicros'");
@@ -52,7 +52,7 @@
     }
 
     @Example
-    void ledgerOfAnotherShiftIsFault() {
+    void rejectsLedgerOfAnotherShift() {
         LedgerKey other = new LedgerKey(KEY.service(), new ShiftId("2026-12-03-morning"));
         assertThat(LedgerJson.read(other, mTree).getLeft().message()).contains("2026-12-02");
     }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/spending/SpendingFleet.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/spending/SpendingFleet.java
@@ -25,7 +25,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Instances that spend under one cap; what they spend is counted from outside, by true time. */
+/**
+ * Fixture of instances that spend under one cap. It counts what they spend independently of them,
+ * by the accurate time.
+ */
 final class SpendingFleet {
 
     static final ServiceId SERVICE = new ServiceId("orders");
@@ -63,7 +66,7 @@
         return node;
     }
 
-    /** Ends a process at once, with all that it holds in memory. */
+    /** Terminates an instance at once; whatever it holds in memory is lost. */
     void kill(Node node) {
         node.mIsTerminated = true;
         mNodes.remove(node);
@@ -77,7 +80,7 @@
         mLoop.pass(Duration.ofSeconds(30));
     }
 
-    /** Lets each instance want so many attempts a second. */
+    /** Has each instance charge the given number of attempts per second. */
     void demand(Duration duration, int perSecond) {
         Instant end = mTime.instant().plus(duration);
         while (mTime.instant().isBefore(end)) {
@@ -121,7 +124,7 @@
         return new ShiftSpecification(name, start, start.plusHours(SHIFT.toHours()), mCap);
     }
 
-    /** One run of an instance. */
+    /** One incarnation of an instance. */
     final class Node {
 
         final StandInStore.Access mAccess = mStore.new Access();
@@ -130,7 +133,7 @@
         long mCharged;
 
         Node(String name, long incarnation, Duration clockError) {
-            Scheduler own =
+            Scheduler nodeScheduler =
                     (delay, task) ->
                             mLoop.schedule(
                                     delay,
@@ -147,8 +150,8 @@
                             mAccess,
                             20,
                             () -> mNodes.size(),
-                            own,
-                            task -> own.schedule(Duration.ZERO, task),
+                            nodeScheduler,
+                            task -> nodeScheduler.schedule(Duration.ZERO, task),
                             new WrongClock(mTime, clockError));
         }
 
@@ -170,17 +173,17 @@
         }
     }
 
-    /** The clocks of an instance whose wall clock is wrong. */
-    private record WrongClock(TimeSource right, Duration error) implements TimeSource {
+    /** Time source whose wall clock has a constant error. */
+    private record WrongClock(TimeSource accurate, Duration error) implements TimeSource {
 
         @Override
         public Instant instant() {
-            return right.instant().plus(error);
+            return accurate.instant().plus(error);
         }
 
         @Override
         public long monotonicNanos() {
-            return right.monotonicNanos();
+            return accurate.monotonicNanos();
         }
     }
 }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/spending/SpendingServiceTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/spending/SpendingServiceTest.java
@@ -19,45 +19,50 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** The sum of all instances never passes the cap, whatever fails; and what fails wastes little. */
+/**
+ * Tests that the spending of all instances together never exceeds the cap under any failure, and
+ * that a failure leaves little of the cap unused.
+ */
 class SpendingServiceTest {
 
     private static final long CAP = 288_000;
 
-    /** More than the cap in all, spread over the time that it takes. */
-    private static final Duration LONG = Duration.ofMinutes(20);
+    /** Time within which the demand adds up to more than the cap. */
+    private static final Duration DEMAND_DURATION = Duration.ofMinutes(20);
 
-    private static final int MUCH = 2;
+    private static final int ATTEMPTS_PER_SECOND = 2;
 
     private final SpendingFleet mFleet = new SpendingFleet(CAP);
 
     @Property(tries = 40, seed = "20261202")
-    void lostAnswersOfWritesAreSettledByReading(@ForAll @IntRange(max = 1_000) int seed) {
+    void resolvesLostWriteAnswersByReading(@ForAll @IntRange(max = 1_000) int seed) {
         SpendingFleet fleet = new SpendingFleet(CAP);
         Random random = new Random(seed);
-        CallDisposition[] fates = CallDisposition.values();
+        CallDisposition[] dispositions = CallDisposition.values();
         for (String name : List.of("a", "b", "c")) {
-            fleet.start(name).mAccess.writes(() -> fates[random.nextInt(fates.length)]);
+            fleet.start(name)
+                    .mAccess
+                    .writes(() -> dispositions[random.nextInt(dispositions.length)]);
         }
-        fleet.demand(LONG, MUCH);
+        fleet.demand(DEMAND_DURATION, ATTEMPTS_PER_SECOND);
         assertThat(fleet.spent(MORNING)).isLessThanOrEqualTo(CAP);
         assertThat(fleet.spent(MORNING)).isGreaterThan(CAP * 95 / 100);
         assertThat(fleet.allotted()).isLessThanOrEqualTo(CAP);
     }
 
     @Example
-    void writeThatTookEffectBehindLostAnswerIsSpent() {
+    void spendsAllotmentWhoseWriteAnswerWasLost() {
         Node node = mFleet.start("a");
         node.mAccess.writes(() -> CallDisposition.LOST_AFTER_EFFECT);
         mFleet.mLoop.pass(Duration.ofMillis(10));
         assertThat(mFleet.allotted()).isPositive();
-        assertThat(node.held()).as("nothing is spent in doubt").isZero();
+        assertThat(node.held()).as("nothing is spent while the outcome is uncertain").isZero();
         mFleet.settle();
         assertThat(node.held()).isEqualTo(mFleet.allotted());
     }
 
     @Example
-    void instanceKilledWithAllotmentInHandStrandsNoMoreThanItsCover() {
+    void killedInstanceStrandsAtMostItsCover() {
         Node victim = mFleet.start("a");
         mFleet.start("b");
         mFleet.start("c");
@@ -72,20 +77,20 @@
                                 / 3);
         mFleet.kill(victim);
         mFleet.start("a");
-        mFleet.demand(LONG, MUCH);
+        mFleet.demand(DEMAND_DURATION, ATTEMPTS_PER_SECOND);
         assertThat(mFleet.spent(MORNING)).isLessThanOrEqualTo(CAP - held);
         assertThat(mFleet.spent(MORNING)).isGreaterThan(CAP - held - 6 * PRICE);
     }
 
     @Example
-    void storeThatIsDownLeavesWhatIsInHandAndThenNothing() {
+    void spendsOnlyHeldAllotmentWhileStoreIsUnavailable() {
         Node node = mFleet.start("a");
         Node other = mFleet.start("b");
         mFleet.settle();
         long held = node.held() + other.held();
         node.mAccess.refuse(FeedError.UNREACHABLE);
         other.mAccess.refuse(FeedError.TURNED_AWAY);
-        mFleet.demand(LONG, MUCH);
+        mFleet.demand(DEMAND_DURATION, ATTEMPTS_PER_SECOND);
         assertThat(mFleet.spent(MORNING)).isGreaterThan(held - 2 * PRICE).isLessThanOrEqualTo(held);
         for (Node each : mFleet.nodes()) {
             SpendingRefusal refusal = each.charge().getLeft();
@@ -95,16 +100,17 @@
         }
         node.mAccess.serve();
         mFleet.settle();
-        assertThat(node.charge().isRight()).as("the store is back").isTrue();
+        assertThat(node.charge().isRight()).as("the store is reachable again").isTrue();
     }
 
     @Example
-    void clocksThatDifferAtTheBorderPassNeitherCap() {
-        mFleet.mTime.advance(Duration.between(mFleet.mTime.instant(), EVENING.minus(LONG)));
+    void keepsBothCapsWhenClocksDifferAtShiftChange() {
+        mFleet.mTime.advance(
+                Duration.between(mFleet.mTime.instant(), EVENING.minus(DEMAND_DURATION)));
         mFleet.start("late", Duration.ofMillis(-450));
         mFleet.start("right");
         mFleet.start("early", Duration.ofMillis(450));
-        mFleet.demand(LONG.minusSeconds(2), MUCH);
+        mFleet.demand(DEMAND_DURATION.minusSeconds(2), ATTEMPTS_PER_SECOND);
         assertThat(mFleet.spent(MORNING)).as("the cap is reached").isGreaterThan(CAP * 98 / 100);
         for (int step = 0; step < 400; step++) {
             mFleet.mLoop.pass(Duration.ofMillis(10));
@@ -112,59 +118,59 @@
         }
         assertThat(mFleet.spent(MORNING)).isLessThanOrEqualTo(CAP);
         assertThat(mFleet.spent(EVENING)).as("the next shift is open").isPositive();
-        mFleet.demand(LONG, MUCH);
+        mFleet.demand(DEMAND_DURATION, ATTEMPTS_PER_SECOND);
         assertThat(mFleet.spent(EVENING)).isLessThanOrEqualTo(CAP);
     }
 
     @Example
-    void restartOfAllAtOnceSpendsNothingTwiceAndStrandsWhatWasInHand() {
+    void simultaneousRestartStrandsHeldAllotmentsOnly() {
         long stranded = 0;
         for (int round = 0; round < 4; round++) {
             for (String name : List.of("a", "b", "c")) {
                 mFleet.start(name);
             }
-            mFleet.demand(Duration.ofMinutes(3), MUCH);
+            mFleet.demand(Duration.ofMinutes(3), ATTEMPTS_PER_SECOND);
             stranded += mFleet.nodes().stream().mapToLong(Node::held).sum();
             mFleet.nodes().forEach(mFleet::kill);
         }
         mFleet.start("a");
-        mFleet.demand(LONG, 3 * MUCH);
+        mFleet.demand(DEMAND_DURATION, 3 * ATTEMPTS_PER_SECOND);
         assertThat(mFleet.spent(MORNING)).isLessThanOrEqualTo(CAP - stranded);
         assertThat(mFleet.spent(MORNING)).isGreaterThan(CAP - stranded - 6 * PRICE);
         assertThat(mFleet.allotted()).isLessThanOrEqualTo(CAP);
     }
 
     @Example
-    void twoInstancesThatRaceForTheLastAreNotBothServed() {
+    void racingInstancesTogetherStayWithinCap() {
         mFleet.start("a");
         mFleet.start("b");
-        mFleet.demand(LONG, 2 * MUCH);
+        mFleet.demand(DEMAND_DURATION, 2 * ATTEMPTS_PER_SECOND);
         assertThat(mFleet.spent(MORNING)).isLessThanOrEqualTo(CAP);
         assertThat(mFleet.spent(MORNING)).isGreaterThan(CAP * 99 / 100);
         mFleet.nodes().forEach(node -> assertThat(node.mCharged).isPositive());
     }
 
     @Example
-    void partedRegionSpendsWhatItHoldsWhileTheOthersGoOn() {
-        Node parted = mFleet.start("a");
+    void disconnectedInstanceSpendsItsAllotmentWhileOthersContinue() {
+        Node disconnected = mFleet.start("a");
         mFleet.start("b");
         mFleet.start("c");
         mFleet.settle();
-        long held = parted.held();
-        parted.mAccess.refuse(FeedError.UNREACHABLE);
-        mFleet.demand(LONG, MUCH);
-        assertThat(parted.mCharged).isGreaterThan(held - PRICE).isLessThanOrEqualTo(held);
+        long held = disconnected.held();
+        disconnected.mAccess.refuse(FeedError.UNREACHABLE);
+        mFleet.demand(DEMAND_DURATION, ATTEMPTS_PER_SECOND);
+        assertThat(disconnected.mCharged).isGreaterThan(held - PRICE).isLessThanOrEqualTo(held);
         assertThat(mFleet.spent(MORNING)).isLessThanOrEqualTo(CAP);
         assertThat(mFleet.spent(MORNING)).isGreaterThan(CAP * 99 / 100);
-        parted.mAccess.serve();
+        disconnected.mAccess.serve();
         mFleet.settle();
-        assertThat(parted.charge().getLeft().cause()).isEqualTo("spending-cap");
+        assertThat(disconnected.charge().getLeft().cause()).isEqualTo("spending-cap");
     }
 
     @Example
-    void refusalAtTheCapTellsItsInputsAndWhenTheNextShiftBegins() {
+    void refusalAtCapReportsInputsAndStartOfNextShift() {
         Node node = mFleet.start("a");
-        mFleet.demand(LONG, 3 * MUCH);
+        mFleet.demand(DEMAND_DURATION, 3 * ATTEMPTS_PER_SECOND);
         SpendingRefusal refusal = node.charge().getLeft();
         assertThat(refusal.cause()).isEqualTo("spending-cap");
         assertThat(refusal.retryAfter())
@@ -177,7 +183,7 @@
     }
 
     @Example
-    void betweenShiftsNothingIsPaidFor() {
+    void refusesChargesBetweenShifts() {
         mFleet.mTime.advance(Duration.between(mFleet.mTime.instant(), EVENING.plusSeconds(30_000)));
         SpendingRefusal refusal = mFleet.start("a").charge().getLeft();
         assertThat(refusal.cause()).isEqualTo("spending-cap");
@@ -185,7 +191,7 @@
     }
 
     @Example
-    void plannedStopReturnsWhatIsLeftAndPaysForNothingMore() {
+    void stopReturnsRemainderAndRefusesFurtherCharges() {
         Node node = mFleet.start("a");
         mFleet.settle();
         node.charge();
@@ -198,7 +204,7 @@
     }
 
     @Example
-    void chargeTakenBackCanBeSpentAgain() {
+    void refundedChargeCanBeSpentAgain() {
         Node node = mFleet.start("a");
         mFleet.settle();
         long held = node.held();
@@ -207,7 +213,7 @@
     }
 
     @Example
-    void serviceWithoutCapIsNeverRefused() {
+    void neverRefusesServiceWithoutCap() {
         Node node = mFleet.start("a");
         node.mAccess.refuse(FeedError.UNREACHABLE);
         assertThat(node.mService.charge(new ServiceId("other"), SpendingFleet.ZONE).isRight())
--- a/masticpond-entry/src/test/java/io/masticpond/entry/spending/StandInStore.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/spending/StandInStore.java
@@ -12,17 +12,17 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** A store of conditional updates whose calls may be refused, lost or late. */
+/** Stand-in for a store of conditional updates whose calls may be refused, lost or delayed. */
 final class StandInStore {
 
-    private static final Duration ANSWER = Duration.ofMillis(5);
-    private static final Duration LATE = Duration.ofSeconds(3);
+    private static final Duration ANSWER_DELAY = Duration.ofMillis(5);
+    private static final Duration LATE_DELAY = Duration.ofSeconds(3);
 
     private final ManualScheduler mLoop;
     private final Map<String, ConditionalStore.Versioned> mObjects = new HashMap<>();
     private long mRevision;
 
-    /** What becomes of a write. */
+    /** Outcome of a write. */
     enum CallDisposition {
         ANSWERED,
         LOST_AFTER_EFFECT,
@@ -48,14 +48,14 @@
         return Either.right(mRevision);
     }
 
-    /** The store as one instance reaches it. */
+    /** Access of one instance to the store. */
     final class Access implements ConditionalStore {
 
         private Optional<FeedError> mRefusal = Optional.empty();
-        private Supplier<CallDisposition> mFates = () -> CallDisposition.ANSWERED;
+        private Supplier<CallDisposition> mDispositions = () -> CallDisposition.ANSWERED;
         private int mCalls;
 
-        /** Every call from now on ends so, without effect. */
+        /** Fails every further call with an error and without effect. */
         void refuse(FeedError error) {
             mRefusal = Optional.of(error);
         }
@@ -64,8 +64,8 @@
             mRefusal = Optional.empty();
         }
 
-        void writes(Supplier<CallDisposition> fates) {
-            mFates = fates;
+        void writes(Supplier<CallDisposition> dispositions) {
+            mDispositions = dispositions;
         }
 
         int calls() {
@@ -76,7 +76,7 @@
         public void read(String name, Consumer<Either<FeedError, Optional<Versioned>>> result) {
             mCalls++;
             mLoop.schedule(
-                    ANSWER,
+                    ANSWER_DELAY,
                     () ->
                             result.accept(
                                     mRefusal.isPresent()
@@ -91,16 +91,18 @@
                 JsonNode content,
                 Consumer<Either<FeedError, Long>> result) {
             mCalls++;
-            mLoop.schedule(ANSWER, () -> result.accept(outcome(name, expectedRevision, content)));
+            mLoop.schedule(
+                    ANSWER_DELAY, () -> result.accept(outcome(name, expectedRevision, content)));
         }
 
         private Either<FeedError, Long> outcome(String name, long expected, JsonNode content) {
             if (mRefusal.isPresent()) {
                 return Either.left(mRefusal.get());
             }
-            switch (mFates.get()) {
+            switch (mDispositions.get()) {
                 case LOST_AFTER_EFFECT -> apply(name, expected, content);
-                case LOST_AND_LATE -> mLoop.schedule(LATE, () -> apply(name, expected, content));
+                case LOST_AND_LATE ->
+                        mLoop.schedule(LATE_DELAY, () -> apply(name, expected, content));
                 case ANSWERED -> {
                     return apply(name, expected, content);
                 }
