--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/AttemptCharge.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/AttemptCharge.java
@@ -7,7 +7,7 @@
 import io.vavr.control.Either;
 import java.util.Optional;
 
-/** Pays for the attempts of one request, one after the other. */
+/** Charges the attempts of one request, one after the other, and refunds those that did not run. */
 final class AttemptCharge {
 
     private final SpendingCheck mSpending;
@@ -15,7 +15,7 @@
     private final ServiceId mService;
     private Charge mCharge;
 
-    /** Makes what pays for the attempts of a request; null where spending has no cap. */
+    /** Creates the object that charges the attempts of a request; null if spending has no cap. */
     static AttemptCharge of(
             Optional<SpendingCheck> spending, RequestRecord facts, ServiceId service) {
         return spending.map(check -> new AttemptCharge(check, facts, service)).orElse(null);
@@ -27,7 +27,7 @@
         mService = service;
     }
 
-    /** Pays for an attempt, or tells why it must not be made. */
+    /** Charges an attempt. Returns the refusal if the attempt must not be made, empty otherwise. */
     Optional<SpendingRefusal> charge(ZoneId zone) {
         Either<SpendingRefusal, Charge> charge = mSpending.charge(mService, zone);
         if (charge.isRight()) {
@@ -38,7 +38,7 @@
         return Optional.of(charge.getLeft());
     }
 
-    /** Takes back the price of the attempt, which did not run. */
+    /** Refunds the last attempt, which did not run. */
     void refund() {
         mSpending.refund(mCharge);
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/AttemptListener.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/AttemptListener.java
@@ -8,7 +8,10 @@
 import io.masticpond.entry.log.RequestRecord;
 import io.netty.handler.codec.http.HttpHeaders;
 
-/** Hears the end of one attempt, and leaves it aside if the request has ended before. */
+/**
+ * {@link BackendCallListener} of one attempt. Passes its end to the request, unless the request has
+ * ended before.
+ */
 final class AttemptListener implements BackendCallListener {
 
     private final RequestFlow mFlow;
@@ -42,7 +45,7 @@
     public void answerBegan(int status, HttpHeaders headers) {
         mStatement = mFlow.statements().read(status, headers);
         mFacts.stated(mStatement);
-        mFlow.statements().answered(mAttempted, mStatement, mSentNanos);
+        mFlow.statements().applyAnswer(mAttempted, mStatement, mSentNanos);
     }
 
     @Override
@@ -51,13 +54,13 @@
             answer.body().release();
             return;
         }
-        mRun.answered(mAttempted, mStatement, answer);
+        mRun.onAnswer(mAttempted, mStatement, answer);
     }
 
     @Override
     public void failed(CallFailure failure) {
         if (!mRun.isDone()) {
-            mRun.failed(mAttempted, failure);
+            mRun.onFailure(mAttempted, failure);
         }
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/BrokenOffRequests.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/BrokenOffRequests.java
@@ -17,36 +17,46 @@
 import java.util.function.Consumer;
 
 /**
- * Finds out whether a backend server ended when requests broke off there, or only their connections
- * were cut: a new connection is refused, or it opens. One attempt for all that broke off at about
- * the same time. Traffic thread only.
+ * Determines whether a backend server ended when requests broke off there, or only their
+ * connections were cut: in the first case a new connection is refused, in the second it opens. One
+ * connection is tried for all requests that broke off at about the same time. For use on the
+ * traffic thread only.
  */
 final class BrokenOffRequests {
 
-    /** Takes what is found out. */
+    /** Callback interface for the ends of servers that had requests. */
     interface Listener {
 
-        /** Hears that a server ended while it had a request. */
-        void ended(RegisteredServer server, Request request);
+        /** Called when a server ended while it had a request. */
+        void onServerEnded(RegisteredServer server, Request request);
     }
 
-    /** A request that broke off, with the monotonic times of its sending and its end. */
+    /** Request that broke off, with the monotonic times of its sending and its end. */
     record Request(RequestFingerprint fingerprint, long sentNanos, long endedNanos) {}
 
-    /** A process that ends closes its connections one by one, and the listening one among them. */
+    /**
+     * Delay before a server is checked. A process that ends closes its connections one by one, the
+     * listening socket among them, so an immediate check might still connect.
+     */
     private static final long CHECK_AFTER_MILLIS = 20;
 
-    /** A lost packet leaves a check without a result; one more try finds most of them. */
+    /**
+     * Delay before a check without a result is repeated. A lost packet leaves a check without a
+     * result; one repetition resolves most of these cases.
+     */
     private static final long CHECK_AGAIN_MILLIS = 100;
 
-    /** More requests of one server than this tell nothing new. */
-    private static final int MOST_REQUESTS = 64;
+    /**
+     * Maximum number of requests kept for each server under check. Further requests add no
+     * information.
+     */
+    private static final int MAXIMUM_REQUESTS = 64;
 
     private final EventLoop mEventLoop;
     private final TimeSource mTimeSource;
     private final BackendConnections mConnections;
     private final DecisionLog mLog;
-    private final Map<BackendServerId, List<Request>> mUnderCheck = new HashMap<>();
+    private final Map<BackendServerId, List<Request>> mRequestsUnderCheck = new HashMap<>();
 
     BrokenOffRequests(
             EventLoop eventLoop,
@@ -60,34 +70,44 @@
     }
 
     void add(RegisteredServer server, Request request, Listener listener) {
-        List<Request> requests = mUnderCheck.get(server.id());
+        List<Request> requests = mRequestsUnderCheck.get(server.id());
         if (requests == null) {
             requests = new ArrayList<>();
-            mUnderCheck.put(server.id(), requests);
-            check(server, CHECK_AFTER_MILLIS, reach -> checkedOnce(server, reach, listener));
+            mRequestsUnderCheck.put(server.id(), requests);
+            check(
+                    server,
+                    CHECK_AFTER_MILLIS,
+                    reachability -> onFirstCheck(server, reachability, listener));
         }
-        if (requests.size() < MOST_REQUESTS) {
+        if (requests.size() < MAXIMUM_REQUESTS) {
             requests.add(request);
         }
     }
 
     private void check(
-            RegisteredServer server, long afterMillis, Consumer<ServerReachability> taker) {
+            RegisteredServer server, long afterMillis, Consumer<ServerReachability> resultHandler) {
         mEventLoop.schedule(
-                () -> mConnections.check(server, taker), afterMillis, TimeUnit.MILLISECONDS);
+                () -> mConnections.check(server, resultHandler),
+                afterMillis,
+                TimeUnit.MILLISECONDS);
     }
 
-    private void checkedOnce(RegisteredServer server, ServerReachability reach, Listener listener) {
-        if (reach == ServerReachability.UNKNOWN) {
-            check(server, CHECK_AGAIN_MILLIS, again -> checked(server, again, listener));
+    private void onFirstCheck(
+            RegisteredServer server, ServerReachability reachability, Listener listener) {
+        if (reachability == ServerReachability.UNKNOWN) {
+            check(
+                    server,
+                    CHECK_AGAIN_MILLIS,
+                    secondReachability -> onLastCheck(server, secondReachability, listener));
         } else {
-            checked(server, reach, listener);
+            onLastCheck(server, reachability, listener);
         }
     }
 
-    private void checked(RegisteredServer server, ServerReachability reach, Listener listener) {
-        List<Request> requests = mUnderCheck.remove(server.id());
-        boolean ended = reach == ServerReachability.REFUSED;
+    private void onLastCheck(
+            RegisteredServer server, ServerReachability reachability, Listener listener) {
+        List<Request> requests = mRequestsUnderCheck.remove(server.id());
+        boolean ended = reachability == ServerReachability.REFUSED;
         long sinceNanos = mTimeSource.monotonicNanos() - requests.get(0).endedNanos();
         mLog.viewChanged(
                 new ViewChange.ServerCheck(
@@ -96,7 +116,7 @@
                         requests.size(),
                         TimeUnit.NANOSECONDS.toMillis(sinceNanos)));
         if (ended) {
-            requests.forEach(request -> listener.ended(server, request));
+            requests.forEach(request -> listener.onServerEnded(server, request));
         }
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/Caller.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/Caller.java
@@ -4,18 +4,23 @@
 import io.masticpond.core.routing.Route;
 import java.util.Optional;
 
-/** Whose request it is, and what that allows it. Traffic thread only. */
+/**
+ * Caller of a request, with the permissions of its workspace. For use on the traffic thread only.
+ */
 interface Caller {
 
-    /** The route, narrowed to what the caller's workspace may have. */
+    /** Returns the route, restricted to what the caller's workspace may use. */
     Route route();
 
-    /** The caller's workspace, empty where none is asked for. */
+    /** Returns the caller's workspace, empty if the route requires none. */
     Optional<WorkspaceId> workspace();
 
-    /** Says, before each send, why the request must not be sent any more, if so. */
+    /**
+     * Returns why the request must not be sent any more, empty if it may be. Called before each
+     * attempt.
+     */
     Optional<Rejection> rejection();
 
-    /** Counts a send, the first or a further one. */
-    void sent(long nowNanos);
+    /** Records an attempt, whether the first or a retry. */
+    void recordSent(long nowNanos);
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/CrashCheck.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/CrashCheck.java
@@ -8,8 +8,8 @@
 import java.util.Optional;
 
 /**
- * What one request asks of the {@link CrashGuard}. Its fingerprint is made when it is first needed,
- * which for most requests is never.
+ * View of the {@link CrashGuard} for one request. The fingerprint of the request is computed when
+ * it is first needed, which for most requests is never.
  */
 final class CrashCheck {
 
@@ -27,13 +27,16 @@
         mFacts = facts;
     }
 
-    /** Says that requests like this one are rejected, if they are. */
+    /**
+     * Returns the rejection of the request, empty if requests with its fingerprint are not
+     * rejected.
+     */
     Optional<Rejection> rejection() {
         long nanos = rejectedForNanos();
         return nanos > 0 ? Optional.of(rejection(nanos)) : Optional.empty();
     }
 
-    /** Says that this one is rejected, of which others told. */
+    /** Returns the rejection of this request, which other instances reported. */
     Rejection reportedRejection() {
         return rejection(rejectedForNanos());
     }
@@ -43,37 +46,41 @@
     }
 
     private long rejectedForNanos() {
-        long nanos = isFollowed() ? mGuard.rejectedForNanos(fingerprint()) : 0;
+        long nanos = isTracked() ? mGuard.rejectedForNanos(fingerprint()) : 0;
         if (nanos > 0) {
             mFacts.fingerprint(fingerprint());
         }
         return nanos;
     }
 
-    /** Tells whether this one is better not sent a second time. */
+    /** Determines whether the request is suspected, so that it must not be retried. */
     boolean isSuspected() {
-        return isFollowed() && mGuard.isSuspected(fingerprint());
+        return isTracked() && mGuard.isSuspected(fingerprint());
     }
 
-    /** Takes that a server answered this one. */
-    void answered() {
-        if (isFollowed()) {
-            mGuard.answered(fingerprint());
+    /** Records that a server answered the request. */
+    void recordAnswer() {
+        if (isTracked()) {
+            mGuard.recordAnswer(fingerprint());
         }
     }
 
-    /** Takes that this one broke off at a server, which may have ended. */
-    void brokenOff(RegisteredServer server, long sentNanos, long nowNanos) {
+    /** Records that the request broke off at a server, which may have ended. */
+    void recordBrokenOff(RegisteredServer server, long sentNanos, long nowNanos) {
         mFacts.fingerprint(fingerprint());
-        mGuard.brokenOff(server, new BrokenOffRequests.Request(fingerprint(), sentNanos, nowNanos));
+        mGuard.recordBrokenOff(
+                server, new BrokenOffRequests.Request(fingerprint(), sentNanos, nowNanos));
     }
 
     boolean isFor(RequestFingerprint request) {
         return request.checksum() == checksum() && request.equals(fingerprint());
     }
 
-    /** Tells whether this one may be followed; for nearly all requests a comparison tells not. */
-    private boolean isFollowed() {
+    /**
+     * Determines whether the request may be tracked. For nearly all requests a comparison of
+     * checksums shows that it is not.
+     */
+    private boolean isTracked() {
         return mGuard.isTrackingAny() && mGuard.mightContain(checksum());
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/CrashGuard.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/CrashGuard.java
@@ -19,8 +19,9 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps requests that end each server that runs them from further servers: joins what breaks off
- * here, what other instances tell, and the requests that arrive. Traffic thread only.
+ * Keeps requests that crash the servers that run them away from further servers. It combines the
+ * requests that broke off at this instance, the reports of other instances, and the requests that
+ * arrive. For use on the traffic thread only.
  *
  * @since 0.2
  */
@@ -31,34 +32,34 @@
     private final BrokenOffRequests mBrokenOff;
     private final Fingerprints mFingerprints = new Fingerprints();
     private final CrashingRequests mRequests;
-    private final Consumer<RequestFingerprint> mWhenRejected;
-    private CrashMessageSender mOutlet = CrashMessageSender.NONE;
-    private long mEnds;
+    private final Consumer<RequestFingerprint> mRejectionListener;
+    private CrashMessageSender mMessageSender = CrashMessageSender.NONE;
+    private long mServerEnds;
 
     CrashGuard(
             EventLoop eventLoop,
             TimeSource timeSource,
             BackendConnections connections,
             DecisionLog log,
-            Consumer<RequestFingerprint> whenRejected) {
+            Consumer<RequestFingerprint> rejectionListener) {
         mTimeSource = timeSource;
         mLog = log;
         mBrokenOff = new BrokenOffRequests(eventLoop, timeSource, connections, log);
         mRequests = new CrashingRequests(CrashSettings.DEFAULT, new Output());
-        mWhenRejected = whenRejected;
+        mRejectionListener = rejectionListener;
     }
 
     /**
-     * Says who carries messages to the other instances.
+     * Sets the sender of messages to the other instances.
      *
-     * @param outlet carries them
+     * @param sender the sender
      */
-    public void setMessageSender(CrashMessageSender outlet) {
-        mOutlet = Assert.notNull(outlet, "An outlet");
+    public void setMessageSender(CrashMessageSender sender) {
+        mMessageSender = Assert.notNull(sender, "A message sender");
     }
 
     /**
-     * Takes other settings, for what is decided after this.
+     * Replaces the settings. Applies to later decisions only.
      *
      * @param settings the settings
      */
@@ -67,62 +68,66 @@
     }
 
     /**
-     * Takes what another instance told.
+     * Processes the messages of another instance.
      *
-     * @param teller names the other instance
-     * @param messages what it told
+     * @param reporter the name of the other instance
+     * @param messages the messages
      */
-    public void receive(String teller, List<CrashMessage> messages) {
-        messages.forEach(message -> mRequests.receive(teller, message, now()));
+    public void receive(String reporter, List<CrashMessage> messages) {
+        messages.forEach(message -> mRequests.receive(reporter, message, now()));
     }
 
     /**
-     * Gives what is rejected here, to be told to an instance that may not know.
+     * Returns the rejections of this instance, to be reported to an instance that may not know
+     * them.
      *
-     * @return some of it, the rest the next times
+     * @return some of the rejections; further calls return the others
      */
     public List<CrashMessage> rejections() {
         return mRequests.rejections(now());
     }
 
     /**
-     * Releases a request here and at all other instances.
+     * Releases a request at this instance and at all others.
      *
      * @param request the request
-     * @return whether anything was known of it
+     * @return whether anything was known of the request
      */
     public boolean release(RequestFingerprint request) {
         return mRequests.release(request, now());
     }
 
     /**
-     * Tells what is believed of each request that is followed.
+     * Returns the state of each request that is tracked.
      *
-     * @return the beliefs, the rejected ones first
+     * @return the views, those of rejected requests first
      */
     public List<CrashView> views() {
         return mRequests.views(now());
     }
 
     /**
-     * Counts the ends of servers that this instance saw, once for each request that was there.
+     * Returns the number of server ends that this instance observed, counted once for each request
+     * that the server had.
      *
-     * @return how many since the start
+     * @return the count since the start of this instance
      */
     public long ends() {
-        return mEnds;
+        return mServerEnds;
     }
 
     RequestFingerprint fingerprint(IncomingRequest request) {
         return mFingerprints.of(request);
     }
 
-    /** Tells whether any request is followed, so that others have to be looked at. */
+    /** Determines whether any request is tracked, so that arriving requests have to be checked. */
     boolean isTrackingAny() {
         return !mRequests.isEmpty();
     }
 
-    /** Tells whether a request may be followed, at a hundredth of the cost of its fingerprint. */
+    /**
+     * Determines whether a request may be tracked, at a hundredth of the cost of its fingerprint.
+     */
     boolean mightContain(int checksum) {
         return mRequests.mightContain(checksum);
     }
@@ -139,16 +144,16 @@
         return mRequests.isSuspected(request, now());
     }
 
-    void answered(RequestFingerprint request) {
+    void recordAnswer(RequestFingerprint request) {
         mRequests.answered(request, now());
     }
 
-    void brokenOff(RegisteredServer server, BrokenOffRequests.Request request) {
-        mBrokenOff.add(server, request, this::ended);
+    void recordBrokenOff(RegisteredServer server, BrokenOffRequests.Request request) {
+        mBrokenOff.add(server, request, this::onServerEnded);
     }
 
-    private void ended(RegisteredServer server, BrokenOffRequests.Request request) {
-        mEnds++;
+    private void onServerEnded(RegisteredServer server, BrokenOffRequests.Request request) {
+        mServerEnds++;
         mRequests.addServerEnd(
                 request.fingerprint(),
                 HashMixer.hash(server.id().value()),
@@ -161,24 +166,24 @@
         return mTimeSource.monotonicNanos();
     }
 
-    /** Takes what the decisions have to tell. */
+    /** Sends the messages and logs the view changes of the crash decisions. */
     private final class Output implements CrashOutput {
 
         @Override
         public void sendToAggregators(CrashMessage message) {
-            mOutlet.send(message, false);
+            mMessageSender.send(message, false);
         }
 
         @Override
         public void sendToAll(CrashMessage message) {
-            mOutlet.send(message, true);
+            mMessageSender.send(message, true);
         }
 
         @Override
-        public void viewChanged(CrashView belief) {
-            mLog.viewChanged(new ViewChange.CrashingRequest(belief));
-            if (belief.state() == CrashView.State.REJECTED) {
-                mWhenRejected.accept(belief.request());
+        public void viewChanged(CrashView view) {
+            mLog.viewChanged(new ViewChange.CrashingRequest(view));
+            if (view.state() == CrashView.State.REJECTED) {
+                mRejectionListener.accept(view.request());
             }
         }
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/CrashMessageSender.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/CrashMessageSender.java
@@ -3,21 +3,21 @@
 import io.masticpond.core.crash.CrashMessage;
 
 /**
- * Carries messages about requests under which servers end to other instances.
+ * Strategy interface for sending messages about crashing requests to other instances.
  *
  * @since 0.2
  */
 public interface CrashMessageSender {
 
-    /** Carries nothing. */
+    /** Sender that discards all messages. */
     CrashMessageSender NONE = (message, toAll) -> {};
 
     /**
-     * Carries a message, soon and without promise. Traffic thread only.
+     * Sends a message without delay and without a guarantee of delivery. Called on the traffic
+     * thread only.
      *
      * @param message the message
-     * @param toAll whether all instances hear it, or those alone that keep what is known of its
-     *     request
+     * @param toAll whether to send it to all instances, or only to the aggregators of its request
      */
     void send(CrashMessage message, boolean toAll);
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/EntryAnswers.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/EntryAnswers.java
@@ -11,7 +11,8 @@
 import java.time.Duration;
 
 /**
- * Makes the answers of this instance itself, each with one sentence that says what happened.
+ * Factory of the answers that this instance itself gives, each with a sentence that says what
+ * happened.
  *
  * @since 0.2
  */
@@ -25,7 +26,7 @@
         mNames = names;
     }
 
-    /** Makes an answer with a status and a sentence. */
+    /** Creates an answer with a status and a sentence. */
     OutgoingAnswer plain(int status, String requestId, String sentence) {
         HttpHeaders headers = new DefaultHttpHeaders(false);
         if (requestId != null) {
@@ -36,19 +37,21 @@
         return new OutgoingAnswer(status, headers, body);
     }
 
-    /** Makes a refusal that says when to come back. */
-    OutgoingAnswer refusal(int status, String requestId, String sentence, Duration comeBack) {
+    /** Creates a refusal with a {@code Retry-After} header. */
+    OutgoingAnswer refusal(int status, String requestId, String sentence, Duration retryDelay) {
         OutgoingAnswer answer = plain(status, requestId, sentence);
-        answer.headers().set(mNames.retryAfter(), seconds(comeBack));
+        answer.headers().set(mNames.retryAfter(), seconds(retryDelay));
         return answer;
     }
 
     /**
-     * Gives seconds with three digits behind the point; a formatter would cost more than all else.
+     * Formats a duration in seconds with three decimal places. A {@link java.util.Formatter} would
+     * cost more than the rest of the answer.
      */
     static String seconds(Duration duration) {
         long millis = Math.max(0, duration.toMillis());
-        String behind = Long.toString(MILLIS_PER_SECOND + millis % MILLIS_PER_SECOND).substring(1);
-        return millis / MILLIS_PER_SECOND + "." + behind;
+        String fraction =
+                Long.toString(MILLIS_PER_SECOND + millis % MILLIS_PER_SECOND).substring(1);
+        return millis / MILLIS_PER_SECOND + "." + fraction;
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/EntryState.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/EntryState.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 
 /**
- * The snapshot that requests are decided on, with the routes ready for look-up.
+ * Snapshot on which requests are decided, with the routes prepared for lookup.
  *
  * @param snapshot the snapshot
  * @param routes the routes, or empty before the first version is known
@@ -17,33 +17,34 @@
  */
 public record EntryState(FleetSnapshot snapshot, Optional<RouteTable> routes) {
 
-    /** Nothing is known yet. */
+    /** State in which nothing is known yet. */
     public static final EntryState EMPTY = new EntryState(FleetSnapshot.EMPTY, Optional.empty());
 
     /**
-     * Makes the state of a snapshot; the routes are kept if their version is the same.
+     * Creates the state of a snapshot. The table of routes is reused if its version is unchanged.
      *
      * @param snapshot the new snapshot
-     * @param before the state before
+     * @param previous the previous state
      * @return the state
      */
-    public static EntryState of(FleetSnapshot snapshot, EntryState before) {
+    public static EntryState of(FleetSnapshot snapshot, EntryState previous) {
         Optional<RoutingConfiguration> routing = snapshot.routing();
         if (routing.isEmpty()) {
             return new EntryState(snapshot, Optional.empty());
         }
-        boolean same =
-                before.snapshot.routing().isPresent()
-                        && before.snapshot.routing().get().version() == routing.get().version();
+        boolean isSameVersion =
+                previous.snapshot.routing().isPresent()
+                        && previous.snapshot.routing().get().version() == routing.get().version();
         return new EntryState(
-                snapshot, same ? before.routes : Optional.of(new RouteTable(routing.get())));
+                snapshot,
+                isSameVersion ? previous.routes : Optional.of(new RouteTable(routing.get())));
     }
 
     /**
-     * Finds the route of a request.
+     * Returns the route of a request.
      *
-     * @param host the host header
-     * @param target path and query
+     * @param host the value of the {@code Host} header
+     * @param target the path and query
      * @return the route, or empty if none matches or none is known
      */
     public Optional<Route> match(String host, String target) {
@@ -51,7 +52,7 @@
     }
 
     /**
-     * Finds the rules of a service.
+     * Returns the rules of a service.
      *
      * @param service the service
      * @return the rules, or empty if the configuration has none
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/Fingerprints.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/Fingerprints.java
@@ -12,17 +12,19 @@
 import java.util.zip.CRC32C;
 
 /**
- * Makes the fingerprints of requests: of method, host, target, the credentials of the caller and
- * the body, in that order. What names an attempt, such as its id and its deadline, is not among
- * them. Traffic thread only.
+ * Computes the fingerprints of requests from method, host, target, the credentials of the caller
+ * and the body, in that order. What belongs to a single attempt, such as its id and deadline, is
+ * not included. For use on the traffic thread only.
  */
 final class Fingerprints {
 
-    private static final byte[] NOTHING = {};
+    private static final byte[] EMPTY = {};
 
     private MessageDigest mDigest;
 
-    /** Makes the fingerprint of a request: 4 us, and 30 for each kilobyte of its body. */
+    /**
+     * Computes the fingerprint of a request. Takes 4 us, plus 30 us for each kilobyte of its body.
+     */
     RequestFingerprint of(IncomingRequest request) {
         MessageDigest digest = digest();
         feed(request, digest::update);
@@ -30,30 +32,33 @@
         return RequestFingerprint.of(hash.getLong(), hash.getInt(), checksum(request));
     }
 
-    /** Makes the checksum alone, a hundredth of the cost. */
+    /** Computes only the checksum, at a hundredth of the cost of the fingerprint. */
     int checksum(IncomingRequest request) {
         CRC32C checksum = new CRC32C();
         feed(request, checksum::update);
         return (int) checksum.getValue();
     }
 
-    private static void feed(IncomingRequest request, Consumer<ByteBuffer> taker) {
-        feed(request.method().name(), taker);
-        feed(request.headers().get(HttpHeaderNames.HOST), taker);
-        feed(request.target(), taker);
-        feed(request.headers().get(HttpHeaderNames.AUTHORIZATION), taker);
+    private static void feed(IncomingRequest request, Consumer<ByteBuffer> sink) {
+        feed(request.method().name(), sink);
+        feed(request.headers().get(HttpHeaderNames.HOST), sink);
+        feed(request.target(), sink);
+        feed(request.headers().get(HttpHeaderNames.AUTHORIZATION), sink);
         for (ByteBuffer part : request.body().nioBuffers()) {
-            taker.accept(part);
+            sink.accept(part);
         }
     }
 
-    /** Feeds a text and a zero byte, which no text of a request holds. */
-    private static void feed(String text, Consumer<ByteBuffer> taker) {
-        byte[] bytes = text == null ? NOTHING : text.getBytes(StandardCharsets.UTF_8);
-        taker.accept(ByteBuffer.wrap(Arrays.copyOf(bytes, bytes.length + 1)));
+    /** Feeds a string and a zero byte as separator, which no string of a request contains. */
+    private static void feed(String text, Consumer<ByteBuffer> sink) {
+        byte[] bytes = text == null ? EMPTY : text.getBytes(StandardCharsets.UTF_8);
+        sink.accept(ByteBuffer.wrap(Arrays.copyOf(bytes, bytes.length + 1)));
     }
 
-    /** Made at the first use, which few processes come to: a start must not wait for it. */
+    /**
+     * Returns the digest. It is created at the first use, which few processes reach, so that it
+     * does not delay the start.
+     */
     private MessageDigest digest() {
         if (mDigest == null) {
             try {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/ForwardedHeaders.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/ForwardedHeaders.java
@@ -10,26 +10,26 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** Makes the headers that a backend server gets from those of a client. */
+/** Derives the headers that are sent to a backend server from those of a client. */
 final class ForwardedHeaders {
 
     private final HttpHeaders mReceived;
     private final HeaderNames mNames;
-    private final boolean mDeadlineGiven;
+    private final boolean mHasDeadline;
     private final Optional<WorkspaceId> mWorkspace;
 
     ForwardedHeaders(
             HttpHeaders received,
             HeaderNames names,
-            boolean deadlineGiven,
+            boolean hasDeadline,
             Optional<WorkspaceId> workspace) {
         mWorkspace = workspace;
         mReceived = received;
         mNames = names;
-        mDeadlineGiven = deadlineGiven;
+        mHasDeadline = hasDeadline;
     }
 
-    /** Gives the headers for one attempt. */
+    /** Returns the headers for one attempt. */
     HttpHeaders to(BackendServerId server, long leftNanos) {
         HttpHeaders headers = new DefaultHttpHeaders(false).set(mReceived);
         ConnectionHeaders.remove(headers);
@@ -39,9 +39,9 @@
         mWorkspace.ifPresent(workspace -> headers.set(mNames.workspace(), workspace.value()));
         headers.remove(HttpHeaderNames.CONTENT_LENGTH);
         headers.remove(HttpHeaderNames.EXPECT);
-        if (mDeadlineGiven) {
-            long left = Math.max(1, TimeUnit.NANOSECONDS.toMillis(leftNanos));
-            headers.set(mNames.deadlineMillis(), Long.toString(left));
+        if (mHasDeadline) {
+            long leftMillis = Math.max(1, TimeUnit.NANOSECONDS.toMillis(leftNanos));
+            headers.set(mNames.deadlineMillis(), Long.toString(leftMillis));
         }
         headers.set(mNames.expectedServer(), server.value());
         return headers;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/HeldRequests.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/HeldRequests.java
@@ -11,75 +11,77 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Requests that reached an instance before it knew its first routes and servers. Clients connect as
- * soon as an instance listens, some tenths of a second before its snapshot is there; refusing them
- * would cost them one of their few tries, and all would come back together. So each waits for the
- * snapshot, a short time and never near its deadline, and is refused as before if that does not
- * come. Traffic thread only.
+ * Queue of requests that reached an instance before it received its first routes and servers.
+ * Clients connect as soon as an instance listens, some tenths of a second before it has its
+ * snapshot. Refusing them would use up one of their few attempts, and all would retry at the same
+ * time. Therefore each request waits for the snapshot for a short time, never near its deadline,
+ * and is refused if the snapshot does not arrive. For use on the traffic thread only.
  */
 final class HeldRequests {
 
     /**
-     * The longest wait. A start needs 0.35 s from its first client to its snapshot; a client that
-     * has been kept for longer is told to come back.
+     * Maximum wait of a request. A start takes 0.35 s from the first client to the snapshot; a
+     * client that has waited longer is asked to retry.
      */
     static final Duration MAXIMUM_WAIT = Duration.ofMillis(400);
 
-    /** The most requests, which bounds what they keep in memory. */
+    /** Maximum number of requests, which bounds the memory that they use. */
     static final int MAXIMUM_REQUESTS = 512;
 
-    /** What is done with a request that leaves here. */
+    /** Callback interface for a request that leaves the queue. */
     @FunctionalInterface
-    interface Next {
+    interface Handler {
 
-        /** Takes the request over, with its body. */
-        void take(IncomingRequest request, Responder responder, RequestRecord facts);
+        /** Handles the request. The handler takes over its body. */
+        void handle(IncomingRequest request, Responder responder, RequestRecord facts);
     }
 
     private record Held(IncomingRequest request, Responder responder, RequestRecord facts) {}
 
     private final EventLoop mEventLoop;
-    private final Next mGivenUp;
-    private final Next mGone;
+    private final Handler mTimeoutHandler;
+    private final Handler mDisconnectHandler;
     private final Set<Held> mHeld = new LinkedHashSet<>();
 
     /**
-     * Holds nothing yet.
+     * Creates an empty queue.
      *
      * @param eventLoop the traffic thread
-     * @param givenUp takes what waited for too long
-     * @param gone takes what its client gave up meanwhile
+     * @param timeoutHandler handles the requests that waited for too long
+     * @param disconnectHandler handles the requests whose clients disconnected meanwhile
      */
-    HeldRequests(EventLoop eventLoop, Next givenUp, Next gone) {
+    HeldRequests(EventLoop eventLoop, Handler timeoutHandler, Handler disconnectHandler) {
         mEventLoop = eventLoop;
-        mGivenUp = givenUp;
-        mGone = gone;
+        mTimeoutHandler = timeoutHandler;
+        mDisconnectHandler = disconnectHandler;
     }
 
-    /** Holds a request, or gives it up at once if there are too many. */
+    /** Holds a request, or passes it to the timeout handler at once if there are too many. */
     void hold(IncomingRequest request, Responder responder, RequestRecord facts) {
         if (mHeld.size() >= MAXIMUM_REQUESTS) {
-            mGivenUp.take(request, responder, facts);
+            mTimeoutHandler.handle(request, responder, facts);
             return;
         }
         Held held = new Held(request, responder, facts);
         mHeld.add(held);
         mEventLoop.schedule(
-                () -> leave(held, mGivenUp), MAXIMUM_WAIT.toMillis(), TimeUnit.MILLISECONDS);
-        responder.onClientDisconnected(() -> leave(held, mGone));
+                () -> removeAndHandle(held, mTimeoutHandler),
+                MAXIMUM_WAIT.toMillis(),
+                TimeUnit.MILLISECONDS);
+        responder.onClientDisconnected(() -> removeAndHandle(held, mDisconnectHandler));
     }
 
-    /** Lets all go on, in the order in which they came. */
-    void release(Next next) {
+    /** Releases all requests to a handler, in the order of their arrival. */
+    void release(Handler handler) {
         while (!mHeld.isEmpty()) {
             Iterator<Held> first = mHeld.iterator();
-            leave(first.next(), next);
+            removeAndHandle(first.next(), handler);
         }
     }
 
-    private void leave(Held held, Next next) {
+    private void removeAndHandle(Held held, Handler handler) {
         if (mHeld.remove(held)) {
-            next.take(held.request(), held.responder(), held.facts());
+            handler.handle(held.request(), held.responder(), held.facts());
         }
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/Rejection.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/Rejection.java
@@ -5,42 +5,42 @@
 import java.util.Optional;
 
 /**
- * Why a request is not sent to a backend server.
+ * Reason for which a request is not sent to a backend server.
  *
- * @param cause the cause, from a fixed set of words
+ * @param cause the cause, from a fixed set of values
  * @param status the status of the answer if the request has not run before
- * @param retryAfter when the client may come back; empty if that would change nothing
+ * @param retryAfter when the client may retry; empty if a retry would not help
  * @since 0.2
  */
 record Rejection(String cause, int status, Optional<Duration> retryAfter) {
 
     private static final int UNAUTHORIZED = 401;
-    private static final int TOO_MANY = 429;
+    private static final int TOO_MANY_REQUESTS = 429;
     private static final int UNAVAILABLE = 503;
 
-    /** Checks the parts. */
+    /** Validates the components. */
     Rejection {
         Assert.hasText(cause, "A cause");
-        Assert.notNull(retryAfter, "A time to come back");
+        Assert.notNull(retryAfter, "A retry delay");
     }
 
-    /** The request did not run, and may later. */
-    static Rejection unavailable(String cause, Duration comeBack) {
-        return new Rejection(cause, UNAVAILABLE, Optional.of(comeBack));
+    /** Creates a rejection of a request that did not run and may be retried later. */
+    static Rejection unavailable(String cause, Duration retryDelay) {
+        return new Rejection(cause, UNAVAILABLE, Optional.of(retryDelay));
     }
 
-    /** The workspace has sent as much as it may. */
-    static Rejection tooMany(String cause, Duration comeBack) {
-        return new Rejection(cause, TOO_MANY, Optional.of(comeBack));
+    /** Creates a rejection of a request over the rate of its workspace. */
+    static Rejection tooManyRequests(String cause, Duration retryDelay) {
+        return new Rejection(cause, TOO_MANY_REQUESTS, Optional.of(retryDelay));
     }
 
-    /** The key opens no workspace. */
+    /** Creates a rejection of a request without a valid key of a workspace. */
     static Rejection unauthorized(String cause) {
         return new Rejection(cause, UNAUTHORIZED, Optional.empty());
     }
 
-    /** The request itself is wrong. */
-    static Rejection wrong(String cause, int status) {
+    /** Creates a rejection of an invalid request. */
+    static Rejection invalid(String cause, int status) {
         return new Rejection(cause, status, Optional.empty());
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestCompletion.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestCompletion.java
@@ -5,7 +5,7 @@
 import io.masticpond.entry.log.RequestRecord;
 import java.time.Duration;
 
-/** Words the one answer that a request ends with, and notes it among the facts of the request. */
+/** Creates the single answer that a request ends with, and adds it to the record of the request. */
 final class RequestCompletion {
 
     private static final int BAD_GATEWAY = 502;
@@ -21,13 +21,16 @@
         mRequestId = requestId;
     }
 
-    /** The backend server's answer, as it is. */
+    /** Returns the answer of the backend server, unchanged. */
     OutgoingAnswer forwarded(BackendAnswer answer, long nowNanos) {
         mFacts.answered(answer.status(), nowNanos);
         return new OutgoingAnswer(answer.status(), answer.headers(), answer.body());
     }
 
-    /** A promise that the request did not run, and when to come back if that helps. */
+    /**
+     * Returns a refusal that guarantees that the request did not run, with the time to retry if a
+     * retry helps.
+     */
     OutgoingAnswer notRun(Rejection rejection, long nowNanos) {
         String text = "The request did not run: " + rejection.cause() + ".";
         int status = rejection.status();
@@ -35,14 +38,14 @@
             mFacts.refused(rejection.cause(), status, RequestRecord.UNKNOWN, nowNanos);
             return mAnswers.plain(status, mRequestId, text);
         }
-        Duration comeBack = rejection.retryAfter().get();
-        mFacts.refused(rejection.cause(), status, comeBack.toMillis(), nowNanos);
-        return mAnswers.refusal(status, mRequestId, text, comeBack);
+        Duration retryDelay = rejection.retryAfter().get();
+        mFacts.refused(rejection.cause(), status, retryDelay.toMillis(), nowNanos);
+        return mAnswers.refusal(status, mRequestId, text, retryDelay);
     }
 
-    /** An end without promise. */
-    OutgoingAnswer uncertain(String cause, boolean late, long nowNanos) {
-        int status = late ? GATEWAY_TIMEOUT : BAD_GATEWAY;
+    /** Returns a failure that leaves open whether the request has run. */
+    OutgoingAnswer uncertain(String cause, boolean isLate, long nowNanos) {
+        int status = isLate ? GATEWAY_TIMEOUT : BAD_GATEWAY;
         mFacts.gaveUp(cause, status, nowNanos);
         return mAnswers.plain(status, mRequestId, "The request may have run: " + cause + ".");
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestFlow.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestFlow.java
@@ -29,8 +29,9 @@
 import java.util.function.IntSupplier;
 
 /**
- * Handles the requests of clients: finds the route, then lets a {@link RequestRun} try backend
- * servers until there is one truthful answer. Traffic thread only.
+ * {@link RequestHandler} for the requests of clients. It finds the route, then has a {@link
+ * RequestRun} try backend servers until there is one truthful answer. For use on the traffic thread
+ * only.
  *
  * @since 0.2
  */
@@ -38,7 +39,7 @@
 
     private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
-    private static final Duration UNTIL_CONFIGURED = Duration.ofMillis(300);
+    private static final Duration UNCONFIGURED_RETRY_DELAY = Duration.ofMillis(300);
 
     private final EventLoop mEventLoop;
     private final TimeSource mTimeSource;
@@ -57,29 +58,29 @@
     private final EntryAnswers mAnswers;
     private final CrashGuard mCrashes;
     private EntryState mState = EntryState.EMPTY;
-    private volatile UpdateTimes mNewsTimes;
+    private volatile UpdateTimes mUpdateTimes;
     private final Set<RequestRun> mRuns = new HashSet<>();
     private final HeldRequests mHeld;
-    private boolean mKnewServers;
+    private boolean mHasKnownServers;
     private boolean mEnded;
 
     /**
-     * Makes the flow from its parts.
+     * Creates the flow.
      *
      * @param eventLoop the traffic thread
-     * @param timeSource the clock
+     * @param timeSource the monotonic clock
      * @param names the names of the headers
-     * @param connections sends to backend servers
+     * @param connections the connections to backend servers
      * @param servers the backend servers with their loads
-     * @param placer decides which of them takes a request
-     * @param coldGate guards cold ones
-     * @param retries the budget for further sends
-     * @param split picks a service of a route
-     * @param shareholders among how many instances common limits are divided
-     * @param spending pays for attempts, if spending has a cap
-     * @param authenticator lets in the callers of workspaces
-     * @param statements keeps what servers state of themselves
-     * @param log takes what was decided
+     * @param placer selects the server of a request
+     * @param coldGate limits the requests to cold servers
+     * @param retries the retry budget
+     * @param split selects a service of a route
+     * @param shareholders the number of instances that share common limits
+     * @param spending charges attempts, empty if spending has no cap
+     * @param authenticator authenticates the callers of workspaces
+     * @param statements the statements of servers
+     * @param log the log of decisions
      */
     public RequestFlow(
             EventLoop eventLoop,
@@ -111,41 +112,41 @@
         mStatements = Assert.notNull(statements, "The statements of servers");
         mLog = Assert.notNull(log, "A decision log");
         mAnswers = new EntryAnswers(names);
-        mCrashes = new CrashGuard(eventLoop, timeSource, connections, log, this::rejected);
-        mHeld = new HeldRequests(eventLoop, this::heldForLong, this::goneBeforeReady);
+        mCrashes = new CrashGuard(eventLoop, timeSource, connections, log, this::onRejected);
+        mHeld = new HeldRequests(eventLoop, this::onHoldTimeout, this::onHeldClientDisconnected);
     }
 
     /**
-     * Takes a new snapshot.
+     * Applies a new snapshot.
      *
      * @param state the snapshot with its routes
      */
     public void update(EntryState state) {
         mState = state;
-        for (RegisteredServer gone : mServers.update(state.snapshot(), nowNanos())) {
-            mConnections.forget(gone);
-            mPlacer.chooser().outlierDetector().forget(gone.service(), gone.id());
+        for (RegisteredServer removed : mServers.update(state.snapshot(), nowNanos())) {
+            mConnections.forget(removed);
+            mPlacer.chooser().outlierDetector().forget(removed.service(), removed.id());
         }
         mStatements.update(state.snapshot());
         mPlacer.chooser().outlierDetector().retain(state.snapshot().servers().keySet());
         state.snapshot().routing().ifPresent(mAuthenticator::update);
-        mKnewServers |= !state.snapshot().servers().isEmpty();
+        mHasKnownServers |= !state.snapshot().servers().isEmpty();
         if (isReady()) {
-            mHeld.release(this::decide);
+            mHeld.release(this::process);
         }
     }
 
     /**
-     * Takes when the snapshot was last confirmed. Safe for all threads.
+     * Sets the times at which the snapshot was last confirmed. Safe for use by any thread.
      *
      * @param times the times
      */
     public void confirmed(UpdateTimes times) {
-        mNewsTimes = times;
+        mUpdateTimes = times;
     }
 
     /**
-     * Gives the snapshot that requests are decided on.
+     * Returns the snapshot on which requests are decided.
      *
      * @return the state
      */
@@ -154,7 +155,7 @@
     }
 
     /**
-     * Counts the requests without an answer.
+     * Returns the number of requests without an answer.
      *
      * @return the count
      */
@@ -162,10 +163,10 @@
         return mRuns.size() + mHeld.size();
     }
 
-    /** Ends all requests at once, each with what is true of it. */
+    /** Ends all requests at once, stating truthfully of each whether it may have run. */
     public void endAll() {
         mEnded = true;
-        mHeld.release(this::stopping);
+        mHeld.release(this::refuseStopping);
         for (RequestRun run : List.copyOf(mRuns)) {
             run.stop();
         }
@@ -177,50 +178,50 @@
         RequestRecord facts = new RequestRecord(id == null ? "" : id, request.beginNanos());
         facts.peers(mShareholders.getAsInt(), RequestRecord.UNKNOWN);
         if (mEnded) {
-            stopping(request, responder, facts);
+            refuseStopping(request, responder, facts);
         } else if (isReady()) {
-            decide(request, responder, facts);
+            process(request, responder, facts);
         } else {
             mHeld.hold(request, responder, facts);
         }
     }
 
-    /** Tells whether routes are known, and some servers have been since the start. */
+    /** Determines whether routes are known and any servers have been known since the start. */
     private boolean isReady() {
-        return mState.routes().isPresent() && mKnewServers;
+        return mState.routes().isPresent() && mHasKnownServers;
     }
 
-    private void stopping(IncomingRequest request, Responder responder, RequestRecord facts) {
-        refuse(request, responder, facts, untilConfigured("stopping"));
+    private void refuseStopping(IncomingRequest request, Responder responder, RequestRecord facts) {
+        refuse(request, responder, facts, temporarilyUnavailable("stopping"));
     }
 
-    /** Decides by what is known: without routes on nothing, without servers that there are none. */
-    private void heldForLong(IncomingRequest request, Responder responder, RequestRecord facts) {
+    /** Refuses the request without known routes; otherwise processes it, even without servers. */
+    private void onHoldTimeout(IncomingRequest request, Responder responder, RequestRecord facts) {
         if (mState.routes().isPresent()) {
-            decide(request, responder, facts);
+            process(request, responder, facts);
         } else {
-            refuse(request, responder, facts, untilConfigured("not-ready"));
+            refuse(request, responder, facts, temporarilyUnavailable("not-ready"));
         }
     }
 
-    private void goneBeforeReady(
+    private void onHeldClientDisconnected(
             IncomingRequest request, Responder responder, RequestRecord facts) {
         request.body().release();
         facts.clientDisconnected(nowNanos());
         mLog.requestEnded(facts);
     }
 
-    private void decide(IncomingRequest request, Responder responder, RequestRecord facts) {
+    private void process(IncomingRequest request, Responder responder, RequestRecord facts) {
         recordUpdateAges(facts);
         String id = request.headers().get(mNames.requestId());
         if (id == null || id.isEmpty()) {
-            refuse(request, responder, facts, Rejection.wrong("no-request-id", BAD_REQUEST));
+            refuse(request, responder, facts, Rejection.invalid("no-request-id", BAD_REQUEST));
             return;
         }
         String host = request.headers().get(HttpHeaderNames.HOST);
         Optional<Route> route = mState.match(host, request.target());
         if (route.isEmpty()) {
-            refuse(request, responder, facts, Rejection.wrong("no-route", NOT_FOUND));
+            refuse(request, responder, facts, Rejection.invalid("no-route", NOT_FOUND));
             return;
         }
         Either<Rejection, Caller> caller = mAuthenticator.authenticate(request, route.get(), facts);
@@ -233,12 +234,12 @@
         start(request, responder, facts, caller.get());
     }
 
-    private static Rejection untilConfigured(String cause) {
-        return Rejection.unavailable(cause, UNTIL_CONFIGURED);
+    private static Rejection temporarilyUnavailable(String cause) {
+        return Rejection.unavailable(cause, UNCONFIGURED_RETRY_DELAY);
     }
 
     private void recordUpdateAges(RequestRecord facts) {
-        UpdateTimes times = mNewsTimes;
+        UpdateTimes times = mUpdateTimes;
         long now = nowNanos();
         boolean known = times != null;
         facts.routing(version(), known ? now - times.routingNanos() : RequestRecord.UNKNOWN);
@@ -296,7 +297,7 @@
         return mTimeSource.monotonicNanos();
     }
 
-    void ended(RequestRun run, RequestRecord facts) {
+    void onRunEnded(RequestRun run, RequestRecord facts) {
         mRuns.remove(run);
         mLog.requestEnded(facts);
     }
@@ -314,7 +315,7 @@
     }
 
     /**
-     * Gives the backend servers with their loads.
+     * Returns the backend servers with their loads.
      *
      * @return the table
      */
@@ -323,7 +324,7 @@
     }
 
     /**
-     * Gives what decides which server takes a request.
+     * Returns the placer, which selects the server of a request.
      *
      * @return the placer
      */
@@ -332,7 +333,7 @@
     }
 
     /**
-     * Gives what lets in the callers of workspaces.
+     * Returns the authenticator of the callers of workspaces.
      *
      * @return the authenticator
      */
@@ -341,7 +342,7 @@
     }
 
     /**
-     * Gives what keeps requests that end servers from further ones.
+     * Returns the guard that keeps crashing requests away from further servers.
      *
      * @return the guard
      */
@@ -350,7 +351,7 @@
     }
 
     /**
-     * Gives what keeps what backend servers state of themselves.
+     * Returns the statements of backend servers.
      *
      * @return the statements
      */
@@ -358,10 +359,10 @@
         return mStatements;
     }
 
-    /** Ends the copies of a request that wait at servers, before those run them. */
-    private void rejected(RequestFingerprint request) {
+    /** Ends the copies of a rejected request that wait at servers, before the servers run them. */
+    private void onRejected(RequestFingerprint request) {
         for (RequestRun run : List.copyOf(mRuns)) {
-            run.rejected(request);
+            run.onRejected(request);
         }
     }
 
@@ -374,7 +375,7 @@
     }
 
     /**
-     * Gives what pays for attempts.
+     * Returns the check that charges attempts.
      *
      * @return the check, or empty if spending has no cap
      */
@@ -390,8 +391,8 @@
         return mAnswers;
     }
 
-    /** Gives this instance's part of the connections that a server of a service accepts. */
-    int mostConnections(ServiceId service) {
+    /** Returns this instance's share of the connections that a server of a service accepts. */
+    int connectionShare(ServiceId service) {
         int all = mState.rules(service).map(ServiceRules::maximumConnections).orElse(1);
         return Math.max(2, all / Math.max(1, mShareholders.getAsInt()));
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestRun.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestRun.java
@@ -23,18 +23,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One request on its way: at most one attempt at a time, one answer at the end. A request that may
- * have run is tried again only if it is idempotent; what did not run is refused with a promise.
+ * Execution of one request, with at most one attempt at a time and one answer at the end. A request
+ * that may have run is retried only if it is idempotent. The refusal of a request that did not run
+ * guarantees that it did not.
  */
 final class RequestRun {
 
     private static final int MISDIRECTED = 421;
     private static final int FIRST_SERVER_ERROR = 500;
 
-    /** Connections that fail are no sends; still, no request tries more servers than this. */
-    private static final int MOST_CONNECTS = 4;
+    /** Bounds the servers that a request tries, as failed connections do not count as attempts. */
+    private static final int MAXIMUM_CONNECT_FAILURES = 4;
 
-    private static final Duration COME_BACK = Duration.ofMillis(100);
+    private static final Duration DEFAULT_RETRY_DELAY = Duration.ofMillis(100);
 
     private final RequestFlow mFlow;
     private final IncomingRequest mRequest;
@@ -47,18 +48,18 @@
     private final String mRequestId;
     private final ForwardedHeaders mHeaders;
     private final ServerSearch mSearch;
-    private final RequestCompletion mEnd;
+    private final RequestCompletion mCompletion;
     private final CrashCheck mCrashCheck;
 
-    /** Null where spending has no cap. */
-    private final AttemptCharge mPayment;
+    /** Null if spending has no cap. */
+    private final AttemptCharge mAttemptCharge;
 
     private Future<?> mTimeout;
     private BackendCall mCall;
     private ServerLoad mServer;
     private long mSentNanos;
-    private int mSends;
-    private int mConnects;
+    private int mAttemptCount;
+    private int mConnectFailureCount;
     private boolean mMayHaveRun;
     private boolean mDone;
 
@@ -70,7 +71,7 @@
             Caller caller,
             ServiceId service,
             RequestTimes times,
-            boolean deadlineGiven) {
+            boolean hasDeadline) {
         mFlow = flow;
         mRequest = request;
         mResponder = responder;
@@ -82,13 +83,13 @@
         mRequestId = request.headers().get(flow.names().requestId());
         mHeaders =
                 new ForwardedHeaders(
-                        request.headers(), flow.names(), deadlineGiven, caller.workspace());
+                        request.headers(), flow.names(), hasDeadline, caller.workspace());
         String key = request.headers().get(flow.names().affinityKey());
         facts.key(key);
         mSearch = new ServerSearch(flow, facts, mRoute, service, key);
         mCrashCheck = new CrashCheck(flow.crashes(), request, facts);
-        mEnd = new RequestCompletion(flow.answers(), facts, mRequestId);
-        mPayment = AttemptCharge.of(flow.spending(), facts, service);
+        mCompletion = new RequestCompletion(flow.answers(), facts, mRequestId);
+        mAttemptCharge = AttemptCharge.of(flow.spending(), facts, service);
     }
 
     void begin() {
@@ -100,8 +101,8 @@
             refuse("deadline-passed");
             return;
         }
-        mTimeout = mFlow.eventLoop().schedule(this::timeUp, left, TimeUnit.NANOSECONDS);
-        mResponder.onClientDisconnected(this::clientDisconnected);
+        mTimeout = mFlow.eventLoop().schedule(this::onTimeout, left, TimeUnit.NANOSECONDS);
+        mResponder.onClientDisconnected(this::onClientDisconnected);
         if (!mDone) {
             attempt();
         }
@@ -113,37 +114,38 @@
         }
         long now = mFlow.nowNanos();
         List<ServerLoad> servers = mFlow.servers().of(mService);
-        Placement placement = mSearch.place(servers, mSends > 0, mTimes.leftNanos(now), now);
+        Placement placement = mSearch.place(servers, mAttemptCount > 0, mTimes.leftNanos(now), now);
         if (placement instanceof Placement.Refused refused) {
             refuseForLoad(refused.decision(), servers, now);
             return;
         }
-        if (placement instanceof Placement.Throttled unwanted) {
-            Duration comeBack = Duration.ofNanos(unwanted.retryAfterNanos());
-            endRejected(Rejection.unavailable(unwanted.cause(), comeBack));
+        if (placement instanceof Placement.Throttled throttled) {
+            Duration retryDelay = Duration.ofNanos(throttled.retryAfterNanos());
+            endRejected(Rejection.unavailable(throttled.cause(), retryDelay));
             return;
         }
         if (!(placement instanceof Placement.Placed placed)) {
             end("no-backend-server");
             return;
         }
-        mSearch.note(placed.choice(), now);
+        mSearch.recordCandidate(placed.choice(), now);
         ServerLoad chosen = placed.choice().load();
-        if (payOrEnd(chosen)) {
+        if (chargeOrEnd(chosen)) {
             send(chosen, now);
         }
     }
 
-    private void refuseForLoad(AdmissionDecision answer, List<ServerLoad> servers, long now) {
-        mSearch.explain(servers, mTimes.leftNanos(now), now);
-        mFacts.expectedWait(answer.expectedWaitNanos(), answer.longestWaitNanos());
-        refuse(Rejection.unavailable("overload", Duration.ofNanos(answer.retryAfterNanos())));
+    private void refuseForLoad(AdmissionDecision decision, List<ServerLoad> servers, long now) {
+        mSearch.recordRankedCandidates(servers, mTimes.leftNanos(now), now);
+        mFacts.expectedWait(decision.expectedWaitNanos(), decision.longestWaitNanos());
+        refuse(Rejection.unavailable("overload", Duration.ofNanos(decision.retryAfterNanos())));
     }
 
-    /** Pays for the next attempt, or ends the request with what is true of it. */
-    private boolean payOrEnd(ServerLoad chosen) {
-        if (mPayment != null) {
-            mPayment.charge(chosen.server().zone())
+    /** Charges the next attempt, or ends the request if the charge is refused. */
+    private boolean chargeOrEnd(ServerLoad chosen) {
+        if (mAttemptCharge != null) {
+            mAttemptCharge
+                    .charge(chosen.server().zone())
                     .map(each -> Rejection.unavailable(each.cause(), each.retryAfter()))
                     .ifPresent(this::endRejected);
         }
@@ -153,10 +155,10 @@
     private void send(ServerLoad chosen, long now) {
         mServer = chosen;
         mSentNanos = now;
-        mSends++;
-        mSearch.tried(chosen);
+        mAttemptCount++;
+        mSearch.markTried(chosen);
         mFlow.placer().sent(chosen, now);
-        mCaller.sent(now);
+        mCaller.recordSent(now);
         mFacts.retryBudget(mFlow.retries().left(mService, now));
         mFacts.sent(chosen.server().id(), chosen.server().zone(), mSearch.isCold(chosen, now), now);
         BackendRequest request =
@@ -172,14 +174,14 @@
                 mFlow.connections()
                         .send(
                                 chosen.server(),
-                                mFlow.mostConnections(mService),
+                                mFlow.connectionShare(mService),
                                 request,
                                 new AttemptListener(mFlow, this, mFacts, chosen, now));
     }
 
-    void answered(ServerLoad server, ServerStatement statement, BackendAnswer answer) {
+    void onAnswer(ServerLoad server, ServerStatement statement, BackendAnswer answer) {
         long now = mFlow.nowNanos();
-        attemptOver(server);
+        finishAttempt(server);
         statement.load().ifPresent(load -> mFlow.placer().reported(server, load, now));
         boolean notExecuted = answer.headers().contains(mFlow.names().notExecuted());
         if (answer.status() == MISDIRECTED || notExecuted) {
@@ -194,7 +196,7 @@
             mFacts.attemptEnded(AttemptResult.BAD_ANSWER, answer.status(), now);
             mFlow.placer().failed(server, now);
             mMayHaveRun = true;
-            tryAgainOrEnd("bad-answer");
+            retryOrEnd("bad-answer");
             return;
         }
         mFacts.attemptEnded(AttemptResult.ANSWERED, answer.status(), now);
@@ -205,29 +207,30 @@
         } else if (!failed) {
             boolean waited = statement.load().filter(load -> load.waiting() > 0).isPresent();
             mFlow.placer().succeeded(server, now - mSentNanos, waited, now);
-            mCrashCheck.answered();
+            mCrashCheck.recordAnswer();
         }
-        if (failed && mRoute.idempotent() && mayTryAgain(now)) {
+        if (failed && mRoute.idempotent() && tryAcquireRetry(now)) {
             answer.body().release();
             mMayHaveRun = true;
             retry();
             return;
         }
-        respond(mEnd.forwarded(answer, now));
+        respond(mCompletion.forwarded(answer, now));
     }
 
-    private void rejectedByServer(ServerLoad server, int status, ServerStatement told, long now) {
+    private void rejectedByServer(
+            ServerLoad server, int status, ServerStatement statement, long now) {
         if (status == MISDIRECTED) {
             mFlow.placer().misdirected(server, now);
-        } else if (!told.isWithdrawing()) {
-            mFlow.placer().rejectedByServer(server, told.load(), now);
+        } else if (!statement.isWithdrawing()) {
+            mFlow.placer().rejectedByServer(server, statement.load(), now);
         }
-        tryAgainOrEnd("turned-away");
+        retryOrEnd("turned-away");
     }
 
-    void failed(ServerLoad server, CallFailure failure) {
+    void onFailure(ServerLoad server, CallFailure failure) {
         long now = mFlow.nowNanos();
-        attemptOver(server);
+        finishAttempt(server);
         mFacts.attemptEnded(AttemptResult.of(failure), 0, now);
         if (failure.kind() == CallFailure.Kind.NOT_CONNECTED) {
             mFlow.placer().unreachable(server, now);
@@ -237,21 +240,21 @@
         }
         if (failure.verdict() == Verdict.DID_NOT_RUN) {
             refundCharge();
-            connectAgain();
+            reconnect();
             return;
         }
         mMayHaveRun = true;
         if (failure.kind() == CallFailure.Kind.BROKEN_OFF) {
-            mCrashCheck.brokenOff(server.server(), mSentNanos, now);
+            mCrashCheck.recordBrokenOff(server.server(), mSentNanos, now);
         }
         if (failure.kind() == CallFailure.Kind.TIMED_OUT) {
-            timeUp();
+            onTimeout();
             return;
         }
-        tryAgainOrEnd("broken-off");
+        retryOrEnd("broken-off");
     }
 
-    /** Servers end under requests like this one, or its key or the proof of it has gone. */
+    /** Ends the request if it is rejected as crashing or its key is no longer proven valid. */
     private boolean endIfRejected() {
         if (!mDone) {
             mCrashCheck.rejection().or(mCaller::rejection).ifPresent(this::endRejected);
@@ -267,37 +270,38 @@
         }
     }
 
-    /** Hears that a request is rejected from now on; this one may be the same. */
-    void rejected(RequestFingerprint request) {
+    /** Ends this request if it has the fingerprint of a request that is rejected from now on. */
+    void onRejected(RequestFingerprint request) {
         if (!mDone && mCrashCheck.isFor(request)) {
-            giveUpCall();
+            cancelCall();
             endRejected(mCrashCheck.reportedRejection());
         }
     }
 
-    /** Nothing reached the server, so neither the budget nor the route's attempts are used. */
-    private void connectAgain() {
-        mSends--;
-        mConnects++;
-        if (mConnects >= MOST_CONNECTS || mTimes.leftNanos(mFlow.nowNanos()) <= 0) {
+    /** Tries another server. Nothing reached this one, so no attempt and no budget is used. */
+    private void reconnect() {
+        mAttemptCount--;
+        mConnectFailureCount++;
+        if (mConnectFailureCount >= MAXIMUM_CONNECT_FAILURES
+                || mTimes.leftNanos(mFlow.nowNanos()) <= 0) {
             end("not-connected");
             return;
         }
         attempt();
     }
 
-    private void tryAgainOrEnd(String cause) {
+    private void retryOrEnd(String cause) {
         long now = mFlow.nowNanos();
-        boolean allowed = !mMayHaveRun || (mRoute.idempotent() && !mCrashCheck.isSuspected());
-        if (allowed && mayTryAgain(now)) {
+        boolean isRepeatable = !mMayHaveRun || (mRoute.idempotent() && !mCrashCheck.isSuspected());
+        if (isRepeatable && tryAcquireRetry(now)) {
             retry();
             return;
         }
         end(cause);
     }
 
-    private boolean mayTryAgain(long now) {
-        return mSends < mRoute.maximumAttempts()
+    private boolean tryAcquireRetry(long now) {
+        return mAttemptCount < mRoute.maximumAttempts()
                 && mTimes.leftNanos(now) > 0
                 && mFlow.retries().tryRetry(mService, now);
     }
@@ -308,54 +312,54 @@
     }
 
     private void refundCharge() {
-        if (mPayment != null) {
-            mPayment.refund();
+        if (mAttemptCharge != null) {
+            mAttemptCharge.refund();
         }
     }
 
-    private void attemptOver(ServerLoad server) {
+    private void finishAttempt(ServerLoad server) {
         server.requestEnded();
         mCall = null;
     }
 
-    /** Ends the request at once since this instance stops. */
+    /** Ends the request at once because this instance stops. */
     void stop() {
-        giveUp("stopping");
+        abort("stopping");
     }
 
-    private void timeUp() {
-        giveUp("timeout");
+    private void onTimeout() {
+        abort("timeout");
     }
 
-    private void giveUp(String cause) {
+    private void abort(String cause) {
         if (mDone) {
             return;
         }
         if (mCall != null) {
             mFlow.placer().failed(mServer, mFlow.nowNanos());
         }
-        giveUpCall();
+        cancelCall();
         end(cause);
     }
 
-    private void clientDisconnected() {
+    private void onClientDisconnected() {
         if (mDone) {
             return;
         }
-        giveUpCall();
+        cancelCall();
         finish();
         mFacts.clientDisconnected(mFlow.nowNanos());
-        mFlow.ended(this, mFacts);
+        mFlow.onRunEnded(this, mFacts);
     }
 
-    private void giveUpCall() {
+    private void cancelCall() {
         if (mCall == null) {
             return;
         }
         mMayHaveRun |= mCall.isWritten();
         mFacts.attemptEnded(AttemptResult.CANCELLED, 0, mFlow.nowNanos());
         mCall.cancel();
-        attemptOver(mServer);
+        finishAttempt(mServer);
     }
 
     private void end(String cause) {
@@ -364,21 +368,21 @@
             return;
         }
         long now = mFlow.nowNanos();
-        respond(mEnd.uncertain(cause, mTimes.leftNanos(now) <= 0, now));
+        respond(mCompletion.uncertain(cause, mTimes.leftNanos(now) <= 0, now));
     }
 
     private void refuse(String cause) {
-        refuse(Rejection.unavailable(cause, COME_BACK));
+        refuse(Rejection.unavailable(cause, DEFAULT_RETRY_DELAY));
     }
 
     private void refuse(Rejection rejection) {
-        respond(mEnd.notRun(rejection, mFlow.nowNanos()));
+        respond(mCompletion.notRun(rejection, mFlow.nowNanos()));
     }
 
     private void respond(OutgoingAnswer answer) {
         finish();
         mResponder.answer(answer);
-        mFlow.ended(this, mFacts);
+        mFlow.onRunEnded(this, mFacts);
     }
 
     private void finish() {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestTimes.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestTimes.java
@@ -4,9 +4,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * When a request must have its answer, on the monotonic clock.
+ * Times by which a request must be answered, on the monotonic clock.
  *
- * @param arrivalNanos when its first byte was read
+ * @param arrivalNanos when the first byte of the request was read
  * @param deadlineNanos when the client stops waiting
  * @param endNanos when this instance answers at the latest: the deadline or the route's timeout
  * @since 0.2
@@ -14,10 +14,10 @@
 public record RequestTimes(long arrivalNanos, long deadlineNanos, long endNanos) {
 
     /**
-     * Works out the times.
+     * Computes the times.
      *
-     * @param arrivalNanos when its first byte was read
-     * @param deadlineMillis how long the client waits, or null if it did not say
+     * @param arrivalNanos when the first byte of the request was read
+     * @param deadlineMillis how long the client waits, or null if it stated no deadline
      * @param route the route
      * @return the times
      */
@@ -30,10 +30,10 @@
     }
 
     /**
-     * Tells the time left until this instance answers at the latest.
+     * Returns the time left until this instance answers at the latest.
      *
      * @param nowNanos the monotonic time
-     * @return nanoseconds, negative if it is past
+     * @return the time in nanoseconds, negative if it has passed
      */
     public long leftNanos(long nowNanos) {
         return endNanos - nowNanos;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/RetryAllowance.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/RetryAllowance.java
@@ -3,14 +3,15 @@
 import io.masticpond.core.id.ServiceId;
 
 /**
- * This instance's share of the budget of each service for sends beyond the first of a request.
+ * Strategy interface for this instance's share of the retry budget of each service. A retry is any
+ * attempt of a request after its first.
  *
  * @since 0.2
  */
 public interface RetryAllowance {
 
     /**
-     * Counts a request of a client for a service, sent on or not.
+     * Records a request of a client for a service, whether or not it is sent to a server.
      *
      * @param service the service
      * @param nowNanos the monotonic time
@@ -18,20 +19,20 @@
     void firstAttempt(ServiceId service, long nowNanos);
 
     /**
-     * Takes one more send of a request out of the budget.
+     * Tries to take one retry of a request out of the budget.
      *
      * @param service the service
      * @param nowNanos the monotonic time
-     * @return whether there was enough left
+     * @return whether the budget allowed the retry
      */
     boolean tryRetry(ServiceId service, long nowNanos);
 
     /**
-     * Tells what is left.
+     * Returns what is left of the budget.
      *
      * @param service the service
      * @param nowNanos the monotonic time
-     * @return how many more sends are allowed now
+     * @return the number of retries that are allowed now
      */
     double left(ServiceId service, long nowNanos);
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerLimitGate.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerLimitGate.java
@@ -27,8 +27,9 @@
 import java.util.function.Supplier;
 
 /**
- * Keeps the limits that backend servers name: joins what their answers say, what other instances
- * tell, and the sends of this instance. Traffic thread only.
+ * Enforces the limits that backend servers state. It combines the statements in their answers, the
+ * reports of other instances, and the requests that this instance sends. For use on the traffic
+ * thread only.
  *
  * @since 0.2
  */
@@ -39,18 +40,18 @@
     private final Supplier<List<OwnerCandidate>> mInstances;
     private final IntSupplier mShareholders;
     private final ServerLimits mLimits;
-    private Consumer<LimitReport> mOutlet = report -> {};
+    private Consumer<LimitReport> mReportListener = report -> {};
 
     /**
-     * Starts without any limit.
+     * Creates a gate without any limit.
      *
-     * @param settings the bound
+     * @param settings the settings of limits
      * @param self this instance
      * @param regions the region of each zone
-     * @param instances gives the instances that are alive, this one included
-     * @param shareholders among how many instances common limits are divided
-     * @param timeSource the clocks
-     * @param log takes what is believed
+     * @param instances supplies the live instances, this one included
+     * @param shareholders supplies the number of instances among which common limits are divided
+     * @param timeSource the wall clock and the monotonic clock
+     * @param log the log of view changes
      */
     public ServerLimitGate(
             ServerLimitSettings settings,
@@ -62,7 +63,7 @@
             DecisionLog log) {
         mTimeSource = Assert.notNull(timeSource, "A time source");
         mLog = Assert.notNull(log, "A decision log");
-        mInstances = Assert.notNull(instances, "The living instances");
+        mInstances = Assert.notNull(instances, "A supplier of live instances");
         mShareholders = Assert.notNull(shareholders, "A count of shareholders");
         mLimits =
                 new ServerLimits(
@@ -74,16 +75,16 @@
     }
 
     /**
-     * Says who carries reports to the other instances.
+     * Sets the listener that sends reports to the other instances.
      *
-     * @param outlet carries them
+     * @param listener the listener
      */
-    public void publishTo(Consumer<LimitReport> outlet) {
-        mOutlet = Assert.notNull(outlet, "An outlet");
+    public void publishTo(Consumer<LimitReport> listener) {
+        mReportListener = Assert.notNull(listener, "A report listener");
     }
 
     /**
-     * Takes other settings, for what is decided after this.
+     * Replaces the settings. Applies to later decisions only.
      *
      * @param settings the settings
      */
@@ -91,32 +92,33 @@
         mLimits.applySettings(settings);
     }
 
-    /** Looks which instances there are now; to be called often. */
+    /** Updates the set of live instances. To be called often. */
     public void refreshInstances() {
         mLimits.updateInstances(mInstances.get(), mShareholders.getAsInt(), now());
     }
 
     /**
-     * Takes what another instance told.
+     * Processes the reports of another instance.
      *
-     * @param servers the servers that are known here
-     * @param reports what it told
-     * @return the reports that were news
+     * @param servers the servers that this instance knows
+     * @param reports the reports
+     * @return the reports that changed the view of this instance
      */
     public List<LimitReport> received(ServerTable servers, List<LimitReport> reports) {
-        List<LimitReport> news = new ArrayList<>();
+        List<LimitReport> updates = new ArrayList<>();
         Moment now = Moment.of(mTimeSource);
         for (LimitReport each : reports) {
             ServerLoad load = servers.byHash(each.serverHash());
             if (load != null && mLimits.received(load.server(), each, now)) {
-                news.add(each);
+                updates.add(each);
             }
         }
-        return news;
+        return updates;
     }
 
     /**
-     * Gives what is known here, to be told to an instance that may not know.
+     * Returns the limits known to this instance, to be reported to an instance that may not know
+     * them.
      *
      * @return a report for each server
      */
@@ -125,28 +127,31 @@
     }
 
     /**
-     * Tells what is believed of each server that named a limit.
+     * Returns the view of each server that stated a limit.
      *
-     * @return the beliefs
+     * @return the views
      */
     public List<LimitView> views() {
         return mLimits.views(now());
     }
 
     /**
-     * Counts the answers that named something which is no limit.
+     * Returns the number of answers with a malformed limit.
      *
-     * @return how many since the start
+     * @return the count since the start of this instance
      */
     public long malformed() {
         return mLimits.malformed();
     }
 
-    /** Takes what an answer says; one of a run that is over says nothing of a later. */
-    void answered(ServerLoad load, LimitHeader header, long sentNanos) {
-        boolean isNothingNew =
+    /**
+     * Processes the limit of an answer. An answer of a terminated run is ignored, since it does not
+     * apply to a later run.
+     */
+    void applyAnswer(ServerLoad load, LimitHeader header, long sentNanos) {
+        boolean isIrrelevant =
                 header.kind() == LimitHeader.Kind.ABSENT && mLimits.isUnknown(load.server().id());
-        if (!isNothingNew && !load.isTerminated()) {
+        if (!isIrrelevant && !load.isTerminated()) {
             mLimits.answered(load.server(), header, sentNanos, Moment.of(mTimeSource));
         }
     }
@@ -155,7 +160,7 @@
         mLimits.retain(servers);
     }
 
-    /** Tells whether no server has named a limit lately. */
+    /** Determines whether no server has stated a limit recently. */
     boolean isEmpty() {
         return mLimits.isEmpty();
     }
@@ -176,7 +181,7 @@
         return mLimits.ownPerSecond(load.server(), nowNanos);
     }
 
-    /** Gives the part of the keys that a server takes, less than 1 just after its limit ended. */
+    /** Returns the share of the keys that a server takes, below 1 shortly after its limit ended. */
     double share(ServerLoad load, long nowNanos) {
         return mLimits.share(load.server(), nowNanos);
     }
@@ -188,13 +193,13 @@
     private final class Output implements LimitListener {
 
         @Override
-        public void onViewChanged(LimitView belief) {
-            mLog.viewChanged(new ViewChange.ServerLimit(belief));
+        public void onViewChanged(LimitView view) {
+            mLog.viewChanged(new ViewChange.ServerLimit(view));
         }
 
         @Override
         public void onReport(LimitReport report) {
-            mOutlet.accept(report);
+            mReportListener.accept(report);
         }
 
         @Override
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerSearch.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerSearch.java
@@ -20,7 +20,9 @@
 import java.util.Set;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** Finds the backend server for each attempt of one request. Traffic thread only. */
+/**
+ * Selects the backend server for each attempt of one request. For use on the traffic thread only.
+ */
 final class ServerSearch {
 
     private final RequestFlow mFlow;
@@ -47,49 +49,53 @@
         return HashMixer.hash(key);
     }
 
-    /** Places the request; one that has been sent before is past the gate. */
+    /** Places the request. A retry does not pass the admission gate again. */
     Placement place(List<ServerLoad> servers, boolean sentBefore, long leftNanos, long now) {
         mWithoutPermit.clear();
         mFacts.beginSelection();
-        Usable candidates = new Usable(now, true);
+        UsableServers candidates = new UsableServers(now, true);
         Placement placement = place(servers, sentBefore, leftNanos, candidates);
         if (!(placement instanceof Placement.NoServer)) {
             return placement;
         }
-        if (candidates.mSawReturning) {
-            return place(servers, sentBefore, leftNanos, new Usable(now, false));
+        if (candidates.mSkippedReturning) {
+            return place(servers, sentBefore, leftNanos, new UsableServers(now, false));
         }
         return candidates.isEachPaused()
-                ? new Placement.Paused(candidates.mFirstPauseNanos)
+                ? new Placement.Paused(candidates.mShortestPauseNanos)
                 : placement;
     }
 
     private Placement place(
-            List<ServerLoad> servers, boolean sentBefore, long leftNanos, Usable candidates) {
-        PlacementRequest request = placed(leftNanos);
+            List<ServerLoad> servers,
+            boolean sentBefore,
+            long leftNanos,
+            UsableServers candidates) {
+        PlacementRequest request = toPlacementRequest(leftNanos);
         RequestPlacer placer = mFlow.placer();
         return sentBefore
                 ? placer.placeAgain(request, servers, candidates, candidates.mNow)
                 : placer.place(request, servers, candidates, candidates.mNow);
     }
 
-    private PlacementRequest placed(long leftNanos) {
+    private PlacementRequest toPlacementRequest(long leftNanos) {
         return new PlacementRequest(mRoute, mService, mKeyHash, leftNanos);
     }
 
     /**
-     * Notes the servers of the last choice, the chosen one first, for a request that is refused.
+     * Records the servers of the last choice, the chosen one first, for a request that is refused.
      */
-    void explain(List<ServerLoad> servers, long leftNanos, long now) {
+    void recordRankedCandidates(List<ServerLoad> servers, long leftNanos, long now) {
         mFacts.beginSelection();
         List<ServerLoad> usable = servers.stream().filter(load -> isUsable(load, now)).toList();
-        for (ServerChoice each : mFlow.placer().chooser().ranked(usable, placed(leftNanos), now)) {
-            note(each, now);
+        for (ServerChoice each :
+                mFlow.placer().chooser().ranked(usable, toPlacementRequest(leftNanos), now)) {
+            recordCandidate(each, now);
         }
     }
 
-    /** Notes a server that was weighed. */
-    void note(ServerChoice choice, long now) {
+    /** Records a server that was considered. */
+    void recordCandidate(ServerChoice choice, long now) {
         mFacts.candidate(
                 choice.load().server().id(),
                 (int) Math.round(choice.load().inFlight(now)),
@@ -97,21 +103,21 @@
                 choice.score());
     }
 
-    /** Notes that a server was sent the request, so that it is not chosen again. */
-    void tried(ServerLoad load) {
+    /** Records that the request was sent to a server, so that the server is not chosen again. */
+    void markTried(ServerLoad load) {
         mTried.add(load.server().id());
     }
 
-    /** Tells whether a server is cold. */
+    /** Determines whether a server is cold. */
     boolean isCold(ServerLoad load, long now) {
         return mFlow.coldGate().isCold(load.server(), now);
     }
 
     private boolean isUsable(ServerLoad load, long now) {
-        return noted(exclusion(load, now)) == null;
+        return recordExclusion(exclusion(load, now)) == null;
     }
 
-    private Exclusion noted(Exclusion exclusion) {
+    private Exclusion recordExclusion(Exclusion exclusion) {
         if (exclusion != null) {
             mFacts.excluded(exclusion);
         }
@@ -122,7 +128,7 @@
         if (mFlow.servers().isEvacuated(load.server().zone())) {
             return Exclusion.EVACUATED;
         }
-        if (!isHome(load)) {
+        if (!isInHomeRegion(load)) {
             return Exclusion.NOT_HOME;
         }
         Exclusion stated = mFlow.statements().exclusion(load, now);
@@ -138,70 +144,73 @@
         return load.isAvoided(now) ? Exclusion.FAILING : null;
     }
 
-    private boolean isHome(ServerLoad load) {
+    private boolean isInHomeRegion(ServerLoad load) {
         return mRoute.homeRegions().isEmpty()
                 || mFlow.servers().region(load.server()).filter(mRoute::allows).isPresent();
     }
 
-    /** The servers that the request may use at one moment. */
-    private final class Usable implements Candidates {
+    /** Candidate servers of the request at one moment. */
+    private final class UsableServers implements Candidates {
 
         private final long mNow;
-        private final boolean mHeedsReturn;
+        private final boolean mAppliesShare;
         private final ServerStatements mStatements = mFlow.statements();
         private final ServerLimitGate mLimits = mStatements.limits();
         private double mLimitedPerSecond;
-        private boolean mSawLimited;
-        private boolean mSawUnlimited;
-        private boolean mSawReturning;
-        private boolean mSawUnpaused;
-        private long mFirstPauseNanos = Long.MAX_VALUE;
+        private boolean mHasLimited;
+        private boolean mHasUnlimited;
+        private boolean mSkippedReturning;
+        private boolean mHasUnpaused;
+        private long mShortestPauseNanos = Long.MAX_VALUE;
 
-        Usable(long now, boolean heedsReturn) {
+        UsableServers(long now, boolean appliesShare) {
             mNow = now;
-            mHeedsReturn = heedsReturn;
+            mAppliesShare = appliesShare;
         }
 
         @Override
         public boolean isUsable(ServerLoad load) {
-            Exclusion exclusion = noted(exclusion(load, mNow));
+            Exclusion exclusion = recordExclusion(exclusion(load, mNow));
             if (exclusion == Exclusion.PAUSED) {
                 long left = mStatements.pausedForNanos(load, mNow);
-                mFirstPauseNanos = Math.min(mFirstPauseNanos, left);
+                mShortestPauseNanos = Math.min(mShortestPauseNanos, left);
             }
-            mSawUnpaused |= exclusion == null || exclusion.isTransient();
+            mHasUnpaused |= exclusion == null || exclusion.isTransient();
             if (exclusion != null) {
                 return false;
             }
             if (mStatements.isEmpty()) {
-                mSawUnlimited = true;
+                mHasUnlimited = true;
                 return true;
             }
-            boolean isUsable = mLimits.isLimited(load, mNow) ? hasPermit(load) : takesKey(load);
+            boolean isUsable = mLimits.isLimited(load, mNow) ? hasPermit(load) : acceptsKey(load);
             if (!isUsable) {
                 mFacts.excluded(Exclusion.LIMITED);
             }
             return isUsable;
         }
 
-        /** Tells whether the request could be sent if it were not for pauses. */
+        /** Determines whether pauses alone keep the request from being sent. */
         boolean isEachPaused() {
-            return !mSawUnpaused && mFirstPauseNanos != Long.MAX_VALUE;
+            return !mHasUnpaused && mShortestPauseNanos != Long.MAX_VALUE;
         }
 
         private boolean hasPermit(ServerLoad load) {
-            mSawLimited = true;
+            mHasLimited = true;
             mLimitedPerSecond += mLimits.ownPerSecond(load, mNow);
             return mLimits.hasPermit(load, mNow);
         }
 
-        /** A server that returns takes more and more of the keys. */
-        private boolean takesKey(ServerLoad load) {
-            mSawUnlimited = true;
-            double share = mHeedsReturn ? mStatements.share(load, mNow) : 1;
-            boolean takes = share >= 1 || HashMixer.fraction(mKeyHash, load.hash()) < share;
-            mSawReturning |= !takes;
-            return takes;
+        /**
+         * Determines whether a server accepts the key. A server that returns accepts a growing
+         * share of the keys.
+         */
+        private boolean acceptsKey(ServerLoad load) {
+            mHasUnlimited = true;
+            double share = mAppliesShare ? mStatements.share(load, mNow) : 1;
+            boolean accepts = share >= 1 || HashMixer.fraction(mKeyHash, load.hash()) < share;
+            mSkippedReturning |= !accepts;
+            return accepts;
         }
 
         @Override
@@ -211,7 +220,7 @@
 
         @Override
         public OptionalDouble limitedPerSecond() {
-            return mSawLimited && !mSawUnlimited
+            return mHasLimited && !mHasUnlimited
                     ? OptionalDouble.of(mLimitedPerSecond)
                     : OptionalDouble.empty();
         }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerStatements.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerStatements.java
@@ -20,8 +20,8 @@
 import java.util.List;
 
 /**
- * Reads what backend servers state of themselves in their answers, and tells what holds of them for
- * it whenever a request is to be sent. Traffic thread only.
+ * Reads the statements of backend servers in their answers and determines from them whether a
+ * request may be sent to a server. For use on the traffic thread only.
  *
  * @since 0.2
  */
@@ -33,13 +33,13 @@
     private final ServerWithdrawals mWithdrawals;
 
     /**
-     * Joins the parts.
+     * Creates the statements of servers.
      *
      * @param names the names of the headers
-     * @param limits keeps the limits that servers name
-     * @param settings for how long withdrawals count
+     * @param limits the gate of the limits that servers state
+     * @param settings how long withdrawals apply
      * @param timeSource the clock
-     * @param log takes what is believed
+     * @param log the log of view changes
      */
     public ServerStatements(
             HeaderNames names,
@@ -55,7 +55,7 @@
     }
 
     /**
-     * Gives what keeps the limits that servers name.
+     * Returns the gate of the limits that servers state.
      *
      * @return the gate
      */
@@ -64,7 +64,7 @@
     }
 
     /**
-     * Takes other settings, for what is decided after this.
+     * Replaces the settings. Applies to later decisions only.
      *
      * @param settings the settings
      */
@@ -73,18 +73,18 @@
     }
 
     /**
-     * Tells what is believed of each server that has withdrawn.
+     * Returns the view of each server that has withdrawn.
      *
-     * @return the beliefs
+     * @return the views
      */
     public List<WithdrawalView> withdrawals() {
         return mWithdrawals.views(mTimeSource.monotonicNanos());
     }
 
     /**
-     * Counts the answers that stated something on a withdrawal which means nothing.
+     * Returns the number of answers with a malformed statement on a withdrawal.
      *
-     * @return how many since the start
+     * @return the count since the start of this instance
      */
     public long malformed() {
         return mWithdrawals.malformed();
@@ -94,12 +94,15 @@
         return mReader.read(status, headers);
     }
 
-    void answered(ServerLoad load, ServerStatement statement, long sentNanos) {
-        mLimits.answered(load, statement.limit(), sentNanos);
+    void applyAnswer(ServerLoad load, ServerStatement statement, long sentNanos) {
+        mLimits.applyAnswer(load, statement.limit(), sentNanos);
         mWithdrawals.answered(load.server(), statement, mTimeSource.monotonicNanos());
     }
 
-    /** Tells why a server takes no requests at all, null if it does; a limit is another matter. */
+    /**
+     * Returns why a server takes no requests at all, null if it takes some. Limits are not
+     * considered.
+     */
     Exclusion exclusion(ServerLoad load, long nowNanos) {
         RegisteredServer server = load.server();
         if (mWithdrawals.isEmpty()) {
@@ -115,26 +118,26 @@
         return mWithdrawals.pausedForNanos(load.server(), nowNanos);
     }
 
-    /** Gives the part of the keys that a server takes, less than 1 just after it returned. */
+    /** Returns the share of the keys that a server takes, below 1 shortly after it returned. */
     double share(ServerLoad load, long nowNanos) {
         return Math.min(mLimits.share(load, nowNanos), mWithdrawals.share(load.server(), nowNanos));
     }
 
-    /** Tells whether no server has stated anything that bears on a choice. */
+    /** Determines whether no server has stated anything that affects the choice of a server. */
     boolean isEmpty() {
         return mWithdrawals.isEmpty() && mLimits.isEmpty();
     }
 
-    /** Looks which instances there are and which pauses are over; to be called often. */
+    /** Updates the live instances and ends the pauses that are over. To be called often. */
     public void refresh() {
         mLimits.refreshInstances();
         mWithdrawals.refresh(mTimeSource.monotonicNanos());
     }
 
     /**
-     * Tells whether a request may be written that was meant for a server a while ago.
+     * Determines whether a request that was assigned to a server earlier may still be written.
      *
-     * @param hadPermit whether it has had a permit, so that a limit is kept
+     * @param hadPermit whether the request already has a permit under the limit of the server
      */
     boolean maySend(ServerLoad load, boolean hadPermit) {
         long nowNanos = mTimeSource.monotonicNanos();
@@ -147,12 +150,12 @@
         mWithdrawals.retain(snapshot.servers(), mTimeSource.monotonicNanos());
     }
 
-    /** Writes what is believed to the log. */
+    /** Logs the view changes and malformed statements. */
     private record Output(DecisionLog log) implements WithdrawalListener {
 
         @Override
-        public void onViewChanged(WithdrawalView belief) {
-            log.viewChanged(new ViewChange.Withdrawal(belief));
+        public void onViewChanged(WithdrawalView view) {
+            log.viewChanged(new ViewChange.Withdrawal(view));
         }
 
         @Override
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/SpendingCheck.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/SpendingCheck.java
@@ -8,15 +8,15 @@
 import java.util.List;
 
 /**
- * Pays for each attempt before it is sent to a backend server. Traffic thread only, but for {@link
- * #isStopped}.
+ * Strategy interface for charging each attempt before it is sent to a backend server. For use on
+ * the traffic thread only, except {@link #isStopped}.
  *
  * @since 0.3
  */
 public interface SpendingCheck {
 
     /**
-     * Pays for an attempt.
+     * Charges an attempt.
      *
      * @param service the service
      * @param zone the zone of the backend server
@@ -25,32 +25,32 @@
     Either<SpendingRefusal, Charge> charge(ServiceId service, ZoneId zone);
 
     /**
-     * Takes back a charge whose attempt did not run. Must not be called in doubt.
+     * Refunds a charge whose attempt did not run. Must not be called if the attempt may have run.
      *
      * @param charge the charge
      */
     void refund(Charge charge);
 
     /**
-     * Tells how spending stands.
+     * Returns the state of spending.
      *
      * @return a view for each service and shift that is open
      */
     List<SpendingView> views();
 
-    /** Hears that the platform's store has come back from an older copy. */
+    /** Called when the platform's store has been restored from an older copy. */
     default void storeRestored() {}
 
-    /** Begins to take allotments; a second wish changes nothing. */
+    /** Starts taking allotments. A repeated call has no effect. */
     void start();
 
-    /** Pays for nothing more and gives back what is left; a second wish changes nothing. */
+    /** Refuses further charges and returns what is left. A repeated call has no effect. */
     void stop();
 
     /**
-     * Tells whether all that was left is given back. Safe for all threads.
+     * Determines whether all that was left has been returned. Safe for use by any thread.
      *
-     * @return whether it is; while the store is away it may never be
+     * @return whether it has; this may stay false while the store is unavailable
      */
     boolean isStopped();
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/SpendingRefusal.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/SpendingRefusal.java
@@ -5,19 +5,19 @@
 import java.time.Duration;
 
 /**
- * Says why an attempt is not paid for.
+ * Reason for which an attempt is not charged and must not be made.
  *
- * @param cause the cause, from a fixed set of words
- * @param retryAfter after how long it may be paid for
- * @param inputs what decided it
+ * @param cause the cause, from a fixed set of values
+ * @param retryAfter after how long a charge may succeed
+ * @param inputs the inputs of the decision
  * @since 0.3
  */
 public record SpendingRefusal(String cause, Duration retryAfter, SpendingInputs inputs) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public SpendingRefusal {
         Assert.hasText(cause, "A cause");
-        Assert.notNull(retryAfter, "A time to come back");
+        Assert.notNull(retryAfter, "A retry delay");
         Assert.notNull(inputs, "The inputs of a refusal");
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/StatementReader.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/StatementReader.java
@@ -8,7 +8,7 @@
 import io.masticpond.entry.settings.HeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
 
-/** Reads what a backend server states of itself from the head of an answer. */
+/** Reads the statements of a backend server from the headers of an answer. */
 final class StatementReader {
 
     private static final int MISDIRECTED = 421;
@@ -21,7 +21,8 @@
     }
 
     /**
-     * A misdirected request was answered by another server, whose statements are not of this one.
+     * Reads the statements of an answer. Those of status 421 are ignored, since a misdirected
+     * request was answered by another server.
      */
     ServerStatement read(int status, HttpHeaders headers) {
         if (status == MISDIRECTED) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/UpdateTimes.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/UpdateTimes.java
@@ -1,10 +1,10 @@
 package io.masticpond.entry.request;
 
 /**
- * When the news that requests are decided on were last confirmed, on the monotonic clock.
+ * Times at which the data on which requests are decided was last confirmed, on the monotonic clock.
  *
- * @param routingNanos when the routes were
- * @param registryNanos when the backend servers were
+ * @param routingNanos when the routes were confirmed
+ * @param registryNanos when the backend servers were confirmed
  * @since 0.2
  */
 public record UpdateTimes(long routingNanos, long registryNanos) {}
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/WorkspaceAuthenticator.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/WorkspaceAuthenticator.java
@@ -22,8 +22,9 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Lets in the requests whose key opens a workspace, as long as this instance can prove that the
- * keys it knows are the newest and the workspace's rate is not used up. Traffic thread only.
+ * Authenticates requests by the keys of workspaces. A request is admitted as long as this instance
+ * can prove that it knows the newest keys and the rate of the workspace is not used up. For use on
+ * the traffic thread only.
  *
  * @since 0.2
  */
@@ -31,44 +32,50 @@
 
     private static final String UNPROVEN = "unproven-keys";
 
-    /** The next instance may have a proof, so the client need not wait for this one's. */
-    private static final Duration UNTIL_PROVEN = Duration.ofMillis(100);
+    /**
+     * Retry delay without a current proof. Another instance may have a proof, so the client need
+     * not wait for the next proof of this one.
+     */
+    private static final Duration UNPROVEN_RETRY_DELAY = Duration.ofMillis(100);
 
-    /** A key may have been added after an older proof than this, so it is not denied for good. */
-    private static final long DENIAL_NANOS = TimeUnit.SECONDS.toNanos(2);
+    /**
+     * Maximum age of the proof on which an unknown key is answered as unauthorized. With an older
+     * proof the key may have been added since, so the client is asked to retry.
+     */
+    private static final long MAXIMUM_DENIAL_PROOF_AGE_NANOS = TimeUnit.SECONDS.toNanos(2);
 
     private final HeaderNames mNames;
     private final TimeSource mTimeSource;
     private final SharedRates mRates;
-    private final DoubleSupplier mDraws;
+    private final DoubleSupplier mRandom;
     private WorkspaceSettings mSettings;
     private WorkspaceTable mWorkspaces = WorkspaceTable.EMPTY;
     private Moment mProof;
 
     /**
-     * Makes an authenticator that knows no workspace.
+     * Creates an authenticator that knows no workspace.
      *
      * @param names the names of the headers
-     * @param timeSource the clocks
-     * @param settings for how long a proof holds
+     * @param timeSource the wall clock and the monotonic clock
+     * @param settings the settings of workspaces, among them how long a proof is valid
      * @param rates the rates of the workspaces
-     * @param draws random numbers from 0 up to 1
+     * @param random supplies random numbers from 0 (inclusive) to 1 (exclusive)
      */
     public WorkspaceAuthenticator(
             HeaderNames names,
             TimeSource timeSource,
             WorkspaceSettings settings,
             SharedRates rates,
-            DoubleSupplier draws) {
+            DoubleSupplier random) {
         mNames = Assert.notNull(names, "Header names");
         mTimeSource = Assert.notNull(timeSource, "A time source");
         mSettings = Assert.notNull(settings, "Settings of workspaces");
         mRates = Assert.notNull(rates, "Rates");
-        mDraws = Assert.notNull(draws, "A source of random numbers");
+        mRandom = Assert.notNull(random, "A source of random numbers");
     }
 
     /**
-     * Takes the workspaces now in force.
+     * Updates the workspaces to those of a configuration.
      *
      * @param routing the configuration
      */
@@ -81,7 +88,7 @@
     }
 
     /**
-     * Takes other settings.
+     * Replaces the settings.
      *
      * @param settings the settings
      */
@@ -91,16 +98,16 @@
     }
 
     /**
-     * Takes a proof that the workspaces in force were the newest.
+     * Records a proof that the workspaces in force were the newest.
      *
-     * @param moment the moment of which it is proven
+     * @param moment the moment for which it is proven
      */
     public void recordProof(Moment moment) {
         mProof = moment;
     }
 
     /**
-     * Gives the workspaces in force.
+     * Returns the workspaces in force.
      *
      * @return the workspaces
      */
@@ -109,7 +116,7 @@
     }
 
     /**
-     * Gives the rates of the workspaces.
+     * Returns the rates of the workspaces.
      *
      * @return the rates
      */
@@ -118,73 +125,74 @@
     }
 
     /**
-     * Tells how old the proof is that the keys are the newest.
+     * Returns the age of the proof that the keys are the newest.
      *
-     * @return nanoseconds, or {@link RequestRecord#UNKNOWN} if there was none
+     * @return the age in nanoseconds, or {@link RequestRecord#UNKNOWN} if there is no proof
      */
     public long proofAgeNanos() {
         return mProof == null ? RequestRecord.UNKNOWN : mProof.nanosUntil(Moment.of(mTimeSource));
     }
 
     /**
-     * Tells whether requests with keys are let in.
+     * Determines whether requests with keys are admitted.
      *
-     * @return whether the proof is young enough, or none is asked for
+     * @return whether the proof is recent enough, or none is required
      */
     public boolean isProven() {
         return isProven(proofAgeNanos());
     }
 
     private boolean isProven(long ageNanos) {
-        boolean isYoung =
+        boolean isRecent =
                 ageNanos != RequestRecord.UNKNOWN && ageNanos <= mSettings.proofLimit().toNanos();
-        return isYoung || !mSettings.strictRevocation();
+        return isRecent || !mSettings.strictRevocation();
     }
 
-    /** Finds whose request it is, or says why it is not let in. */
+    /** Returns the caller of a request, or why the request is not admitted. */
     Either<Rejection, Caller> authenticate(
             IncomingRequest request, Route route, RequestRecord facts) {
         if (mWorkspaces.isEmpty() || route.keyless()) {
-            return Either.right(new Open(route));
+            return Either.right(new AnonymousCaller(route));
         }
-        String text = request.headers().get(mNames.credential());
-        if (text == null || text.isBlank()) {
+        String credential = request.headers().get(mNames.credential());
+        if (credential == null || credential.isBlank()) {
             return Either.left(Rejection.unauthorized("no-key"));
         }
-        KeyDigest key = KeyDigest.of(text);
-        Optional<Workspace> opened = mWorkspaces.findByKey(key);
+        KeyDigest key = KeyDigest.of(credential);
+        Optional<Workspace> workspace = mWorkspaces.findByKey(key);
         long ageNanos = proofAgeNanos();
-        note(facts, opened.orElse(null), ageNanos);
+        recordCaller(facts, workspace.orElse(null), ageNanos);
         if (!isProven(ageNanos)) {
-            return Either.left(Rejection.unavailable(UNPROVEN, UNTIL_PROVEN));
+            return Either.left(Rejection.unavailable(UNPROVEN, UNPROVEN_RETRY_DELAY));
         }
-        if (opened.isEmpty()) {
-            return Either.left(unknown(ageNanos));
+        if (workspace.isEmpty()) {
+            return Either.left(rejectUnknownKey(ageNanos));
         }
-        return admit(opened.get(), key, route);
+        return admit(workspace.get(), key, route);
     }
 
     private Either<Rejection, Caller> admit(Workspace workspace, KeyDigest key, Route route) {
-        Optional<Route> narrowed = route.within(workspace);
-        if (narrowed.isEmpty()) {
-            return Either.left(Rejection.unavailable("no-allowed-region", UNTIL_PROVEN));
+        Optional<Route> restrictedRoute = route.within(workspace);
+        if (restrictedRoute.isEmpty()) {
+            return Either.left(Rejection.unavailable("no-allowed-region", UNPROVEN_RETRY_DELAY));
         }
         long now = mTimeSource.monotonicNanos();
-        if (!mRates.tryAdmit(workspace.id(), mDraws.getAsDouble(), now)) {
-            Duration pause = mRates.retryAfter(workspace.id(), now);
-            return Either.left(Rejection.tooMany("over-rate", pause));
+        if (!mRates.tryAdmit(workspace.id(), mRandom.getAsDouble(), now)) {
+            Duration retryDelay = mRates.retryAfter(workspace.id(), now);
+            return Either.left(Rejection.tooManyRequests("over-rate", retryDelay));
         }
-        return Either.right(new Known(narrowed.get(), workspace.id(), key));
+        return Either.right(new KnownCaller(restrictedRoute.get(), workspace.id(), key));
     }
 
-    private static Rejection unknown(long ageNanos) {
-        boolean isSure = ageNanos != RequestRecord.UNKNOWN && ageNanos <= DENIAL_NANOS;
-        return isSure
+    private static Rejection rejectUnknownKey(long ageNanos) {
+        boolean isConclusive =
+                ageNanos != RequestRecord.UNKNOWN && ageNanos <= MAXIMUM_DENIAL_PROOF_AGE_NANOS;
+        return isConclusive
                 ? Rejection.unauthorized("unknown-key")
-                : Rejection.unavailable(UNPROVEN, UNTIL_PROVEN);
+                : Rejection.unavailable(UNPROVEN, UNPROVEN_RETRY_DELAY);
     }
 
-    private void note(RequestRecord facts, Workspace workspace, long ageNanos) {
+    private void recordCaller(RequestRecord facts, Workspace workspace, long ageNanos) {
         WorkspaceId id = workspace == null ? null : workspace.id();
         boolean isLimited = id != null && mRates.isLimited(id);
         long now = mTimeSource.monotonicNanos();
@@ -197,8 +205,8 @@
                         isLimited ? mRates.demand(id, now) : 0));
     }
 
-    /** A request for which no key is asked. */
-    private record Open(Route route) implements Caller {
+    /** Caller of a request that requires no key. */
+    private record AnonymousCaller(Route route) implements Caller {
 
         @Override
         public Optional<WorkspaceId> workspace() {
@@ -211,17 +219,17 @@
         }
 
         @Override
-        public void sent(long nowNanos) {}
+        public void recordSent(long nowNanos) {}
     }
 
-    /** A request whose key opened a workspace when it came. */
-    private final class Known implements Caller {
+    /** Caller of a request whose key belonged to a workspace when the request arrived. */
+    private final class KnownCaller implements Caller {
 
         private final Route mRoute;
         private final WorkspaceId mWorkspace;
         private final KeyDigest mKey;
 
-        Known(Route route, WorkspaceId workspace, KeyDigest key) {
+        KnownCaller(Route route, WorkspaceId workspace, KeyDigest key) {
             mRoute = route;
             mWorkspace = workspace;
             mKey = key;
@@ -240,19 +248,19 @@
         @Override
         public Optional<Rejection> rejection() {
             if (!isProven()) {
-                return Optional.of(Rejection.unavailable(UNPROVEN, UNTIL_PROVEN));
+                return Optional.of(Rejection.unavailable(UNPROVEN, UNPROVEN_RETRY_DELAY));
             }
-            boolean opens =
+            boolean isValid =
                     mWorkspaces
                             .findByKey(mKey)
                             .map(Workspace::id)
                             .filter(mWorkspace::equals)
                             .isPresent();
-            return opens ? Optional.empty() : Optional.of(Rejection.unauthorized("unknown-key"));
+            return isValid ? Optional.empty() : Optional.of(Rejection.unauthorized("unknown-key"));
         }
 
         @Override
-        public void sent(long nowNanos) {
+        public void recordSent(long nowNanos) {
             mRates.sent(mWorkspace, nowNanos);
         }
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/package-info.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What happens to a client's request: route, choice of a backend server, attempts, and one truthful
- * answer. Must know nothing of sockets and of where the news come from. Traffic thread only.
+ * Handling of a client's request: route, choice of a backend server, attempts, and exactly one
+ * answer, which states truthfully whether the request ran. This package must not depend on sockets
+ * or on the source of updates. For use on the traffic thread only.
  */
 package io.masticpond.entry.request;
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/AbstractRequestFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/AbstractRequestFlowTest.java
@@ -37,7 +37,10 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** A request flow over servers that a test answers for, and its clock. */
+/**
+ * Base class for tests of {@link RequestFlow} in which the test answers for the backend servers and
+ * drives the clock.
+ */
 abstract class AbstractRequestFlowTest {
 
     static final HeaderNames NAMES =
@@ -63,9 +66,9 @@
     final FakeResponder mResponder = new FakeResponder();
     final RecentDecisions mDecisions = new RecentDecisions(DecisionLog.NONE, mTime);
     LoadGate mLoadGate = LoadGate.OPEN;
-    Set<BackendServerId> mCold = Set.of();
-    boolean mBudget = true;
-    int mCount;
+    Set<BackendServerId> mColdServers = Set.of();
+    boolean mHasBudget = true;
+    int mRequestCount;
     Optional<SpendingCheck> mSpending = Optional.empty();
     WorkspaceAuthenticator mAuthenticator =
             new WorkspaceAuthenticator(
@@ -112,7 +115,7 @@
                                                 CallOutlierDetectorSettings.DEFAULT)),
                                 mLoadGate),
                         new ColdWithoutPermit(),
-                        new FixedBudget(() -> mBudget),
+                        new FixedBudget(() -> mHasBudget),
                         route -> SERVICE,
                         () -> 1,
                         mSpending,
@@ -130,10 +133,10 @@
         return flow;
     }
 
-    /** Asks for an object with an id of its own; without a key if it is null. */
-    FakeResponder askFor(RequestFlow flow, String key) {
+    /** Sends a request with an id of its own, without an affinity key if the key is null. */
+    FakeResponder handleRequest(RequestFlow flow, String key) {
         HttpHeaders headers = new DefaultHttpHeaders();
-        headers.set("Host", "host").set("Id", "r" + mCount++).set("Wait", "800");
+        headers.set("Host", "host").set("Id", "r" + mRequestCount++).set("Wait", "800");
         if (key != null) {
             headers.set("Key", key);
         }
@@ -158,12 +161,12 @@
                 HttpMethod.GET, target, headers, Unpooled.EMPTY_BUFFER, now, now);
     }
 
-    /** Gives no permit for a server that is taken for cold. */
+    /** Grants no permit for a cold server. */
     private final class ColdWithoutPermit implements ColdGate {
 
         @Override
         public boolean isCold(RegisteredServer server, long nowNanos) {
-            return mCold.contains(server.id());
+            return mColdServers.contains(server.id());
         }
 
         @Override
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/CrashingRequestFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/CrashingRequestFlowTest.java
@@ -19,62 +19,65 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** What becomes of a request under which servers end, and of those that were there by chance. */
+/**
+ * Tests that a request that crashes servers is rejected, and that requests which were at the same
+ * servers by coincidence are not.
+ */
 class CrashingRequestFlowTest extends AbstractRequestFlowTest {
 
     private static final String TARGET = "/a/x?y=1";
-    private static final Duration BACK_AFTER = Duration.ofMillis(1_100);
-    private static final Duration CHECKED = Duration.ofMillis(20);
+    private static final Duration RETURN_DELAY = Duration.ofMillis(1_100);
+    private static final Duration CHECK_DELAY = Duration.ofMillis(20);
 
-    private FakeResponder mLast;
+    private FakeResponder mLastResponder;
 
-    /** The request comes once more, as a new attempt of its client. */
-    private void ask(RequestFlow flow) {
-        ask(flow, request());
+    /** Sends the request once more, as a new attempt of the client. */
+    private void sendRequest(RequestFlow flow) {
+        sendRequest(flow, request());
     }
 
-    private void ask(RequestFlow flow, IncomingRequest request) {
-        mLast = new FakeResponder();
-        flow.handle(request, mLast);
+    private void sendRequest(RequestFlow flow, IncomingRequest request) {
+        mLastResponder = new FakeResponder();
+        flow.handle(request, mLastResponder);
     }
 
-    private String text() {
-        return mLast.mAnswers.get(0).body().toString(StandardCharsets.UTF_8);
+    private String lastAnswerText() {
+        return mLastResponder.mAnswers.get(0).body().toString(StandardCharsets.UTF_8);
     }
 
-    /** The newest call is broken off; whether its server has ended is found out. */
-    private void breakOff(ServerReachability reach) {
+    /** Breaks off the latest call, and completes the checks of whether its server has ended. */
+    private void breakOff(ServerReachability reachability) {
         mConnections.last().fail(Verdict.MAY_HAVE_RUN, CallFailure.Kind.BROKEN_OFF);
-        passTime(CHECKED);
-        mConnections.mChecks.forEach(check -> check.listener().accept(reach));
+        passTime(CHECK_DELAY);
+        mConnections.mChecks.forEach(check -> check.listener().accept(reachability));
         mConnections.mChecks.clear();
         passTime(Duration.ofMillis(50));
     }
 
-    /** The request comes, and each server that it is sent to ends. */
-    private void crash(RequestFlow flow, int times) {
+    /** Sends the request repeatedly; each server that it is sent to ends. */
+    private void crashServers(RequestFlow flow, int times) {
         for (int time = 0; time < times; time++) {
             int before = mConnections.mCalls.size();
-            ask(flow);
+            sendRequest(flow);
             for (int sent = before; sent < mConnections.mCalls.size(); sent++) {
                 passTime(Duration.ofMillis(10));
                 breakOff(ServerReachability.REFUSED);
             }
-            passTime(BACK_AFTER);
+            passTime(RETURN_DELAY);
         }
     }
 
     @Example
-    void isRejectedAtOnceWithTheTruthAndItsPause() {
+    void rejectsCrashingRequestAtOnceWithCauseAndRetryDelay() {
         RequestFlow flow = flow(true, 2);
-        crash(flow, 4);
+        crashServers(flow, 4);
         int sends = mConnections.mCalls.size();
-        ask(flow);
+        sendRequest(flow);
         assertThat(mConnections.mCalls).hasSize(sends);
-        assertThat(mLast.status()).isEqualTo(503);
-        assertThat(text()).contains("did not run: ends-servers");
-        String pause = mLast.mAnswers.get(0).headers().get("Retry-After");
-        assertThat(Double.parseDouble(pause)).isBetween(7_000.0, 7_200.0);
+        assertThat(mLastResponder.status()).isEqualTo(503);
+        assertThat(lastAnswerText()).contains("did not run: ends-servers");
+        String retryAfter = mLastResponder.mAnswers.get(0).headers().get("Retry-After");
+        assertThat(Double.parseDouble(retryAfter)).isBetween(7_000.0, 7_200.0);
         JsonNode line = mDecisions.ofRequest("one").get(mDecisions.ofRequest("one").size() - 1);
         assertThat(line.path("cause").asText()).isEqualTo("ends-servers");
         assertThat(line.path("fingerprint").asText())
@@ -82,36 +85,36 @@
     }
 
     @Example
-    void onceOnlyRequestIsSentOnceForEachAttemptAndNeverPromisedNotToHaveRun() {
+    void doesNotRetryOnceOnlyRequestThatCrashesServers() {
         RequestFlow flow = flow(false, 2);
-        ask(flow);
+        sendRequest(flow);
         breakOff(ServerReachability.REFUSED);
         assertThat(mConnections.mCalls).hasSize(1);
-        assertThat(mLast.status()).isEqualTo(502);
-        crash(flow, 4);
-        ask(flow);
-        assertThat(mLast.status()).isEqualTo(503);
+        assertThat(mLastResponder.status()).isEqualTo(502);
+        crashServers(flow, 4);
+        sendRequest(flow);
+        assertThat(mLastResponder.status()).isEqualTo(503);
     }
 
     @Example
     void otherRequestsAreServedMeanwhile() {
         RequestFlow flow = flow(true, 2);
-        crash(flow, 4);
+        crashServers(flow, 4);
         passTime(Duration.ofSeconds(2));
-        ask(flow, request("/a/other"));
+        sendRequest(flow, request("/a/other"));
         mConnections.last().answer(200, "Seal", "s");
-        assertThat(mLast.status()).isEqualTo(200);
+        assertThat(mLastResponder.status()).isEqualTo(200);
     }
 
     @Example
-    void connectionsThatWereOnlyCutAreNoEnds() {
-        for (ServerReachability reach :
+    void doesNotCountCutConnectionsAsServerEnds() {
+        for (ServerReachability reachability :
                 List.of(ServerReachability.OPEN, ServerReachability.UNKNOWN)) {
             RequestFlow flow = flow(true, 2);
             for (int time = 0; time < 6; time++) {
-                ask(flow);
-                breakOff(reach);
-                breakOff(reach);
+                sendRequest(flow);
+                breakOff(reachability);
+                breakOff(reachability);
             }
             assertThat(flow.crashes().views()).isEmpty();
             assertThat(flow.crashes().ends()).isZero();
@@ -119,14 +122,14 @@
     }
 
     @Example
-    void oneConnectionIsTriedForAllThatBrokeOffAtOneServer() {
+    void checksServerOnceForAllItsBrokenOffRequests() {
         RequestFlow flow = flow(false, 1);
         for (int number = 0; number < 5; number++) {
-            ask(flow, request("/a/" + number));
+            sendRequest(flow, request("/a/" + number));
         }
         mConnections.mCalls.forEach(
                 call -> call.fail(Verdict.MAY_HAVE_RUN, CallFailure.Kind.BROKEN_OFF));
-        passTime(CHECKED);
+        passTime(CHECK_DELAY);
         long servers =
                 mConnections.mCalls.stream().map(call -> call.mServer.id()).distinct().count();
         assertThat(mConnections.mChecks).hasSize((int) servers);
@@ -135,81 +138,81 @@
     }
 
     @Example
-    void checkWithoutResultIsMadeOnceMore() {
+    void repeatsCheckWithoutResultOnce() {
         RequestFlow flow = flow(false, 1);
-        ask(flow);
+        sendRequest(flow);
         breakOff(ServerReachability.UNKNOWN);
         passTime(Duration.ofMillis(100));
         assertThat(mConnections.mChecks).hasSize(1);
         mConnections.mChecks.remove(0).listener().accept(ServerReachability.REFUSED);
         assertThat(flow.crashes().ends()).isEqualTo(1);
-        ask(flow);
+        sendRequest(flow);
         breakOff(ServerReachability.UNKNOWN);
-        breakOffChecks(ServerReachability.UNKNOWN);
+        completeRepeatedCheck(ServerReachability.UNKNOWN);
         assertThat(mConnections.mChecks).isEmpty();
         assertThat(flow.crashes().ends()).isEqualTo(1);
     }
 
-    private void breakOffChecks(ServerReachability reach) {
+    private void completeRepeatedCheck(ServerReachability reachability) {
         passTime(Duration.ofMillis(100));
-        mConnections.mChecks.remove(0).listener().accept(reach);
+        mConnections.mChecks.remove(0).listener().accept(reachability);
         passTime(Duration.ofSeconds(1));
     }
 
     @Example
-    void answerClearsWhatWasThereByChance() {
+    void answerClearsServerEndsRecordedByCoincidence() {
         RequestFlow flow = flow(true, 2);
-        crash(flow, 1);
+        crashServers(flow, 1);
         assertThat(flow.crashes().views().get(0).ends()).isEqualTo(2);
         passTime(Duration.ofSeconds(1));
-        ask(flow);
+        sendRequest(flow);
         mConnections.last().answer(200, "Seal", "s");
         assertThat(flow.crashes().views().get(0).ends()).isZero();
-        crash(flow, 1);
+        crashServers(flow, 1);
         passTime(Duration.ofSeconds(2));
-        ask(flow);
+        sendRequest(flow);
         assertThat(mConnections.last().mCancelled).isFalse();
         assertThat(flow.crashes().views().get(0).state()).isEqualTo(CrashView.State.SUSPECTED);
     }
 
     @Example
-    void whatOthersRejectIsRejectedHereAndItsOpenCopiesAreEnded() {
+    void rejectsRequestReportedByPeersAndEndsItsOpenCopies() {
         RequestFlow flow = flow(true, 2);
-        ask(flow);
+        sendRequest(flow);
         RequestFingerprint request = flow.crashes().fingerprint(request());
-        CrashMessage told = new CrashMessage.Verdict(request, 3, 1, 0);
-        flow.crashes().receive("second", List.of(told));
-        assertThat(mConnections.last().mCancelled).as("one may be broken").isFalse();
-        flow.crashes().receive("third", List.of(told));
+        CrashMessage reported = new CrashMessage.Verdict(request, 3, 1, 0);
+        flow.crashes().receive("second", List.of(reported));
+        assertThat(mConnections.last().mCancelled).as("a single reporter may be faulty").isFalse();
+        flow.crashes().receive("third", List.of(reported));
         assertThat(mConnections.last().mCancelled).isTrue();
-        assertThat(mLast.status()).as("it may have run").isEqualTo(502);
-        ask(flow);
-        assertThat(mLast.status()).isEqualTo(503);
+        assertThat(mLastResponder.status()).as("it may have run").isEqualTo(502);
+        sendRequest(flow);
+        assertThat(mLastResponder.status()).isEqualTo(503);
         assertThat(flow.open()).isZero();
     }
 
     @Example
-    void suspectedRequestIsNotSentAgainByItself() {
+    void doesNotRetrySuspectedRequest() {
         RequestFlow flow = flow(true, 2);
-        crash(flow, 1);
+        crashServers(flow, 1);
         int sends = mConnections.mCalls.size();
-        ask(flow);
+        sendRequest(flow);
         breakOff(ServerReachability.REFUSED);
         assertThat(mConnections.mCalls).hasSize(sends + 1);
-        assertThat(mLast.status()).isEqualTo(502);
+        assertThat(mLastResponder.status()).isEqualTo(502);
     }
 
     @Example
-    void whatWasSeenBeforeTheMachineWasSuspendedStillCounts() {
+    void keepsRejectionAcrossSuspensionOfMachine() {
         RequestFlow flow = flow(true, 2);
-        crash(flow, 4);
+        crashServers(flow, 4);
         mTime.stepWallClock(Duration.ofMinutes(5));
-        ask(flow);
-        assertThat(mLast.status()).isEqualTo(503);
+        sendRequest(flow);
+        assertThat(mLastResponder.status()).isEqualTo(503);
     }
 
     @Example
-    void fingerprintNamesWhatIsAskedForAndByWhomNotTheAttempt() {
+    void fingerprintCoversRequestAndCallerButNotAttempt() {
         RequestFlow flow = flow(true, 2);
         RequestFingerprint first = of(flow, "GET", TARGET, "h", "id-1", "caller", "body");
         assertThat(of(flow, "GET", TARGET, "h", "id-2", "caller", "body")).isEqualTo(first);
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/EntryAnswersTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/EntryAnswersTest.java
@@ -13,14 +13,14 @@
 final class EntryAnswersTest {
 
     @Property(seed = "17")
-    void secondsHaveThreeDigitsBehindThePoint(
+    void formatsSecondsWithThreeDecimalPlaces(
             @ForAll @LongRange(min = 0, max = 90_000) long millis) {
         String expected = String.format(Locale.ROOT, "%.3f", millis / 1000.0);
         assertThat(EntryAnswers.seconds(Duration.ofMillis(millis))).isEqualTo(expected);
     }
 
     @Example
-    void timeThatIsOverIsNoTime() {
+    void formatsNegativeDurationAsZero() {
         assertThat(EntryAnswers.seconds(Duration.ofMillis(-1))).isEqualTo("0.000");
     }
 }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/FakeConnections.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/FakeConnections.java
@@ -17,7 +17,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Keeps the calls that a run makes, for a test to answer them as it likes. */
+/** Fake {@link BackendConnections} that keeps the calls, so that a test can answer them. */
 final class FakeConnections implements BackendConnections {
 
     final List<Call> mCalls = new ArrayList<>();
@@ -52,10 +52,10 @@
         return mCalls.get(mCalls.size() - 1);
     }
 
-    /** One attempt to learn whether a server takes connections. */
+    /** Check of whether a server accepts connections. */
     record Check(RegisteredServer server, Consumer<ServerReachability> listener) {}
 
-    /** One call. */
+    /** Call of one attempt. */
     static final class Call implements BackendCall {
 
         final RegisteredServer mServer;
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/FakeResponder.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/FakeResponder.java
@@ -5,11 +5,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Keeps the answers given, and plays a client that goes. */
+/** Fake {@link Responder} that keeps the answers and simulates the disconnection of the client. */
 final class FakeResponder implements Responder {
 
     final List<OutgoingAnswer> mAnswers = new ArrayList<>();
-    private Runnable mGone = () -> {};
+    private Runnable mDisconnectAction = () -> {};
 
     @Override
     public void answer(OutgoingAnswer answer) {
@@ -21,7 +21,7 @@
 
     @Override
     public void onClientDisconnected(Runnable action) {
-        mGone = action;
+        mDisconnectAction = action;
     }
 
     @Override
@@ -29,8 +29,8 @@
         return false;
     }
 
-    void leave() {
-        mGone.run();
+    void disconnect() {
+        mDisconnectAction.run();
     }
 
     int status() {
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/FakeSnapshot.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/FakeSnapshot.java
@@ -19,7 +19,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** A snapshot of one route and its three backend servers. */
+/** Factory of snapshots with one route and its three backend servers. */
 final class FakeSnapshot {
 
     static final ServiceId SERVICE = new ServiceId("reader");
@@ -27,7 +27,7 @@
 
     private FakeSnapshot() {}
 
-    /** The same routes after all servers have gone. */
+    /** Returns a snapshot with the same routes after all servers have been removed. */
     static FleetSnapshot withoutServers() {
         FleetSnapshot all = of(true, 2, false, Set.of());
         return new FleetSnapshot(2, all.routing(), Map.of(), Set.of());
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/FakeSpendingCheck.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/FakeSpendingCheck.java
@@ -10,28 +10,28 @@
 import java.time.Duration;
 import java.util.List;
 
-/** Pays for so many attempts. */
+/** Fake {@link SpendingCheck} that allows a fixed number of attempts. */
 final class FakeSpendingCheck implements SpendingCheck {
 
-    int mLeft;
+    int mRemaining;
 
     FakeSpendingCheck(int attempts) {
-        mLeft = attempts;
+        mRemaining = attempts;
     }
 
     @Override
     public Either<SpendingRefusal, Charge> charge(ServiceId service, ZoneId zone) {
-        if (mLeft == 0) {
+        if (mRemaining == 0) {
             SpendingInputs inputs = new SpendingInputs("morning", "exhausted", 1, 7, 7, 0, 7);
             return Either.left(new SpendingRefusal("spending-cap", Duration.ofMinutes(1), inputs));
         }
-        mLeft--;
+        mRemaining--;
         return Either.right(new Charge(service, new ShiftId("morning"), 1));
     }
 
     @Override
     public void refund(Charge charge) {
-        mLeft++;
+        mRemaining++;
     }
 
     @Override
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/FixedBudget.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/FixedBudget.java
@@ -3,13 +3,13 @@
 import io.masticpond.core.id.ServiceId;
 import java.util.function.BooleanSupplier;
 
-/** A budget that is either there or not. */
+/** Fake {@link RetryAllowance} whose budget is either available or used up. */
 final class FixedBudget implements RetryAllowance {
 
-    private final BooleanSupplier mThere;
+    private final BooleanSupplier mIsAvailable;
 
-    FixedBudget(BooleanSupplier there) {
-        mThere = there;
+    FixedBudget(BooleanSupplier isAvailable) {
+        mIsAvailable = isAvailable;
     }
 
     @Override
@@ -17,11 +17,11 @@
 
     @Override
     public boolean tryRetry(ServiceId service, long nowNanos) {
-        return mThere.getAsBoolean();
+        return mIsAvailable.getAsBoolean();
     }
 
     @Override
     public double left(ServiceId service, long nowNanos) {
-        return mThere.getAsBoolean() ? 1 : 0;
+        return mIsAvailable.getAsBoolean() ? 1 : 0;
     }
 }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/HeldRequestsTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/HeldRequestsTest.java
@@ -14,23 +14,23 @@
 import net.jqwik.api.Example;
 
 /**
- * All clients come back at once to instances that have just started: their requests go on in order
- * when the snapshot is there, and none waits for long.
+ * Tests that requests which reach an instance right after its start, as when all clients reconnect
+ * at the same time, proceed in order once the snapshot is available, and that none waits for long.
  */
 class HeldRequestsTest {
 
     private final EmbeddedChannel mChannel = new EmbeddedChannel();
-    private final List<String> mGivenUp = new ArrayList<>();
-    private final List<String> mGone = new ArrayList<>();
+    private final List<String> mTimedOut = new ArrayList<>();
+    private final List<String> mDisconnected = new ArrayList<>();
     private final List<String> mReleased = new ArrayList<>();
     private final HeldRequests mHeld =
             new HeldRequests(
                     mChannel.eventLoop(),
-                    (request, responder, facts) -> mGivenUp.add(request.target()),
-                    (request, responder, facts) -> mGone.add(request.target()));
+                    (request, responder, facts) -> mTimedOut.add(request.target()),
+                    (request, responder, facts) -> mDisconnected.add(request.target()));
 
     @Example
-    void requestsGoOnInTheOrderInWhichTheyCame() {
+    void releasesRequestsInOrderOfArrival() {
         hold("first");
         hold("second");
         assertThat(mHeld.size()).isEqualTo(2);
@@ -38,39 +38,39 @@
         release();
         assertThat(mReleased).containsExactly("first", "second");
         passMillis(1_000);
-        assertThat(mGivenUp).as("each has one end").isEmpty();
+        assertThat(mTimedOut).as("each request ends once").isEmpty();
     }
 
     @Example
-    void noneWaitsForLongerThanItsOwnTime() {
+    void timesOutEachRequestAfterItsOwnWait() {
         hold("first");
         passMillis(HeldRequests.MAXIMUM_WAIT.toMillis() / 2);
         hold("second");
         passMillis(HeldRequests.MAXIMUM_WAIT.toMillis() / 2);
-        assertThat(mGivenUp).containsExactly("first");
+        assertThat(mTimedOut).containsExactly("first");
         release();
         assertThat(mReleased).containsExactly("second");
     }
 
     @Example
-    void requestIsForgottenWithItsClient() {
+    void dropsRequestOfDisconnectedClient() {
         FakeResponder responder = hold("first");
-        responder.leave();
-        assertThat(mGone).containsExactly("first");
+        responder.disconnect();
+        assertThat(mDisconnected).containsExactly("first");
         release();
         passMillis(1_000);
         assertThat(mReleased).isEmpty();
-        assertThat(mGivenUp).isEmpty();
+        assertThat(mTimedOut).isEmpty();
         assertThat(mHeld.size()).isZero();
     }
 
     @Example
-    void whatWouldBeTooManyIsGivenUpAtOnce() {
+    void passesRequestBeyondMaximumToTimeoutHandlerAtOnce() {
         for (int each = 0; each < HeldRequests.MAXIMUM_REQUESTS; each++) {
             hold("held");
         }
         hold("late");
-        assertThat(mGivenUp).containsExactly("late");
+        assertThat(mTimedOut).containsExactly("late");
         assertThat(mHeld.size()).isEqualTo(HeldRequests.MAXIMUM_REQUESTS);
     }
 
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/RequestFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/RequestFlowTest.java
@@ -19,11 +19,13 @@
 import java.util.Set;
 import net.jqwik.api.Example;
 
-/** What a client gets when backend servers fail, refuse, or are silent. */
+/**
+ * Tests of the answers to a client when backend servers fail, refuse requests or are unresponsive.
+ */
 class RequestFlowTest extends AbstractRequestFlowTest {
 
     @Example
-    void answerOfTheServerIsPassedOnUnchanged() {
+    void forwardsServerAnswerUnchanged() {
         handle(flow(true, 2));
         mConnections.last().answer(201, "Seal", "s", "Other", "x");
         assertThat(mResponder.status()).isEqualTo(201);
@@ -32,7 +34,7 @@
     }
 
     @Example
-    void onceOnlyRequestThatMayHaveRunIsNotSentAgainAndNotPromised() {
+    void doesNotRetryOnceOnlyRequestThatMayHaveRun() {
         handle(flow(false, 2));
         mConnections.last().fail(Verdict.MAY_HAVE_RUN, CallFailure.Kind.BROKEN_OFF);
         assertThat(mConnections.mCalls).hasSize(1);
@@ -40,7 +42,7 @@
     }
 
     @Example
-    void onceOnlyRequestThatDidNotRunGoesToAnotherServer() {
+    void retriesOnceOnlyRequestThatDidNotRunAtAnotherServer() {
         handle(flow(false, 2));
         FakeConnections.Call first = mConnections.last();
         first.answer(503, "Not-Run", "1");
@@ -51,7 +53,7 @@
     }
 
     @Example
-    void requestTurnedAwayEverywhereIsRefusedAtOnceAndToldWhenToComeBack() {
+    void refusesRequestRejectedByAllServersWithRetryAfter() {
         handle(flow(false, 2));
         mConnections.last().answer(503, "Not-Run", "1");
         mConnections.last().answer(503, "Not-Run", "1");
@@ -60,7 +62,7 @@
     }
 
     @Example
-    void refusalForOverloadTellsTheServerChosenFirstAndWhatDecided() {
+    void logsRankedCandidatesAndWaitOfOverloadRefusal() {
         mLoadGate =
                 (request, chosen, now) ->
                         Optional.of(
@@ -82,12 +84,12 @@
         mLoadGate = LoadGate.OPEN;
         handle(flow(true, 2));
         assertThat(candidates.get(0).path("server").asText())
-                .as("the same key goes there when there is room")
+                .as("the same key is sent there when there is capacity")
                 .isEqualTo(mConnections.last().mServer.id().value());
     }
 
     @Example
-    void theOtherHomeTakesWhatWouldBeRefusedAtTheFirstAndNoThirdServerDoes() {
+    void usesSecondServerOfKeyButNoThirdWhenFirstIsFull() {
         handle(flow(true, 2));
         BackendServerId first = mConnections.last().mServer.id();
         Set<BackendServerId> full = new HashSet<>(Set.of(first));
@@ -110,7 +112,7 @@
     }
 
     @Example
-    void coldServerWithoutPermitIsNoCandidateOfRefusalForOverload() {
+    void excludesColdServerWithoutPermitFromLoggedCandidates() {
         mLoadGate =
                 (request, chosen, now) ->
                         Optional.of(
@@ -118,7 +120,7 @@
         handle(flow(true, 2));
         JsonNode all = mDecisions.ofRequest("one").get(0).path("candidates");
         String cold = all.get(0).path("server").asText();
-        mCold = Set.of(new BackendServerId(cold));
+        mColdServers = Set.of(new BackendServerId(cold));
         handle(flow(true, 2));
         JsonNode line = mDecisions.ofRequest("one").get(1);
         assertThat(line.path("candidates").findValuesAsText("server")).hasSize(2);
@@ -127,7 +129,7 @@
     }
 
     @Example
-    void quickAnswersThatDidNotWaitLetKeysUseTheirOtherServer() {
+    void usesSecondServerOfKeyWhenAnswersDidNotWait() {
         assertThat(leavesBusyServerAfterAnswers("1,5,2")).as("they waited").isFalse();
         assertThat(leavesBusyServerAfterAnswers("1,0,2")).as("they did not wait").isTrue();
     }
@@ -149,7 +151,7 @@
     }
 
     @Example
-    void noMoreSendsThanTheRouteAllows() {
+    void doesNotExceedMaximumAttemptsOfRoute() {
         handle(flow(true, 1));
         mConnections.last().fail(Verdict.MAY_HAVE_RUN, CallFailure.Kind.BROKEN_OFF);
         assertThat(mConnections.mCalls).hasSize(1);
@@ -157,22 +159,22 @@
     }
 
     @Example
-    void nothingIsSentAgainWithoutBudget() {
-        mBudget = false;
+    void doesNotRetryWithoutBudget() {
+        mHasBudget = false;
         handle(flow(true, 2));
         mConnections.last().fail(Verdict.MAY_HAVE_RUN, CallFailure.Kind.BROKEN_OFF);
         assertThat(mConnections.mCalls).hasSize(1);
     }
 
     @Example
-    void successWithoutProofIsNotPassedOn() {
+    void doesNotForwardSuccessfulAnswerWithoutSeal() {
         handle(flow(false, 2));
         mConnections.last().answer(200);
         assertThat(mResponder.status()).isEqualTo(502);
     }
 
     @Example
-    void silentServerEndsAtTheRoutesTimeoutAndIsCancelled() {
+    void cancelsCallToUnresponsiveServerAtRouteTimeout() {
         handle(flow(false, 2));
         passTime(Duration.ofMillis(1_001));
         assertThat(mConnections.last().mCancelled).isTrue();
@@ -180,15 +182,15 @@
     }
 
     @Example
-    void clientThatLeavesEndsTheCall() {
+    void cancelsCallOfDisconnectedClient() {
         handle(flow(true, 2));
-        mResponder.leave();
+        mResponder.disconnect();
         assertThat(mConnections.last().mCancelled).isTrue();
         assertThat(mResponder.mAnswers).isEmpty();
     }
 
     @Example
-    void noMoreTimeIsPassedOnThanIsLeft() {
+    void forwardsRemainingDeadlineOnRetry() {
         RequestFlow flow = flow(true, 2);
         handle(flow);
         mTime.advance(Duration.ofMillis(300));
@@ -197,7 +199,7 @@
     }
 
     @Example
-    void leavingAndEvacuatedServersGetNothing() {
+    void sendsNothingToLeavingOrEvacuatedServers() {
         RequestFlow flow = flow(true, 2);
         flow.update(EntryState.of(FakeSnapshot.of(true, 2, true, Set.of()), flow.state()));
         handle(flow);
@@ -210,7 +212,7 @@
     }
 
     @Example
-    void unknownRouteIsNotFoundAndNoRoutesAtAllIsNotReady() {
+    void answersNotFoundForUnknownRouteAndUnavailableWithoutRoutes() {
         RequestFlow flow = flow(true, 2);
         FakeResponder other = new FakeResponder();
         flow.handle(request("/other/x"), other);
@@ -226,7 +228,7 @@
     }
 
     @Example
-    void keysStayWhereTheyAreIfAllServersTurnAwayThoughTheyHaveRoom() {
+    void keepsKeysInPlaceWhenAllServersRejectDespiteCapacity() {
         RequestFlow flow = flow(true, 1);
         handle(flow);
         BackendServerId home = mConnections.last().mServer.id();
@@ -244,12 +246,12 @@
         mConnections.last().answer(503, "Not-Run", "1", "Load", "4,2,4");
         flow.handle(request(), new FakeResponder());
         assertThat(mConnections.last().mServer.id())
-                .as("full, so left alone for a moment")
+                .as("full, so avoided for a moment")
                 .isNotEqualTo(home);
     }
 
     @Example
-    void nothingIsPassedOnAfterTheUnfinishedWereAnswered() {
+    void sendsNothingAfterAllRequestsWereEnded() {
         RequestFlow flow = flow(true, 2);
         handle(flow);
         flow.endAll();
@@ -260,7 +262,7 @@
     }
 
     @Example
-    void attemptThatWouldPassTheCapIsRefusedBeforeAnythingIsSent() {
+    void refusesAttemptBeyondSpendingCapBeforeSending() {
         mSpending = Optional.of(new FakeSpendingCheck(0));
         handle(flow(true, 2));
         assertThat(mConnections.mCalls).isEmpty();
@@ -275,28 +277,28 @@
     }
 
     @Example
-    void eachRetryIsPaidForAndNotPromisedToHaveNotRun() {
-        FakeSpendingCheck purse = new FakeSpendingCheck(1);
-        mSpending = Optional.of(purse);
+    void chargesEachRetryAndReportsThatRequestMayHaveRun() {
+        FakeSpendingCheck spending = new FakeSpendingCheck(1);
+        mSpending = Optional.of(spending);
         handle(flow(true, 2));
         mConnections.last().fail(Verdict.MAY_HAVE_RUN, CallFailure.Kind.BROKEN_OFF);
         assertThat(mConnections.mCalls).hasSize(1);
         assertThat(mResponder.status()).isEqualTo(502);
         assertThat(mResponder.mAnswers.get(0).body().toString(StandardCharsets.UTF_8))
                 .contains("may have run: spending-cap");
-        assertThat(purse.mLeft).as("what may have run is not taken back").isZero();
+        assertThat(spending.mRemaining).as("what may have run is not refunded").isZero();
     }
 
     @Example
-    void whatDidNotRunIsTakenBackAndPaysForTheNextServer() {
-        FakeSpendingCheck purse = new FakeSpendingCheck(1);
-        mSpending = Optional.of(purse);
+    void refundsAttemptThatDidNotRunForTheNextServer() {
+        FakeSpendingCheck spending = new FakeSpendingCheck(1);
+        mSpending = Optional.of(spending);
         handle(flow(false, 2));
         mConnections.last().fail(Verdict.DID_NOT_RUN, CallFailure.Kind.NOT_CONNECTED);
         mConnections.last().answer(503, "Not-Run", "1");
         assertThat(mConnections.mCalls).hasSize(3);
         mConnections.last().answer(200, "Seal", "s");
         assertThat(mResponder.status()).isEqualTo(200);
-        assertThat(purse.mLeft).isZero();
+        assertThat(spending.mRemaining).isZero();
     }
 }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/RestartedServerFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/RestartedServerFlowTest.java
@@ -13,26 +13,26 @@
 import java.util.Set;
 import net.jqwik.api.Example;
 
-/** A backend server starts again under its id while requests are at its former run. */
+/** Tests of a backend server that restarts under its id while its former run still has requests. */
 class RestartedServerFlowTest extends AbstractRequestFlowTest {
 
     @Example
-    void onceOnlyRequestAtTheFormerRunIsNotSentAgainAndNotPromised() {
+    void doesNotRetryOnceOnlyRequestOfFormerRun() {
         RequestFlow flow = flow(false, 2);
         handle(flow);
-        startAgain(flow, mConnections.last().mServer.id());
+        restart(flow, mConnections.last().mServer.id());
         mConnections.last().fail(Verdict.MAY_HAVE_RUN, CallFailure.Kind.BROKEN_OFF);
         assertThat(mConnections.mCalls).hasSize(1);
         assertThat(mResponder.status()).isEqualTo(502);
     }
 
     @Example
-    void whatTheFormerRunDidIsNotHeldAgainstTheServer() {
+    void doesNotAttributeFailuresOfFormerRunToRestartedServer() {
         RequestFlow flow = flow(false, 2);
         handle(flow);
         BackendServerId id = mConnections.last().mServer.id();
         ServerLoad former = load(flow, id);
-        startAgain(flow, id);
+        restart(flow, id);
         ServerLoad later = load(flow, id);
         assertThat(later).isNotSameAs(former);
         assertThat(later.ownInFlight()).isZero();
@@ -55,7 +55,7 @@
                 .orElseThrow();
     }
 
-    private static void startAgain(RequestFlow flow, BackendServerId id) {
+    private static void restart(RequestFlow flow, BackendServerId id) {
         FleetSnapshot before = flow.state().snapshot();
         Map<BackendServerId, RegisteredServer> servers = new HashMap<>(before.servers());
         servers.computeIfPresent(id, (same, server) -> server.withRun(server.run() + 1));
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/ServerLimitFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/ServerLimitFlowTest.java
@@ -27,13 +27,13 @@
 import net.jqwik.api.Example;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Guards against ways to a backend server that go round the limit which it names. */
+/** Tests that no kind of request bypasses the limit that a backend server states. */
 class ServerLimitFlowTest extends AbstractRequestFlowTest {
 
     private static final Set<String> ALL = Set.of("server-0", "server-1", "server-2");
     private static final Duration STEP = Duration.ofMillis(20);
 
-    /** The bound that users state, of one limit in a window of 4 s. */
+    /** Tolerance over one limit in a window of 4 s, as users state it. */
     private static final double TOLERANCE = 1.5;
 
     private static final int WINDOW_SECONDS = 4;
@@ -41,13 +41,13 @@
 
     private final List<FakeResponder> mAnswers = new ArrayList<>();
 
-    private FakeResponder ask(RequestFlow flow, String key) {
-        FakeResponder responder = askFor(flow, key);
+    private FakeResponder sendRequest(RequestFlow flow, String key) {
+        FakeResponder responder = handleRequest(flow, key);
         mAnswers.add(responder);
         return responder;
     }
 
-    /** Answers the calls that are open, the limited servers with their limit. */
+    /** Answers the open calls; limited servers state their limit. */
     private void answerAll(int from, Set<String> limited, String limit) {
         for (FakeConnections.Call call :
                 List.copyOf(mConnections.mCalls.subList(from, mConnections.mCalls.size()))) {
@@ -59,12 +59,15 @@
         }
     }
 
-    /** Asks with many keys for a time; gives how many calls each server got. */
-    private long[] press(RequestFlow flow, Duration time, Set<String> limited, String limit) {
+    /**
+     * Sends requests with many keys for a time; returns the number of calls that each server
+     * received.
+     */
+    private long[] applyLoad(RequestFlow flow, Duration time, Set<String> limited, String limit) {
         int before = mConnections.mCalls.size();
         for (long at = 0; at < time.toMillis(); at += STEP.toMillis()) {
             int from = mConnections.mCalls.size();
-            ask(flow, "key-" + mCount % 40);
+            sendRequest(flow, "key-" + mRequestCount % 40);
             passTime(STEP);
             answerAll(from, limited, limit);
         }
@@ -73,12 +76,12 @@
                         number ->
                                 mConnections.mCalls.stream()
                                         .skip(before)
-                                        .filter(call -> isAt(call, number))
+                                        .filter(call -> isSentTo(call, number))
                                         .count())
                 .toArray();
     }
 
-    private static boolean isAt(FakeConnections.Call call, int number) {
+    private static boolean isSentTo(FakeConnections.Call call, int number) {
         return call.mServer.id().equals(new BackendServerId("server-" + number));
     }
 
@@ -86,7 +89,7 @@
         return TOLERANCE * WINDOW_SECONDS * limit + BURST;
     }
 
-    private RequestFlow settled(boolean idempotent) {
+    private RequestFlow settledFlow(boolean idempotent) {
         RequestFlow flow = flow(idempotent, 2);
         flow.statements().limits().refreshInstances();
         passTime(Duration.ofSeconds(2));
@@ -94,11 +97,11 @@
     }
 
     @Example
-    void limitIsKeptAndUsedWhileOthersTakeTheRest() {
+    void keepsAndUsesLimitWhileOtherServersTakeTheRest() {
         for (boolean idempotent : List.of(true, false)) {
-            RequestFlow flow = settled(idempotent);
-            press(flow, Duration.ofSeconds(1), Set.of("server-0"), "2.5");
-            long[] calls = press(flow, Duration.ofSeconds(4), Set.of("server-0"), "2.5");
+            RequestFlow flow = settledFlow(idempotent);
+            applyLoad(flow, Duration.ofSeconds(1), Set.of("server-0"), "2.5");
+            long[] calls = applyLoad(flow, Duration.ofSeconds(4), Set.of("server-0"), "2.5");
             assertThat((double) calls[0]).isBetween(5.0, bound(2.5));
             assertThat(calls[1] + calls[2]).isGreaterThan(150);
         }
@@ -106,16 +109,16 @@
     }
 
     @Example
-    void secondSendsAndRequestsWithoutKeyAreCountedToo() {
-        RequestFlow flow = settled(true);
-        press(flow, Duration.ofSeconds(1), Set.of("server-0"), "2.5");
+    void countsRetriesAndRequestsWithoutKey() {
+        RequestFlow flow = settledFlow(true);
+        applyLoad(flow, Duration.ofSeconds(1), Set.of("server-0"), "2.5");
         int before = mConnections.mCalls.size();
         for (int request = 0; request < 100; request++) {
             int from = mConnections.mCalls.size();
-            ask(flow, null);
+            sendRequest(flow, null);
             passTime(STEP);
             FakeConnections.Call first = mConnections.mCalls.get(from);
-            if (!isAt(first, 0)) {
+            if (!isSentTo(first, 0)) {
                 first.fail(Verdict.MAY_HAVE_RUN, CallFailure.Kind.BROKEN_OFF);
                 from++;
             }
@@ -123,15 +126,15 @@
             passTime(STEP);
         }
         long limited =
-                mConnections.mCalls.stream().skip(before).filter(call -> isAt(call, 0)).count();
+                mConnections.mCalls.stream().skip(before).filter(call -> isSentTo(call, 0)).count();
         assertThat((double) limited).isLessThanOrEqualTo(bound(2.5));
     }
 
     @Example
-    void refusalsErrorsAndAnswersThatBreakOffNameTheLimitToo() {
+    void readsLimitFromRefusalsErrorsAndBrokenOffAnswers() {
         for (int status : List.of(500, 503, 429, 200)) {
-            RequestFlow flow = settled(false);
-            ask(flow, "k");
+            RequestFlow flow = settledFlow(false);
+            sendRequest(flow, "k");
             HttpHeaders headers = new DefaultHttpHeaders().set("Limit", "0.5");
             if (status == 200) {
                 mConnections.last().mListener.answerBegan(200, headers);
@@ -141,88 +144,88 @@
             }
             assertThat(flow.statements().limits().views())
                     .as("status %d", status)
-                    .anyMatch(belief -> belief.isLimited() && belief.perSecond() == 0.5);
+                    .anyMatch(view -> view.isLimited() && view.perSecond() == 0.5);
             passTime(Duration.ofSeconds(3));
         }
     }
 
     @Example
-    void answersInAnotherOrderNeitherLiftNorRaiseTheLimit() {
-        RequestFlow flow = settled(true);
-        ask(flow, "k");
-        ask(flow, "k");
-        ask(flow, "k");
+    void outOfOrderAnswersNeitherLiftNorRaiseLimit() {
+        RequestFlow flow = settledFlow(true);
+        sendRequest(flow, "k");
+        sendRequest(flow, "k");
+        sendRequest(flow, "k");
         List<FakeConnections.Call> calls = List.copyOf(mConnections.mCalls);
         calls.get(0).answer(200, "Seal", "s", "Limit", "2");
         calls.get(1).answer(200, "Seal", "s");
         calls.get(2).answer(200, "Seal", "s", "Limit", "9");
-        assertThat(only(flow).perSecond()).as("made in an unknown order").isEqualTo(2);
+        assertThat(singleView(flow).perSecond()).as("their order is unknown").isEqualTo(2);
         passTime(Duration.ofSeconds(1));
-        ask(flow, "k");
+        sendRequest(flow, "k");
         mConnections.last().answer(200, "Seal", "s", "Limit", "9");
-        assertThat(only(flow).perSecond()).as("sent after that was known").isEqualTo(9);
+        assertThat(singleView(flow).perSecond()).as("sent after the limit was known").isEqualTo(9);
         passTime(Duration.ofSeconds(1));
-        ask(flow, "k");
+        sendRequest(flow, "k");
         mConnections.last().answer(200, "Seal", "s");
-        assertThat(only(flow).isLimited()).isFalse();
+        assertThat(singleView(flow).isLimited()).isFalse();
     }
 
-    private static LimitView only(RequestFlow flow) {
+    private static LimitView singleView(RequestFlow flow) {
         assertThat(flow.statements().limits().views()).hasSize(1);
         return flow.statements().limits().views().get(0);
     }
 
     @Example
-    void malformedLimitSaysNothingAndIsCounted() {
-        RequestFlow flow = settled(true);
-        ask(flow, "k");
+    void ignoresAndCountsMalformedLimit() {
+        RequestFlow flow = settledFlow(true);
+        sendRequest(flow, "k");
         mConnections.last().answer(200, "Seal", "s", "Limit", "NaN");
         assertThat(flow.statements().limits().views()).isEmpty();
-        ask(flow, "k");
+        sendRequest(flow, "k");
         mConnections.last().answer(200, "Seal", "s", "Limit", "2");
         passTime(Duration.ofSeconds(1));
-        ask(flow, "k");
+        sendRequest(flow, "k");
         mConnections.last().answer(200, "Seal", "s", "Limit", "soon");
-        assertThat(only(flow).perSecond()).isEqualTo(2);
+        assertThat(singleView(flow).perSecond()).isEqualTo(2);
         assertThat(flow.statements().limits().malformed()).isEqualTo(2);
     }
 
     @Example
-    void instanceThatIsNoSenderLeavesTheServerOutAndHearsOfItsReturn() {
+    void instanceThatIsNoSenderAvoidsServerUntilLiftIsReported() {
         for (int number = 0; number < 60; number++) {
             ArrayList<OwnerCandidate> more = new ArrayList<>(mInstances);
             more.add(new OwnerCandidate(new InstanceId("other-" + number), ZONE));
             mInstances = more;
         }
-        RequestFlow flow = settled(true);
+        RequestFlow flow = settledFlow(true);
         long hash = HashMixer.hash("server-0");
         flow.statements()
                 .limits()
                 .received(flow.servers(), List.of(new LimitReport(hash, 0.5, 0, 0)));
-        boolean isSender = only(flow).ownPerSecond() > 0;
-        long[] calls = press(flow, Duration.ofSeconds(4), Set.of("server-0"), "0.5");
+        boolean isSender = singleView(flow).ownPerSecond() > 0;
+        long[] calls = applyLoad(flow, Duration.ofSeconds(4), Set.of("server-0"), "0.5");
         assertThat(calls[0]).isLessThanOrEqualTo(isSender ? 2 : 0);
         LimitReport lifted = new LimitReport(hash, Double.POSITIVE_INFINITY, 0, 0);
         assertThat(flow.statements().limits().received(flow.servers(), List.of(lifted))).hasSize(1);
         assertThat(flow.statements().limits().received(flow.servers(), List.of(lifted)))
-                .as("no news the second time")
+                .as("no update the second time")
                 .isEmpty();
-        long[] first = press(flow, Duration.ofMillis(400), Set.of(), "");
-        press(flow, Duration.ofSeconds(2), Set.of(), "");
-        long[] later = press(flow, Duration.ofMillis(400), Set.of(), "");
+        long[] first = applyLoad(flow, Duration.ofMillis(400), Set.of(), "");
+        applyLoad(flow, Duration.ofSeconds(2), Set.of(), "");
+        long[] later = applyLoad(flow, Duration.ofMillis(400), Set.of(), "");
         assertThat(first[0]).as("keys return one by one").isLessThan(later[0]);
     }
 
     @Example
-    void whatNoServerTakesIsRejectedAtOnceWithTheTimeToReturn() {
+    void rejectsRequestsWithRetryAfterWhenAllServersAreLimited() {
         mLoadGate =
                 new PriorityLoadGate(
                         AdmissionLimitSettings.DEFAULT,
                         RandomSource.XO_RO_SHI_RO_128_PP.create(4L));
-        RequestFlow flow = settled(true);
-        press(flow, Duration.ofSeconds(3), ALL, "2.5");
+        RequestFlow flow = settledFlow(true);
+        applyLoad(flow, Duration.ofSeconds(3), ALL, "2.5");
         mAnswers.clear();
-        long[] calls = press(flow, Duration.ofSeconds(4), ALL, "2.5");
+        long[] calls = applyLoad(flow, Duration.ofSeconds(4), ALL, "2.5");
         for (long each : calls) {
             assertThat((double) each).isBetween(8.0, bound(2.5));
         }
@@ -230,20 +233,22 @@
                 mAnswers.stream().filter(answer -> answer.status() != 200).toList();
         assertThat(rejected).isNotEmpty().allMatch(answer -> answer.status() == 503);
         JsonNode line =
-                mDecisions.ofRequest("r" + (mCount - 1)).isEmpty()
+                mDecisions.ofRequest("r" + (mRequestCount - 1)).isEmpty()
                         ? null
-                        : mDecisions.ofRequest("r" + (mCount - 1)).get(0);
+                        : mDecisions.ofRequest("r" + (mRequestCount - 1)).get(0);
         assertThat(line).isNotNull();
-        String pause = rejected.get(0).mAnswers.get(0).headers().get("Retry-After");
-        assertThat(Double.parseDouble(pause)).isBetween(0.01, 0.8 / 3);
-        long[] after = press(flow, Duration.ofSeconds(4), Set.of(), "");
-        assertThat(after[0] + after[1] + after[2]).as("lifted by answers").isGreaterThan(100);
+        String retryAfter = rejected.get(0).mAnswers.get(0).headers().get("Retry-After");
+        assertThat(Double.parseDouble(retryAfter)).isBetween(0.01, 0.8 / 3);
+        long[] after = applyLoad(flow, Duration.ofSeconds(4), Set.of(), "");
+        assertThat(after[0] + after[1] + after[2])
+                .as("limits are lifted by answers")
+                .isGreaterThan(100);
     }
 
     @Example
-    void limitOutlivesAnEntryThatIsLostAndEndsWithTheFirstAnswerOfAnotherRun() {
-        RequestFlow flow = settled(true);
-        press(flow, Duration.ofSeconds(1), Set.of("server-0"), "2.5");
+    void keepsLimitOfLostEntryUntilFirstAnswerOfNextRun() {
+        RequestFlow flow = settledFlow(true);
+        applyLoad(flow, Duration.ofSeconds(1), Set.of("server-0"), "2.5");
         FleetSnapshot all = FakeSnapshot.of(true, 2, false, Set.of());
         for (int run = 0; run < 2; run++) {
             flow.update(EntryState.of(FakeSnapshot.withoutServers(), flow.state()));
@@ -253,11 +258,13 @@
             servers.replaceAll((id, server) -> server.withRun(number));
             FleetSnapshot returned = new FleetSnapshot(3, all.routing(), servers, Set.of());
             flow.update(EntryState.of(returned, flow.state()));
-            assertThat(only(flow).isLimited()).as("before any answer of run %d", run).isTrue();
-            long[] calls = press(flow, Duration.ofSeconds(4), Set.of("server-0"), "2.5");
+            assertThat(singleView(flow).isLimited())
+                    .as("before any answer of run %d", run)
+                    .isTrue();
+            long[] calls = applyLoad(flow, Duration.ofSeconds(4), Set.of("server-0"), "2.5");
             assertThat((double) calls[0]).as("run %d", run).isLessThanOrEqualTo(bound(2.5));
         }
-        press(flow, Duration.ofSeconds(2), Set.of(), "");
-        assertThat(only(flow).isLimited()).isFalse();
+        applyLoad(flow, Duration.ofSeconds(2), Set.of(), "");
+        assertThat(singleView(flow).isLimited()).isFalse();
     }
 }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/ServerWithdrawalFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/ServerWithdrawalFlowTest.java
@@ -18,14 +18,17 @@
 import java.util.Set;
 import net.jqwik.api.Example;
 
-/** Guards against ways to a backend server that go round its word that it takes no requests. */
+/**
+ * Tests that no kind of request bypasses the statement of a backend server that it takes no
+ * requests.
+ */
 class ServerWithdrawalFlowTest extends AbstractRequestFlowTest {
 
     private static final int KEYS = 60;
 
-    /** Has the server of one key say something with its answer; gives that server. */
-    private BackendServerId hear(RequestFlow flow, int status, String... headers) {
-        askFor(flow, "k");
+    /** Has the server of one key answer with the given headers; returns that server. */
+    private BackendServerId answerWith(RequestFlow flow, int status, String... headers) {
+        handleRequest(flow, "k");
         FakeConnections.Call call = mConnections.last();
         call.answer(status, headers);
         mConnections.mCalls.stream()
@@ -35,11 +38,13 @@
         return call.mServer.id();
     }
 
-    /** Counts what a server gets of many requests with many keys, all of which are answered. */
+    /**
+     * Sends and answers many requests with many keys; returns how many of them a server received.
+     */
     private long sendsTo(RequestFlow flow, BackendServerId server) {
         int before = mConnections.mCalls.size();
         for (int number = 0; number < KEYS; number++) {
-            askFor(flow, number % 3 == 0 ? null : "key-" + number);
+            handleRequest(flow, number % 3 == 0 ? null : "key-" + number);
             if (mConnections.mCalls.size() > before + number) {
                 mConnections.last().answer(200, "Seal", "s");
             }
@@ -60,7 +65,7 @@
                 .orElse(0.0);
     }
 
-    private static FleetSnapshot with(Map<BackendServerId, RegisteredServer> servers) {
+    private static FleetSnapshot snapshotOf(Map<BackendServerId, RegisteredServer> servers) {
         FleetSnapshot all = FakeSnapshot.of(true, 2, false, Set.of());
         return new FleetSnapshot(2, all.routing(), servers, Set.of());
     }
@@ -70,25 +75,25 @@
     }
 
     private static void update(RequestFlow flow, Map<BackendServerId, RegisteredServer> servers) {
-        flow.update(EntryState.of(with(servers), flow.state()));
+        flow.update(EntryState.of(snapshotOf(servers), flow.state()));
     }
 
     @Example
-    void anyAnswerThatSaysThatItsServerLeavesIsTheLastRequestThere() {
+    void stopsSendingAfterAnyLeavingStatement() {
         for (boolean idempotent : List.of(true, false)) {
             for (int status : List.of(200, 404, 500, 503)) {
                 RequestFlow flow = flow(idempotent, 2);
                 BackendServerId leaving =
-                        hear(flow, status, "Seal", "s", "Leaving", "1", "Not-Run", "1");
+                        answerWith(flow, status, "Seal", "s", "Leaving", "1", "Not-Run", "1");
                 assertThat(sendsTo(flow, leaving)).as("status %d", status).isZero();
             }
         }
     }
 
     @Example
-    void wordOfAnAnswerThatBreaksOffOrComesLateCounts() {
+    void readsStatementOfBrokenOffOrLateAnswer() {
         RequestFlow flow = flow(true, 2);
-        askFor(flow, "k");
+        handleRequest(flow, "k");
         FakeConnections.Call call = mConnections.last();
         HttpHeaders headers = new DefaultHttpHeaders().set("Leaving", "1");
         call.mListener.answerBegan(200, headers);
@@ -97,20 +102,20 @@
         mConnections.last().answer(200, "Seal", "s");
         assertThat(sendsTo(flow, call.mServer.id())).isZero();
         RequestFlow other = flow(true, 2);
-        askFor(other, "k");
+        handleRequest(other, "k");
         FakeConnections.Call late = mConnections.last();
         passTime(Duration.ofSeconds(2));
         late.mListener.answerBegan(200, headers);
-        assertThat(sendsTo(other, late.mServer.id())).as("after the client's time").isZero();
+        assertThat(sendsTo(other, late.mServer.id())).as("after the client's deadline").isZero();
     }
 
     @Example
-    void secondSendsAvoidServersThatLeave() {
+    void retriesAvoidLeavingServers() {
         RequestFlow flow = flow(true, 3);
-        BackendServerId leaving = hear(flow, 200, "Seal", "s", "Leaving", "1");
+        BackendServerId leaving = answerWith(flow, 200, "Seal", "s", "Leaving", "1");
         for (int number = 0; number < KEYS; number++) {
             int before = mConnections.mCalls.size();
-            askFor(flow, "key-" + number);
+            handleRequest(flow, "key-" + number);
             mConnections.last().fail(Verdict.DID_NOT_RUN, CallFailure.Kind.NOT_CONNECTED);
             if (mConnections.mCalls.size() > before + 1) {
                 mConnections.last().answer(200, "Seal", "s");
@@ -122,10 +127,10 @@
     }
 
     @Example
-    void earlierAnswersAndTheRegistryTakeNothingBack() {
+    void earlierAnswersAndRegistryDoNotRevokeWithdrawal() {
         RequestFlow flow = flow(true, 2);
-        askFor(flow, "k");
-        askFor(flow, "k");
+        handleRequest(flow, "k");
+        handleRequest(flow, "k");
         FakeConnections.Call first = mConnections.mCalls.get(0);
         FakeConnections.Call second = mConnections.mCalls.get(1);
         assertThat(first.mServer.id()).isEqualTo(second.mServer.id());
@@ -133,58 +138,60 @@
         first.answer(200, "Seal", "s");
         assertThat(sendsTo(flow, first.mServer.id())).isZero();
         update(flow, servers());
-        assertThat(sendsTo(flow, first.mServer.id())).as("its entry says ready").isZero();
+        assertThat(sendsTo(flow, first.mServer.id()))
+                .as("its registry entry states that it is ready")
+                .isZero();
     }
 
     @Example
-    void entryThatIsLostAndMadeAnewTakesNothingBack() {
+    void recreatedEntryDoesNotRevokeWithdrawal() {
         RequestFlow flow = flow(true, 2);
-        BackendServerId leaving = hear(flow, 200, "Seal", "s", "Leaving", "1");
+        BackendServerId leaving = answerWith(flow, 200, "Seal", "s", "Leaving", "1");
         Map<BackendServerId, RegisteredServer> without = servers();
         RegisteredServer entry = without.remove(leaving);
         update(flow, without);
         passTime(Duration.ofSeconds(5));
         update(flow, servers());
         assertThat(sendsTo(flow, leaving)).as("of the same run").isZero();
-        Map<BackendServerId, RegisteredServer> anew = servers();
-        anew.put(leaving, entry.withRun(1));
-        update(flow, anew);
-        assertThat(sendsTo(flow, leaving)).as("what may be another run").isZero();
+        Map<BackendServerId, RegisteredServer> recreated = servers();
+        recreated.put(leaving, entry.withRun(1));
+        update(flow, recreated);
+        assertThat(sendsTo(flow, leaving)).as("possibly another run").isZero();
         passTime(WithdrawalSettings.DEFAULT.memory().plusSeconds(1));
-        update(flow, anew);
-        assertThat(sendsTo(flow, leaving)).as("what is another run").isPositive();
+        update(flow, recreated);
+        assertThat(sendsTo(flow, leaving)).as("certainly another run").isPositive();
     }
 
     @Example
-    void serverThatTakesTheAddressLaterStartsWithoutAnyWord() {
+    void nextServerAtSameAddressStartsWithoutWithdrawal() {
         RequestFlow flow = flow(true, 2);
-        BackendServerId leaving = hear(flow, 200, "Seal", "s", "Leaving", "1");
+        BackendServerId leaving = answerWith(flow, 200, "Seal", "s", "Leaving", "1");
         Map<BackendServerId, RegisteredServer> servers = servers();
-        RegisteredServer gone = servers.remove(leaving);
+        RegisteredServer removed = servers.remove(leaving);
         BackendServerId next = new BackendServerId("next");
         servers.put(
                 next,
                 new RegisteredServer(
-                        next, gone.service(), gone.address(), gone.zone(), 2, false, 0));
+                        next, removed.service(), removed.address(), removed.zone(), 2, false, 0));
         update(flow, servers);
         assertThat(sendsTo(flow, next)).isPositive();
     }
 
     @Example
-    void answersOfAnotherServerAtTheAddressSayNothing() {
+    void ignoresStatementsOfMisdirectedAnswers() {
         RequestFlow flow = flow(true, 2);
-        hear(flow, 421, "Leaving", "1", "Limit", "0", "Not-Run", "1");
+        answerWith(flow, 421, "Leaving", "1", "Limit", "0", "Not-Run", "1");
         assertThat(flow.statements().withdrawals()).isEmpty();
         assertThat(flow.statements().limits().views()).isEmpty();
     }
 
     @Example
-    void requestThatWaitsForItsConnectionIsNotWrittenAfterThat() {
+    void doesNotWriteWaitingRequestAfterWithdrawal() {
         RequestFlow flow = flow(true, 2);
-        askFor(flow, "k");
+        handleRequest(flow, "k");
         FakeConnections.Call waiting = mConnections.last();
         assertThat(waiting.mListener.mayBegin()).isTrue();
-        BackendServerId leaving = hear(flow, 200, "Seal", "s", "Leaving", "1");
+        BackendServerId leaving = answerWith(flow, 200, "Seal", "s", "Leaving", "1");
         assertThat(leaving).isEqualTo(waiting.mServer.id());
         assertThat(waiting.mListener.mayBegin()).isFalse();
         waiting.fail(Verdict.DID_NOT_RUN, CallFailure.Kind.WITHDRAWN);
@@ -192,37 +199,37 @@
     }
 
     @Example
-    void requestsAreRejectedAtOnceWhereAllServersLeave() {
+    void rejectsRequestsAtOnceWhenAllServersLeave() {
         RequestFlow flow = flow(true, 4);
         for (int number = 0; number < KEYS; number++) {
             int before = mConnections.mCalls.size();
-            askFor(flow, "key-" + number);
+            handleRequest(flow, "key-" + number);
             if (mConnections.mCalls.size() > before) {
                 mConnections.last().answer(200, "Seal", "s", "Leaving", "1");
             }
         }
         assertThat(flow.statements().withdrawals()).hasSize(3);
         int before = mConnections.mCalls.size();
-        FakeResponder rejected = askFor(flow, "k");
+        FakeResponder rejected = handleRequest(flow, "k");
         assertThat(rejected.status()).isEqualTo(503);
         assertThat(rejected.mAnswers.get(0).headers().contains("Retry-After")).isTrue();
         assertThat(mConnections.mCalls).hasSize(before);
     }
 
     @Example
-    void malformedWordIsCountedAndMeansNothing() {
+    void ignoresAndCountsMalformedStatement() {
         RequestFlow flow = flow(true, 2);
-        BackendServerId server = hear(flow, 200, "Seal", "s", "Leaving", "soon");
+        BackendServerId server = answerWith(flow, 200, "Seal", "s", "Leaving", "soon");
         assertThat(flow.statements().malformed()).isEqualTo(1);
         assertThat(flow.statements().withdrawals()).isEmpty();
         assertThat(sendsTo(flow, server)).isPositive();
     }
 
     @Example
-    void eachMalformedPartIsToldOnce() {
+    void logsEachMalformedPartOnce() {
         RequestFlow flow = flow(false, 1);
         for (int answer = 0; answer < 5; answer++) {
-            askFor(flow, "k");
+            handleRequest(flow, "k");
             mConnections.last().answer(503, "Leaving", "soon", "Retry-After", "soon");
         }
         assertThat(flow.statements().malformed()).isEqualTo(10);
@@ -232,10 +239,10 @@
     }
 
     @Example
-    void serverThatAsksForTimeGetsNothingUntilThenAndItsKeysReturnOneByOne() {
+    void sendsNothingToPausedServerThenReturnsKeysGradually() {
         for (boolean idempotent : List.of(true, false)) {
             RequestFlow flow = flow(idempotent, 2);
-            BackendServerId paused = hear(flow, 503, "Not-Run", "1", "Retry-After", "3");
+            BackendServerId paused = answerWith(flow, 503, "Not-Run", "1", "Retry-After", "3");
             assertThat(sendsTo(flow, paused)).isZero();
             passTime(Duration.ofMillis(2_900));
             assertThat(sendsTo(flow, paused)).as("just before its end").isZero();
@@ -249,11 +256,11 @@
     }
 
     @Example
-    void latestEndOfAllPausesCounts() {
+    void appliesLatestEndOfAllPauses() {
         RequestFlow flow = flow(true, 2);
-        askFor(flow, "k");
-        askFor(flow, "k");
-        askFor(flow, "k");
+        handleRequest(flow, "k");
+        handleRequest(flow, "k");
+        handleRequest(flow, "k");
         List<FakeConnections.Call> calls = List.copyOf(mConnections.mCalls);
         calls.get(0).answer(503, "Not-Run", "1", "Retry-After", "5");
         calls.get(1).answer(503, "Not-Run", "1", "Retry-After", "1");
@@ -263,19 +270,19 @@
     }
 
     @Example
-    void pauseIsNeitherFailureNorRefusalInTheJudgementOfTheServer() {
+    void pauseCountsNeitherAsFailureNorAsRefusal() {
         RequestFlow flow = flow(true, 2);
         BackendServerId paused =
-                hear(flow, 503, "Not-Run", "1", "Retry-After", "2", "Load", "0,0,2");
+                answerWith(flow, 503, "Not-Run", "1", "Retry-After", "2", "Load", "0,0,2");
         assertThat(failureShare(flow, paused)).isZero();
     }
 
     @Example
-    void requestsAreRejectedWithTheFirstEndWhereAllServersPause() {
+    void rejectsRequestsUntilFirstPauseEndsWhenAllServersPause() {
         RequestFlow flow = flow(true, 4);
         int[] seconds = {9, 4, 6};
         for (int number = 0; number < KEYS; number++) {
-            askFor(flow, "key-" + number);
+            handleRequest(flow, "key-" + number);
             FakeConnections.Call call = mConnections.last();
             while (!call.mCancelled && flow.statements().withdrawals().size() < 3) {
                 int server = Integer.parseInt(call.mServer.id().value().substring(7));
@@ -288,62 +295,64 @@
         }
         assertThat(flow.statements().withdrawals()).hasSize(3);
         int before = mConnections.mCalls.size();
-        FakeResponder rejected = askFor(flow, "k");
+        FakeResponder rejected = handleRequest(flow, "k");
         assertThat(rejected.status()).isEqualTo(503);
         assertThat(mConnections.mCalls).hasSize(before);
         String retryAfter = rejected.mAnswers.get(0).headers().get("Retry-After");
         assertThat(Double.parseDouble(retryAfter)).isBetween(3.5, 4.0);
         passTime(Duration.ofSeconds(5));
-        askFor(flow, "k");
-        assertThat(mConnections.mCalls).as("the first is back").hasSize(before + 1);
+        handleRequest(flow, "k");
+        assertThat(mConnections.mCalls)
+                .as("the first server takes requests again")
+                .hasSize(before + 1);
         assertThat(mConnections.last().mServer.id().value()).isEqualTo("server-1");
     }
 
     @Example
-    void pausesAreBoundedAndWhatIsNoneMeansNothing() {
+    void boundsPausesAndIgnoresInvalidValues() {
         RequestFlow flow = flow(true, 2);
-        BackendServerId server = hear(flow, 503, "Not-Run", "1", "Retry-After", "1000000000");
+        BackendServerId server = answerWith(flow, 503, "Not-Run", "1", "Retry-After", "1000000000");
         assertThat(flow.statements().malformed()).isEqualTo(1);
         passTime(WithdrawalSettings.DEFAULT.longestPause().plusSeconds(3));
         flow.statements().refresh();
         assertThat(sendsTo(flow, server)).isPositive();
         for (String value : List.of("soon", "-1", "1e9", "Thu, 03 Dec 2026 10:00:00 GMT", "0")) {
             RequestFlow other = flow(true, 2);
-            BackendServerId named = hear(other, 503, "Not-Run", "1", "Retry-After", value);
+            BackendServerId named = answerWith(other, 503, "Not-Run", "1", "Retry-After", value);
             passTime(Duration.ofSeconds(1));
             assertThat(sendsTo(other, named)).as(value).isPositive();
         }
     }
 
     @Example
-    void statusThatTurnsNobodyAwayAsksForNoPause() {
+    void ignoresRetryAfterOfOtherStatuses() {
         for (int status : List.of(200, 404, 429, 500)) {
             RequestFlow flow = flow(false, 1);
-            hear(flow, status, "Seal", "s", "Retry-After", "3");
+            answerWith(flow, status, "Seal", "s", "Retry-After", "3");
             assertThat(flow.statements().withdrawals()).as("status %d", status).isEmpty();
         }
     }
 
     @Example
-    void pauseThatIsTooShortIsTakenForRefusal() {
+    void treatsTooShortPauseAsRefusal() {
         for (String seconds : List.of("0", "0.01")) {
             RequestFlow flow = flow(true, 2);
             BackendServerId server =
-                    hear(flow, 503, "Not-Run", "1", "Retry-After", seconds, "Load", "0,0,2");
+                    answerWith(flow, 503, "Not-Run", "1", "Retry-After", seconds, "Load", "0,0,2");
             assertThat(failureShare(flow, server)).as(seconds).isPositive();
         }
     }
 
     @Example
-    void pauseOutlivesAnEntryThatIsLostAndMadeAnew() {
+    void keepsPauseWhenEntryIsRecreated() {
         RequestFlow flow = flow(true, 2);
-        BackendServerId paused = hear(flow, 503, "Not-Run", "1", "Retry-After", "30");
+        BackendServerId paused = answerWith(flow, 503, "Not-Run", "1", "Retry-After", "30");
         Map<BackendServerId, RegisteredServer> without = servers();
         RegisteredServer entry = without.remove(paused);
         update(flow, without);
-        Map<BackendServerId, RegisteredServer> anew = servers();
-        anew.put(paused, entry.withRun(1));
-        update(flow, anew);
+        Map<BackendServerId, RegisteredServer> recreated = servers();
+        recreated.put(paused, entry.withRun(1));
+        update(flow, recreated);
         assertThat(sendsTo(flow, paused)).isZero();
     }
 }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/WorkspaceAuthenticatorTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/WorkspaceAuthenticatorTest.java
@@ -22,7 +22,7 @@
 import java.util.Set;
 import net.jqwik.api.Example;
 
-/** Who is let in, with which key, and on what proof. */
+/** Tests of which requests are admitted, by their key and the age of the proof of the keys. */
 class WorkspaceAuthenticatorTest extends AbstractRequestFlowTest {
 
     private static final Duration REVOCATION = Duration.ofSeconds(5);
@@ -43,7 +43,7 @@
                         () -> 0.5);
     }
 
-    private void state(RequestFlow flow, Optional<RateLimit> limit, String... keys) {
+    private void applyState(RequestFlow flow, Optional<RateLimit> limit, String... keys) {
         FleetSnapshot plain = FakeSnapshot.of(true, 2, false, Set.of());
         RoutingConfiguration routing = plain.routing().orElseThrow();
         Workspace shop =
@@ -72,11 +72,11 @@
         return mResponder.mAnswers.get(mResponder.mAnswers.size() - 1);
     }
 
-    private void prove() {
+    private void recordProof() {
         mAuthenticator.recordProof(Moment.of(mTime));
     }
 
-    private void ask(RequestFlow flow, String key) {
+    private void sendRequest(RequestFlow flow, String key) {
         IncomingRequest request = request();
         if (key != null) {
             request.headers().set("Credential", key);
@@ -87,79 +87,79 @@
 
     private RequestFlow flow() {
         RequestFlow flow = flow(true, 2);
-        state(flow, Optional.empty(), KEY);
+        applyState(flow, Optional.empty(), KEY);
         return flow;
     }
 
     @Example
-    void knownKeyIsReplacedByItsWorkspace() {
+    void replacesKnownKeyByItsWorkspace() {
         RequestFlow flow = flow();
-        prove();
-        ask(flow, KEY);
+        recordProof();
+        sendRequest(flow, KEY);
         assertThat(mConnections.last().mRequest.headers().get("Workspace")).isEqualTo("shop");
         assertThat(mConnections.last().mRequest.headers().contains("Credential")).isFalse();
     }
 
     @Example
-    void unknownKeyAndNoKeyAreDenied() {
+    void deniesRequestsWithUnknownOrMissingKey() {
         RequestFlow flow = flow();
-        prove();
-        ask(flow, "guessed");
+        recordProof();
+        sendRequest(flow, "guessed");
         assertThat(last().status()).isEqualTo(401);
-        ask(flow, null);
+        sendRequest(flow, null);
         assertThat(last().status()).isEqualTo(401);
     }
 
     @Example
-    void unknownKeyIsNotDeniedForGoodOnAnOldProof() {
+    void answersUnavailableForUnknownKeyOnOldProof() {
         RequestFlow flow = flow();
-        prove();
+        recordProof();
         passTime(Duration.ofSeconds(3));
-        ask(flow, "just-added");
+        sendRequest(flow, "just-added");
         assertThat(last().status()).isEqualTo(503);
     }
 
     @Example
-    void keysAreTakenOnYoungProofAndNotBeyond() {
+    void acceptsKeysOnlyOnRecentProof() {
         RequestFlow flow = flow();
-        prove();
+        recordProof();
         passTime(REVOCATION.minus(MARGIN));
-        ask(flow, KEY);
+        sendRequest(flow, KEY);
         assertThat(mConnections.mCalls).hasSize(1);
         passTime(Duration.ofMillis(1));
-        ask(flow, KEY);
+        sendRequest(flow, KEY);
         assertThat(mConnections.mCalls).hasSize(1);
         assertThat(last().status()).isEqualTo(503);
         assertThat(last().headers().get("Retry-After")).isEqualTo("0.100");
     }
 
     @Example
-    void suspensionMakesTheProofOld() {
+    void suspensionOfMachineAgesProof() {
         RequestFlow flow = flow();
-        prove();
+        recordProof();
         mTime.stepWallClock(REVOCATION);
-        ask(flow, KEY);
+        sendRequest(flow, KEY);
         assertThat(last().status()).isEqualTo(503);
     }
 
     @Example
-    void keyTakenAwayStopsTheSecondSend() {
+    void revokedKeyStopsRetry() {
         RequestFlow flow = flow();
-        prove();
-        ask(flow, KEY);
-        state(flow, Optional.empty(), "another-key");
+        recordProof();
+        sendRequest(flow, KEY);
+        applyState(flow, Optional.empty(), "another-key");
         mConnections.last().answer(503, "Not-Run", "1");
         assertThat(mConnections.mCalls).hasSize(1);
         assertThat(last().status()).isEqualTo(401);
     }
 
     @Example
-    void rateThatIsUsedUpRejectsAtOnceAndTellsWhenToComeBack() {
+    void rejectsRequestsOverRateWithRetryAfter() {
         RequestFlow flow = flow(true, 2);
-        state(flow, Optional.of(new RateLimit(1, 0)), KEY);
+        applyState(flow, Optional.of(new RateLimit(1, 0)), KEY);
         for (int count = 0; count < 30; count++) {
-            prove();
-            ask(flow, KEY);
+            recordProof();
+            sendRequest(flow, KEY);
         }
         assertThat(mConnections.mCalls.size()).isBetween(1, 20);
         assertThat(last().status()).isEqualTo(429);
@@ -167,11 +167,11 @@
     }
 
     @Example
-    void logTellsTheWorkspaceAndNotTheKey() {
+    void logsProofAgeButNoKey() {
         RequestFlow flow = flow();
-        prove();
-        ask(flow, KEY);
-        ask(flow, "guessed");
+        recordProof();
+        sendRequest(flow, KEY);
+        sendRequest(flow, "guessed");
         String lines = mDecisions.ofRequest("one").toString();
         assertThat(lines).contains("proofAgeMillis").doesNotContain(KEY).doesNotContain("guessed");
     }
