--- a/masticpond-entry/src/main/java/io/masticpond/entry/json/JsonTree.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/json/JsonTree.java
@@ -24,43 +24,51 @@
 import java.util.Map;
 
 /**
- * Trees of JSON as bytes or text, as an object mapper with its defaults would read and write them,
- * but nested 100 levels deep at most. An answer of many objects is read as far as it can be, so
- * that one object that somebody else spoiled costs none of the others. Safe for all threads.
+ * Utility methods that read and write JSON trees as a Jackson object mapper with its defaults
+ * would, but with at most 100 levels of nesting. A document of many objects is read leniently, so
+ * that one object that another writer corrupted does not make the others unreadable. Thread-safe.
  *
  * @since 0.2
  */
 public final class JsonTree {
 
-    /** Trees are read by recursion, and the threads that read them have small stacks. */
-    private static final int DEEPEST_NESTING = 100;
+    /**
+     * Bounds the recursion by which trees are read, because the reading threads have small stacks.
+     */
+    private static final int MAXIMUM_NESTING = 100;
 
     private static final StreamReadConstraints CONSTRAINTS =
-            StreamReadConstraints.builder().maxNestingDepth(DEEPEST_NESTING).build();
+            StreamReadConstraints.builder().maxNestingDepth(MAXIMUM_NESTING).build();
 
-    /** Greater than any object of a store, so that no single value makes a whole answer bad. */
-    private static final int LONGEST_TOKEN = 1 << 21;
+    /**
+     * Greater than any object in a store, so that no single value makes a whole document
+     * unreadable.
+     */
+    private static final int MAXIMUM_TOKEN_LENGTH = 1 << 21;
 
-    /** Skipped levels cost some 60 bytes each. */
-    private static final int DEEPEST_SKIPPED = 100_000;
+    /** Bounds the memory for skipped levels, which take some 60 bytes each. */
+    private static final int MAXIMUM_SKIPPED_NESTING = 100_000;
 
-    /** More digits than a number of use has; longer ones take time that grows with their square. */
+    /**
+     * More digits than any meaningful number has; parsing takes time that grows with the square of
+     * the length.
+     */
     private static final int MAXIMUM_DIGITS = 400;
 
     private static final JsonFactory FACTORY = JsonFactory.builder().build();
-    private static final JsonFactory TOLERANT =
+    private static final JsonFactory LENIENT_FACTORY =
             JsonFactory.builder()
                     .streamReadConstraints(
                             StreamReadConstraints.builder()
-                                    .maxNestingDepth(DEEPEST_SKIPPED)
-                                    .maxNumberLength(LONGEST_TOKEN)
-                                    .maxNameLength(LONGEST_TOKEN)
+                                    .maxNestingDepth(MAXIMUM_SKIPPED_NESTING)
+                                    .maxNumberLength(MAXIMUM_TOKEN_LENGTH)
+                                    .maxNameLength(MAXIMUM_TOKEN_LENGTH)
                                     .build())
                     .enable(JsonReadFeature.ALLOW_UNESCAPED_CONTROL_CHARS)
                     .enable(JsonReadFeature.ALLOW_BACKSLASH_ESCAPING_ANY_CHARACTER)
                     .enable(JsonReadFeature.ALLOW_NON_NUMERIC_NUMBERS)
                     .build();
-    private static final JsonFactory COMMENTED =
+    private static final JsonFactory COMMENTED_FACTORY =
             JsonFactory.builder()
                     .streamReadConstraints(CONSTRAINTS)
                     .enable(JsonReadFeature.ALLOW_JAVA_COMMENTS)
@@ -70,40 +78,40 @@
     private JsonTree() {}
 
     /**
-     * Reads the first tree of a stream. Bytes that are no UTF-8 become replacement characters,
-     * control characters in texts are taken as they are, and what nests too deep or has too many
-     * digits becomes null.
+     * Reads the first tree of a stream. Bytes that are not valid UTF-8 become replacement
+     * characters, control characters in strings are accepted as they are, and values that are
+     * nested too deeply or have too many digits become null.
      *
      * @param stream the stream, in UTF-8
-     * @return the tree, missing if the stream is empty
-     * @throws IOException if it is no JSON or cannot be read
+     * @return the tree, or a {@link MissingNode} if the stream is empty
+     * @throws IOException if the content is not JSON or cannot be read
      */
     public static JsonNode read(InputStream stream) throws IOException {
         Reader reader =
                 new InputStreamReader(Assert.notNull(stream, "A stream"), StandardCharsets.UTF_8);
-        try (JsonParser parser = TOLERANT.createParser(reader)) {
-            return first(parser);
+        try (JsonParser parser = LENIENT_FACTORY.createParser(reader)) {
+            return readFirst(parser);
         }
     }
 
     /**
-     * Reads the first tree of a text, in which comments like those of Java may stand.
+     * Reads the first tree of a text, which may contain Java-style comments.
      *
      * @param text the text
-     * @return the tree, missing if the text is empty
-     * @throws IOException if it is no JSON
+     * @return the tree, or a {@link MissingNode} if the text is empty
+     * @throws IOException if the text is not JSON
      */
     public static JsonNode readCommented(String text) throws IOException {
-        try (JsonParser parser = COMMENTED.createParser(Assert.notNull(text, "A text"))) {
-            return first(parser);
+        try (JsonParser parser = COMMENTED_FACTORY.createParser(Assert.notNull(text, "A text"))) {
+            return readFirst(parser);
         }
     }
 
     /**
-     * Writes a tree.
+     * Writes a tree as JSON.
      *
      * @param tree the tree
-     * @return its text in UTF-8
+     * @return the JSON text in UTF-8
      */
     public static byte[] write(JsonNode tree) {
         Assert.notNull(tree, "A tree");
@@ -116,25 +124,25 @@
         return bytes.toByteArray();
     }
 
-    private static JsonNode first(JsonParser parser) throws IOException {
-        return parser.nextToken() == null ? MissingNode.getInstance() : value(parser);
+    private static JsonNode readFirst(JsonParser parser) throws IOException {
+        return parser.nextToken() == null ? MissingNode.getInstance() : readValue(parser);
     }
 
-    private static JsonNode value(JsonParser parser) throws IOException {
+    private static JsonNode readValue(JsonParser parser) throws IOException {
         JsonToken token = parser.currentToken();
-        if (parser.getParsingContext().getNestingDepth() > DEEPEST_NESTING) {
+        if (parser.getParsingContext().getNestingDepth() > MAXIMUM_NESTING) {
             parser.skipChildren();
             return NODES.nullNode();
         }
         switch (token) {
             case START_OBJECT:
-                return object(parser);
+                return readObject(parser);
             case START_ARRAY:
-                return array(parser);
+                return readArray(parser);
             case VALUE_STRING:
                 return NODES.textNode(parser.getText());
             case VALUE_NUMBER_INT:
-                return whole(parser);
+                return readInteger(parser);
             case VALUE_NUMBER_FLOAT:
                 return parser.getTextLength() > MAXIMUM_DIGITS
                         ? NODES.nullNode()
@@ -145,29 +153,29 @@
             case VALUE_NULL:
                 return NODES.nullNode();
             default:
-                throw new JsonParseException(parser, "No value begins with " + token + ".");
+                throw new JsonParseException(parser, "A value cannot start with " + token + ".");
         }
     }
 
-    private static JsonNode object(JsonParser parser) throws IOException {
+    private static JsonNode readObject(JsonParser parser) throws IOException {
         ObjectNode object = NODES.objectNode();
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String field = parser.currentName();
             parser.nextToken();
-            object.set(field, value(parser));
+            object.set(field, readValue(parser));
         }
         return object;
     }
 
-    private static JsonNode array(JsonParser parser) throws IOException {
+    private static JsonNode readArray(JsonParser parser) throws IOException {
         ArrayNode array = NODES.arrayNode();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            array.add(value(parser));
+            array.add(readValue(parser));
         }
         return array;
     }
 
-    private static JsonNode whole(JsonParser parser) throws IOException {
+    private static JsonNode readInteger(JsonParser parser) throws IOException {
         switch (parser.getNumberType()) {
             case INT:
                 return NODES.numberNode(parser.getIntValue());
@@ -215,7 +223,8 @@
         } else if (value.isBoolean()) {
             generator.writeBoolean(value.booleanValue());
         } else {
-            Assert.isTrue(value.isNull(), "A tree must hold values of JSON, not %s.", value);
+            Assert.isTrue(
+                    value.isNull(), "A tree must consist of JSON values, but holds %s.", value);
             generator.writeNull();
         }
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/json/package-info.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/json/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Reads and writes trees of JSON by the streams of Jackson's core alone: setting its object mapper
- * up costs a tenth of a start. Knows no documents.
+ * Reading and writing of JSON trees with Jackson's streaming API only, because setting up an object
+ * mapper takes a tenth of the startup time. Must not depend on any document format.
  */
 package io.masticpond.entry.json;
--- a/masticpond-entry/src/test/java/io/masticpond/entry/json/JsonTreeTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/json/JsonTreeTest.java
@@ -11,7 +11,7 @@
 import java.nio.charset.StandardCharsets;
 import net.jqwik.api.Example;
 
-/** Reads and writes what an object mapper would. */
+/** Tests that trees are read and written as an object mapper would. */
 class JsonTreeTest {
 
     private static final String ALL =
@@ -22,7 +22,7 @@
     private final ObjectMapper mMapper = new ObjectMapper();
 
     @Example
-    void treesAreThoseOfAnObjectMapper() throws IOException {
+    void readsAndWritesTreesAsAnObjectMapper() throws IOException {
         for (String text : new String[] {ALL, "", " ", "5", "[]", "null", "{} trailing"}) {
             assertThat(read(text)).as(text).isEqualTo(mMapper.readTree(text));
         }
@@ -33,14 +33,14 @@
     }
 
     @Example
-    void whatIsNoJsonIsAnError() {
+    void rejectsMalformedJson() {
         for (String text : new String[] {"{\"half", "{\"a\":}", "[1,", "}", "{\"a\" 1}"}) {
             assertThatThrownBy(() -> read(text)).as(text).isInstanceOf(IOException.class);
         }
     }
 
     @Example
-    void treesThatNestTooDeepAreAnErrorAndNoOverflow() throws IOException {
+    void rejectsDeepNestingWithoutStackOverflow() throws IOException {
         assertThat(read("[".repeat(100) + "]".repeat(100)).isArray()).isTrue();
         for (String begin : new String[] {"[", "{\"a\":"}) {
             assertThatThrownBy(() -> read(begin.repeat(101))).isInstanceOf(IOException.class);
