--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/AnswerAssembler.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/AnswerAssembler.java
@@ -16,14 +16,14 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.List;
 
-/** Puts the one answer to one request together, and leaves out what is no part of it. */
+/** Assembles the answer to one request from decoded parts, skipping parts of other answers. */
 final class AnswerAssembler {
 
     private enum State {
         AWAITING,
         SKIPPING,
         COLLECTING,
-        WHOLE,
+        COMPLETE,
         BAD
     }
 
@@ -44,7 +44,7 @@
     private HttpResponse mHead;
     private ByteBuf mBody = Unpooled.EMPTY_BUFFER;
     private long mStatedLength;
-    private boolean mSawForeign;
+    private boolean mSawMismatch;
 
     AnswerAssembler(ConnectionOptions options, BackendRequest request, ByteBufAllocator allocator) {
         mOptions = options;
@@ -52,31 +52,31 @@
         mAllocator = allocator;
     }
 
-    boolean isWhole() {
-        return mState == State.WHOLE;
+    boolean isComplete() {
+        return mState == State.COMPLETE;
     }
 
     boolean isBad() {
         return mState == State.BAD;
     }
 
-    /** Tells whether a part of any answer came. */
+    /** Returns whether a part of any answer has been received. */
     boolean hasBegun() {
-        return mState != State.AWAITING || mSawForeign;
+        return mState != State.AWAITING || mSawMismatch;
     }
 
-    /** Tells whether the head of the answer to this request came. */
+    /** Returns whether the head of the answer to this request has been received. */
     boolean hasHead() {
         return mHead != null;
     }
 
-    /** Tells whether an answer to another request was left out. */
+    /** Returns whether an answer to another request was skipped. */
     boolean hasMismatchedAnswer() {
-        return mSawForeign;
+        return mSawMismatch;
     }
 
-    /** Tells whether the server keeps the connection after this answer. */
-    boolean keepsConnection() {
+    /** Returns whether the server keeps the connection open after this answer. */
+    boolean canKeepConnection() {
         return mFraming != Framing.UNTIL_END && HttpUtil.isKeepAlive(mHead);
     }
 
@@ -88,19 +88,19 @@
         return mHead.headers();
     }
 
-    /** Tells whether an answer has no body because of the request's method. */
-    boolean answersWithoutBody(HttpResponse response) {
-        return mMatch.isForHead() && mMatch.of(response) == AnswerMatch.Result.MATCHING;
+    /** Returns whether an answer has no body because of the request's method. */
+    boolean isAnswerWithoutBody(HttpResponse response) {
+        return mMatch.isForHead() && mMatch.match(response) == AnswerMatch.Result.MATCHING;
     }
 
     /**
-     * Takes a part.
+     * Processes a decoded part of an answer.
      *
-     * @param part the part, which the caller releases
+     * @param part the part; the caller releases it
      * @param isEnding whether the input has ended
-     * @param isOrderly whether it ended in order
+     * @param isOrderlyEnd whether the input ended with an orderly close
      */
-    void accept(HttpObject part, boolean isEnding, boolean isOrderly) {
+    void accept(HttpObject part, boolean isEnding, boolean isOrderlyEnd) {
         if (part.decoderResult().isFailure()) {
             mState = State.BAD;
         }
@@ -112,20 +112,20 @@
                 collect(content.content());
             }
             if (part instanceof LastHttpContent) {
-                finish(isEnding, isOrderly);
+                finish(isEnding, isOrderlyEnd);
             }
         }
     }
 
-    /** Gives the whole answer, whose body the receiver owns. */
-    BackendAnswer take() {
+    /** Returns the complete answer and transfers the ownership of its body to the caller. */
+    BackendAnswer takeAnswer() {
         ConnectionHeaders.remove(mHead.headers());
         ByteBuf body = mBody;
         mBody = Unpooled.EMPTY_BUFFER;
         return new BackendAnswer(mHead.status().code(), mHead.headers(), body);
     }
 
-    /** Lets go of what was collected. */
+    /** Releases the body collected so far. */
     void release() {
         mBody.release();
         mBody = Unpooled.EMPTY_BUFFER;
@@ -143,17 +143,17 @@
             mState = code < HttpResponseStatus.CONTINUE.code() ? State.BAD : State.SKIPPING;
             return;
         }
-        switch (mMatch.of(head)) {
-            case MATCHING -> beginOurs(head);
+        switch (mMatch.match(head)) {
+            case MATCHING -> beginMatching(head);
             case MISMATCHED -> {
-                mSawForeign = true;
+                mSawMismatch = true;
                 mState = State.SKIPPING;
             }
             default -> mState = State.BAD;
         }
     }
 
-    private void beginOurs(HttpResponse head) {
+    private void beginMatching(HttpResponse head) {
         mHead = head;
         mState = State.COLLECTING;
         List<String> encodings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
@@ -198,22 +198,22 @@
         }
     }
 
-    private void finish(boolean isEnding, boolean isOrderly) {
+    private void finish(boolean isEnding, boolean isOrderlyEnd) {
         if (mState == State.SKIPPING) {
             mState = State.AWAITING;
         }
         if (mState != State.COLLECTING) {
             return;
         }
-        boolean isWhole =
+        boolean isComplete =
                 switch (mFraming) {
                     case WITHOUT_BODY -> !mBody.isReadable();
                     case LENGTH -> mBody.readableBytes() == mStatedLength;
                     case CHUNKS -> !isEnding;
-                    case UNTIL_END -> isEnding && isOrderly;
+                    case UNTIL_END -> isEnding && isOrderlyEnd;
                 };
-        if (isWhole) {
-            mState = State.WHOLE;
+        if (isComplete) {
+            mState = State.COMPLETE;
         }
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/AnswerDecoder.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/AnswerDecoder.java
@@ -10,8 +10,9 @@
 import java.util.List;
 
 /**
- * Decodes answers, and only while one is expected: other bytes belong to no request. Tells the
- * connection when a read is worked off, and an orderly end from any other.
+ * Decoder for the answers of a backend server. Decodes bytes only while an answer is expected,
+ * because all others belong to no request. Notifies the connection once all bytes of a read have
+ * been decoded, and distinguishes an orderly end of the input from any other.
  */
 final class AnswerDecoder extends HttpResponseDecoder {
 
@@ -43,7 +44,7 @@
     protected boolean isContentAlwaysEmpty(HttpMessage message) {
         return super.isContentAlwaysEmpty(message)
                 || (message instanceof HttpResponse response
-                        && mConnection.answersWithoutBody(response));
+                        && mConnection.isAnswerWithoutBody(response));
     }
 
     @Override
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/AnswerMatch.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/AnswerMatch.java
@@ -6,16 +6,16 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.util.List;
 
-/** Tells by its id whether an answer belongs to a request. */
+/** Matcher that determines by the request id whether an answer belongs to a request. */
 final class AnswerMatch {
 
-    /** Whose an answer is. */
+    /** Result of matching an answer against a request. */
     enum Result {
-        /** It answers this request. */
+        /** The answer belongs to this request. */
         MATCHING,
-        /** It answers another request. */
+        /** The answer belongs to another request. */
         MISMATCHED,
-        /** It does not say. */
+        /** The answer bears no request id, although it must. */
         UNKNOWN
     }
 
@@ -31,7 +31,7 @@
         return mRequest.method().equals(HttpMethod.HEAD);
     }
 
-    Result of(HttpResponse response) {
+    Result match(HttpResponse response) {
         HttpHeaders headers = response.headers();
         List<String> ids = headers.getAll(mOptions.requestIdHeader());
         if (ids.isEmpty()) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/BackendAnswer.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/BackendAnswer.java
@@ -4,11 +4,11 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * The whole answer of a backend server, proved complete by its framing and matched by its id.
+ * Complete answer of a backend server, verified by its framing and matched by its request id.
  *
  * @param status the status code
- * @param headers the headers, without those that concern one connection only
- * @param body the whole body; owned by the receiver, who releases it
+ * @param headers the headers, without hop-by-hop headers
+ * @param body the complete body; owned by the receiver, which must release it
  * @since 0.2
  */
 public record BackendAnswer(int status, HttpHeaders headers, ByteBuf body) {
@@ -17,9 +17,9 @@
     private static final int LAST_SUCCESS = 299;
 
     /**
-     * Tells whether the backend server says that it did what was asked.
+     * Returns whether the status code is a success (200 to 299).
      *
-     * @return whether it does
+     * @return whether the backend server reported success
      */
     public boolean isSuccess() {
         return status >= FIRST_SUCCESS && status <= LAST_SUCCESS;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/BackendCall.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/BackendCall.java
@@ -1,22 +1,23 @@
 package io.masticpond.entry.backend;
 
 /**
- * A call under way.
+ * Handle of a call in progress.
  *
  * @since 0.2
  */
 public interface BackendCall {
 
     /**
-     * Gives the call up: its connection is closed if the request was written, so that the server
-     * stops its work. The listener hears nothing more.
+     * Cancels the call. Its connection is closed if the request was written, so that the server
+     * stops processing it. The listener is not notified any more.
      */
     void cancel();
 
     /**
-     * Tells whether any byte of the request has been written to a connection.
+     * Returns whether any byte of the request has been written to a connection.
      *
-     * @return whether it has; if not, the request has not run and a cancelled call never will
+     * @return whether a byte has been written; if not, the request has not run, and never will once
+     *     the call is cancelled
      */
     boolean isWritten();
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/BackendCallListener.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/BackendCallListener.java
@@ -3,14 +3,15 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * Hears how a call ends: exactly one of the two, unless the call was cancelled.
+ * Listener for the end of a call. Exactly one of {@link #answered} and {@link #failed} is called,
+ * unless the call was cancelled.
  *
  * @since 0.2
  */
 public interface BackendCallListener {
 
     /**
-     * The head of the server's answer has arrived; the answer may still fail.
+     * Called when the head of the server's answer has been received; the call may still fail.
      *
      * @param status the status of the answer
      * @param headers the headers of the answer
@@ -18,25 +19,27 @@
     default void answerBegan(int status, HttpHeaders headers) {}
 
     /**
-     * Asked when a connection was waited for, before the first byte of the request is written.
+     * Determines whether the request may still be written. Called after the call waited for a
+     * connection, before the first byte of the request is written.
      *
-     * @return whether it may still be written; if not, the call fails as one that was withdrawn
+     * @return whether the request may still be written; if not, the call fails with {@link
+     *     CallFailure.Kind#WITHDRAWN}
      */
     default boolean mayBegin() {
         return true;
     }
 
     /**
-     * The server answered in whole, with any status.
+     * Called when a complete answer with any status has been received.
      *
-     * @param answer the answer, whose body the listener releases
+     * @param answer the answer; the listener must release its body
      */
     void answered(BackendAnswer answer);
 
     /**
-     * The call failed.
+     * Called when the call has failed.
      *
-     * @param failure why
+     * @param failure the reason for the failure
      */
     void failed(CallFailure failure);
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/BackendConnection.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/BackendConnection.java
@@ -12,14 +12,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** One connection to a backend server, with one call on it at most. */
+/** Connection to a backend server, which carries at most one call at a time. */
 final class BackendConnection extends ChannelInboundHandlerAdapter {
 
     private enum State {
         OPENING,
         IDLE,
         BUSY,
-        /** The answer is there, but the server has not taken the whole request yet. */
+        /** The answer is complete, but the request has not been written completely yet. */
         FLUSHING,
         CLOSED
     }
@@ -28,7 +28,7 @@
     private final Channel mChannel;
     private State mState = State.OPENING;
     private PendingCall mCall;
-    private Consumer<ServerReachability> mTried = reach -> {};
+    private Consumer<ServerReachability> mReachabilityListener = reachability -> {};
     private RequestWrite mWrite;
     private AnswerAssembler mAssembler;
     private String mLastRequestId = "";
@@ -36,72 +36,73 @@
     private long mIdleSinceWallMillis;
     private long mIdleLimitNanos;
     private long mRoundTripNanos;
-    private long mBegunNanos;
+    private long mStartedNanos;
     private boolean mReusable = true;
     private boolean mIdleStated;
     private Future<?> mFlushTimer;
-    private boolean mStarting;
-    private boolean mEnding;
-    private boolean mOrderly;
+    private boolean mWriteStarting;
+    private boolean mInputEnding;
+    private boolean mOrderlyEnd;
 
     BackendConnection(ServerPool pool, Channel channel) {
         mPool = pool;
         mChannel = channel;
         mIdleLimitNanos = pool.unstatedIdleNanos();
-        mBegunNanos = pool.nowNanos();
+        mStartedNanos = pool.nowNanos();
     }
 
     boolean isUnclaimed() {
         return mState == State.OPENING && mCall == null;
     }
 
-    boolean lastServed(String requestId) {
+    boolean hasLastServed(String requestId) {
         return mLastRequestId.equals(requestId);
     }
 
-    /** Tells whether this idle connection must not be used any more. */
+    /** Returns whether this connection has been idle for too long to be reused. */
     boolean isExpired() {
         return idleNanos() >= mIdleLimitNanos;
     }
 
     /**
-     * Gives for how long this connection has been idle. The steady clock stands still while the
-     * machine is suspended, and servers close idle connections meanwhile; so the longer of the
-     * times by both clocks counts, and one that is set forward costs a new connection at most.
+     * Returns how long this connection has been idle, in nanoseconds. The monotonic clock stops
+     * while the machine is suspended, but servers close idle connections meanwhile. Therefore this
+     * is the longer of the durations by the monotonic and the wall clock; a wall clock that is set
+     * forward costs one new connection at most.
      */
     long idleNanos() {
-        long byTimeOfDay = TimeUnit.MILLISECONDS.toNanos(mPool.wallMillis() - mIdleSinceWallMillis);
-        return Math.max(mPool.nowNanos() - mIdleSinceNanos, byTimeOfDay);
+        long byWallClock = TimeUnit.MILLISECONDS.toNanos(mPool.wallMillis() - mIdleSinceWallMillis);
+        return Math.max(mPool.nowNanos() - mIdleSinceNanos, byWallClock);
     }
 
-    /** Has a call wait until this connection is open. */
+    /** Assigns a call to this connection, which sends it once it is open. */
     void claim(PendingCall call) {
         mCall = call;
-        call.use(this);
+        call.setConnection(this);
     }
 
-    /** Has a listener hear whether this connection opens. */
-    void whenTried(Consumer<ServerReachability> listener) {
-        mTried = listener;
+    /** Sets the listener for the result of opening this connection. */
+    void setReachabilityListener(Consumer<ServerReachability> listener) {
+        mReachabilityListener = listener;
     }
 
-    /** Hears that this connection cannot be opened. */
-    void notOpened(Throwable cause) {
-        mTried.accept(ServerReachability.of(cause));
+    /** Handles a failure to open this connection. */
+    void openFailed(Throwable cause) {
+        mReachabilityListener.accept(ServerReachability.of(cause));
         if (cause instanceof ConnectTimeoutException) {
-            mPool.notOpened();
+            mPool.openTimedOut();
         }
         fail(CallFailure.Kind.NOT_CONNECTED);
     }
 
-    /** Hears that the connection is open. */
+    /** Handles the opening of this connection. */
     void opened() {
-        mTried.accept(ServerReachability.OPEN);
+        mReachabilityListener.accept(ServerReachability.OPEN);
         if (mState == State.CLOSED) {
             return;
         }
-        mRoundTripNanos = mPool.nowNanos() - mBegunNanos;
-        idleFromNow();
+        mRoundTripNanos = mPool.nowNanos() - mStartedNanos;
+        restartIdleTime();
         PendingCall call = mCall;
         if (call == null) {
             becomeIdle();
@@ -117,19 +118,20 @@
     /**
      * Sends a call's request.
      *
-     * @return whether it went out; if not, no byte did and the connection is closed
+     * @return whether the request was sent; if not, no byte of it was written and the connection is
+     *     closed
      */
     boolean begin(PendingCall call) {
         mState = State.BUSY;
         mCall = call;
-        mBegunNanos = mPool.nowNanos();
-        call.use(this);
+        mStartedNanos = mPool.nowNanos();
+        call.setConnection(this);
         mLastRequestId = call.request().requestId();
         mAssembler = new AnswerAssembler(mPool.options(), call.request(), mChannel.alloc());
         mWrite = new RequestWrite(call, this::writeEnded);
-        mStarting = true;
+        mWriteStarting = true;
         mWrite.start(mChannel);
-        mStarting = false;
+        mWriteStarting = false;
         if (mWrite.isFailed() && !call.isWritten()) {
             abandon();
             return false;
@@ -145,8 +147,11 @@
         }
     }
 
-    /** Lets go of the call: an opening connection stays for others, a used one is closed. */
-    void drop() {
+    /**
+     * Detaches the call: a connection that is still opening stays for other calls, any other is
+     * closed.
+     */
+    void releaseCall() {
         if (mState == State.OPENING) {
             mCall = null;
         } else {
@@ -154,7 +159,7 @@
         }
     }
 
-    /** Closes the connection without a word to its call. */
+    /** Closes the connection without notifying its call. */
     void abandon() {
         mCall = null;
         if (mState == State.CLOSED) {
@@ -169,12 +174,14 @@
         mChannel.close();
     }
 
-    /** Closes the connection; its call, if any, fails. */
+    /** Closes the connection and fails its call, if any. */
     void fail(CallFailure.Kind kind) {
         PendingCall call = mCall;
         if (mState == State.BUSY && kind == CallFailure.Kind.BROKEN_OFF && !mAssembler.hasBegun()) {
             mPool.brokenOffAfterIdle(
-                    mBegunNanos - mIdleSinceNanos, mPool.nowNanos() - mBegunNanos, mRoundTripNanos);
+                    mStartedNanos - mIdleSinceNanos,
+                    mPool.nowNanos() - mStartedNanos,
+                    mRoundTripNanos);
         }
         abandon();
         if (call != null) {
@@ -187,14 +194,14 @@
     }
 
     boolean expectsBytes() {
-        return mState == State.BUSY && !mAssembler.isWhole();
+        return mState == State.BUSY && !mAssembler.isComplete();
     }
 
-    boolean answersWithoutBody(HttpResponse response) {
-        return mState == State.BUSY && mAssembler.answersWithoutBody(response);
+    boolean isAnswerWithoutBody(HttpResponse response) {
+        return mState == State.BUSY && mAssembler.isAnswerWithoutBody(response);
     }
 
-    /** Hears of bytes that belong to no request. */
+    /** Handles bytes that belong to no request. */
     void unsolicitedBytesReceived() {
         retire();
     }
@@ -204,7 +211,7 @@
         try {
             if (expectsBytes() && message instanceof HttpObject part) {
                 boolean hadHead = mAssembler.hasHead();
-                mAssembler.accept(part, mEnding, mOrderly);
+                mAssembler.accept(part, mInputEnding, mOrderlyEnd);
                 if (!hadHead && mAssembler.hasHead()) {
                     mCall.answerBegan(mAssembler.status(), mAssembler.headers());
                 }
@@ -214,35 +221,37 @@
         }
     }
 
-    /** Hears that all bytes of a read were decoded. */
+    /** Called when all bytes of a read have been decoded. */
     void readDone() {
         if (mState != State.BUSY) {
             return;
         }
-        if (mAssembler.isWhole()) {
+        if (mAssembler.isComplete()) {
             finish();
         } else if (mAssembler.isBad()) {
             fail(CallFailure.Kind.BAD_ANSWER);
         }
     }
 
-    /** Hears that the server sends no more; what was read before is decoded after this. */
-    void inputEnding(boolean isOrderly) {
+    /**
+     * Called when the server has ended its output; bytes read before are decoded after this call.
+     */
+    void inputEnding(boolean isOrderlyEnd) {
         mReusable = false;
-        mEnding = true;
-        mOrderly = isOrderly;
+        mInputEnding = true;
+        mOrderlyEnd = isOrderlyEnd;
     }
 
-    /** Hears that all that was read before the end was decoded. */
+    /** Called when all bytes read before the end of the input have been decoded. */
     void inputEnded() {
-        if (mState == State.BUSY && mAssembler.isWhole()) {
+        if (mState == State.BUSY && mAssembler.isComplete()) {
             finish();
         }
-        if (mState == State.IDLE && mOrderly && !mIdleStated) {
+        if (mState == State.IDLE && mOrderlyEnd && !mIdleStated) {
             mPool.closedWhenIdle(idleNanos());
         }
-        boolean isForeign = mState == State.BUSY && mAssembler.hasMismatchedAnswer();
-        fail(isForeign ? CallFailure.Kind.BAD_ANSWER : CallFailure.Kind.BROKEN_OFF);
+        boolean isMismatched = mState == State.BUSY && mAssembler.hasMismatchedAnswer();
+        fail(isMismatched ? CallFailure.Kind.BAD_ANSWER : CallFailure.Kind.BROKEN_OFF);
     }
 
     @Override
@@ -256,22 +265,23 @@
     private void finish() {
         PendingCall call = mCall;
         mCall = null;
-        mReusable &= mAssembler.keepsConnection() && !mAssembler.hasMismatchedAnswer();
+        mReusable &= mAssembler.canKeepConnection() && !mAssembler.hasMismatchedAnswer();
         readIdleLimit();
-        BackendAnswer answer = mAssembler.take();
+        BackendAnswer answer = mAssembler.takeAnswer();
         mState = State.FLUSHING;
         if (mWrite.isFlushed() || mWrite.isFailed()) {
-            settle();
+            completeExchange();
         } else {
-            long leftNanos = call.deadlineNanos() - mPool.nowNanos();
+            long remainingNanos = call.deadlineNanos() - mPool.nowNanos();
             mFlushTimer =
-                    mChannel.eventLoop().schedule(this::abandon, leftNanos, TimeUnit.NANOSECONDS);
+                    mChannel.eventLoop()
+                            .schedule(this::abandon, remainingNanos, TimeUnit.NANOSECONDS);
         }
         call.answer(answer);
     }
 
     private void readIdleLimit() {
-        long statedNanos = IdleTimes.stated(mAssembler.headers());
+        long statedNanos = IdleTimes.statedTimeoutNanos(mAssembler.headers());
         mIdleStated = statedNanos != IdleTimes.UNSTATED;
         mIdleLimitNanos =
                 mIdleStated ? IdleTimes.withMargin(statedNanos) : mPool.unstatedIdleNanos();
@@ -279,22 +289,22 @@
     }
 
     private void writeEnded() {
-        if (mStarting || mState == State.CLOSED) {
+        if (mWriteStarting || mState == State.CLOSED) {
             return;
         }
         if (mState == State.FLUSHING) {
-            settle();
+            completeExchange();
         } else if (mWrite.isFailed() && !mCall.isWritten()) {
             fail(CallFailure.Kind.BROKEN_OFF);
         }
     }
 
-    private void settle() {
+    private void completeExchange() {
         if (mFlushTimer != null) {
             mFlushTimer.cancel(false);
             mFlushTimer = null;
         }
-        if (mReusable && mWrite.isFlushed() && !mPool.isOverfull()) {
+        if (mReusable && mWrite.isFlushed() && !mPool.isAboveMaximum()) {
             becomeIdle();
         } else {
             abandon();
@@ -309,11 +319,11 @@
         mState = State.IDLE;
         mAssembler = null;
         mWrite = null;
-        idleFromNow();
-        mPool.idle(this);
+        restartIdleTime();
+        mPool.addIdle(this);
     }
 
-    private void idleFromNow() {
+    private void restartIdleTime() {
         mIdleSinceNanos = mPool.nowNanos();
         mIdleSinceWallMillis = mPool.wallMillis();
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/BackendConnections.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/BackendConnections.java
@@ -4,8 +4,9 @@
 import java.util.function.Consumer;
 
 /**
- * Sends requests to backend servers over kept connections, one request at a time on each. Never
- * sends a request a second time by itself. Traffic thread only.
+ * Strategy interface for sending requests to backend servers over persistent connections, each of
+ * which carries one request at a time. Implementations never repeat a request on their own. To be
+ * called on the traffic thread only.
  *
  * @since 0.2
  */
@@ -15,10 +16,11 @@
      * Sends a request to a server.
      *
      * @param server the server
-     * @param maximumConnections how many connections this instance may hold to it
+     * @param maximumConnections the maximum number of connections that this instance may hold to
+     *     the server
      * @param request the request
-     * @param listener hears the end, never before this method returns
-     * @return the call under way
+     * @param listener the listener for the end of the call, never called before this method returns
+     * @return the call in progress
      */
     BackendCall send(
             RegisteredServer server,
@@ -27,16 +29,16 @@
             BackendCallListener listener);
 
     /**
-     * Opens a connection to learn whether a server still takes any; one that opens serves the next
-     * request.
+     * Opens a connection to check whether a server still accepts any. If it opens, the next request
+     * uses it.
      *
      * @param server the server
-     * @param listener hears the result, never before this method returns
+     * @param listener the listener for the result, never called before this method returns
      */
     void check(RegisteredServer server, Consumer<ServerReachability> listener);
 
     /**
-     * Closes idle connections to a server that has gone; calls under way go on.
+     * Closes the idle connections to a removed server; calls in progress continue.
      *
      * @param server the server
      */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/BackendRequest.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/BackendRequest.java
@@ -6,17 +6,19 @@
 import io.netty.handler.codec.http.HttpMethod;
 
 /**
- * One send of a request to a backend server.
+ * Single attempt to send a request to a backend server.
  *
  * @param requestId the id that the server's answer must echo
  * @param method the method
- * @param target path and query, unchanged
- * @param headers the headers to send, without those that concern one connection only; the pool adds
- *     the length of the body and what the connection needs
- * @param body the whole body; the pool sends a retained duplicate and does not release this one
- * @param timeoutNanos after how long without a whole answer the call fails
- * @param repeatable whether the request may be sent again after an end in doubt; one that may not
- *     is kept off connections that could be forgotten or cut off
+ * @param target the path and query, unchanged
+ * @param headers the headers to send, without hop-by-hop headers; the pool adds the length of the
+ *     body and the headers of the connection
+ * @param body the complete body; the pool sends a retained duplicate and does not release this
+ *     buffer
+ * @param timeoutNanos the time in nanoseconds without a complete answer after which the call fails
+ * @param repeatable whether the request may be repeated after an uncertain outcome; one that may
+ *     not be repeated is not sent on connections that the server may have dropped or that may be
+ *     cut off
  * @since 0.2
  */
 public record BackendRequest(
@@ -28,7 +30,7 @@
         long timeoutNanos,
         boolean repeatable) {
 
-    /** Checks that there is an id to match the answer by. */
+    /** Validates that there is a request id to match the answer by. */
     public BackendRequest {
         Assert.hasText(requestId, "The id of a request");
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/CallFailure.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/CallFailure.java
@@ -4,48 +4,51 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * Why a call has no whole answer, and whether the request may have run.
+ * Reason why a call has no complete answer, and whether the request may have run.
  *
  * @param verdict {@link Verdict#DID_NOT_RUN} only if no byte of the request was written
- * @param kind what went wrong
+ * @param kind the kind of failure
  * @since 0.2
  */
 public record CallFailure(Verdict verdict, Kind kind) {
 
-    /** Checks that the parts are given. */
+    /** Validates that both components are present. */
     public CallFailure {
         Assert.notNull(verdict, "A verdict");
         Assert.notNull(kind, "A kind");
     }
 
-    /** What went wrong. */
+    /** Kind of failure. */
     public enum Kind {
-        /** No connection within its time, or it was refused or reset before the request. */
+        /** No connection was opened in time, or it was refused or reset before the request. */
         NOT_CONNECTED(true),
-        /** The server has as many connections as it accepts from this instance. */
+        /** This instance already holds the maximum number of connections to the server. */
         NO_CONNECTION_FREE(false),
-        /** While a connection was waited for, the server came to take no requests. */
+        /** The server stopped taking requests while the call waited for a connection. */
         WITHDRAWN(false),
-        /** The connection ended after the request was (partly) written, before a whole answer. */
+        /**
+         * The connection ended after the request was at least partly written and before a complete
+         * answer.
+         */
         BROKEN_OFF(true),
-        /** The server sent what is no answer to this request, or more than one. */
+        /** The server sent data that is not an answer to this request, or more than one answer. */
         BAD_ANSWER(true),
-        /** No whole answer in time. */
+        /** No complete answer was received in time. */
         TIMED_OUT(true);
 
-        private final boolean mBlamesServer;
+        private final boolean mServerFailure;
 
-        Kind(boolean blamesServer) {
-            mBlamesServer = blamesServer;
+        Kind(boolean serverFailure) {
+            mServerFailure = serverFailure;
         }
 
         /**
-         * Tells whether this speaks against the server.
+         * Returns whether this kind of failure counts against the server.
          *
-         * @return whether it does
+         * @return whether it counts as a failure of the server
          */
         public boolean isServerFailure() {
-            return mBlamesServer;
+            return mServerFailure;
         }
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/ConnectionCounts.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/ConnectionCounts.java
@@ -1,8 +1,8 @@
 package io.masticpond.entry.backend;
 
 /**
- * How many connections to backend servers there are. Written by the traffic thread only; others may
- * read a value that is a moment old.
+ * Counters of the connections to backend servers. Written by the traffic thread only; other threads
+ * may read slightly stale values.
  *
  * @since 0.2
  */
@@ -13,7 +13,7 @@
     private long mIdle;
 
     /**
-     * Tells how many connections were ever begun, failed ones included.
+     * Returns the number of connection attempts since the start, including failed ones.
      *
      * @return the number
      */
@@ -22,7 +22,7 @@
     }
 
     /**
-     * Tells how many connections are open or being opened.
+     * Returns the number of connections that are open or being opened.
      *
      * @return the number
      */
@@ -31,7 +31,7 @@
     }
 
     /**
-     * Tells how many open connections wait for a request.
+     * Returns the number of open connections that are idle.
      *
      * @return the number
      */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/ConnectionHeaders.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/ConnectionHeaders.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /**
- * The headers that concern one connection only and are never passed on.
+ * Hop-by-hop headers, which apply to a single connection and are never forwarded.
  *
  * @since 0.2
  */
@@ -25,7 +25,7 @@
     private ConnectionHeaders() {}
 
     /**
-     * Takes them off, with those that the sender names as such.
+     * Removes all hop-by-hop headers, including those that the {@code Connection} header names.
      *
      * @param headers the headers of a request or an answer
      */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/ConnectionOpener.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/ConnectionOpener.java
@@ -11,7 +11,7 @@
 import java.net.UnknownHostException;
 import java.util.concurrent.TimeUnit;
 
-/** Opens connections to backend servers by their IP addresses. */
+/** Factory that opens connections to backend servers by their IP addresses. */
 final class ConnectionOpener {
 
     private final EventLoop mEventLoop;
@@ -22,7 +22,10 @@
         mOptions = options;
     }
 
-    /** Begins to open a connection, which hears of the end later, never before this returns. */
+    /**
+     * Starts to open a connection, which is notified of the result later, never before this method
+     * returns.
+     */
     BackendConnection open(ServerPool pool) {
         NioSocketChannel channel = new NioSocketChannel();
         configure(channel.config());
@@ -40,12 +43,15 @@
                             if (future.isSuccess()) {
                                 connection.opened();
                             } else {
-                                connection.notOpened(future.cause());
+                                connection.openFailed(future.cause());
                             }
                         });
     }
 
-    /** Tells an orderly end from others, and goes on reading after a write has failed. */
+    /**
+     * Configures the socket so that an orderly end can be told from any other, and so that reading
+     * continues after a write has failed.
+     */
     private void configure(SocketChannelConfig config) {
         config.setTcpNoDelay(true);
         config.setKeepAlive(false);
@@ -55,7 +61,7 @@
                 (int) TimeUnit.NANOSECONDS.toMillis(mOptions.connectTimeoutNanos()));
     }
 
-    /** Reads the address without any look-up. */
+    /** Converts the address without a DNS lookup. */
     static InetSocketAddress socketAddress(ServerAddress address) {
         byte[] bytes = NetUtil.createByteArrayFromIpAddressString(address.ip());
         try {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/ConnectionOptions.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/ConnectionOptions.java
@@ -3,14 +3,14 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * What connections to backend servers are told about headers, times and sizes.
+ * Header names, timeouts and size limits of the connections to backend servers.
  *
  * @param requestIdHeader the header in which a server echoes the id of the request that it answers
  * @param notExecutedHeader the header by which a server states that it did not run the request
- * @param connectTimeoutNanos how long a connection may take to open
- * @param unstatedIdleNanos how long a connection may be idle and be used again, if the server does
- *     not state after how long it closes idle ones
- * @param maximumAnswerBytes how large the body of an answer may be
+ * @param connectTimeoutNanos the timeout for opening a connection
+ * @param unstatedIdleNanos how long a connection may be idle and still be reused, if the server
+ *     does not state after how long it closes idle connections
+ * @param maximumAnswerBytes the maximum size of the body of an answer
  * @since 0.2
  */
 public record ConnectionOptions(
@@ -20,14 +20,14 @@
         long unstatedIdleNanos,
         long maximumAnswerBytes) {
 
-    /** The usual name of the header with the id of a request. */
+    /** Default name of the header that carries the request id. */
     public static final String DEFAULT_REQUEST_ID_HEADER = "X-Request-Id";
 
-    private static final long USUAL_CONNECT_TIMEOUT_NANOS = 1_000_000_000L;
-    private static final long USUAL_UNSTATED_IDLE_NANOS = 4_000_000_000L;
-    private static final long USUAL_MAXIMUM_ANSWER_BYTES = 64L << 20;
+    private static final long DEFAULT_CONNECT_TIMEOUT_NANOS = 1_000_000_000L;
+    private static final long DEFAULT_UNSTATED_IDLE_NANOS = 4_000_000_000L;
+    private static final long DEFAULT_MAXIMUM_ANSWER_BYTES = 64L << 20;
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public ConnectionOptions {
         Assert.hasText(requestIdHeader, "The name of the header with the request id");
         Assert.hasText(notExecutedHeader, "The name of the header of requests not executed");
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Gives options with the usual times and sizes.
+     * Creates options with the default timeouts and sizes.
      *
      * @param requestIdHeader the header in which a server echoes the id of the request
      * @param notExecutedHeader the header by which a server states that it did not run the request
@@ -47,8 +47,8 @@
         return new ConnectionOptions(
                 requestIdHeader,
                 notExecutedHeader,
-                USUAL_CONNECT_TIMEOUT_NANOS,
-                USUAL_UNSTATED_IDLE_NANOS,
-                USUAL_MAXIMUM_ANSWER_BYTES);
+                DEFAULT_CONNECT_TIMEOUT_NANOS,
+                DEFAULT_UNSTATED_IDLE_NANOS,
+                DEFAULT_MAXIMUM_ANSWER_BYTES);
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/IdleTimes.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/IdleTimes.java
@@ -5,21 +5,24 @@
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 
-/** Reads how long a server keeps idle connections and derives how long one may be used again. */
+/**
+ * Utility methods that read how long a server keeps idle connections and derive how long one may be
+ * reused.
+ */
 final class IdleTimes {
 
-    /** What {@link #stated} gives if the server states nothing. */
+    /** Result of {@link #statedTimeoutNanos} if the server states no timeout. */
     static final long UNSTATED = -1;
 
     private static final String TIMEOUT = "timeout=";
     private static final int MAXIMUM_DIGITS = 6;
-    private static final long LEAST_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+    private static final long MINIMUM_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
     private static final int MARGIN_DIVISOR = 5;
 
     private IdleTimes() {}
 
-    /** Gives the stated time after which the server closes idle connections, in nanoseconds. */
-    static long stated(HttpHeaders headers) {
+    /** Returns the time in nanoseconds after which the server states to close idle connections. */
+    static long statedTimeoutNanos(HttpHeaders headers) {
         String value = headers.get(HttpHeaderNames.KEEP_ALIVE);
         if (value == null) {
             return UNSTATED;
@@ -27,18 +30,21 @@
         for (String part : value.toLowerCase(Locale.ROOT).split(",")) {
             String parameter = part.strip();
             if (parameter.startsWith(TIMEOUT)) {
-                return nanos(parameter.substring(TIMEOUT.length()).strip());
+                return parseTimeoutNanos(parameter.substring(TIMEOUT.length()).strip());
             }
         }
         return UNSTATED;
     }
 
-    /** Takes off what a request needs on its way: a fifth, half a second at least. */
+    /**
+     * Subtracts a margin for the time in which a request is transmitted: a fifth, and at least half
+     * a second.
+     */
     static long withMargin(long nanos) {
-        return Math.max(0, nanos - Math.max(nanos / MARGIN_DIVISOR, LEAST_MARGIN_NANOS));
+        return Math.max(0, nanos - Math.max(nanos / MARGIN_DIVISOR, MINIMUM_MARGIN_NANOS));
     }
 
-    private static long nanos(String digits) {
+    private static long parseTimeoutNanos(String digits) {
         boolean isNumber =
                 !digits.isEmpty()
                         && digits.length() <= MAXIMUM_DIGITS
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/NettyBackendConnections.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/NettyBackendConnections.java
@@ -13,8 +13,9 @@
 import java.util.function.Consumer;
 
 /**
- * Connections to backend servers on one event loop. The connection used last is used first; one
- * that the server may be about to close is not used again.
+ * Default implementation of {@link BackendConnections} on a single Netty event loop. The most
+ * recently used connection is reused first; one that the server may be about to close is not
+ * reused.
  *
  * @since 0.2
  */
@@ -28,14 +29,14 @@
     private final ConnectionCounts mCounts = new ConnectionCounts();
     private final Map<BackendServerId, ServerPool> mPools = new HashMap<>();
 
-    /** Pools of servers that were forgotten while calls were under way. */
+    /** Pools of servers that were removed while calls were in progress. */
     private final List<ServerPool> mRetired = new ArrayList<>();
 
-    private boolean mSweepPlanned;
+    private boolean mSweepScheduled;
     private boolean mClosed;
 
     /**
-     * Makes connections on an event loop, on which all methods must be called.
+     * Creates an instance for an event loop, on which all methods must be called.
      *
      * @param eventLoop the traffic thread
      * @param timeSource the clock
@@ -53,7 +54,7 @@
                         timeSource,
                         mCounts,
                         new IdleReusePolicy(),
-                        this::planSweep);
+                        this::scheduleSweep);
     }
 
     @Override
@@ -69,9 +70,9 @@
             mEventLoop.execute(() -> call.fail(CallFailure.Kind.NOT_CONNECTED));
             return call;
         }
-        call.timeBy(
+        call.setTimer(
                 mEventLoop.schedule(call::timeOut, request.timeoutNanos(), TimeUnit.NANOSECONDS));
-        pool.place(call, maximumConnections);
+        pool.assign(call, maximumConnections);
         return call;
     }
 
@@ -89,12 +90,15 @@
         }
     }
 
-    /** A server that has gone from the registry gets no pool again; the connection is closed. */
+    /**
+     * Checks a server that has no pool, without creating one, as it may have been removed from the
+     * registry; the connection is closed afterwards.
+     */
     private void checkOnce(RegisteredServer server, Consumer<ServerReachability> listener) {
         ServerPool pool = new ServerPool(server.address(), mContext);
         pool.check(
-                reach -> {
-                    listener.accept(reach);
+                reachability -> {
+                    listener.accept(reachability);
                     pool.retire();
                 });
     }
@@ -112,7 +116,7 @@
     }
 
     /**
-     * Closes idle connections to a server that may be cut off; calls under way go on.
+     * Closes the idle connections to a server that may be cut off; calls in progress continue.
      *
      * @param server the server
      */
@@ -124,9 +128,9 @@
     }
 
     /**
-     * Gives the numbers of connections.
+     * Returns the counters of connections.
      *
-     * @return the numbers, which change
+     * @return the live counters
      */
     public ConnectionCounts counts() {
         return mCounts;
@@ -147,28 +151,28 @@
             return pool;
         }
         forget(server);
-        ServerPool added = new ServerPool(server.address(), mContext);
-        mPools.put(server.id(), added);
-        return added;
+        ServerPool created = new ServerPool(server.address(), mContext);
+        mPools.put(server.id(), created);
+        return created;
     }
 
-    private void planSweep() {
-        if (mSweepPlanned) {
+    private void scheduleSweep() {
+        if (mSweepScheduled) {
             return;
         }
-        mSweepPlanned = true;
+        mSweepScheduled = true;
         mEventLoop.schedule(this::sweep, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private void sweep() {
-        mSweepPlanned = false;
+        mSweepScheduled = false;
         boolean hasIdle = false;
         for (ServerPool pool : mPools.values()) {
             pool.closeExpired();
             hasIdle |= pool.hasIdle();
         }
         if (hasIdle) {
-            planSweep();
+            scheduleSweep();
         }
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/PendingCall.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/PendingCall.java
@@ -6,7 +6,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A call from its sending to its end. */
+/** Default implementation of {@link BackendCall}: a call from its sending to its end. */
 final class PendingCall implements BackendCall {
 
     private static final Logger sLogger = LoggerFactory.getLogger(PendingCall.class);
@@ -35,7 +35,7 @@
         }
         end();
         if (mConnection != null) {
-            mConnection.drop();
+            mConnection.releaseCall();
         }
     }
 
@@ -56,11 +56,11 @@
         return mSentNanos + mRequest.timeoutNanos();
     }
 
-    void timeBy(Future<?> timer) {
+    void setTimer(Future<?> timer) {
         mTimer = timer;
     }
 
-    void use(BackendConnection connection) {
+    void setConnection(BackendConnection connection) {
         mConnection = connection;
     }
 
@@ -68,7 +68,7 @@
         mWritten = true;
     }
 
-    /** Tells whether the request may be written, now that there is a connection. */
+    /** Returns whether the request may still be written now that a connection is available. */
     boolean mayBegin() {
         return mListener.mayBegin();
     }
@@ -108,10 +108,13 @@
         fail(CallFailure.Kind.TIMED_OUT);
     }
 
-    /** Keeps a listener's fault from the connection, which may serve another call by now. */
-    private static void notifyListener(Runnable news) {
+    /**
+     * Shields the connection, which may serve another call by now, from an exception of the
+     * listener.
+     */
+    private static void notifyListener(Runnable notification) {
         try {
-            news.run();
+            notification.run();
         } catch (RuntimeException exception) {
             sLogger.error("BACKEND  The listener of a call failed.", exception);
         }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/RequestHeadWriter.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/RequestHeadWriter.java
@@ -9,17 +9,20 @@
 import java.util.Iterator;
 import java.util.Map;
 
-/** Writes the request line and the headers of a request. */
+/** Writer of the request line and the headers of a request. */
 final class RequestHeadWriter {
 
-    private static final int USUAL_SIZE = 512;
+    private static final int INITIAL_CAPACITY = 512;
     private static final int CARRIAGE_RETURN_LINE_FEED = ('\r' << Byte.SIZE) | '\n';
     private static final int COLON_SPACE = (':' << Byte.SIZE) | ' ';
     private static final char DELETE = 0x7F;
 
     private RequestHeadWriter() {}
 
-    /** Checks that no part of a request can end its line or begin another request. */
+    /**
+     * Verifies that no part of a request can end its line or start another request (request
+     * smuggling).
+     */
     static void check(BackendRequest request) {
         checkTarget(request.target());
         Iterator<Map.Entry<CharSequence, CharSequence>> headers =
@@ -31,13 +34,13 @@
         }
     }
 
-    /** Writes the head of a request that was checked. */
+    /** Writes the head of a request that has passed {@link #check}. */
     static ByteBuf write(ByteBufAllocator allocator, BackendRequest request) {
-        ByteBuf head = allocator.buffer(USUAL_SIZE);
-        ascii(head, request.method().name());
+        ByteBuf head = allocator.buffer(INITIAL_CAPACITY);
+        appendAscii(head, request.method().name());
         head.writeByte(' ');
-        ascii(head, request.target());
-        ascii(head, " HTTP/1.1");
+        appendAscii(head, request.target());
+        appendAscii(head, " HTTP/1.1");
         head.writeShort(CARRIAGE_RETURN_LINE_FEED);
         writeHeaders(head, request);
         head.writeShort(CARRIAGE_RETURN_LINE_FEED);
@@ -54,15 +57,15 @@
             }
         }
         int length = request.body().readableBytes();
-        if (length > 0 || usuallyHasBody(request.method())) {
+        if (length > 0 || hasLengthByDefault(request.method())) {
             writeHeader(head, HttpHeaderNames.CONTENT_LENGTH, Integer.toString(length));
         }
     }
 
     private static void writeHeader(ByteBuf head, CharSequence name, CharSequence value) {
-        ascii(head, name);
+        appendAscii(head, name);
         head.writeShort(COLON_SPACE);
-        ascii(head, value);
+        appendAscii(head, value);
         head.writeShort(CARRIAGE_RETURN_LINE_FEED);
     }
 
@@ -71,7 +74,7 @@
                 || HttpHeaderNames.TRANSFER_ENCODING.contentEqualsIgnoreCase(name);
     }
 
-    private static boolean usuallyHasBody(HttpMethod method) {
+    private static boolean hasLengthByDefault(HttpMethod method) {
         return method.equals(HttpMethod.POST)
                 || method.equals(HttpMethod.PUT)
                 || method.equals(HttpMethod.PATCH);
@@ -98,7 +101,7 @@
         }
     }
 
-    private static void ascii(ByteBuf head, CharSequence text) {
+    private static void appendAscii(ByteBuf head, CharSequence text) {
         ByteBufUtil.writeAscii(head, text);
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/RequestWrite.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/RequestWrite.java
@@ -6,20 +6,20 @@
 import io.netty.channel.ChannelProgressiveFutureListener;
 import io.netty.channel.ChannelProgressivePromise;
 
-/** The writing of one request to one connection, which knows whether a byte has left. */
+/** Write of one request to one connection, which tracks whether any byte has been written. */
 final class RequestWrite implements ChannelProgressiveFutureListener {
 
     private final PendingCall mCall;
-    private final Runnable mWhenEnded;
+    private final Runnable mEndHandler;
     private boolean mFlushed;
     private boolean mFailed;
 
-    RequestWrite(PendingCall call, Runnable whenEnded) {
+    RequestWrite(PendingCall call, Runnable endHandler) {
         mCall = call;
-        mWhenEnded = whenEnded;
+        mEndHandler = endHandler;
     }
 
-    /** Writes head and body in one flush. */
+    /** Writes the head and the body in one flush. */
     void start(Channel channel) {
         BackendRequest request = mCall.request();
         ByteBuf head = RequestHeadWriter.write(channel.alloc(), request);
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Tells whether the whole request was handed to the connection. */
+    /** Returns whether the complete request was written to the connection. */
     boolean isFlushed() {
         return mFlushed;
     }
@@ -61,6 +61,6 @@
     private void ended(boolean isSuccess) {
         mFlushed = isSuccess;
         mFailed = !isSuccess;
-        mWhenEnded.run();
+        mEndHandler.run();
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/ServerPool.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/ServerPool.java
@@ -13,30 +13,30 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The connections to one backend server. */
+/** Pool of the connections to one backend server. */
 final class ServerPool {
 
     private static final Logger sLogger = LoggerFactory.getLogger(ServerPool.class);
-    private static final long LEAST_LEARNT_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+    private static final long MINIMUM_OBSERVED_IDLE_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
     private final ServerAddress mAddress;
     private final InetSocketAddress mSocketAddress;
     private final PoolContext mContext;
     private final List<BackendConnection> mConnections = new ArrayList<>();
 
-    /** The one used last comes first. */
+    /** Idle connections, the most recently used first. */
     private final Deque<BackendConnection> mIdle = new ArrayDeque<>();
 
     private int mMaximum = 1;
     private long mUnstatedIdleNanos;
-    private long mHeardNanos;
+    private long mLastReceivedNanos;
 
     ServerPool(ServerAddress address, PoolContext context) {
         mAddress = address;
         mSocketAddress = ConnectionOpener.socketAddress(address);
         mContext = context;
         mUnstatedIdleNanos = context.options().unstatedIdleNanos();
-        mHeardNanos = nowNanos();
+        mLastReceivedNanos = nowNanos();
     }
 
     InetSocketAddress socketAddress() {
@@ -67,19 +67,22 @@
         return mConnections.isEmpty();
     }
 
-    boolean isOverfull() {
+    boolean isAboveMaximum() {
         return mConnections.size() > mMaximum;
     }
 
-    /** Finds a connection for a call: a kept one, one that opens for nobody, or a new one. */
-    void place(PendingCall call, int maximum) {
+    /**
+     * Assigns a connection to a call: an idle one, one that is opening and has no call yet, or a
+     * new one.
+     */
+    void assign(PendingCall call, int maximum) {
         mMaximum = maximum;
-        BackendConnection kept = takeIdle(call.request());
-        while (kept != null) {
-            if (kept.begin(call)) {
+        BackendConnection idle = takeIdle(call.request());
+        while (idle != null) {
+            if (idle.begin(call)) {
                 return;
             }
-            kept = takeIdle(call.request());
+            idle = takeIdle(call.request());
         }
         for (BackendConnection connection : mConnections) {
             if (connection.isUnclaimed()) {
@@ -97,7 +100,7 @@
         open(call);
     }
 
-    /** Opens a connection for nobody, to learn whether the server takes any. */
+    /** Opens a connection without a call, to check whether the server accepts connections. */
     void check(Consumer<ServerReachability> listener) {
         BackendConnection connection;
         try {
@@ -108,14 +111,14 @@
         }
         mConnections.add(connection);
         mContext.counts().begun();
-        connection.whenTried(listener);
+        connection.setReachabilityListener(listener);
     }
 
-    /** Counts a connection as idle. */
-    void idle(BackendConnection connection) {
+    /** Adds a connection to the idle ones. */
+    void addIdle(BackendConnection connection) {
         mIdle.addFirst(connection);
         mContext.counts().idleChanged(1);
-        mContext.whenIdle().run();
+        mContext.onIdle().run();
     }
 
     void closed(BackendConnection connection, boolean wasIdle) {
@@ -128,28 +131,37 @@
     }
 
     void bytesReceived() {
-        mHeardNanos = nowNanos();
+        mLastReceivedNanos = nowNanos();
     }
 
-    /** Hears that the server closed an idle connection, and learns from it if it stated no time. */
+    /**
+     * Records that the server closed an idle connection without having stated an idle timeout, and
+     * lowers the assumed timeout accordingly.
+     */
     void closedWhenIdle(long idleNanos) {
         long limitNanos = IdleTimes.withMargin(idleNanos);
-        mUnstatedIdleNanos = Math.min(mUnstatedIdleNanos, Math.max(limitNanos, LEAST_LEARNT_NANOS));
+        mUnstatedIdleNanos =
+                Math.min(mUnstatedIdleNanos, Math.max(limitNanos, MINIMUM_OBSERVED_IDLE_NANOS));
     }
 
-    /** Hears that a connection broke off, without a byte of an answer, after it had been idle. */
-    void brokenOffAfterIdle(long idleNanos, long tookNanos, long roundTripNanos) {
-        mContext.idleTrust().brokenOff(idleNanos, tookNanos, roundTripNanos, nowNanos());
+    /**
+     * Records that a connection was broken off after it had been idle, without a byte of an answer.
+     */
+    void brokenOffAfterIdle(long idleNanos, long elapsedNanos, long roundTripNanos) {
+        mContext.idleReusePolicy().brokenOff(idleNanos, elapsedNanos, roundTripNanos, nowNanos());
     }
 
-    /** Hears that a connection did not open in time. */
-    void notOpened() {
-        mContext.idleTrust().notOpened(nowNanos());
+    /** Records that a connection did not open in time. */
+    void openTimedOut() {
+        mContext.idleReusePolicy().openTimedOut(nowNanos());
     }
 
-    /** Hears that a call timed out; a server that was silent all the while is suspect. */
+    /**
+     * Records that a call timed out, and closes the idle connections if its request was written and
+     * the server has sent nothing since the call began.
+     */
     void timedOut(PendingCall call) {
-        if (call.isWritten() && mHeardNanos - call.sentNanos() < 0) {
+        if (call.isWritten() && mLastReceivedNanos - call.sentNanos() < 0) {
             closeIdle();
         }
     }
@@ -160,7 +172,7 @@
         }
     }
 
-    /** Closes idle connections, and those in use after their calls. */
+    /** Closes idle connections now and those in use after their calls. */
     void retire() {
         for (BackendConnection connection : List.copyOf(mConnections)) {
             connection.retire();
@@ -173,7 +185,7 @@
         }
     }
 
-    /** Closes idle connections that must not be used any more. */
+    /** Closes idle connections that must not be reused any more. */
     void closeExpired() {
         long nowNanos = nowNanos();
         BackendConnection expired = firstExpired(nowNanos);
@@ -188,7 +200,7 @@
     }
 
     private BackendConnection firstExpired(long nowNanos) {
-        long limitNanos = mContext.idleTrust().limitNanos(nowNanos);
+        long limitNanos = mContext.idleReusePolicy().limitNanos(nowNanos);
         for (BackendConnection connection : mIdle) {
             if (connection.isExpired() || connection.idleNanos() >= limitNanos) {
                 return connection;
@@ -204,12 +216,13 @@
     private BackendConnection takeIdle(BackendRequest request) {
         closeExpired();
         long nowNanos = nowNanos();
-        long limitNanos = mContext.idleTrust().limitNanos(request.repeatable(), nowNanos);
+        long limitNanos = mContext.idleReusePolicy().limitNanos(request.repeatable(), nowNanos);
         Iterator<BackendConnection> connections = mIdle.iterator();
         while (connections.hasNext()) {
             BackendConnection connection = connections.next();
-            // A late second answer to the same id would pass for the answer to this send.
-            if (!connection.lastServed(request.requestId())
+            // A late second answer with the same id would be mistaken for the answer to this
+            // attempt.
+            if (!connection.hasLastServed(request.requestId())
                     && connection.idleNanos() < limitNanos) {
                 connections.remove();
                 mContext.counts().idleChanged(-1);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/ServerReachability.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/ServerReachability.java
@@ -4,19 +4,22 @@
 import java.net.ConnectException;
 
 /**
- * What an attempt to open a connection tells of a backend server.
+ * Result of an attempt to open a connection to a backend server.
  *
  * @since 0.2
  */
 public enum ServerReachability {
-    /** It takes connections. */
+    /** The server accepts connections. */
     OPEN,
-    /** Its machine answers that nobody listens there: the server has ended. */
+    /**
+     * The server's host refuses the connection because no process listens on the port: the server
+     * has terminated.
+     */
     REFUSED,
-    /** Nothing was heard, or the attempt failed on the way; the server may live or not. */
+    /** The attempt timed out or failed for another reason; the server may be running or not. */
     UNKNOWN;
 
-    /** Reads why a connection could not be opened. */
+    /** Determines the result from the exception of a failed attempt. */
     static ServerReachability of(Throwable cause) {
         boolean isTimeout = cause instanceof ConnectTimeoutException;
         return cause instanceof ConnectException && !isTimeout ? REFUSED : UNKNOWN;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/package-info.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Connections to backend servers and calls on them, on Netty; must know nothing of routes and of
- * which server is chosen. Everything in it is touched by the traffic thread only.
+ * Netty-based connections to backend servers and the calls on them. Must not depend on routing or
+ * on the selection of servers. Confined to the traffic thread.
  */
 package io.masticpond.entry.backend;
--- a/masticpond-entry/src/test/java/io/masticpond/entry/backend/AnswerWholenessTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/backend/AnswerWholenessTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Only whole answers to the request itself come through. */
+/** Tests that only complete answers to the request itself are passed on. */
 class AnswerWholenessTest {
 
     private interface Script {
@@ -40,16 +40,16 @@
     }
 
     @Example
-    void aResetOrAnEndBeforeTheAnswerBreaksTheCallOff() throws Exception {
+    void aResetOrCloseBeforeTheAnswerBreaksOffTheCall() throws Exception {
         assertFails(CallFailure.Kind.BROKEN_OFF, RawServer.Connection::reset);
         assertFails(CallFailure.Kind.BROKEN_OFF, RawServer.Connection::close);
     }
 
     @Property(tries = 40, seed = "41")
-    void anAnswerWithLengthCutAnywhereBreaksTheCallOff(
+    void aTruncatedAnswerWithLengthBreaksOffTheCall(
             @ForAll @IntRange(min = 1, max = 80) int part, @ForAll boolean isReset)
             throws Exception {
-        String answer = Answers.whole("a", "Seal: 1\r\n", "some-body");
+        String answer = Answers.complete("a", "Seal: 1\r\n", "some-body");
         String cut = answer.substring(0, Math.min(part, answer.length() - 1));
         assertFails(
                 CallFailure.Kind.BROKEN_OFF,
@@ -60,7 +60,7 @@
     }
 
     @Property(tries = 40, seed = "42")
-    void anAnswerInChunksCutAnywhereBreaksTheCallOff(
+    void aTruncatedChunkedAnswerBreaksOffTheCall(
             @ForAll @IntRange(min = 1, max = 90) int part, @ForAll boolean isReset)
             throws Exception {
         String answer =
@@ -75,7 +75,7 @@
     }
 
     @Example
-    void anAnswerWithoutLengthIsWholeOnlyIfItsConnectionEndsInOrder() throws Exception {
+    void anAnswerWithoutLengthIsCompleteOnlyAfterAnOrderlyClose() throws Exception {
         RecordingCallListener.Answer answer =
                 answerTo(
                         BackendFixture.get("a"),
@@ -87,7 +87,7 @@
     }
 
     @Example
-    void whatIsNoAnswerIsBad() throws Exception {
+    void malformedAnswersAreBadAnswers() throws Exception {
         for (String bytes :
                 new String[] {
                     "garbage and more\r\n\r\n",
@@ -117,7 +117,7 @@
     }
 
     @Example
-    void aRefusalNeedsNoIdButMustNotBearAnother() throws Exception {
+    void aRefusalMayOmitTheIdButMustNotBearAnother() throws Exception {
         String refusal = "HTTP/1.1 503 No\r\nX-Not-Executed: full\r\nContent-Length: 0\r\n\r\n";
         String misdirected = "HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n";
         String other = refusal.replace("X-Not", "X-Request-Id: b\r\nX-Not");
@@ -147,14 +147,14 @@
     }
 
     @Example
-    void headersComeUnchangedWithoutThoseOfTheConnection() throws Exception {
+    void headersArePassedOnUnchangedExceptHopByHopHeaders() throws Exception {
         RecordingCallListener.Answer answer =
                 answerTo(
                         BackendFixture.get("a"),
                         connection ->
                                 connection.send(
                                         "HTTP/1.1 100 Continue\r\n\r\n"
-                                                + Answers.whole(
+                                                + Answers.complete(
                                                         "a",
                                                         "Seal: 1\r\nContent-Encoding: gzip\r\n"
                                                                 + "Connection: close, Hop\r\n"
--- a/masticpond-entry/src/test/java/io/masticpond/entry/backend/Answers.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/backend/Answers.java
@@ -1,11 +1,11 @@
 package io.masticpond.entry.backend;
 
-/** Texts of answers. */
+/** Factory methods for the text of answers. */
 final class Answers {
 
     private Answers() {}
 
-    static String whole(String id, String headers, String body) {
+    static String complete(String id, String headers, String body) {
         return head(id, headers + "Content-Length: " + body.length() + "\r\n") + body;
     }
 
--- a/masticpond-entry/src/test/java/io/masticpond/entry/backend/BackendFixture.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/backend/BackendFixture.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 
-/** Connections under test, to one stand-in server, on an event loop of their own. */
+/** Fixture with connections under test to one stand-in server, on an event loop of their own. */
 final class BackendFixture implements AutoCloseable {
 
     static final long LONG_NANOS = TimeUnit.SECONDS.toNanos(120);
@@ -77,28 +77,28 @@
         return request(id, HttpMethod.POST, Unpooled.EMPTY_BUFFER, LONG_NANOS, false);
     }
 
-    /** Sends on the event loop, at most eight at one time. */
+    /** Sends a request on the event loop, with a maximum of eight connections. */
     RecordingCallListener send(BackendRequest request) throws Exception {
-        return onLoop(() -> sendHere(request, 8));
+        return onLoop(() -> sendOnLoop(request, 8));
     }
 
     RecordingCallListener send(String id) throws Exception {
         return send(get(id));
     }
 
-    /** Sends from the event loop, on which the caller is. */
-    RecordingCallListener sendHere(BackendRequest request, int maximumConnections) {
+    /** Sends a request; must be called on the event loop. */
+    RecordingCallListener sendOnLoop(BackendRequest request, int maximumConnections) {
         RecordingCallListener recorder = new RecordingCallListener();
         mConnections.send(mTarget, maximumConnections, request, recorder);
         return recorder;
     }
 
     /** Opens a connection and leaves it idle after one answered request. */
-    RawServer.Connection keptConnection(String answerHeaders) throws Exception {
+    RawServer.Connection openIdleConnection(String answerHeaders) throws Exception {
         RecordingCallListener first = send("first");
         RawServer.Connection connection = mServer.accept();
         connection.readHead();
-        connection.send(Answers.whole("first", answerHeaders, "x"));
+        connection.send(Answers.complete("first", answerHeaders, "x"));
         first.answer();
         return connection;
     }
@@ -107,7 +107,10 @@
         mClock.advance(Duration.ofMillis(millis));
     }
 
-    /** The time of day goes on while the steady clock stands still, or the other way round. */
+    /**
+     * Advances the wall clock but not the monotonic clock, as during a suspension of the machine; a
+     * negative time sets the wall clock back.
+     */
     void suspend(long millis) {
         mClock.stepWallClock(Duration.ofMillis(millis));
     }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/backend/CallEndTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/backend/CallEndTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import net.jqwik.api.Example;
 
-/** Calls end by limits, cancellation and timeouts. */
+/** Tests the end of calls by limits, cancellation and timeouts. */
 class CallEndTest {
 
     private static final long SHORT_NANOS = TimeUnit.MILLISECONDS.toNanos(30);
@@ -26,8 +26,8 @@
             RecordingCallListener second =
                     backends.onLoop(
                             () -> {
-                                backends.sendHere(BackendFixture.get("first"), 1);
-                                return backends.sendHere(BackendFixture.get("second"), 1);
+                                backends.sendOnLoop(BackendFixture.get("first"), 1);
+                                return backends.sendOnLoop(BackendFixture.get("second"), 1);
                             });
             second.assertFailed(CallFailure.Kind.NO_CONNECTION_FREE, Verdict.DID_NOT_RUN);
             assertThat(backends.opened()).isEqualTo(1);
@@ -53,7 +53,9 @@
                             backends.mConnections.send(
                                     backends.mTarget, 1, BackendFixture.get("never"), withdrawn));
             withdrawn.assertFailed(CallFailure.Kind.WITHDRAWN, Verdict.DID_NOT_RUN);
-            assertThat(backends.idle()).as("the connection is kept for others").isEqualTo(1);
+            assertThat(backends.idle())
+                    .as("the connection stays open for other calls")
+                    .isEqualTo(1);
             backends.send("next");
             assertThat(backends.mServer.accept().readHead()).contains("next");
             assertThat(backends.opened()).isEqualTo(1);
@@ -77,7 +79,7 @@
                         return null;
                     });
             RecordingCallListener next =
-                    backends.onLoop(() -> backends.sendHere(BackendFixture.get("next"), 1));
+                    backends.onLoop(() -> backends.sendOnLoop(BackendFixture.get("next"), 1));
             RawServer.Connection connection = backends.mServer.accept();
             assertThat(connection.readHead()).contains("X-Request-Id: next");
             connection.answer("next", "x");
@@ -116,14 +118,14 @@
     }
 
     @Example
-    void aCallThatTimesOutEndsItsConnectionAndIdleOnesIfTheServerWasSilent() throws Exception {
+    void aTimeoutClosesItsConnectionAndIdleOnesIfTheServerWasUnresponsive() throws Exception {
         try (BackendFixture backends = new BackendFixture()) {
             List<RecordingCallListener> pair =
                     backends.onLoop(
                             () ->
                                     List.of(
-                                            backends.sendHere(BackendFixture.get("a"), 2),
-                                            backends.sendHere(BackendFixture.get("b"), 2)));
+                                            backends.sendOnLoop(BackendFixture.get("a"), 2),
+                                            backends.sendOnLoop(BackendFixture.get("b"), 2)));
             RawServer.Connection one = backends.mServer.accept();
             RawServer.Connection two = backends.mServer.accept();
             for (RawServer.Connection each : List.of(one, two)) {
@@ -140,7 +142,7 @@
     }
 
     @Example
-    void aTimeoutBeforeAnyByteLeftMeansTheRequestDidNotRun() throws Exception {
+    void aTimeoutBeforeAnyByteIsWrittenMeansTheRequestDidNotRun() throws Exception {
         try (BackendFixture backends = new BackendFixture();
                 AutoCloseable full = backends.mServer.fill()) {
             backends.send(shortRequest())
@@ -151,9 +153,9 @@
 
     @Example
     void aConnectionThatDoesNotOpenInTimeMeansTheRequestDidNotRun() throws Exception {
-        ConnectionOptions hasty =
+        ConnectionOptions shortTimeouts =
                 new ConnectionOptions("X-Request-Id", "X-No", SHORT_NANOS, SHORT_NANOS, 9);
-        try (BackendFixture backends = new BackendFixture(hasty);
+        try (BackendFixture backends = new BackendFixture(shortTimeouts);
                 AutoCloseable full = backends.mServer.fill()) {
             backends.send("a").assertFailed(CallFailure.Kind.NOT_CONNECTED, Verdict.DID_NOT_RUN);
             assertThat(backends.open()).isZero();
@@ -161,7 +163,7 @@
     }
 
     @Example
-    void closingAllEndsCallsOfEveryKind() throws Exception {
+    void closeFailsWrittenAndWaitingCalls() throws Exception {
         try (BackendFixture backends = new BackendFixture()) {
             RecordingCallListener written = backends.send("a");
             backends.mServer.accept().readHead();
@@ -169,7 +171,7 @@
                     backends.onLoop(
                             () -> {
                                 RecordingCallListener recorder =
-                                        backends.sendHere(BackendFixture.get("b"), 2);
+                                        backends.sendOnLoop(BackendFixture.get("b"), 2);
                                 backends.mConnections.close();
                                 return recorder;
                             });
@@ -181,7 +183,7 @@
     }
 
     @Example
-    void aRequestThatCouldSmuggleAnotherIsNotTaken() throws Exception {
+    void aRequestThatCouldSmuggleAnotherIsRejected() throws Exception {
         try (BackendFixture backends = new BackendFixture()) {
             DefaultHttpHeaders headers = new DefaultHttpHeaders(false);
             headers.add("Some", "value\r\nOther: one");
@@ -198,7 +200,7 @@
                             1,
                             true);
             for (BackendRequest request : List.of(split, spaced)) {
-                assertThatThrownBy(() -> backends.sendHere(request, 1))
+                assertThatThrownBy(() -> backends.sendOnLoop(request, 1))
                         .isInstanceOf(IllegalArgumentException.class);
             }
         }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/backend/ConnectionReuseTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/backend/ConnectionReuseTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** Connections are used again only when that is safe, and no request is sent twice. */
+/** Tests that connections are reused only when that is safe, and that no request is sent twice. */
 class ConnectionReuseTest {
 
     private static final String TEN_SECONDS = "Keep-Alive: timeout=10\r\n";
@@ -23,9 +23,10 @@
     }
 
     @Example
-    void aKeptConnectionServesTheNextRequest() throws Exception {
+    void anIdleConnectionServesTheNextRequest() throws Exception {
         try (BackendFixture backends = new BackendFixture()) {
-            RawServer.Connection connection = backends.keptConnection("Keep-Alive: timeout=5\r\n");
+            RawServer.Connection connection =
+                    backends.openIdleConnection("Keep-Alive: timeout=5\r\n");
             backends.advance(3900);
             RecordingCallListener second = backends.send("second");
             assertThat(connection.readHead())
@@ -39,13 +40,13 @@
     }
 
     @Example
-    void aConnectionNearItsStatedOrUsualIdleTimeIsNotUsedAgain() throws Exception {
+    void aConnectionNearItsStatedOrDefaultIdleTimeIsNotReused() throws Exception {
         for (String headers :
                 new String[] {
                     "Keep-Alive: max=9, timeout=5\r\n", "", "Keep-Alive: timeout=1\r\n"
                 }) {
             try (BackendFixture backends = new BackendFixture()) {
-                RawServer.Connection connection = backends.keptConnection(headers);
+                RawServer.Connection connection = backends.openIdleConnection(headers);
                 backends.advance(4000);
                 assertOpensAnother(backends);
                 assertThat(connection.isEnded()).isTrue();
@@ -54,10 +55,10 @@
     }
 
     @Example
-    void aConnectionThatTheServerWillCloseIsNotUsedAgain() throws Exception {
+    void aConnectionThatTheServerWillCloseIsNotReused() throws Exception {
         for (String headers : new String[] {"Connection: close\r\n", "Keep-Alive: timeout=0\r\n"}) {
             try (BackendFixture backends = new BackendFixture()) {
-                backends.keptConnection(headers);
+                backends.openIdleConnection(headers);
                 assertThat(backends.open()).isZero();
                 assertOpensAnother(backends);
             }
@@ -65,23 +66,22 @@
     }
 
     /**
-     * Seen: machines are suspended for seconds, and their steady clock stands still meanwhile,
-     * while servers count on and close idle connections. A request on one of those may have run, as
-     * far as anybody knows.
+     * While a machine is suspended for seconds, its monotonic clock stops, but servers close idle
+     * connections meanwhile. For a request sent on such a connection it is unknown whether it ran.
      */
     @Example
-    void aConnectionThatRestedWhileTheMachineWasSuspendedIsNotUsedAgain() throws Exception {
+    void aConnectionIdleWhileTheMachineWasSuspendedIsNotReused() throws Exception {
         try (BackendFixture backends = new BackendFixture()) {
-            backends.keptConnection("Keep-Alive: timeout=5\r\n");
+            backends.openIdleConnection("Keep-Alive: timeout=5\r\n");
             backends.suspend(4100);
             assertOpensAnother(backends);
         }
     }
 
     @Example
-    void aClockThatIsSetBackKeepsNoConnectionLonger() throws Exception {
+    void settingTheWallClockBackKeepsNoConnectionLonger() throws Exception {
         try (BackendFixture backends = new BackendFixture()) {
-            backends.keptConnection("Keep-Alive: timeout=5\r\n");
+            backends.openIdleConnection("Keep-Alive: timeout=5\r\n");
             backends.suspend(-60_000);
             backends.advance(4000);
             assertOpensAnother(backends);
@@ -89,13 +89,13 @@
     }
 
     @Example
-    void anIdleTimeThatTheServerDoesNotStateIsLearntFromItsClose() throws Exception {
+    void anUnstatedIdleTimeIsObservedFromTheServersClose() throws Exception {
         try (BackendFixture backends = new BackendFixture()) {
-            RawServer.Connection connection = backends.keptConnection("");
+            RawServer.Connection connection = backends.openIdleConnection("");
             backends.advance(1500);
             connection.endOutput();
             assertThat(connection.isEnded()).isTrue();
-            backends.keptConnection("");
+            backends.openIdleConnection("");
             backends.advance(1000);
             RecordingCallListener third = backends.send("third");
             RawServer.Connection other = backends.mServer.accept();
@@ -107,20 +107,20 @@
     }
 
     @Example
-    void aResetOfForgottenConnectionsHasLaterRequestsUseOnesThatWereIdleForLess() throws Exception {
+    void aResetOfDroppedConnectionLowersTheIdleTimeForReuse() throws Exception {
         try (BackendFixture backends = new BackendFixture()) {
-            RawServer.Connection forgotten = backends.keptConnection(TEN_SECONDS);
+            RawServer.Connection dropped = backends.openIdleConnection(TEN_SECONDS);
             backends.advance(2000);
             RecordingCallListener lost = backends.send("lost");
-            forgotten.readHead();
-            forgotten.reset();
+            dropped.readHead();
+            dropped.reset();
             lost.assertFailed(CallFailure.Kind.BROKEN_OFF, Verdict.MAY_HAVE_RUN);
-            backends.keptConnection(TEN_SECONDS);
+            backends.openIdleConnection(TEN_SECONDS);
             backends.advance(1100);
             RecordingCallListener next = backends.send("next");
             RawServer.Connection fresh = backends.mServer.accept();
             fresh.readHead();
-            fresh.send(Answers.whole("next", TEN_SECONDS, "y"));
+            fresh.send(Answers.complete("next", TEN_SECONDS, "y"));
             next.answer();
             backends.advance(900);
             RecordingCallListener soon = backends.send("soon");
@@ -131,91 +131,92 @@
     }
 
     @Example
-    void resetOfForgottenConnectionKeepsOnceOnlyRequestsOffRestedOnes() throws Exception {
+    void aResetOfDroppedConnectionKeepsOnceOnlyRequestsOffIdleOnes() throws Exception {
         try (BackendFixture backends = new BackendFixture()) {
-            RawServer.Connection forgotten = backends.keptConnection(TEN_SECONDS);
+            RawServer.Connection dropped = backends.openIdleConnection(TEN_SECONDS);
             backends.advance(2000);
             RecordingCallListener lost = backends.send("lost");
-            forgotten.readHead();
-            forgotten.reset();
+            dropped.readHead();
+            dropped.reset();
             lost.assertFailed(CallFailure.Kind.BROKEN_OFF, Verdict.MAY_HAVE_RUN);
-            assertOnlyRepeatableUsesRestedOne(backends);
+            assertOnlyRepeatableReusesIdleConnection(backends);
         }
     }
 
     @Example
-    void aConnectionThatDoesNotOpenInTimeKeepsOnceOnlyRequestsOffRestedOnes() throws Exception {
-        ConnectionOptions hasty = new ConnectionOptions("X-Request-Id", "X-No", 200_000_000L, 1, 9);
-        try (BackendFixture backends = new BackendFixture(hasty)) {
+    void aConnectTimeoutKeepsOnceOnlyRequestsOffIdleConnections() throws Exception {
+        ConnectionOptions shortTimeouts =
+                new ConnectionOptions("X-Request-Id", "X-No", 200_000_000L, 1, 9);
+        try (BackendFixture backends = new BackendFixture(shortTimeouts)) {
             try (AutoCloseable full = backends.mServer.fill()) {
                 backends.send("a")
                         .assertFailed(CallFailure.Kind.NOT_CONNECTED, Verdict.DID_NOT_RUN);
             }
-            assertOnlyRepeatableUsesRestedOne(backends);
+            assertOnlyRepeatableReusesIdleConnection(backends);
         }
     }
 
     @Example
-    void onceOnlyRequestsUseRestedConnectionsAgainLater() throws Exception {
+    void onceOnlyRequestsReuseIdleConnectionsAfterTheRestrictionEnds() throws Exception {
         try (BackendFixture backends = new BackendFixture()) {
-            RawServer.Connection forgotten = backends.keptConnection(TEN_SECONDS);
+            RawServer.Connection dropped = backends.openIdleConnection(TEN_SECONDS);
             backends.advance(2000);
             RecordingCallListener lost = backends.send("lost");
-            forgotten.readHead();
-            forgotten.reset();
+            dropped.readHead();
+            dropped.reset();
             lost.assertFailed(CallFailure.Kind.BROKEN_OFF, Verdict.MAY_HAVE_RUN);
             backends.advance(9000);
-            RawServer.Connection kept = backends.keptConnection(TEN_SECONDS);
+            RawServer.Connection reused = backends.openIdleConnection(TEN_SECONDS);
             backends.advance(2000);
             RecordingCallListener next = backends.send(BackendFixture.onceOnly("next"));
-            kept.readHead();
-            kept.answer("next", "y");
+            reused.readHead();
+            reused.answer("next", "y");
             next.answer();
         }
     }
 
-    private static void assertOnlyRepeatableUsesRestedOne(BackendFixture backends)
+    private static void assertOnlyRepeatableReusesIdleConnection(BackendFixture backends)
             throws Exception {
-        RawServer.Connection rested = backends.keptConnection(TEN_SECONDS);
+        RawServer.Connection idle = backends.openIdleConnection(TEN_SECONDS);
         backends.advance(100);
         RecordingCallListener once = backends.send(BackendFixture.onceOnly("once"));
         RawServer.Connection fresh = backends.mServer.accept();
         fresh.readHead();
         RecordingCallListener repeatable = backends.send("repeatable");
-        rested.readHead();
-        rested.answer("repeatable", "y");
+        idle.readHead();
+        idle.answer("repeatable", "y");
         repeatable.answer();
         fresh.answer("once", "z");
         once.answer();
     }
 
     @Example
-    void aBreakLongAfterTheRequestLeavesIdleConnectionsInUse() throws Exception {
+    void aResetLongAfterTheRequestDoesNotRestrictReuse() throws Exception {
         try (BackendFixture backends = new BackendFixture()) {
-            RawServer.Connection broken = backends.keptConnection(TEN_SECONDS);
+            RawServer.Connection broken = backends.openIdleConnection(TEN_SECONDS);
             backends.advance(2000);
             RecordingCallListener lost = backends.send("lost");
             broken.readHead();
             backends.advance(300);
             broken.reset();
             lost.assertFailed(CallFailure.Kind.BROKEN_OFF, Verdict.MAY_HAVE_RUN);
-            RawServer.Connection kept = backends.keptConnection(TEN_SECONDS);
+            RawServer.Connection reused = backends.openIdleConnection(TEN_SECONDS);
             backends.advance(3000);
             RecordingCallListener next = backends.send("next");
-            kept.readHead();
-            kept.answer("next", "y");
+            reused.readHead();
+            reused.answer("next", "y");
             next.answer();
         }
     }
 
     @Example
-    void bytesAfterAnAnswerEndTheConnectionButNotTheAnswer() throws Exception {
-        for (String extra : new String[] {"\r\n", "x", Answers.whole("first", "", "z")}) {
+    void bytesAfterAnAnswerCloseTheConnectionButKeepTheAnswer() throws Exception {
+        for (String extra : new String[] {"\r\n", "x", Answers.complete("first", "", "z")}) {
             try (BackendFixture backends = new BackendFixture()) {
                 RecordingCallListener first = backends.send("first");
                 RawServer.Connection connection = backends.mServer.accept();
                 connection.readHead();
-                connection.send(Answers.whole("first", "", "x") + extra);
+                connection.send(Answers.complete("first", "", "x") + extra);
                 assertThat(first.answer().body()).isEqualTo("x");
                 assertThat(connection.isEnded()).isTrue();
                 assertOpensAnother(backends);
@@ -224,9 +225,9 @@
     }
 
     @Example
-    void bytesOnAnIdleConnectionEndIt() throws Exception {
+    void bytesOnAnIdleConnectionCloseIt() throws Exception {
         try (BackendFixture backends = new BackendFixture()) {
-            RawServer.Connection connection = backends.keptConnection("");
+            RawServer.Connection connection = backends.openIdleConnection("");
             connection.answer("first", "late");
             assertThat(connection.isEnded()).isTrue();
             assertThat(backends.open()).isZero();
@@ -234,9 +235,9 @@
     }
 
     @Example
-    void aLateAnswerWithTheIdOfThePreviousSendCannotMeetTheNextSendOfThatId() throws Exception {
+    void aRepeatedRequestIdIsNotSentOnTheConnectionThatServedItLast() throws Exception {
         try (BackendFixture backends = new BackendFixture()) {
-            backends.keptConnection("");
+            backends.openIdleConnection("");
             RecordingCallListener again = backends.send("first");
             RawServer.Connection other = backends.mServer.accept();
             other.readHead();
@@ -247,7 +248,7 @@
     }
 
     @Example
-    void anAnswerToAnotherRequestEndsTheConnectionAfterTheCall() throws Exception {
+    void anAnswerToAnotherRequestClosesTheConnectionAfterTheCall() throws Exception {
         try (BackendFixture backends = new BackendFixture()) {
             RecordingCallListener first = backends.send("first");
             RawServer.Connection connection = backends.mServer.accept();
@@ -259,14 +260,14 @@
     }
 
     @Example
-    void aRequestOfWhichNoByteLeftMovesToAnotherConnection() throws Exception {
+    void aRequestOfWhichNoByteWasWrittenMovesToAnotherConnection() throws Exception {
         try (BackendFixture backends = new BackendFixture()) {
-            RawServer.Connection stale = backends.keptConnection("");
+            RawServer.Connection stale = backends.openIdleConnection("");
             RecordingCallListener second =
                     backends.onLoop(
                             () -> {
                                 stale.reset();
-                                return backends.sendHere(BackendFixture.get("second"), 1);
+                                return backends.sendOnLoop(BackendFixture.get("second"), 1);
                             });
             RawServer.Connection other = backends.mServer.accept();
             other.readHead();
@@ -276,14 +277,14 @@
     }
 
     @Example
-    void aRequestThatLeftOnOneThatWasStaleIsNotSentAgain() throws Exception {
+    void aRequestWrittenToStaleConnectionIsNotSentAgain() throws Exception {
         try (BackendFixture backends = new BackendFixture()) {
-            RawServer.Connection stale = backends.keptConnection("");
+            RawServer.Connection stale = backends.openIdleConnection("");
             RecordingCallListener second =
                     backends.onLoop(
                             () -> {
                                 stale.close();
-                                return backends.sendHere(BackendFixture.get("second"), 8);
+                                return backends.sendOnLoop(BackendFixture.get("second"), 8);
                             });
             second.assertFailed(CallFailure.Kind.BROKEN_OFF, Verdict.MAY_HAVE_RUN);
             assertThat(backends.opened()).isEqualTo(1);
@@ -291,7 +292,7 @@
     }
 
     @Example
-    void anEarlyAnswerComesThroughAndTheRestOfTheBodyIsStillSent() throws Exception {
+    void anEarlyAnswerIsPassedOnAndTheRestOfTheBodyIsStillSent() throws Exception {
         int length = 48 << 20;
         try (BackendFixture backends = new BackendFixture()) {
             BackendRequest post =
@@ -336,13 +337,13 @@
     @Example
     void aLowerMaximumClosesConnectionsBeyondItAfterTheirCalls() throws Exception {
         try (BackendFixture backends = new BackendFixture()) {
-            RawServer.Connection one = backends.keptConnection("");
+            RawServer.Connection one = backends.openIdleConnection("");
             RecordingCallListener a = backends.send("a");
             one.readHead();
             RecordingCallListener b = backends.send("b");
             RawServer.Connection two = backends.mServer.accept();
             two.readHead();
-            backends.onLoop(() -> backends.sendHere(BackendFixture.get("c"), 1))
+            backends.onLoop(() -> backends.sendOnLoop(BackendFixture.get("c"), 1))
                     .assertFailed(CallFailure.Kind.NO_CONNECTION_FREE, Verdict.DID_NOT_RUN);
             one.answer("a", "x");
             a.answer();
@@ -350,16 +351,16 @@
             two.answer("b", "x");
             b.answer();
             assertThat(List.of(backends.open(), backends.idle())).containsExactly(1L, 1L);
-            backends.onLoop(() -> backends.sendHere(BackendFixture.get("b"), 1));
+            backends.onLoop(() -> backends.sendOnLoop(BackendFixture.get("b"), 1));
             assertThat(two.isEnded()).isTrue();
             assertThat(backends.mServer.accept().readHead()).contains("Id: b");
         }
     }
 
     @Example
-    void aForgottenServerLosesIdleConnectionsNowAndOthersAfterTheirCalls() throws Exception {
+    void removalOfServerClosesIdleConnectionsNowAndOthersAfterTheirCalls() throws Exception {
         try (BackendFixture backends = new BackendFixture()) {
-            RawServer.Connection idle = backends.keptConnection("");
+            RawServer.Connection idle = backends.openIdleConnection("");
             RecordingCallListener busy = backends.send("busy");
             idle.readHead();
             RecordingCallListener second = backends.send("second");
--- a/masticpond-entry/src/test/java/io/masticpond/entry/backend/RawServer.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/backend/RawServer.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A stand-in of a backend server that does with each connection just what a test says. */
+/** Stand-in for a backend server whose connections are controlled by the test. */
 final class RawServer implements AutoCloseable {
 
     private static final int TIMEOUT_MILLIS = 60_000;
@@ -30,7 +30,7 @@
         return new Connection(mSocket.accept());
     }
 
-    /** Fills the queue of connections to accept, so that no more open until it is closed. */
+    /** Fills the accept queue, so that no further connection opens until the result is closed. */
     AutoCloseable fill() throws IOException {
         List<Socket> sockets = new ArrayList<>();
         for (int each = 0; each <= BACKLOG; each++) {
@@ -49,7 +49,7 @@
         mSocket.close();
     }
 
-    /** One accepted connection. */
+    /** Accepted connection. */
     static final class Connection {
 
         private final Socket mConnection;
@@ -61,7 +61,7 @@
             mInput = connection.getInputStream();
         }
 
-        /** Reads a head up to its empty line. */
+        /** Reads a head up to and including its empty line. */
         String readHead() throws IOException {
             StringBuilder head = new StringBuilder();
             while (head.indexOf("\r\n\r\n") < 0) {
@@ -78,7 +78,7 @@
             return new String(mInput.readNBytes(length), StandardCharsets.ISO_8859_1);
         }
 
-        /** Tells whether the other side ended the connection without another byte. */
+        /** Returns whether the other side ended the connection without sending another byte. */
         boolean isEnded() throws IOException {
             return mInput.read() < 0;
         }
@@ -88,9 +88,9 @@
             return this;
         }
 
-        /** Sends a whole answer with the given id. */
+        /** Sends a complete answer with the given id. */
         Connection answer(String id, String body) throws IOException {
-            return send(Answers.whole(id, "", body));
+            return send(Answers.complete(id, "", body));
         }
 
         void endOutput() throws IOException {
--- a/masticpond-entry/src/test/java/io/masticpond/entry/backend/RecordingCallListener.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/backend/RecordingCallListener.java
@@ -8,16 +8,16 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** Keeps how a call ended, and fails if it ends twice. */
+/** Listener that records the end of a call and fails if there is more than one. */
 final class RecordingCallListener implements BackendCallListener {
 
-    /** An answer with its body as text. */
+    /** Answer with its body as text. */
     record Answer(int status, HttpHeaders headers, String body) {}
 
     private final CompletableFuture<Object> mEnd = new CompletableFuture<>();
     private int mEnds;
 
-    /** Whether the request may still be written once there is a connection. */
+    /** Whether the request may still be written once a connection is available. */
     boolean mMayBegin = true;
 
     @Override
--- a/masticpond-entry/src/test/java/io/masticpond/entry/backend/ServerCheckTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/backend/ServerCheckTest.java
@@ -7,24 +7,24 @@
 import java.util.concurrent.TimeUnit;
 import net.jqwik.api.Example;
 
-/** Whether a server has ended is told by a new connection. */
+/** Tests that opening a new connection shows whether a server has terminated. */
 class ServerCheckTest {
 
-    private final BlockingQueue<ServerReachability> mHeard = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ServerReachability> mResults = new LinkedBlockingQueue<>();
 
     private ServerReachability check(BackendFixture backends) throws Exception {
         backends.onLoop(
                 () -> {
-                    backends.mConnections.check(backends.mTarget, mHeard::add);
+                    backends.mConnections.check(backends.mTarget, mResults::add);
                     return null;
                 });
-        return mHeard.poll(60, TimeUnit.SECONDS);
+        return mResults.poll(60, TimeUnit.SECONDS);
     }
 
     @Example
-    void serverThatTakesConnectionsHasNotEndedAndItsConnectionIsUsed() throws Exception {
+    void checkOfRunningServerReportsOpenAndItsConnectionIsReused() throws Exception {
         try (BackendFixture backends = new BackendFixture()) {
-            backends.keptConnection("Connection: close\r\n");
+            backends.openIdleConnection("Connection: close\r\n");
             assertThat(check(backends)).isEqualTo(ServerReachability.OPEN);
             RawServer.Connection checked = backends.mServer.accept();
             RecordingCallListener next = backends.send("next");
@@ -36,9 +36,9 @@
     }
 
     @Example
-    void serverThatRefusesConnectionsHasEnded() throws Exception {
+    void checkOfTerminatedServerReportsRefused() throws Exception {
         try (BackendFixture backends = new BackendFixture()) {
-            backends.keptConnection("Connection: close\r\n");
+            backends.openIdleConnection("Connection: close\r\n");
             backends.mServer.close();
             assertThat(check(backends)).isEqualTo(ServerReachability.REFUSED);
             assertThat(backends.open()).isZero();
@@ -46,7 +46,7 @@
     }
 
     @Example
-    void checkOfServerThatIsGoneFromTheRegistryLeavesNothing() throws Exception {
+    void checkOfServerWithoutPoolLeavesNoConnection() throws Exception {
         try (BackendFixture backends = new BackendFixture()) {
             assertThat(check(backends)).isEqualTo(ServerReachability.OPEN);
             assertThat(backends.mServer.accept().isEnded()).isTrue();
@@ -55,7 +55,7 @@
     }
 
     @Example
-    void checkAfterTheEndTellsNothing() throws Exception {
+    void checkAfterCloseReportsUnknown() throws Exception {
         try (BackendFixture backends = new BackendFixture()) {
             backends.onLoop(
                     () -> {
