--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/AnswerEncoder.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/AnswerEncoder.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 
 /**
- * Writes the heads of answers. One encoder serves all connections of a thread.
+ * Encoder for the heads of answers. One encoder is shared by all connections of a thread.
  *
  * @since 0.2
  */
@@ -18,12 +18,14 @@
 
     private static final int NO_CONTENT = 204;
     private static final int NOT_MODIFIED = 304;
-    private static final int FIRST_CAPACITY = 512;
+    private static final int INITIAL_CAPACITY = 512;
     private static final String LINE_END = "\r\n";
 
-    private final StringBuilder mText = new StringBuilder(FIRST_CAPACITY);
+    private final StringBuilder mText = new StringBuilder(INITIAL_CAPACITY);
 
-    /** Tells whether an answer has a body at all: not to HEAD, and not with some status codes. */
+    /**
+     * Returns whether an answer has a body: not to HEAD, and not with the status codes 204 and 304.
+     */
     static boolean hasBody(int status, boolean isHeadMethod) {
         return !isHeadMethod && status != NO_CONTENT && status != NOT_MODIFIED;
     }
@@ -31,11 +33,11 @@
     /**
      * Writes the status line and headers.
      *
-     * @param allocator gives the buffer
+     * @param allocator the allocator of the buffer
      * @param answer the answer
      * @param isHeadMethod whether the request's method was HEAD
-     * @param connection the value of the connection header, or null for none
-     * @param room how many bytes of a body will be appended
+     * @param connection the value of the {@code Connection} header, or {@code null} for none
+     * @param extraCapacity the number of body bytes for which the buffer must have room
      * @return the head
      */
     ByteBuf encode(
@@ -43,7 +45,7 @@
             OutgoingAnswer answer,
             boolean isHeadMethod,
             String connection,
-            int room) {
+            int extraCapacity) {
         int status = answer.status();
         mText.setLength(0);
         mText.append("HTTP/1.1 ").append(status).append(' ');
@@ -55,11 +57,11 @@
         }
         mText.append(LINE_END);
         byte[] bytes = mText.toString().getBytes(StandardCharsets.ISO_8859_1);
-        return allocator.buffer(bytes.length + room).writeBytes(bytes);
+        return allocator.buffer(bytes.length + extraCapacity).writeBytes(bytes);
     }
 
     private void appendHeaders(HttpHeaders headers) {
-        String listed =
+        String connectionTokens =
                 headers.contains(HttpHeaderNames.CONNECTION)
                         ? String.join(",", headers.getAll(HttpHeaderNames.CONNECTION))
                         : null;
@@ -67,7 +69,8 @@
         while (all.hasNext()) {
             Map.Entry<CharSequence, CharSequence> header = all.next();
             String name = header.getKey().toString();
-            if (isOfConnection(name) || (listed != null && HeadSyntax.hasWord(listed, name))) {
+            if (isSetByServer(name)
+                    || (connectionTokens != null && HeadSyntax.hasToken(connectionTokens, name))) {
                 continue;
             }
             append(name, header.getValue().toString());
@@ -87,13 +90,13 @@
             mText.append("Content-Length: ").append(length).append(LINE_END);
             return;
         }
-        String given = answer.headers().get(HttpHeaderNames.CONTENT_LENGTH);
-        if (given != null && answer.status() != NO_CONTENT) {
-            append("Content-Length", given);
+        String contentLength = answer.headers().get(HttpHeaderNames.CONTENT_LENGTH);
+        if (contentLength != null && answer.status() != NO_CONTENT) {
+            append("Content-Length", contentLength);
         }
     }
 
-    private static boolean isOfConnection(String name) {
+    private static boolean isSetByServer(String name) {
         return switch (name.length()) {
             case 2 -> name.equalsIgnoreCase("TE");
             case 7 -> name.equalsIgnoreCase("Trailer") || name.equalsIgnoreCase("Upgrade");
--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/ByteBudget.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/ByteBudget.java
@@ -3,7 +3,7 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * Bounds the request bytes that a server holds for all of its connections together.
+ * Budget that limits the request bytes that a server buffers for all of its connections together.
  *
  * @since 0.2
  */
@@ -16,12 +16,12 @@
         mLimit = Assert.positive(limit, "A bound of buffered bytes");
     }
 
-    /** Tells whether so many bytes more would fit now. */
+    /** Returns whether the given number of bytes could be reserved now. */
     boolean hasRoomFor(long bytes) {
         return bytes <= mLimit - mUsed;
     }
 
-    /** Takes bytes, or none at all if they do not fit. */
+    /** Reserves bytes, or none at all if they exceed the limit. */
     boolean tryReserve(long bytes) {
         if (!hasRoomFor(bytes)) {
             return false;
@@ -30,10 +30,10 @@
         return true;
     }
 
-    /** Gives bytes back. */
+    /** Releases reserved bytes. */
     void release(long bytes) {
         mUsed -= bytes;
-        Assert.isTrue(mUsed >= 0, "More bytes were given back than taken: %d.", -mUsed);
+        Assert.isTrue(mUsed >= 0, "More bytes were released than reserved: %d.", -mUsed);
     }
 
     long used() {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/ClientConnection.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/ClientConnection.java
@@ -18,39 +18,39 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A client's connection: reads its requests, hands them on, and writes the answers in the order of
- * the requests. Traffic thread only.
+ * Channel handler for the connection of a client. Reads its requests, passes them to the handler,
+ * and writes the answers in the order of the requests. Confined to the traffic thread.
  *
  * @since 0.2
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
 
     private static final Logger sLogger = LoggerFactory.getLogger(ClientConnection.class);
-    private static final int WAITING_INPUT_BYTES = 64 * 1024;
-    private static final long NONE = Long.MIN_VALUE;
+    private static final int MAXIMUM_BUFFERED_INPUT_BYTES = 64 * 1024;
+    private static final long UNSET = Long.MIN_VALUE;
 
-    private final EntryConnections mServer;
-    private final ArrayDeque<Exchange> mWaiting = new ArrayDeque<>(4);
+    private final EntryConnections mConnections;
+    private final ArrayDeque<Exchange> mPendingExchanges = new ArrayDeque<>(4);
 
     private ChannelHandlerContext mContext;
     private RequestReader mReader;
     private ClientOutput mOutput;
     private ByteBuf mInput;
     private int mIndex;
-    private long mBegin = NONE;
-    private long mLastRead;
-    private long mHeadBegin = NONE;
+    private long mRequestBeginNanos = UNSET;
+    private long mLastReadNanos;
+    private long mHeadBeginNanos = UNSET;
     private boolean mIsReading;
-    private boolean mIsPumping;
+    private boolean mIsProcessing;
     private boolean mIsContinueDue;
-    private boolean mIsInputOver;
+    private boolean mIsInputStopped;
 
-    ClientConnection(EntryConnections server) {
-        mServer = server;
+    ClientConnection(EntryConnections connections) {
+        mConnections = connections;
     }
 
-    EntryConnections server() {
-        return mServer;
+    EntryConnections connections() {
+        return mConnections;
     }
 
     int index() {
@@ -68,37 +68,37 @@
     @Override
     public void channelActive(ChannelHandlerContext context) {
         mContext = context;
-        mReader = new RequestReader(mServer, context.alloc());
-        mOutput = new ClientOutput(mServer, context);
-        mServer.add(this);
+        mReader = new RequestReader(mConnections, context.alloc());
+        mOutput = new ClientOutput(mConnections, context);
+        mConnections.add(this);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        mServer.remove(this);
+        mConnections.remove(this);
         stopInput();
-        dropWaiting();
+        discardPending();
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         ByteBuf in = (ByteBuf) message;
         mIsReading = true;
-        if (mIsInputOver) {
+        if (mIsInputStopped) {
             in.release();
-            mOutput.noteDiscarded();
+            mOutput.recordDiscardedBytes();
             return;
         }
-        mLastRead = mServer.now();
-        if (mBegin == NONE) {
-            mBegin = mLastRead;
+        mLastReadNanos = mConnections.nowNanos();
+        if (mRequestBeginNanos == UNSET) {
+            mRequestBeginNanos = mLastReadNanos;
         }
         mInput =
                 mInput == null
                         ? in
                         : ByteToMessageDecoder.MERGE_CUMULATOR.cumulate(
                                 context.alloc(), mInput, in);
-        pump();
+        processPending();
     }
 
     @Override
@@ -110,7 +110,7 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
         if (context.channel().isWritable()) {
-            pump();
+            processPending();
         }
     }
 
@@ -120,140 +120,147 @@
         context.close();
     }
 
-    /** Writes the answers that are next and reads further requests, as far as both can go. */
-    void pump() {
-        if (mIsPumping) {
+    /**
+     * Writes the answers whose turn it is and reads further requests, until neither can make
+     * progress.
+     */
+    void processPending() {
+        if (mIsProcessing) {
             return;
         }
-        mIsPumping = true;
+        mIsProcessing = true;
         try {
             do {
                 writeAnswers();
             } while (readRequests());
         } finally {
-            mIsPumping = false;
+            mIsProcessing = false;
         }
-        settleInput();
+        updateInputState();
         if (!mIsReading) {
             mOutput.flush();
         }
     }
 
-    /** Tells whether the next request must wait; one that has begun its body is read on. */
+    /**
+     * Returns whether the next request must wait; a request whose body has begun is always read on.
+     */
     private boolean isPaused() {
         return mReader.isInHead()
-                && (mWaiting.size() >= mServer.options().pipelinedRequests()
+                && (mPendingExchanges.size() >= mConnections.options().pipelinedRequests()
                         || !mContext.channel().isWritable()
-                        || (mServer.isDraining() && !mWaiting.isEmpty()));
+                        || (mConnections.isDraining() && !mPendingExchanges.isEmpty()));
     }
 
-    /** Reads requests; tells whether there was one. */
+    /** Reads requests, and returns whether there was at least one. */
     private boolean readRequests() {
         boolean isRead = false;
-        while (!mIsInputOver && mInput != null && !isPaused()) {
+        while (!mIsInputStopped && mInput != null && !isPaused()) {
             RequestReader.Progress progress = mReader.read(mInput);
-            if (progress == RequestReader.Progress.MORE) {
-                noteContinue();
+            if (progress == RequestReader.Progress.INCOMPLETE) {
+                recordContinueExpectation();
                 break;
             }
             isRead = true;
             if (progress == RequestReader.Progress.FAILED) {
-                refuse(mReader.failure());
+                reject(mReader.failure());
                 break;
             }
-            handle();
+            handleRequest();
         }
         return isRead;
     }
 
-    private void noteContinue() {
-        if (!mReader.isInHead() && mReader.takeContinue()) {
+    private void recordContinueExpectation() {
+        if (!mReader.isInHead() && mReader.takeContinueExpectation()) {
             mIsContinueDue = true;
             writeContinue();
         }
     }
 
-    private void handle() {
+    private void handleRequest() {
         RequestHead head = mReader.head();
         Exchange exchange = new Exchange(this, head, mReader.takeCharge());
         mIsContinueDue = false;
-        mWaiting.add(exchange);
-        mServer.requestOpened();
+        mPendingExchanges.add(exchange);
+        mConnections.requestOpened();
         IncomingRequest request =
                 new IncomingRequest(
                         head.method(),
                         head.target(),
                         head.headers(),
                         mReader.takeBody(),
-                        mBegin,
-                        mLastRead);
-        mBegin = mInput.isReadable() ? mLastRead : NONE;
-        mHeadBegin = NONE;
+                        mRequestBeginNanos,
+                        mLastReadNanos);
+        mRequestBeginNanos = mInput.isReadable() ? mLastReadNanos : UNSET;
+        mHeadBeginNanos = UNSET;
         if (!head.isKeepAlive()) {
             stopInput();
         }
         try {
-            mServer.handler().handle(request, exchange);
+            mConnections.handler().handle(request, exchange);
         } catch (RuntimeException failure) {
             sLogger.error("ENTRY  A request could not be handled.", failure);
-            exchange.answer(empty(HttpResponseStatus.INTERNAL_SERVER_ERROR));
+            exchange.answer(emptyAnswer(HttpResponseStatus.INTERNAL_SERVER_ERROR));
         }
     }
 
-    /** Answers in place of the handler and reads nothing more from the connection. */
-    private void refuse(HttpResponseStatus status) {
+    /** Answers in place of the handler and stops reading from the connection. */
+    private void reject(HttpResponseStatus status) {
         stopInput();
         Exchange exchange = new Exchange(this, null, 0);
-        mWaiting.add(exchange);
-        mServer.requestOpened();
-        OutgoingAnswer answer = empty(status);
+        mPendingExchanges.add(exchange);
+        mConnections.requestOpened();
+        OutgoingAnswer answer = emptyAnswer(status);
         if (status == SERVICE_UNAVAILABLE) {
-            answer.headers().set(HttpHeaderNames.RETRY_AFTER, mServer.options().retryAfter());
+            answer.headers().set(HttpHeaderNames.RETRY_AFTER, mConnections.options().retryAfter());
         }
         exchange.answer(answer);
     }
 
-    private static OutgoingAnswer empty(HttpResponseStatus status) {
+    private static OutgoingAnswer emptyAnswer(HttpResponseStatus status) {
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
         return new OutgoingAnswer(status.code(), headers, Unpooled.EMPTY_BUFFER);
     }
 
     private void writeAnswers() {
-        while (!mOutput.isEnding() && !mWaiting.isEmpty() && mWaiting.peek().isDone()) {
-            Exchange exchange = mWaiting.poll();
+        while (!mOutput.isClosing()
+                && !mPendingExchanges.isEmpty()
+                && mPendingExchanges.peek().isDone()) {
+            Exchange exchange = mPendingExchanges.poll();
             OutgoingAnswer answer = exchange.takeAnswer();
             boolean isLast =
                     answer == null
                             || exchange.isLast()
-                            || (mServer.isDraining() && mWaiting.isEmpty());
+                            || (mConnections.isDraining() && mPendingExchanges.isEmpty());
             if (answer == null) {
-                mServer.requestClosed();
+                mConnections.requestClosed();
             } else {
                 mOutput.write(exchange, answer, isLast);
             }
             if (isLast) {
-                end();
+                beginClose();
             }
         }
         writeContinue();
     }
 
     private void writeContinue() {
-        if (mIsContinueDue && mWaiting.isEmpty() && !mOutput.isEnding()) {
+        if (mIsContinueDue && mPendingExchanges.isEmpty() && !mOutput.isClosing()) {
             mIsContinueDue = false;
             mOutput.writeContinue();
         }
     }
 
-    /** Begins the end of the connection: what has been written still goes out, nothing else. */
-    private void end() {
+    /** Starts to close the connection: answers already written are still sent, but no others. */
+    private void beginClose() {
         stopInput();
-        dropWaiting();
-        mOutput.end();
+        discardPending();
+        mOutput.beginClose();
     }
 
     private void stopInput() {
-        mIsInputOver = true;
+        mIsInputStopped = true;
         mIsContinueDue = false;
         mReader.close();
         if (mInput != null) {
@@ -263,79 +270,84 @@
         mContext.channel().config().setAutoRead(true);
     }
 
-    private void dropWaiting() {
-        while (!mWaiting.isEmpty()) {
-            mServer.requestClosed();
-            mWaiting.poll().drop();
+    private void discardPending() {
+        while (!mPendingExchanges.isEmpty()) {
+            mConnections.requestClosed();
+            mPendingExchanges.poll().discard();
         }
     }
 
-    private void settleInput() {
-        if (mIsInputOver) {
+    private void updateInputState() {
+        if (mIsInputStopped) {
             return;
         }
         if (mInput != null && !mInput.isReadable()) {
             mInput.release();
             mInput = null;
-            mBegin = mReader.isInHead() ? NONE : mBegin;
+            mRequestBeginNanos = mReader.isInHead() ? UNSET : mRequestBeginNanos;
         }
         boolean isPaused = isPaused();
         if (mInput == null || !mReader.isInHead() || isPaused) {
-            mHeadBegin = NONE;
-        } else if (mHeadBegin == NONE) {
-            mHeadBegin = mServer.now();
-            mServer.scheduleCheckWithin(mServer.limits().headerTimeout().toNanos());
+            mHeadBeginNanos = UNSET;
+        } else if (mHeadBeginNanos == UNSET) {
+            mHeadBeginNanos = mConnections.nowNanos();
+            mConnections.scheduleCheckWithin(mConnections.limits().headerTimeout().toNanos());
         }
-        boolean isFull = mInput != null && mInput.readableBytes() > WAITING_INPUT_BYTES;
+        boolean isFull = mInput != null && mInput.readableBytes() > MAXIMUM_BUFFERED_INPUT_BYTES;
         mContext.channel().config().setAutoRead(!isPaused || !isFull);
     }
 
     /**
-     * Does what has come due.
+     * Enforces the timeouts that are due.
      *
-     * @param now the monotonic time
-     * @return nanoseconds until something may be due next, if nothing else happens
+     * @param nowNanos the current monotonic time
+     * @return the nanoseconds until the next timeout may be due, if nothing else happens
      */
-    long check(long now) {
+    long checkTimeouts(long nowNanos) {
         if (mOutput.isLingering()) {
-            return mOutput.checkLinger(now);
+            return mOutput.checkLinger(nowNanos);
         }
         if (mOutput.isWriting()) {
-            return mOutput.checkWrites(now);
+            return mOutput.checkWrites(nowNanos);
         }
-        if (mIsInputOver) {
+        if (mIsInputStopped) {
             return Long.MAX_VALUE;
         }
-        RequestLimits limits = mServer.limits();
-        if (mHeadBegin != NONE) {
-            return refuseIfDue(limits.headerTimeout().toNanos() - (now - mHeadBegin));
+        RequestLimits limits = mConnections.limits();
+        if (mHeadBeginNanos != UNSET) {
+            return rejectIfDue(limits.headerTimeout().toNanos() - (nowNanos - mHeadBeginNanos));
         }
-        long idle = limits.idleTimeout().toNanos();
+        long idleNanos = limits.idleTimeout().toNanos();
         if (!mReader.isInHead()) {
-            return mIsContinueDue ? Long.MAX_VALUE : refuseIfDue(idle - (now - mLastRead));
+            return mIsContinueDue
+                    ? Long.MAX_VALUE
+                    : rejectIfDue(idleNanos - (nowNanos - mLastReadNanos));
         }
-        return mWaiting.isEmpty() ? checkRest(now, idle) : Long.MAX_VALUE;
+        return mPendingExchanges.isEmpty() ? checkIdle(nowNanos, idleNanos) : Long.MAX_VALUE;
     }
 
-    private long checkRest(long now, long idle) {
-        long left = idle - (now - mOutput.idleSinceNanos());
-        if (mServer.isDraining()) {
-            long pause = mServer.options().drainPause().toNanos();
-            long begin = Math.max(mServer.drainBegin() - now, mOutput.idleSinceNanos() - now);
-            left = pause + begin;
+    private long checkIdle(long nowNanos, long idleNanos) {
+        long remainingNanos = idleNanos - (nowNanos - mOutput.idleSinceNanos());
+        if (mConnections.isDraining()) {
+            long pauseNanos = mConnections.options().drainPause().toNanos();
+            long beginNanos =
+                    Math.max(
+                            mConnections.drainBeginNanos() - nowNanos,
+                            mOutput.idleSinceNanos() - nowNanos);
+            remainingNanos = pauseNanos + beginNanos;
         }
-        if (left <= 0) {
-            end();
+        if (remainingNanos <= 0) {
+            beginClose();
             return Long.MAX_VALUE;
         }
-        return left;
+        return remainingNanos;
     }
 
-    private long refuseIfDue(long left) {
-        if (left <= 0) {
-            refuse(REQUEST_TIMEOUT);
+    private long rejectIfDue(long remainingNanos) {
+        if (remainingNanos <= 0) {
+            reject(REQUEST_TIMEOUT);
             return Long.MAX_VALUE;
         }
-        return left;
+        return remainingNanos;
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/ClientOutput.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/ClientOutput.java
@@ -10,7 +10,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The writing half of a client's connection, up to its gentle end. Traffic thread only.
+ * Output side of a client's connection, including its orderly close. Confined to the traffic
+ * thread.
  *
  * @since 0.2
  */
@@ -18,27 +19,27 @@
 
     private static final byte[] CONTINUE =
             "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-    private static final int JOINED_BODY_BYTES = 8 * 1024;
-    private static final int LONGEST_LINGER = 5;
-    private static final long NONE = Long.MIN_VALUE;
+    private static final int MAXIMUM_INLINE_BODY_BYTES = 8 * 1024;
+    private static final int MAXIMUM_LINGER_TIMEOUTS = 5;
+    private static final long UNSET = Long.MIN_VALUE;
 
-    private final EntryConnections mServer;
+    private final EntryConnections mConnections;
     private final ChannelHandlerContext mContext;
-    private final ChannelFutureListener mWritten = this::written;
-
-    private int mWriting;
-    private long mWriteState;
-    private long mWriteSince;
-    private long mRestBegin;
-    private long mLingerBegin = NONE;
-    private long mLingerRead;
+    private final ChannelFutureListener mWriteListener = this::writeCompleted;
+
+    private int mPendingWrites;
+    private long mUnsentBytes;
+    private long mWriteProgressNanos;
+    private long mIdleSinceNanos;
+    private long mLingerBeginNanos = UNSET;
+    private long mLingerReadNanos;
     private boolean mIsFlushDue;
-    private boolean mIsEnding;
+    private boolean mIsClosing;
 
-    ClientOutput(EntryConnections server, ChannelHandlerContext context) {
-        mServer = server;
+    ClientOutput(EntryConnections connections, ChannelHandlerContext context) {
+        mConnections = connections;
         mContext = context;
-        mRestBegin = server.now();
+        mIdleSinceNanos = connections.nowNanos();
     }
 
     /** Writes an answer; {@link #flush} sends it. */
@@ -46,123 +47,141 @@
         ByteBuf body = answer.body();
         boolean isHead = exchange.isHeadMethod();
         int length = AnswerEncoder.hasBody(answer.status(), isHead) ? body.readableBytes() : 0;
-        boolean isJoined = length <= JOINED_BODY_BYTES;
+        boolean isInline = length <= MAXIMUM_INLINE_BODY_BYTES;
         String connection = isLast ? "close" : exchange.isHttp10() ? "keep-alive" : null;
-        int room = isJoined ? length : 0;
-        ByteBuf head = mServer.encoder().encode(mContext.alloc(), answer, isHead, connection, room);
-        if (mWriting == 0) {
-            mWriteState = NONE;
+        int extraCapacity = isInline ? length : 0;
+        ByteBuf head =
+                mConnections
+                        .encoder()
+                        .encode(mContext.alloc(), answer, isHead, connection, extraCapacity);
+        if (mPendingWrites == 0) {
+            mUnsentBytes = UNSET;
         }
-        mWriting++;
+        mPendingWrites++;
         mIsFlushDue = true;
-        if (isJoined) {
+        if (isInline) {
             head.writeBytes(body, body.readerIndex(), length);
             body.release();
-            mContext.write(head).addListener(mWritten);
+            mContext.write(head).addListener(mWriteListener);
         } else {
             mContext.write(head);
-            mContext.write(body).addListener(mWritten);
+            mContext.write(body).addListener(mWriteListener);
         }
     }
 
-    /** Lets the client send the body that it holds back. */
+    /** Writes {@code 100 Continue}, upon which the client sends the body. */
     void writeContinue() {
         mContext.write(Unpooled.wrappedBuffer(CONTINUE));
         mIsFlushDue = true;
     }
 
-    /** Sends what has been written since the last time, if anything. */
+    /** Flushes what has been written since the last flush, if anything. */
     void flush() {
         if (!mIsFlushDue) {
             return;
         }
         mIsFlushDue = false;
         mContext.flush();
-        if (mWriting > 0) {
-            mServer.scheduleCheckWithin(mServer.options().writeStall().toNanos());
+        if (mPendingWrites > 0) {
+            mConnections.scheduleCheckWithin(mConnections.options().writeStall().toNanos());
         }
     }
 
-    /** Begins the end of the connection: what has been written still goes out, nothing else. */
-    void end() {
-        mIsEnding = true;
-        if (mWriting == 0) {
-            finish();
+    /** Starts to close the connection: answers already written are still sent, but no others. */
+    void beginClose() {
+        mIsClosing = true;
+        if (mPendingWrites == 0) {
+            beginLinger();
         }
     }
 
-    boolean isEnding() {
-        return mIsEnding;
+    boolean isClosing() {
+        return mIsClosing;
     }
 
-    /** Tells whether an answer has not wholly been given to the network yet. */
+    /** Returns whether an answer has not been written to the network completely. */
     boolean isWriting() {
-        return mWriting > 0;
+        return mPendingWrites > 0;
     }
 
-    /** Tells since when all answers have been sent. */
+    /** Returns the monotonic time since which all answers have been sent. */
     long idleSinceNanos() {
-        return mRestBegin;
+        return mIdleSinceNanos;
     }
 
-    /** Tells whether only the client's close is awaited. */
+    /** Returns whether the output is closed and only the client's close is awaited. */
     boolean isLingering() {
-        return mLingerBegin != NONE;
+        return mLingerBeginNanos != UNSET;
     }
 
-    /** Notes that bytes came after the end; the client may still be sending. */
-    void noteDiscarded() {
+    /**
+     * Records that bytes were received and discarded after the output was closed; the client may
+     * still be sending.
+     */
+    void recordDiscardedBytes() {
         if (isLingering()) {
-            mLingerRead = mServer.now();
+            mLingerReadNanos = mConnections.nowNanos();
         }
     }
 
-    /** Closes a connection that has lingered long enough, or tells how much longer it may. */
-    long checkLinger(long now) {
-        long linger = mServer.options().lingerTimeout().toNanos();
-        long quiet = linger - (now - mLingerRead);
-        return closeIfDue(Math.min(quiet, LONGEST_LINGER * linger - (now - mLingerBegin)));
+    /**
+     * Closes a connection whose linger timeout has elapsed, or returns the nanoseconds that remain.
+     */
+    long checkLinger(long nowNanos) {
+        long lingerNanos = mConnections.options().lingerTimeout().toNanos();
+        long inactivityNanos = lingerNanos - (nowNanos - mLingerReadNanos);
+        return closeIfDue(
+                Math.min(
+                        inactivityNanos,
+                        MAXIMUM_LINGER_TIMEOUTS * lingerNanos - (nowNanos - mLingerBeginNanos)));
     }
 
-    /** Closes a connection whose client reads nothing, or tells how much longer it may. */
-    long checkWrites(long now) {
+    /**
+     * Closes a connection whose client reads nothing, or returns the nanoseconds that remain until
+     * then.
+     */
+    long checkWrites(long nowNanos) {
         ChannelOutboundBuffer buffer = mContext.channel().unsafe().outboundBuffer();
-        long state =
+        long unsentBytes =
                 buffer == null ? 0 : buffer.totalPendingWriteBytes() - buffer.currentProgress();
-        if (state != mWriteState) {
-            mWriteState = state;
-            mWriteSince = now;
+        if (unsentBytes != mUnsentBytes) {
+            mUnsentBytes = unsentBytes;
+            mWriteProgressNanos = nowNanos;
         }
-        return closeIfDue(mServer.options().writeStall().toNanos() - (now - mWriteSince));
+        return closeIfDue(
+                mConnections.options().writeStall().toNanos() - (nowNanos - mWriteProgressNanos));
     }
 
-    private long closeIfDue(long left) {
-        if (left > 0) {
-            return left;
+    private long closeIfDue(long remainingNanos) {
+        if (remainingNanos > 0) {
+            return remainingNanos;
         }
         mContext.close();
         return Long.MAX_VALUE;
     }
 
-    private void written(ChannelFuture future) {
-        mWriting--;
-        mServer.requestClosed();
+    private void writeCompleted(ChannelFuture future) {
+        mPendingWrites--;
+        mConnections.requestClosed();
         if (!future.isSuccess()) {
             mContext.close();
             return;
         }
-        if (mWriting > 0) {
+        if (mPendingWrites > 0) {
             return;
         }
-        if (mIsEnding) {
-            mContext.executor().execute(this::finish);
+        if (mIsClosing) {
+            mContext.executor().execute(this::beginLinger);
         } else {
-            mRestBegin = mServer.now();
+            mIdleSinceNanos = mConnections.nowNanos();
         }
     }
 
-    /** Ends the output and reads on for a while: a close with bytes unread would reset. */
-    private void finish() {
+    /**
+     * Closes the output and keeps reading for a while, because a close with unread bytes would
+     * reset the connection.
+     */
+    private void beginLinger() {
         if (!(mContext.channel() instanceof DuplexChannel channel)) {
             mContext.close();
             return;
@@ -170,8 +189,8 @@
         if (isLingering() || !channel.isActive()) {
             return;
         }
-        mLingerBegin = mServer.now();
-        mLingerRead = mLingerBegin;
+        mLingerBeginNanos = mConnections.nowNanos();
+        mLingerReadNanos = mLingerBeginNanos;
         channel.shutdownOutput()
                 .addListener(
                         future -> {
@@ -179,6 +198,6 @@
                                 mContext.close();
                             }
                         });
-        mServer.scheduleCheckWithin(mServer.options().lingerTimeout().toNanos());
+        mConnections.scheduleCheckWithin(mConnections.options().lingerTimeout().toNanos());
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/EntryConnections.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/EntryConnections.java
@@ -12,17 +12,18 @@
 import java.util.function.Supplier;
 
 /**
- * The open connections of one server and what they share. Traffic thread only, but for counts.
+ * Registry of the open connections of one server and their shared resources. Confined to the
+ * traffic thread, except for the counters.
  *
- * <p>One timer serves all connections: it fires when the first of them may be due, and at least a
- * few times per idle timeout.
+ * <p>A single timer serves all connections. It fires when the first timeout of a connection may be
+ * due, and at least several times per idle timeout.
  *
  * @since 0.2
  */
 final class EntryConnections {
 
-    private static final long SHORTEST_GAP = TimeUnit.MILLISECONDS.toNanos(50);
-    private static final int LOOKS_PER_IDLE_TIMEOUT = 4;
+    private static final long MINIMUM_CHECK_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+    private static final int CHECKS_PER_IDLE_TIMEOUT = 4;
 
     private final EventExecutor mLoop;
     private final RequestHandler mHandler;
@@ -32,16 +33,16 @@
     private final ByteBudget mBudget;
     private final HeadParser mHeadParser = new HeadParser();
     private final AnswerEncoder mEncoder = new AnswerEncoder();
-    private final List<ClientConnection> mAll = new ArrayList<>();
+    private final List<ClientConnection> mClientConnections = new ArrayList<>();
     private final AtomicInteger mOpenRequests = new AtomicInteger();
     private final AtomicInteger mOpenConnections = new AtomicInteger();
 
     private byte[] mHeadBytes = new byte[RequestLimits.DEFAULT.headerBytes()];
     private boolean mIsDraining;
     private boolean mIsClosed;
-    private long mDrainBegin;
-    private ScheduledFuture<?> mLook;
-    private long mLookAt;
+    private long mDrainBeginNanos;
+    private ScheduledFuture<?> mCheckTimer;
+    private long mCheckDueNanos;
 
     EntryConnections(
             EventExecutor loop,
@@ -61,70 +62,70 @@
         if (mIsClosed) {
             connection.close();
         }
-        connection.setIndex(mAll.size());
-        mAll.add(connection);
+        connection.setIndex(mClientConnections.size());
+        mClientConnections.add(connection);
         mOpenConnections.incrementAndGet();
         scheduleCheckWithin(limits().idleTimeout().toNanos());
     }
 
     void remove(ClientConnection connection) {
-        ClientConnection last = mAll.remove(mAll.size() - 1);
+        ClientConnection last = mClientConnections.remove(mClientConnections.size() - 1);
         if (last != connection) {
             last.setIndex(connection.index());
-            mAll.set(connection.index(), last);
+            mClientConnections.set(connection.index(), last);
         }
         mOpenConnections.decrementAndGet();
     }
 
-    /** Begins a planned stop: answers from now on close their connections. */
+    /** Begins a planned stop: every answer from now on closes its connection. */
     void drain() {
         if (mIsDraining) {
             return;
         }
         mIsDraining = true;
-        mDrainBegin = now();
+        mDrainBeginNanos = nowNanos();
         scheduleCheckWithin(mOptions.drainPause().toNanos());
     }
 
-    /** Closes all connections at once. */
+    /** Closes all connections immediately. */
     void closeAll() {
         mIsClosed = true;
-        for (int i = mAll.size() - 1; i >= 0; i--) {
-            if (i < mAll.size()) {
-                mAll.get(i).close();
+        for (int i = mClientConnections.size() - 1; i >= 0; i--) {
+            if (i < mClientConnections.size()) {
+                mClientConnections.get(i).close();
             }
         }
-        if (mLook != null) {
-            mLook.cancel(false);
-            mLook = null;
+        if (mCheckTimer != null) {
+            mCheckTimer.cancel(false);
+            mCheckTimer = null;
         }
     }
 
-    /** Makes sure that all connections are looked at for what is due, after a time at most. */
+    /** Schedules a check of the timeouts of all connections within the given time. */
     void scheduleCheckWithin(long nanos) {
-        long delay = Math.max(nanos, SHORTEST_GAP);
-        long due = now() + delay;
-        if (mLook != null) {
-            if (mLookAt - due <= 0) {
+        long delay = Math.max(nanos, MINIMUM_CHECK_DELAY_NANOS);
+        long due = nowNanos() + delay;
+        if (mCheckTimer != null) {
+            if (mCheckDueNanos - due <= 0) {
                 return;
             }
-            mLook.cancel(false);
+            mCheckTimer.cancel(false);
         }
-        mLookAt = due;
-        mLook = mLoop.schedule(this::checkConnections, delay, TimeUnit.NANOSECONDS);
+        mCheckDueNanos = due;
+        mCheckTimer = mLoop.schedule(this::checkConnections, delay, TimeUnit.NANOSECONDS);
     }
 
-    /** Looks at all connections now. */
+    /** Checks the timeouts of all connections now. */
     void checkConnections() {
-        mLook = null;
-        long now = now();
-        long next = limits().idleTimeout().toNanos() / LOOKS_PER_IDLE_TIMEOUT;
-        for (int i = mAll.size() - 1; i >= 0; i--) {
-            if (i < mAll.size()) {
-                next = Math.min(next, mAll.get(i).check(now));
+        mCheckTimer = null;
+        long nowNanos = nowNanos();
+        long next = limits().idleTimeout().toNanos() / CHECKS_PER_IDLE_TIMEOUT;
+        for (int i = mClientConnections.size() - 1; i >= 0; i--) {
+            if (i < mClientConnections.size()) {
+                next = Math.min(next, mClientConnections.get(i).checkTimeouts(nowNanos));
             }
         }
-        if (!mAll.isEmpty()) {
+        if (!mClientConnections.isEmpty()) {
             scheduleCheckWithin(next);
         }
     }
@@ -133,11 +134,11 @@
         return mIsDraining;
     }
 
-    long drainBegin() {
-        return mDrainBegin;
+    long drainBeginNanos() {
+        return mDrainBeginNanos;
     }
 
-    long now() {
+    long nowNanos() {
         return mTime.monotonicNanos();
     }
 
@@ -165,8 +166,8 @@
         return mEncoder;
     }
 
-    /** Lends the one array into which heads are copied to be read. */
-    byte[] headBytes(int length) {
+    /** Returns the shared array into which a head is copied to be parsed. */
+    byte[] headBuffer(int length) {
         if (mHeadBytes.length < length) {
             mHeadBytes = new byte[length];
         }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/Exchange.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/Exchange.java
@@ -5,7 +5,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One request of a connection and, later, its answer.
+ * Exchange of one request of a connection and its answer.
  *
  * @since 0.2
  */
@@ -18,15 +18,16 @@
     private long mCharge;
     private OutgoingAnswer mAnswer;
     private boolean mIsDone;
-    private boolean mIsGone;
-    private Runnable mAction;
+    private boolean mIsClientDisconnected;
+    private Runnable mDisconnectAction;
 
     /**
-     * Begins an exchange.
+     * Creates an exchange.
      *
      * @param connection the connection
-     * @param head the head of the request, or null if it was refused before it could be read
-     * @param charge the bytes to give back to the budget once the request is done
+     * @param head the head of the request, or {@code null} if it was rejected before the head could
+     *     be parsed
+     * @param charge the bytes to release to the budget once the request is done
      */
     Exchange(ClientConnection connection, RequestHead head, long charge) {
         mConnection = connection;
@@ -53,12 +54,12 @@
 
     @Override
     public void onClientDisconnected(Runnable action) {
-        if (mIsGone) {
+        if (mIsClientDisconnected) {
             run(action);
             return;
         }
-        Runnable earlier = mAction;
-        mAction =
+        Runnable earlier = mDisconnectAction;
+        mDisconnectAction =
                 earlier == null
                         ? action
                         : () -> {
@@ -69,15 +70,15 @@
 
     @Override
     public boolean isClientDisconnected() {
-        return mIsGone;
+        return mIsClientDisconnected;
     }
 
-    /** Tells whether the request was answered or aborted. */
+    /** Returns whether the request has been answered or aborted. */
     boolean isDone() {
         return mIsDone;
     }
 
-    /** Tells whether nothing can follow the answer on its connection. */
+    /** Returns whether the answer must be the last on its connection. */
     boolean isLast() {
         return mHead == null || !mHead.isKeepAlive();
     }
@@ -90,25 +91,25 @@
         return mHead != null && mHead.isHttp10();
     }
 
-    /** Returns the answer to write, or null if the request was aborted. */
+    /** Returns the answer to write, or {@code null} if the request was aborted. */
     OutgoingAnswer takeAnswer() {
         OutgoingAnswer answer = mAnswer;
         mAnswer = null;
-        mAction = null;
+        mDisconnectAction = null;
         return answer;
     }
 
-    /** Notes that the connection ends with no answer written to this request. */
-    void drop() {
-        mIsGone = true;
+    /** Discards this exchange because its connection ends before an answer was written. */
+    void discard() {
+        mIsClientDisconnected = true;
         mIsDone = true;
         releaseCharge();
         if (mAnswer != null) {
             mAnswer.body().release();
             mAnswer = null;
         }
-        Runnable action = mAction;
-        mAction = null;
+        Runnable action = mDisconnectAction;
+        mDisconnectAction = null;
         if (action != null) {
             run(action);
         }
@@ -118,18 +119,18 @@
         try {
             action.run();
         } catch (RuntimeException failure) {
-            sLogger.error("ENTRY  What a client's close calls for has failed.", failure);
+            sLogger.error("ENTRY  A disconnect handler of a client failed.", failure);
         }
     }
 
     private void finish() {
         mIsDone = true;
         releaseCharge();
-        mConnection.pump();
+        mConnection.processPending();
     }
 
     private void releaseCharge() {
-        mConnection.server().budget().release(mCharge);
+        mConnection.connections().budget().release(mCharge);
         mCharge = 0;
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/HeadParser.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/HeadParser.java
@@ -12,8 +12,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads the request line and headers of one request strictly: whatever two readers could take for
- * two different requests is refused. One parser serves all connections of a thread.
+ * Strict parser of the request line and headers of a request. Rejects whatever two parsers could
+ * interpret as two different requests (request smuggling). One parser is shared by all connections
+ * of a thread.
  *
  * @since 0.2
  */
@@ -22,46 +23,46 @@
     private static final DefaultHttpHeadersFactory FACTORY =
             DefaultHttpHeadersFactory.headersFactory().withValidation(false);
     private static final int VERSION_LENGTH = 8;
-    private static final int MINOR_AT = 7;
+    private static final int MINOR_VERSION_INDEX = 7;
     private static final String VERSION_PREFIX = "HTTP/1.";
     private static final Either<HttpResponseStatus, RequestHead> BAD = Either.left(BAD_REQUEST);
 
     private byte[] mBytes;
-    private int mAt;
+    private int mPosition;
     private HttpMethod mMethod;
     private String mTarget;
     private HttpHeaders mHeaders;
-    private boolean mIsOld;
+    private boolean mIsHttp10;
     private String mHost;
-    private String mLength;
-    private String mCoding;
-    private boolean mHasClose;
-    private boolean mHasKeep;
-    private boolean mHasContinue;
+    private String mContentLength;
+    private String mTransferEncoding;
+    private boolean mHasConnectionClose;
+    private boolean mHasKeepAlive;
+    private boolean mExpectsContinue;
 
     /**
-     * Reads a head.
+     * Parses a head.
      *
-     * @param bytes holds the head from its first byte on
-     * @param length the length of the head with the empty line that ends it; every line feed in it
-     *     follows a carriage return
-     * @return the head, or the status with which to refuse it
+     * @param bytes the array that holds the head from index 0
+     * @param length the length of the head including the empty line that ends it; every line feed
+     *     in it must follow a carriage return
+     * @return the head, or the status with which to reject it
      */
     Either<HttpResponseStatus, RequestHead> parse(byte[] bytes, int length) {
         mBytes = bytes;
-        mAt = 0;
+        mPosition = 0;
         mHeaders = FACTORY.newHeaders();
         mHost = null;
-        mLength = null;
-        mCoding = null;
-        mHasClose = false;
-        mHasKeep = false;
-        mHasContinue = false;
+        mContentLength = null;
+        mTransferEncoding = null;
+        mHasConnectionClose = false;
+        mHasKeepAlive = false;
+        mExpectsContinue = false;
         HttpResponseStatus failure = readRequestLine();
         if (failure != null) {
             return Either.left(failure);
         }
-        while (mAt < length - 2) {
+        while (mPosition < length - 2) {
             if (!readHeader()) {
                 return BAD;
             }
@@ -70,31 +71,31 @@
     }
 
     private HttpResponseStatus readRequestLine() {
-        int begin = mAt;
-        while (HeadSyntax.isToken(mBytes[mAt])) {
-            mAt++;
+        int begin = mPosition;
+        while (HeadSyntax.isToken(mBytes[mPosition])) {
+            mPosition++;
         }
-        if (mAt == begin || mBytes[mAt] != ' ') {
+        if (mPosition == begin || mBytes[mPosition] != ' ') {
             return BAD_REQUEST;
         }
-        mMethod = HttpMethod.valueOf(text(begin, mAt));
-        begin = ++mAt;
-        while (HeadSyntax.isTarget(mBytes[mAt])) {
-            mAt++;
+        mMethod = HttpMethod.valueOf(text(begin, mPosition));
+        begin = ++mPosition;
+        while (HeadSyntax.isTarget(mBytes[mPosition])) {
+            mPosition++;
         }
-        if (mAt == begin || mBytes[mAt] != ' ') {
+        if (mPosition == begin || mBytes[mPosition] != ' ') {
             return BAD_REQUEST;
         }
-        mTarget = text(begin, mAt);
-        begin = ++mAt;
-        while (mBytes[mAt] != '\r') {
-            mAt++;
+        mTarget = text(begin, mPosition);
+        begin = ++mPosition;
+        while (mBytes[mPosition] != '\r') {
+            mPosition++;
         }
-        if (mBytes[mAt + 1] != '\n') {
+        if (mBytes[mPosition + 1] != '\n') {
             return BAD_REQUEST;
         }
-        String version = text(begin, mAt);
-        mAt += 2;
+        String version = text(begin, mPosition);
+        mPosition += 2;
         return readVersion(version);
     }
 
@@ -102,90 +103,96 @@
         if (version.length() != VERSION_LENGTH || !version.startsWith("HTTP/")) {
             return BAD_REQUEST;
         }
-        char minor = version.charAt(MINOR_AT);
+        char minor = version.charAt(MINOR_VERSION_INDEX);
         if (!version.startsWith(VERSION_PREFIX) || (minor != '0' && minor != '1')) {
             return HTTP_VERSION_NOT_SUPPORTED;
         }
-        mIsOld = minor == '0';
+        mIsHttp10 = minor == '0';
         return null;
     }
 
     private boolean readHeader() {
-        int begin = mAt;
-        while (HeadSyntax.isToken(mBytes[mAt])) {
-            mAt++;
+        int begin = mPosition;
+        while (HeadSyntax.isToken(mBytes[mPosition])) {
+            mPosition++;
         }
-        if (mAt == begin || mBytes[mAt] != ':') {
+        if (mPosition == begin || mBytes[mPosition] != ':') {
             return false;
         }
-        String name = text(begin, mAt);
-        begin = ++mAt;
-        while (HeadSyntax.isValue(mBytes[mAt])) {
-            mAt++;
+        String name = text(begin, mPosition);
+        begin = ++mPosition;
+        while (HeadSyntax.isValue(mBytes[mPosition])) {
+            mPosition++;
         }
-        if (mBytes[mAt] != '\r' || mBytes[mAt + 1] != '\n') {
+        if (mBytes[mPosition] != '\r' || mBytes[mPosition + 1] != '\n') {
             return false;
         }
-        String value = trimmed(begin, mAt);
-        mAt += 2;
+        String value = trimmedText(begin, mPosition);
+        mPosition += 2;
         mHeaders.add(name, value);
-        return note(name, value);
+        return recordFramingHeader(name, value);
     }
 
-    /** Keeps the headers on which the framing depends; refuses those that come twice. */
-    private boolean note(String name, String value) {
+    /** Records the headers on which the framing depends, and rejects duplicates of them. */
+    private boolean recordFramingHeader(String name, String value) {
         if (name.equalsIgnoreCase("Host")) {
             boolean isFirst = mHost == null;
             mHost = value;
             return isFirst && HeadSyntax.isHost(value);
         }
         if (name.equalsIgnoreCase("Content-Length")) {
-            boolean isFirst = mLength == null;
-            mLength = value;
+            boolean isFirst = mContentLength == null;
+            mContentLength = value;
             return isFirst;
         }
         if (name.equalsIgnoreCase("Transfer-Encoding")) {
-            boolean isFirst = mCoding == null;
-            mCoding = value;
+            boolean isFirst = mTransferEncoding == null;
+            mTransferEncoding = value;
             return isFirst;
         }
         if (name.equalsIgnoreCase("Connection")) {
-            mHasClose |= HeadSyntax.hasWord(value, "close");
-            mHasKeep |= HeadSyntax.hasWord(value, "keep-alive");
+            mHasConnectionClose |= HeadSyntax.hasToken(value, "close");
+            mHasKeepAlive |= HeadSyntax.hasToken(value, "keep-alive");
         } else if (name.equalsIgnoreCase("Expect")) {
-            mHasContinue |= value.equalsIgnoreCase("100-continue");
+            mExpectsContinue |= value.equalsIgnoreCase("100-continue");
         }
         return true;
     }
 
     private Either<HttpResponseStatus, RequestHead> finish() {
-        boolean isChunked = mCoding != null;
-        if (isChunked && (mIsOld || mLength != null || !mCoding.equalsIgnoreCase("chunked"))) {
+        boolean isChunked = mTransferEncoding != null;
+        if (isChunked
+                && (mIsHttp10
+                        || mContentLength != null
+                        || !mTransferEncoding.equalsIgnoreCase("chunked"))) {
             return BAD;
         }
-        long length = mLength == null ? 0 : HeadSyntax.length(mLength);
-        if (length < 0 || (mHost == null && !mIsOld) || !readTargetForm()) {
+        long length = mContentLength == null ? 0 : HeadSyntax.parseLength(mContentLength);
+        if (length < 0 || (mHost == null && !mIsHttp10) || !normalizeTarget()) {
             return BAD;
         }
-        if (mHasContinue) {
+        if (mExpectsContinue) {
             mHeaders.remove(HttpHeaderNames.EXPECT);
         }
-        boolean isKept = !mHasClose && (!mIsOld || mHasKeep);
-        boolean isContinueExpected = mHasContinue && !mIsOld && (isChunked || length > 0);
+        boolean isKeepAlive = !mHasConnectionClose && (!mIsHttp10 || mHasKeepAlive);
+        boolean isContinueExpected = mExpectsContinue && !mIsHttp10 && (isChunked || length > 0);
         return Either.right(
                 new RequestHead(
                         mMethod,
                         mTarget,
                         mHeaders,
-                        isKept,
-                        mIsOld,
+                        isKeepAlive,
+                        mIsHttp10,
                         isChunked,
                         length,
                         isContinueExpected));
     }
 
-    /** Takes a target that names the host apart: the host then counts instead of the header. */
-    private boolean readTargetForm() {
+    /**
+     * Validates the form of the target. A target in absolute form is split, and its host replaces
+     * the {@code Host} header.
+     */
+    private boolean normalizeTarget() {
         if (mTarget.charAt(0) == '/') {
             return true;
         }
@@ -209,7 +216,7 @@
         return !host.isEmpty() && HeadSyntax.isHost(host);
     }
 
-    private String trimmed(int from, int to) {
+    private String trimmedText(int from, int to) {
         int begin = from;
         int end = to;
         while (begin < end && (mBytes[begin] == ' ' || mBytes[begin] == '\t')) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/HeadSyntax.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/HeadSyntax.java
@@ -1,47 +1,47 @@
 package io.masticpond.entry.http;
 
 /**
- * Knows which bytes may stand where in a request line and in headers.
+ * Utility methods for the syntax of request lines and headers.
  *
  * @since 0.2
  */
 final class HeadSyntax {
 
-    private static final int ASCII = 128;
+    private static final int ASCII_SIZE = 128;
     private static final int DELETE = 0x7f;
-    private static final boolean[] TOKEN = new boolean[ASCII];
+    private static final boolean[] TOKEN_CHARACTERS = new boolean[ASCII_SIZE];
 
     static {
         for (char c = '0'; c <= '9'; c++) {
-            TOKEN[c] = true;
+            TOKEN_CHARACTERS[c] = true;
         }
         for (char c = 'a'; c <= 'z'; c++) {
-            TOKEN[c] = true;
-            TOKEN[Character.toUpperCase(c)] = true;
+            TOKEN_CHARACTERS[c] = true;
+            TOKEN_CHARACTERS[Character.toUpperCase(c)] = true;
         }
         for (char c : "!#$%&'*+-.^_`|~".toCharArray()) {
-            TOKEN[c] = true;
+            TOKEN_CHARACTERS[c] = true;
         }
     }
 
     private HeadSyntax() {}
 
-    /** Tells whether a byte may be part of a method or of the name of a header. */
+    /** Returns whether a byte may be part of a method or a header name. */
     static boolean isToken(byte value) {
-        return value >= 0 && TOKEN[value];
+        return value >= 0 && TOKEN_CHARACTERS[value];
     }
 
-    /** Tells whether a byte may be part of the value of a header. */
+    /** Returns whether a byte may be part of a header value. */
     static boolean isValue(byte value) {
         return value < 0 || (value >= ' ' && value != DELETE) || value == '\t';
     }
 
-    /** Tells whether a byte may be part of a request target. */
+    /** Returns whether a byte may be part of a request target. */
     static boolean isTarget(byte value) {
         return value > ' ' && value != DELETE;
     }
 
-    /** Tells whether the text may name a host and port. */
+    /** Returns whether the text is acceptable as a host with an optional port. */
     static boolean isHost(String text) {
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
@@ -52,8 +52,10 @@
         return true;
     }
 
-    /** Reads a length of digits only, or -1 if the text is none. */
-    static long length(String text) {
+    /**
+     * Parses a length that consists of digits only. Returns -1 if the text is not a valid length.
+     */
+    static long parseLength(String text) {
         int digits = text.length();
         if (digits == 0 || digits > 18) {
             return -1;
@@ -69,13 +71,13 @@
         return length;
     }
 
-    /** Tells whether a list of words, parted by commas, has a word, in any case. */
-    static boolean hasWord(String list, String word) {
+    /** Returns whether a comma-separated list contains a token, ignoring case. */
+    static boolean hasToken(String list, String token) {
         int begin = 0;
         while (begin <= list.length()) {
             int comma = list.indexOf(',', begin);
             int end = comma < 0 ? list.length() : comma;
-            if (list.substring(begin, end).strip().equalsIgnoreCase(word)) {
+            if (list.substring(begin, end).strip().equalsIgnoreCase(token)) {
                 return true;
             }
             begin = end + 1;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/HttpEntryOptions.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/HttpEntryOptions.java
@@ -4,14 +4,17 @@
 import java.time.Duration;
 
 /**
- * Bounds of a server that its operator does not set.
+ * Limits and timeouts of a server that are not configurable by its operator.
  *
- * @param pipelinedRequests how many requests of one connection are handled at the same time
- * @param bufferedBytes the greatest total of request bytes held for all connections
- * @param retryAfter the seconds after which a client refused for want of memory may come back
- * @param writeStall how long a client may read nothing of an answer before it is cut off
- * @param lingerTimeout how long a closed connection is read on so that the last answer arrives
- * @param drainPause how long an idle connection is kept once a planned stop has begun
+ * @param pipelinedRequests the maximum number of requests of one connection that are handled
+ *     concurrently
+ * @param bufferedBytes the maximum number of request bytes that are buffered for all connections
+ *     together
+ * @param retryAfter the seconds after which a client that was rejected for lack of memory may retry
+ * @param writeStall how long a client may read nothing of an answer before its connection is closed
+ * @param lingerTimeout how long a connection is still read from after its output was closed, so
+ *     that the last answer arrives
+ * @param drainPause how long an idle connection is kept open once a planned stop has begun
  * @since 0.2
  */
 public record HttpEntryOptions(
@@ -22,7 +25,7 @@
         Duration lingerTimeout,
         Duration drainPause) {
 
-    /** Options that fit a process of a few hundred megabytes. */
+    /** Default options, suitable for a process with a few hundred megabytes of memory. */
     public static final HttpEntryOptions DEFAULT =
             new HttpEntryOptions(
                     32,
@@ -32,7 +35,7 @@
                     Duration.ofSeconds(1),
                     Duration.ofMillis(500));
 
-    /** Checks that all bounds are positive. */
+    /** Validates that all limits are positive. */
     public HttpEntryOptions {
         Assert.positive(pipelinedRequests, "A number of pipelined requests");
         Assert.positive(bufferedBytes, "A bound of buffered bytes");
--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/HttpEntryServer.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/HttpEntryServer.java
@@ -22,11 +22,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Serves HTTP/1.1 on one address.
+ * HTTP/1.1 server on one address, based on Netty.
  *
  * <p>For a planned stop, call {@link #stopAccepting} and {@link #drain}, wait until {@link
- * #openConnections} is 0 or time is up, and call {@link #close}. All methods may be called from any
- * thread.
+ * #openConnections} is 0 or a timeout has elapsed, and call {@link #close}. All methods may be
+ * called from any thread.
  *
  * @since 0.2
  */
@@ -41,14 +41,14 @@
     private volatile Channel mChannel;
 
     /**
-     * Builds a server that does not listen yet.
+     * Creates a server that does not listen yet.
      *
      * @param traffic the traffic thread, a group of one event loop
      * @param address the address to listen on
-     * @param handler handles the requests
-     * @param limits tells the limits in force
-     * @param time the clocks
-     * @param options further bounds
+     * @param handler the handler of the requests
+     * @param limits the supplier of the limits in force
+     * @param time the time source
+     * @param options further limits and timeouts
      */
     public HttpEntryServer(
             EventLoopGroup traffic,
@@ -79,9 +79,10 @@
     }
 
     /**
-     * Begins to listen.
+     * Starts to listen.
      *
-     * @return done once clients can connect, or failed if the address can't be had
+     * @return a future that succeeds once clients can connect and fails if the address cannot be
+     *     bound
      */
     public ChannelFuture start() {
         ChannelFuture bound =
@@ -116,7 +117,7 @@
                 : new NioServerSocketChannel();
     }
 
-    /** Closes the listening socket; open connections go on. */
+    /** Closes the listening socket; open connections are kept. */
     public void stopAccepting() {
         Channel channel = mChannel;
         if (channel != null) {
@@ -133,7 +134,8 @@
     }
 
     /**
-     * Counts the requests that were read whole and whose answer has not been written yet.
+     * Returns the number of requests that were read completely and whose answer has not been
+     * written yet.
      *
      * @return how many
      */
@@ -142,7 +144,7 @@
     }
 
     /**
-     * Counts the open connections, with those that close.
+     * Returns the number of open connections, including those that are being closed.
      *
      * @return how many
      */
@@ -150,7 +152,7 @@
         return mConnections.openConnections();
     }
 
-    /** Stops listening and closes all connections at once. */
+    /** Stops listening and closes all connections immediately. */
     public void close() {
         stopAccepting();
         mLoop.execute(mConnections::closeAll);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/OutgoingAnswer.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/OutgoingAnswer.java
@@ -4,11 +4,11 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * A whole answer to a client. The server sets the length and the headers of the connection.
+ * Complete answer to a client. The server sets the length and the hop-by-hop headers.
  *
  * @param status the status code
- * @param headers headers of the answer, without those that concern one connection only
- * @param body the whole body; the server releases it
+ * @param headers the headers of the answer, without hop-by-hop headers
+ * @param body the complete body; the server releases it
  * @since 0.2
  */
 public record OutgoingAnswer(int status, HttpHeaders headers, ByteBuf body) {}
--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/RequestHandler.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/RequestHandler.java
@@ -1,7 +1,8 @@
 package io.masticpond.entry.http;
 
 /**
- * Handles the whole requests that a server has read. Traffic thread only.
+ * Strategy interface for handling the complete requests that a server has read. Called on the
+ * traffic thread only.
  *
  * @since 0.2
  */
@@ -9,10 +10,10 @@
 public interface RequestHandler {
 
     /**
-     * Handles a request; must answer it through the responder, now or later.
+     * Handles a request. Must answer or abort it through the responder, immediately or later.
      *
      * @param request the request
-     * @param responder takes the answer
+     * @param responder the responder for the answer
      */
     void handle(IncomingRequest request, Responder responder);
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/RequestReader.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/RequestReader.java
@@ -13,22 +13,23 @@
 import io.vavr.control.Either;
 
 /**
- * Reads the requests of one connection out of its bytes, one after the other, bodies whole.
+ * Reader that decodes the requests of one connection from its bytes one after the other, each with
+ * its complete body.
  *
- * <p>Every byte of a request that is kept is taken from the budget; {@link #takeCharge} hands the
- * duty to give them back over with the request.
+ * <p>Every buffered byte of a request is charged to the budget; the caller of {@link #takeCharge}
+ * becomes responsible for releasing the charge of a complete request.
  *
  * @since 0.2
  */
 final class RequestReader {
 
-    /** How far a request has been read. */
+    /** Result of reading. */
     enum Progress {
         /** More bytes are needed. */
-        MORE,
-        /** A request is whole. */
-        WHOLE,
-        /** The request is refused; nothing behind it can be read. */
+        INCOMPLETE,
+        /** A request is complete. */
+        COMPLETE,
+        /** The request is rejected; nothing after it can be read. */
         FAILED
     }
 
@@ -41,49 +42,51 @@
         TRAILERS
     }
 
-    private static final byte FEED = '\n';
-    private static final byte RETURN = '\r';
-    private static final int FIRST_BODY_BYTES = 64 * 1024;
-    private static final int CHUNK_LINE_BYTES = 1024;
-    private static final int HEXADECIMAL = 16;
-    private static final int CHUNK_DIGITS = 15;
+    private static final byte LINE_FEED = '\n';
+    private static final byte CARRIAGE_RETURN = '\r';
+    private static final int INITIAL_BODY_CAPACITY = 64 * 1024;
+    private static final int MAXIMUM_CHUNK_LINE_BYTES = 1024;
+    private static final int HEXADECIMAL_RADIX = 16;
+    private static final int MAXIMUM_CHUNK_SIZE_DIGITS = 15;
 
-    private final EntryConnections mServer;
+    private final EntryConnections mConnections;
     private final ByteBufAllocator mAllocator;
 
     private Phase mPhase = Phase.HEAD;
-    private int mScanned;
-    private int mLine;
+    private int mScannedBytes;
+    private int mLineStart;
     private RequestHead mHead;
     private ByteBuf mBody;
     private long mBodyLength;
-    private long mMissing;
+    private long mRemainingBytes;
     private long mCharge;
     private int mTrailerBytes;
     private boolean mIsContinueDue;
     private RequestLimits mLimits = RequestLimits.DEFAULT;
     private HttpResponseStatus mFailure;
 
-    RequestReader(EntryConnections server, ByteBufAllocator allocator) {
-        mServer = server;
+    RequestReader(EntryConnections connections, ByteBufAllocator allocator) {
+        mConnections = connections;
         mAllocator = allocator;
     }
 
-    /** Reads on; call again after {@link Progress#WHOLE} for the next request. */
+    /**
+     * Continues to read; to be called again after {@link Progress#COMPLETE} for the next request.
+     */
     Progress read(ByteBuf in) {
         Progress progress = null;
         while (progress == null) {
             progress =
                     switch (mPhase) {
                         case HEAD -> readHead(in);
-                        case LENGTH -> readLength(in);
+                        case LENGTH -> readFixedBody(in);
                         case CHUNK_SIZE -> readChunkSize(in);
                         case CHUNK -> readChunk(in);
                         case CHUNK_END -> readChunkEnd(in);
                         case TRAILERS -> readTrailers(in);
                     };
         }
-        if (progress == Progress.WHOLE) {
+        if (progress == Progress.COMPLETE) {
             mPhase = Phase.HEAD;
         } else if (progress == Progress.FAILED) {
             close();
@@ -91,7 +94,7 @@
         return progress;
     }
 
-    /** Tells whether a head is awaited or under way. */
+    /** Returns whether a head is awaited or being read. */
     boolean isInHead() {
         return mPhase == Phase.HEAD;
     }
@@ -104,68 +107,75 @@
         return mFailure;
     }
 
-    /** Tells, once per request, whether the client waits for a go-ahead to send the body. */
-    boolean takeContinue() {
+    /**
+     * Returns whether the client waits for {@code 100 Continue} to send the body; true at most once
+     * per request.
+     */
+    boolean takeContinueExpectation() {
         boolean isDue = mIsContinueDue;
         mIsContinueDue = false;
         return isDue;
     }
 
-    /** Hands the body of a whole request over. */
+    /** Returns the body of a complete request and transfers its ownership to the caller. */
     ByteBuf takeBody() {
         ByteBuf body = mBody == null ? Unpooled.EMPTY_BUFFER : mBody;
         mBody = null;
         return body;
     }
 
-    /** Hands the duty over to give the bytes of a whole request back to the budget. */
+    /**
+     * Returns the bytes charged for a complete request, which the caller must release to the
+     * budget.
+     */
     long takeCharge() {
         long charge = mCharge;
         mCharge = 0;
         return charge;
     }
 
-    /** Drops what has been read of an unfinished request. */
+    /** Discards what has been read of an incomplete request. */
     void close() {
         takeBody().release();
-        mServer.budget().release(takeCharge());
+        mConnections.budget().release(takeCharge());
     }
 
     private Progress readHead(ByteBuf in) {
-        if (mScanned == 0) {
-            mLimits = mServer.limits();
+        if (mScannedBytes == 0) {
+            mLimits = mConnections.limits();
         }
         int begin = in.readerIndex();
         while (true) {
-            int feed = in.indexOf(begin + mScanned, in.writerIndex(), FEED);
-            mScanned = (feed < 0 ? in.writerIndex() : feed + 1) - begin;
-            if (mScanned > mLimits.headerBytes()) {
+            int lineFeed = in.indexOf(begin + mScannedBytes, in.writerIndex(), LINE_FEED);
+            mScannedBytes = (lineFeed < 0 ? in.writerIndex() : lineFeed + 1) - begin;
+            if (mScannedBytes > mLimits.headerBytes()) {
                 return fail(REQUEST_HEADER_FIELDS_TOO_LARGE);
             }
-            if (feed < 0) {
-                return Progress.MORE;
+            if (lineFeed < 0) {
+                return Progress.INCOMPLETE;
             }
-            if (feed == begin || in.getByte(feed - 1) != RETURN) {
+            if (lineFeed == begin || in.getByte(lineFeed - 1) != CARRIAGE_RETURN) {
                 return fail(BAD_REQUEST);
             }
-            if (mScanned - mLine == 2) {
+            if (mScannedBytes - mLineStart == 2) {
                 return finishHead(in);
             }
-            mLine = mScanned;
+            mLineStart = mScannedBytes;
         }
     }
 
     private Progress finishHead(ByteBuf in) {
-        int length = mScanned;
-        mScanned = 0;
-        mLine = 0;
+        int length = mScannedBytes;
+        mScannedBytes = 0;
+        mLineStart = 0;
         if (length == 2) {
             in.skipBytes(length);
             return null;
         }
-        byte[] bytes = mServer.headBytes(length);
+        byte[] bytes = mConnections.headBuffer(length);
         in.readBytes(bytes, 0, length);
-        Either<HttpResponseStatus, RequestHead> head = mServer.headParser().parse(bytes, length);
+        Either<HttpResponseStatus, RequestHead> head =
+                mConnections.headParser().parse(bytes, length);
         if (head.isLeft()) {
             return fail(head.getLeft());
         }
@@ -174,45 +184,45 @@
         if (mHead.length() > mLimits.bodyBytes()) {
             return fail(REQUEST_ENTITY_TOO_LARGE);
         }
-        if (!mServer.budget().hasRoomFor(length + mHead.length()) || !charge(length)) {
+        if (!mConnections.budget().hasRoomFor(length + mHead.length()) || !charge(length)) {
             return fail(SERVICE_UNAVAILABLE);
         }
         if (!mHead.hasBody()) {
-            return Progress.WHOLE;
+            return Progress.COMPLETE;
         }
-        mMissing = mHead.length();
+        mRemainingBytes = mHead.length();
         mIsContinueDue = mHead.isContinueExpected() && !in.isReadable();
         mPhase = mHead.isChunked() ? Phase.CHUNK_SIZE : Phase.LENGTH;
         return null;
     }
 
-    private Progress readLength(ByteBuf in) {
+    private Progress readFixedBody(ByteBuf in) {
         Progress progress = readBody(in);
-        return progress == null ? Progress.WHOLE : progress;
+        return progress == null ? Progress.COMPLETE : progress;
     }
 
-    /** Moves bytes to the body; returns null once none of this part is missing. */
+    /** Moves bytes to the body, and returns {@code null} once this part is complete. */
     private Progress readBody(ByteBuf in) {
-        int bytes = (int) Math.min(mMissing, in.readableBytes());
+        int bytes = (int) Math.min(mRemainingBytes, in.readableBytes());
         if (bytes > 0) {
             if (!charge(bytes)) {
                 return fail(SERVICE_UNAVAILABLE);
             }
             if (mBody == null) {
-                mBody = mAllocator.buffer((int) Math.min(mMissing, FIRST_BODY_BYTES));
+                mBody = mAllocator.buffer((int) Math.min(mRemainingBytes, INITIAL_BODY_CAPACITY));
             }
             mBody.writeBytes(in, bytes);
-            mMissing -= bytes;
+            mRemainingBytes -= bytes;
         }
-        return mMissing > 0 ? Progress.MORE : null;
+        return mRemainingBytes > 0 ? Progress.INCOMPLETE : null;
     }
 
     private Progress readChunkSize(ByteBuf in) {
-        int line = lineLength(in, CHUNK_LINE_BYTES);
+        int line = nextLineLength(in, MAXIMUM_CHUNK_LINE_BYTES);
         if (line <= 0) {
-            return line == 0 ? Progress.MORE : fail(BAD_REQUEST);
+            return line == 0 ? Progress.INCOMPLETE : fail(BAD_REQUEST);
         }
-        long size = chunkSize(in, in.readerIndex(), in.readerIndex() + line - 2);
+        long size = parseChunkSize(in, in.readerIndex(), in.readerIndex() + line - 2);
         if (size < 0) {
             return fail(BAD_REQUEST);
         }
@@ -226,31 +236,33 @@
         if (mBodyLength > mLimits.bodyBytes()) {
             return fail(REQUEST_ENTITY_TOO_LARGE);
         }
-        mMissing = size;
+        mRemainingBytes = size;
         mPhase = Phase.CHUNK;
         return null;
     }
 
-    /** Returns the size of a chunk out of its line, or -1 if the line is none. */
-    private static long chunkSize(ByteBuf in, int begin, int end) {
+    /** Parses the size of a chunk from its size line. Returns -1 if the line is malformed. */
+    private static long parseChunkSize(ByteBuf in, int begin, int end) {
         long size = 0;
-        int at = begin;
-        while (at < end && Character.digit(in.getByte(at), HEXADECIMAL) >= 0) {
-            size = size * HEXADECIMAL + Character.digit(in.getByte(at), HEXADECIMAL);
-            at++;
+        int position = begin;
+        while (position < end && Character.digit(in.getByte(position), HEXADECIMAL_RADIX) >= 0) {
+            size =
+                    size * HEXADECIMAL_RADIX
+                            + Character.digit(in.getByte(position), HEXADECIMAL_RADIX);
+            position++;
         }
-        if (at == begin || at - begin > CHUNK_DIGITS) {
+        if (position == begin || position - begin > MAXIMUM_CHUNK_SIZE_DIGITS) {
             return -1;
         }
-        int extension = at;
-        while (at < end && (in.getByte(at) == ' ' || in.getByte(at) == '\t')) {
-            at++;
+        int extension = position;
+        while (position < end && (in.getByte(position) == ' ' || in.getByte(position) == '\t')) {
+            position++;
         }
-        boolean isSound = extension == end || (at < end && in.getByte(at) == ';');
-        for (int i = at; i < end; i++) {
-            isSound &= HeadSyntax.isValue(in.getByte(i));
+        boolean isValid = extension == end || (position < end && in.getByte(position) == ';');
+        for (int i = position; i < end; i++) {
+            isValid &= HeadSyntax.isValue(in.getByte(i));
         }
-        return isSound ? size : -1;
+        return isValid ? size : -1;
     }
 
     private Progress readChunk(ByteBuf in) {
@@ -262,13 +274,13 @@
     }
 
     private Progress readChunkEnd(ByteBuf in) {
-        if (in.isReadable() && in.getByte(in.readerIndex()) != RETURN) {
+        if (in.isReadable() && in.getByte(in.readerIndex()) != CARRIAGE_RETURN) {
             return fail(BAD_REQUEST);
         }
         if (in.readableBytes() < 2) {
-            return Progress.MORE;
+            return Progress.INCOMPLETE;
         }
-        if (in.getByte(in.readerIndex() + 1) != FEED) {
+        if (in.getByte(in.readerIndex() + 1) != LINE_FEED) {
             return fail(BAD_REQUEST);
         }
         in.skipBytes(2);
@@ -277,9 +289,9 @@
     }
 
     private Progress readTrailers(ByteBuf in) {
-        int line = lineLength(in, mLimits.headerBytes() - mTrailerBytes);
+        int line = nextLineLength(in, mLimits.headerBytes() - mTrailerBytes);
         if (line <= 0) {
-            return line == 0 ? Progress.MORE : fail(BAD_REQUEST);
+            return line == 0 ? Progress.INCOMPLETE : fail(BAD_REQUEST);
         }
         int begin = in.readerIndex();
         if (line > 2 && !isTrailer(in, begin, begin + line - 2)) {
@@ -287,41 +299,44 @@
         }
         in.skipBytes(line);
         mTrailerBytes += line;
-        return line == 2 ? Progress.WHOLE : null;
+        return line == 2 ? Progress.COMPLETE : null;
     }
 
     private static boolean isTrailer(ByteBuf in, int begin, int end) {
-        int at = begin;
-        while (at < end && HeadSyntax.isToken(in.getByte(at))) {
-            at++;
+        int position = begin;
+        while (position < end && HeadSyntax.isToken(in.getByte(position))) {
+            position++;
         }
-        if (at == begin || at == end || in.getByte(at) != ':') {
+        if (position == begin || position == end || in.getByte(position) != ':') {
             return false;
         }
-        while (at < end && HeadSyntax.isValue(in.getByte(at))) {
-            at++;
+        while (position < end && HeadSyntax.isValue(in.getByte(position))) {
+            position++;
         }
-        return at == end;
+        return position == end;
     }
 
-    /** Returns the length of the next line with its end, 0 if it has none yet, -1 if it is bad. */
-    private int lineLength(ByteBuf in, int limit) {
+    /**
+     * Returns the length of the next line including its end, 0 if it is incomplete, or -1 if it is
+     * malformed or too long.
+     */
+    private int nextLineLength(ByteBuf in, int limit) {
         int begin = in.readerIndex();
-        int feed = in.indexOf(begin + mScanned, in.writerIndex(), FEED);
-        int length = (feed < 0 ? in.writerIndex() : feed + 1) - begin;
+        int lineFeed = in.indexOf(begin + mScannedBytes, in.writerIndex(), LINE_FEED);
+        int length = (lineFeed < 0 ? in.writerIndex() : lineFeed + 1) - begin;
         if (length > limit) {
             return -1;
         }
-        if (feed < 0) {
-            mScanned = length;
+        if (lineFeed < 0) {
+            mScannedBytes = length;
             return 0;
         }
-        mScanned = 0;
-        return feed == begin || in.getByte(feed - 1) != RETURN ? -1 : length;
+        mScannedBytes = 0;
+        return lineFeed == begin || in.getByte(lineFeed - 1) != CARRIAGE_RETURN ? -1 : length;
     }
 
     private boolean charge(long bytes) {
-        if (!mServer.budget().tryReserve(bytes)) {
+        if (!mConnections.budget().tryReserve(bytes)) {
             return false;
         }
         mCharge += bytes;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/Responder.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/Responder.java
@@ -1,34 +1,39 @@
 package io.masticpond.entry.http;
 
 /**
- * Takes the one answer to a request. Traffic thread only.
+ * Callback interface that accepts the single answer to a request. To be called on the traffic
+ * thread only.
  *
  * @since 0.2
  */
 public interface Responder {
 
     /**
-     * Answers the request; the answer goes out once those to earlier requests of the connection
-     * have. Later calls are ignored, and so is a call after the client has gone.
+     * Answers the request. The answer is sent after the answers to earlier requests of the
+     * connection. Later calls are ignored, and so is a call after the client has disconnected.
      *
      * @param answer the answer
      */
     void answer(OutgoingAnswer answer);
 
-    /** Closes the connection in place of an answer, after the answers to earlier requests. */
+    /**
+     * Closes the connection instead of answering, after the answers to earlier requests have been
+     * sent.
+     */
     void abort();
 
     /**
-     * Registers what to do when the client closes its connection before the answer is written.
+     * Registers an action for the case that the connection ends before the answer is written.
      *
-     * @param action runs at most once, on the traffic thread; at once if the client has gone
+     * @param action the action, which runs at most once, on the traffic thread; it runs immediately
+     *     if the client has already disconnected
      */
     void onClientDisconnected(Runnable action);
 
     /**
-     * Tells whether the client has closed its connection.
+     * Returns whether the connection of the client has ended.
      *
-     * @return whether it has
+     * @return whether the client has disconnected
      */
     boolean isClientDisconnected();
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/package-info.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The HTTP/1.1 server towards clients, on Netty; must know nothing of routes and backend servers.
- * Everything in it is touched by the traffic thread (one event loop) only.
+ * Netty-based HTTP/1.1 server for clients. Must not depend on routing or backend servers. Confined
+ * to the traffic thread (a single event loop).
  */
 package io.masticpond.entry.http;
--- a/masticpond-entry/src/test/java/io/masticpond/entry/http/AnswerOrderTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/http/AnswerOrderTest.java
@@ -17,7 +17,7 @@
     }
 
     @Example
-    void writesAnswersInTheOrderOfTheRequestsWhicheverComesFirst() {
+    void writesAnswersInTheOrderOfTheRequests() {
         EntryFixture fixture = new EntryFixture();
         fixture.send(get("/0") + get("/1") + get("/2"));
 
@@ -32,7 +32,7 @@
     }
 
     @Example
-    void handlesOnlySoManyRequestsPerConnectionAtOnceAndTheRestLater() {
+    void limitsConcurrentRequestsPerConnection() {
         EntryFixture fixture = new EntryFixture();
         fixture.send(get("/0") + get("/1") + get("/2") + get("/3") + get("/4") + get("/5"));
         assertThat(fixture.targets()).containsExactly("/0", "/1", "/2", "/3");
@@ -44,7 +44,7 @@
     }
 
     @Example
-    void stopsReadingClientsThatSendOnWhileTheirRequestsWait() {
+    void stopsReadingFromClientsThatKeepSendingWhileTheirRequestsWait() {
         EntryFixture fixture = new EntryFixture();
         fixture.send(get("/0") + get("/1") + get("/2") + get("/3"));
         fixture.send("\r\n".repeat(40_000));
@@ -56,20 +56,20 @@
     }
 
     @Example
-    void tellsOfTheClosedConnectionWhileAnswersArePending() {
+    void notifiesOfTheDisconnectWhileAnswersArePending() {
         EntryFixture fixture = new EntryFixture();
-        List<String> gone = new ArrayList<>();
+        List<String> disconnected = new ArrayList<>();
         fixture.send(get("/0") + get("/1"));
-        fixture.mResponders.get(0).onClientDisconnected(() -> gone.add("0a"));
-        fixture.mResponders.get(0).onClientDisconnected(() -> gone.add("0b"));
-        fixture.mResponders.get(1).onClientDisconnected(() -> gone.add("1"));
+        fixture.mResponders.get(0).onClientDisconnected(() -> disconnected.add("0a"));
+        fixture.mResponders.get(0).onClientDisconnected(() -> disconnected.add("0b"));
+        fixture.mResponders.get(1).onClientDisconnected(() -> disconnected.add("1"));
 
         fixture.mChannel.close();
 
-        assertThat(gone).containsExactly("0a", "0b", "1");
+        assertThat(disconnected).containsExactly("0a", "0b", "1");
         assertThat(fixture.mResponders.get(0).isClientDisconnected()).isTrue();
-        fixture.mResponders.get(1).onClientDisconnected(() -> gone.add("late"));
-        assertThat(gone).endsWith("late");
+        fixture.mResponders.get(1).onClientDisconnected(() -> disconnected.add("late"));
+        assertThat(disconnected).endsWith("late");
         fixture.answer(0, 200, "too late");
         assertThat(fixture.mConnections.budget().used()).isZero();
         assertThat(fixture.mConnections.openRequests()).isZero();
@@ -77,11 +77,11 @@
     }
 
     @Example
-    void abortsAfterTheAnswersBeforeItAndDropsWhatIsBehind() {
+    void abortsAfterEarlierAnswersAndDiscardsLaterRequests() {
         EntryFixture fixture = new EntryFixture();
-        List<String> gone = new ArrayList<>();
+        List<String> disconnected = new ArrayList<>();
         fixture.send(get("/0") + get("/1") + get("/2"));
-        fixture.mResponders.get(2).onClientDisconnected(() -> gone.add("2"));
+        fixture.mResponders.get(2).onClientDisconnected(() -> disconnected.add("2"));
         fixture.answer(2, 200, "two");
         fixture.mResponders.get(1).abort();
         assertThat(fixture.mChannel.isOpen()).isTrue();
@@ -90,12 +90,12 @@
 
         assertThat(fixture.sent()).isEqualTo(ok("zero"));
         assertThat(fixture.mChannel.isOpen()).isFalse();
-        assertThat(gone).containsExactly("2");
+        assertThat(disconnected).containsExactly("2");
         assertThat(fixture.mConnections.openRequests()).isZero();
     }
 
     @Example
-    void writesHeadersUnchangedButThoseOfTheConnection() {
+    void writesHeadersUnchangedExceptHopByHopHeaders() {
         EntryFixture fixture = new EntryFixture();
         fixture.send(get("/"));
 
@@ -127,7 +127,7 @@
     }
 
     @Example
-    void writesNoBodyWhereNoneMayBe() {
+    void writesNoBodyWhereNoneIsAllowed() {
         EntryFixture fixture = new EntryFixture();
         fixture.send("HEAD / HTTP/1.1\r\nHost: h\r\n\r\n" + get("/1") + get("/2"));
 
@@ -143,10 +143,10 @@
     }
 
     @Example
-    void closesAfterTheAnswerWhenTheClientWantsItAndHandlesNothingBehind() {
+    void closesAfterTheAnswerOnRequestAndIgnoresLaterRequests() {
         String closing = "GET /0 HTTP/1.1\r\nHost: h\r\nConnection: x, Close\r\n\r\n";
-        String old = "GET /0 HTTP/1.0\r\n\r\n";
-        for (String request : List.of(closing, old)) {
+        String http10 = "GET /0 HTTP/1.0\r\n\r\n";
+        for (String request : List.of(closing, http10)) {
             EntryFixture fixture = new EntryFixture();
             fixture.send(request + get("/1"));
             assertThat(fixture.targets()).containsExactly("/0");
@@ -159,7 +159,7 @@
     }
 
     @Example
-    void keepsTheConnectionOfAnOldClientThatAsksForIt() {
+    void keepsTheConnectionOfAnHttp10ClientThatRequestsIt() {
         EntryFixture fixture = new EntryFixture();
         fixture.send("GET /0 HTTP/1.0\r\nConnection: keep-alive\r\n\r\n");
 
--- a/masticpond-entry/src/test/java/io/masticpond/entry/http/ConnectionTimesTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/http/ConnectionTimesTest.java
@@ -10,46 +10,46 @@
     private static final String GET = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
 
     @Example
-    void refusesHeadersThatTakeTooLong() {
+    void rejectsHeadersThatTakeTooLong() {
         EntryFixture fixture = new EntryFixture();
-        fixture.pass(Duration.ofSeconds(10));
+        fixture.advance(Duration.ofSeconds(10));
         fixture.send("GET / HTTP/1.1\r\n");
-        fixture.pass(Duration.ofMillis(2900));
+        fixture.advance(Duration.ofMillis(2900));
         fixture.send("Host: h\r\n");
         assertThat(fixture.sent()).isEmpty();
 
-        fixture.pass(Duration.ofMillis(200));
+        fixture.advance(Duration.ofMillis(200));
 
         assertThat(fixture.sent()).startsWith("HTTP/1.1 408 ").contains("Connection: close");
         assertThat(fixture.mChannel.isOpen()).isFalse();
     }
 
     @Example
-    void refusesBodiesThatStall() {
+    void rejectsBodiesThatStall() {
         EntryFixture fixture = new EntryFixture();
         fixture.send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\na");
-        fixture.pass(Duration.ofSeconds(14));
+        fixture.advance(Duration.ofSeconds(14));
         fixture.send("b");
-        fixture.pass(Duration.ofSeconds(14));
+        fixture.advance(Duration.ofSeconds(14));
         assertThat(fixture.sent()).isEmpty();
 
-        fixture.pass(Duration.ofSeconds(5));
+        fixture.advance(Duration.ofSeconds(5));
 
         assertThat(fixture.sent()).startsWith("HTTP/1.1 408 ");
         assertThat(fixture.mConnections.budget().used()).isZero();
     }
 
     @Example
-    void closesAnIdleConnectionQuietlyButNotBeforeItsTime() {
+    void closesAnIdleConnectionWithoutAnAnswerAfterTheIdleTimeout() {
         EntryFixture fixture = new EntryFixture();
-        fixture.pass(Duration.ofSeconds(14));
+        fixture.advance(Duration.ofSeconds(14));
         fixture.send(GET);
         fixture.answer(0, 200, "");
         fixture.sent();
-        fixture.pass(Duration.ofMillis(14_900));
+        fixture.advance(Duration.ofMillis(14_900));
         assertThat(fixture.mChannel.isOpen()).isTrue();
 
-        fixture.pass(Duration.ofSeconds(4));
+        fixture.advance(Duration.ofSeconds(4));
 
         assertThat(fixture.mChannel.isOpen()).isFalse();
         assertThat(fixture.sent()).isEmpty();
@@ -60,7 +60,7 @@
         EntryFixture fixture = new EntryFixture();
         fixture.send(GET);
 
-        fixture.pass(Duration.ofSeconds(60));
+        fixture.advance(Duration.ofSeconds(60));
 
         fixture.answer(0, 200, "");
         assertThat(fixture.sent()).startsWith("HTTP/1.1 200 ");
@@ -68,24 +68,24 @@
     }
 
     @Example
-    void closesIdleConnectionsSomewhatLaterWhenDraining() {
+    void closesIdleConnectionsAfterThePauseWhenDraining() {
         EntryFixture fixture = new EntryFixture();
         fixture.mConnections.drain();
-        fixture.pass(Duration.ofMillis(400));
+        fixture.advance(Duration.ofMillis(400));
         assertThat(fixture.mChannel.isOpen()).isTrue();
 
-        fixture.pass(Duration.ofMillis(200));
+        fixture.advance(Duration.ofMillis(200));
 
         assertThat(fixture.mChannel.isOpen()).isFalse();
     }
 
     @Example
-    void handlesRequestsThatComeBeforeTheCloseAndClosesAfterTheirAnswer() {
+    void handlesRequestsReceivedBeforeTheCloseAndClosesAfterTheirAnswer() {
         EntryFixture fixture = new EntryFixture();
         fixture.mConnections.drain();
-        fixture.pass(Duration.ofMillis(300));
+        fixture.advance(Duration.ofMillis(300));
         fixture.send(GET);
-        fixture.pass(Duration.ofSeconds(5));
+        fixture.advance(Duration.ofSeconds(5));
 
         fixture.answer(0, 200, "");
 
--- a/masticpond-entry/src/test/java/io/masticpond/entry/http/EntryFixture.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/http/EntryFixture.java
@@ -14,7 +14,10 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A server on channels without a network, whose handler keeps requests until told to answer. */
+/**
+ * Fixture with a server on embedded channels, whose handler keeps requests until the test answers
+ * them.
+ */
 final class EntryFixture {
 
     static final RequestLimits LIMITS =
@@ -40,7 +43,9 @@
         open(mChannel);
     }
 
-    /** Keeps a request with a copy of its body, which it gives back as every receiver must. */
+    /**
+     * Keeps a request with a copy of its body, and releases the original as every receiver must.
+     */
     private void handle(IncomingRequest request, Responder responder) {
         mRequests.add(
                 new IncomingRequest(
@@ -54,7 +59,7 @@
         mResponders.add(responder);
     }
 
-    /** Opens a further connection. */
+    /** Opens another connection. */
     EmbeddedChannel open(EmbeddedChannel channel) {
         channel.pipeline().addLast(new ClientConnection(mConnections));
         channel.pipeline().fireChannelActive();
@@ -69,8 +74,8 @@
         channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
     }
 
-    /** Lets time pass, in steps, on the clock and for timers. */
-    void pass(Duration duration) {
+    /** Advances the clock and the timers in steps. */
+    void advance(Duration duration) {
         long step = Duration.ofMillis(50).toNanos();
         for (long left = duration.toNanos(); left > 0; left -= step) {
             mTime.advance(Duration.ofNanos(Math.min(step, left)));
@@ -93,7 +98,7 @@
         return sent(mChannel);
     }
 
-    /** Takes all that was written to a connection. */
+    /** Returns and removes all that was written to a connection. */
     static String sent(EmbeddedChannel channel) {
         StringBuilder text = new StringBuilder();
         for (ByteBuf part = channel.readOutbound(); part != null; part = channel.readOutbound()) {
--- a/masticpond-entry/src/test/java/io/masticpond/entry/http/HttpEntryServerTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/http/HttpEntryServerTest.java
@@ -25,11 +25,11 @@
 class HttpEntryServerTest {
 
     private static final String GET = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
-    private static final int PATIENCE_SECONDS = 60;
+    private static final int TIMEOUT_SECONDS = 60;
 
     private final ManualTimeSource mTime = new ManualTimeSource(Instant.EPOCH);
     private final BlockingQueue<Responder> mResponders = new LinkedBlockingQueue<>();
-    private final CountDownLatch mGone = new CountDownLatch(1);
+    private final CountDownLatch mDisconnected = new CountDownLatch(1);
     private final MultiThreadIoEventLoopGroup mTraffic =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final HttpEntryServer mServer =
@@ -53,14 +53,14 @@
 
     private void handle(IncomingRequest request, Responder responder) {
         request.body().release();
-        responder.onClientDisconnected(mGone::countDown);
+        responder.onClientDisconnected(mDisconnected::countDown);
         mResponders.add(responder);
     }
 
     private Socket connect() throws IOException {
         Socket socket = new Socket();
-        socket.connect(mServer.boundAddress(), PATIENCE_SECONDS * 1000);
-        socket.setSoTimeout(PATIENCE_SECONDS * 1000);
+        socket.connect(mServer.boundAddress(), TIMEOUT_SECONDS * 1000);
+        socket.setSoTimeout(TIMEOUT_SECONDS * 1000);
         return socket;
     }
 
@@ -69,7 +69,7 @@
     }
 
     private Responder takeResponder() throws InterruptedException {
-        return mResponders.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+        return mResponders.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     private void answer(Responder responder, int bytes) {
@@ -82,8 +82,8 @@
                                         Unpooled.wrappedBuffer(new byte[bytes]))));
     }
 
-    /** Lets time pass and has all connections looked at, as the timer would. */
-    private void pass(Duration duration) {
+    /** Advances the clock and checks all connections, as the timer would. */
+    private void advance(Duration duration) {
         mTraffic.submit(
                         () -> {
                             mTime.advance(duration);
@@ -95,8 +95,8 @@
     private void awaitNoConnection() {
         long begin = System.nanoTime();
         while (mServer.openConnections() > 0
-                && System.nanoTime() - begin < TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS)) {
-            pass(EntryFixture.OPTIONS.writeStall());
+                && System.nanoTime() - begin < TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS)) {
+            advance(EntryFixture.OPTIONS.writeStall());
         }
         assertThat(mServer.openConnections()).isZero();
         assertThat(mServer.openRequests()).isZero();
@@ -119,7 +119,7 @@
     }
 
     @Example
-    void letsTheRefusalArriveThoughTheClientIsStillSending() throws Exception {
+    void deliversTheRejectionThoughTheClientIsStillSending() throws Exception {
         try (Socket socket = connect()) {
             send(socket, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9000000\r\n\r\n");
             send(socket, "a".repeat(9_000_000));
@@ -132,19 +132,19 @@
     }
 
     @Example
-    void noticesTheCloseOfClientsWhoseAnswerIsPending() throws Exception {
+    void detectsTheCloseOfClientsWhoseAnswerIsPending() throws Exception {
         Socket socket = connect();
         send(socket, GET);
         takeResponder();
 
         socket.close();
 
-        assertThat(mGone.await(PATIENCE_SECONDS, TimeUnit.SECONDS)).isTrue();
+        assertThat(mDisconnected.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
         awaitNoConnection();
     }
 
     @Example
-    void noticesTheResetOfClientsWhoseAnswerIsPending() throws Exception {
+    void detectsTheResetOfClientsWhoseAnswerIsPending() throws Exception {
         Socket socket = connect();
         send(socket, GET);
         takeResponder();
@@ -152,12 +152,12 @@
 
         socket.close();
 
-        assertThat(mGone.await(PATIENCE_SECONDS, TimeUnit.SECONDS)).isTrue();
+        assertThat(mDisconnected.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
         awaitNoConnection();
     }
 
     @Example
-    void cutsClientsOffThatReadNothingOfTheirAnswer() throws Exception {
+    void closesConnectionsOfClientsThatReadNothingOfTheirAnswer() throws Exception {
         try (Socket socket = connect()) {
             send(socket, GET);
 
@@ -168,12 +168,12 @@
     }
 
     @Example
-    void servesKeptConnectionsWhenItAcceptsNoNewOnes() throws Exception {
+    void servesOpenConnectionsAfterItStoppedAccepting() throws Exception {
         try (Socket socket = connect()) {
             send(socket, GET);
             takeResponder();
             mServer.stopAccepting();
-            pass(Duration.ZERO);
+            advance(Duration.ZERO);
 
             send(socket, GET);
 
@@ -183,7 +183,7 @@
     }
 
     @Example
-    void endsKeptConnectionsGentlyInPlannedStops() throws Exception {
+    void closesOpenConnectionsInOrderDuringPlannedStops() throws Exception {
         try (Socket idle = connect();
                 Socket busy = connect()) {
             send(idle, GET);
@@ -191,7 +191,7 @@
             send(busy, GET);
             Responder pending = takeResponder();
             mServer.drain();
-            pass(EntryFixture.OPTIONS.drainPause());
+            advance(EntryFixture.OPTIONS.drainPause());
             assertThat(new String(idle.getInputStream().readAllBytes(), StandardCharsets.US_ASCII))
                     .isEqualTo("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             assertThat(mServer.openRequests()).isEqualTo(1);
--- a/masticpond-entry/src/test/java/io/masticpond/entry/http/RequestReadingTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/http/RequestReadingTest.java
@@ -12,7 +12,7 @@
 
 class RequestReadingTest {
 
-    private static final String BEHIND = "GET /behind HTTP/1.1\r\nHost: h\r\n\r\n";
+    private static final String NEXT_REQUEST = "GET /behind HTTP/1.1\r\nHost: h\r\n\r\n";
     private static final String POST = "POST /a HTTP/1.1\r\nHost: h\r\n";
     private static final String CHUNKED = POST + "Transfer-Encoding: chunked\r\n\r\n";
     private static final String STREAM =
@@ -22,7 +22,7 @@
                     + CHUNKED
                     + "5;x=\"y\"\r\nhello\r\n00A\r\n, 10 bytes\r\n0\r\nSum: 1\r\n\r\n"
                     + "GET http://other:80/p?q HTTP/1.1\r\nHost: h\r\n\r\n"
-                    + BEHIND;
+                    + NEXT_REQUEST;
 
     private static final List<String> MALFORMED =
             List.of(
@@ -70,11 +70,11 @@
                     CHUNKED + "0\r\n folded\r\n\r\n");
 
     @Example
-    void refusesWhatTwoReadersCouldTakeForTwoRequestsAndHandlesNothingBehind() {
+    void rejectsAmbiguousRequestsAndIgnoresLaterRequests() {
         for (String input : MALFORMED) {
             EntryFixture fixture = new EntryFixture();
 
-            fixture.send(input + BEHIND);
+            fixture.send(input + NEXT_REQUEST);
 
             assertThat(fixture.sent())
                     .as(input)
@@ -89,7 +89,7 @@
     }
 
     @Property(seed = "42", tries = 300)
-    void readsRequestsWholeHoweverTheirBytesAreSplit(
+    void readsRequestsIndependentlyOfHowTheirBytesAreSplit(
             @ForAll @IntRange(max = 420) int first, @ForAll @IntRange(min = 1, max = 9) int step) {
         EntryFixture fixture = new EntryFixture();
         int at = Math.min(first, STREAM.length());
@@ -107,13 +107,13 @@
     }
 
     @Example
-    void tellsWhenTheFirstAndTheLastByteCame() {
+    void reportsTheTimesOfTheFirstAndTheLastByte() {
         EntryFixture fixture = new EntryFixture();
-        fixture.pass(Duration.ofNanos(5));
+        fixture.advance(Duration.ofNanos(5));
         fixture.send(POST);
-        fixture.pass(Duration.ofNanos(7));
+        fixture.advance(Duration.ofNanos(7));
 
-        fixture.send("\r\n" + BEHIND);
+        fixture.send("\r\n" + NEXT_REQUEST);
 
         assertThat(fixture.mRequests.get(0).beginNanos()).isEqualTo(5);
         assertThat(fixture.mRequests.get(0).arrivalNanos()).isEqualTo(12);
@@ -121,7 +121,7 @@
     }
 
     @Example
-    void refusesHeadersAndBodiesThatAreTooLong() {
+    void rejectsHeadersAndBodiesThatAreTooLong() {
         String fits = POST + "X: " + "a".repeat(400 - POST.length() - 7) + "\r\n\r\n";
         String pieces = CHUNKED + "258\r\n" + "a".repeat(600) + "\r\n" + "191\r\n";
         assertThat(answerTo(fits)).isEmpty();
@@ -140,15 +140,15 @@
     }
 
     @Example
-    void refusesWhatDoesNotFitTheMemoryForAllConnectionsAndSaysWhenToComeBack() {
+    void rejectsRequestsOverTheSharedMemoryBudgetWithRetryAfter() {
         EntryFixture fixture = new EntryFixture();
-        String begun = POST + "Content-Length: 900\r\n\r\n";
-        fixture.send(begun + "a".repeat(900));
+        String head = POST + "Content-Length: 900\r\n\r\n";
+        fixture.send(head + "a".repeat(900));
         EmbeddedChannel second = fixture.open(new EmbeddedChannel());
         EmbeddedChannel third = fixture.open(new EmbeddedChannel());
-        EntryFixture.send(second, begun + "b".repeat(800));
+        EntryFixture.send(second, head + "b".repeat(800));
 
-        EntryFixture.send(third, begun + "c".repeat(900));
+        EntryFixture.send(third, head + "c".repeat(900));
 
         assertThat(EntryFixture.sent(third))
                 .startsWith("HTTP/1.1 503 ")
@@ -157,14 +157,14 @@
         fixture.answer(0, 200, "");
         second.close();
         assertThat(fixture.mConnections.budget().used()).isZero();
-        fixture.send(begun + "d".repeat(900));
+        fixture.send(head + "d".repeat(900));
         assertThat(fixture.mRequests).hasSize(2);
     }
 
     @Example
-    void lets100ContinueWaitForTheAnswersBeforeIt() {
+    void sends100ContinueAfterTheAnswersBeforeIt() {
         EntryFixture fixture = new EntryFixture();
-        fixture.send(BEHIND + POST + "Expect: 100-continue\r\nContent-Length: 2\r\n\r\n");
+        fixture.send(NEXT_REQUEST + POST + "Expect: 100-continue\r\nContent-Length: 2\r\n\r\n");
         assertThat(fixture.sent()).isEmpty();
 
         fixture.answer(0, 204, "");
