--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/LinkOperationPeers.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/LinkOperationPeers.java
@@ -29,22 +29,28 @@
 import java.util.function.Consumer;
 
 /**
- * Passes requests and outcomes on over the links; safe for all threads.
+ * {@link OperationPeers} implementation that forwards requests and outcomes over the links.
+ * Thread-safe.
  *
  * @since 0.1
  */
 public final class LinkOperationPeers implements OperationPeers {
 
-    /** Starts the name of a caller's own key where a message else has an operation key. */
+    /**
+     * Prefix that marks a caller's own key in the message field that otherwise has an operation
+     * key.
+     */
     static final String CLAIM_PREFIX = "claim/";
 
-    /** How much longer than the deadline to wait, so that the home's own word arrives first. */
+    /**
+     * Time to wait beyond the deadline, so that the home's own answer arrives before the timeout.
+     */
     private static final Duration ANSWER_MARGIN = Duration.ofMillis(200);
 
     private static final Duration HANDOVER_TIMEOUT = Duration.ofSeconds(5);
     private static final int HANDOVER_BATCH = 64;
 
-    /** The home chooses the region itself. */
+    /** Placeholder region: the home chooses the region itself. */
     private static final RegionId ANY_REGION = new RegionId("any");
 
     private final InstanceLinks mLinks;
@@ -53,11 +59,11 @@
     private final TimeSource mTimeSource;
 
     /**
-     * Makes peers.
+     * Creates the peers.
      *
      * @param links the links
-     * @param members the members that this instance sees
-     * @param self this instance
+     * @param members the members known to this instance
+     * @param self the id of this instance
      * @param timeSource the clocks
      */
     public LinkOperationPeers(
@@ -99,7 +105,7 @@
             InstanceId to, String key, SteeredRequest request, Consumer<ForwardResult> listener) {
         long remaining = Math.max(1, request.head().deadlineNanos() - mTimeSource.monotonicNanos());
         Shard shard = new Shard(request.head().service(), ANY_REGION, 0);
-        OperationAsk ask =
+        OperationAsk message =
                 OperationAsk.newBuilder()
                         .setOperationKey(key)
                         .setRequest(ForwardCodec.toForward(request, shard, remaining))
@@ -107,7 +113,7 @@
         CompletableFuture<Void> unused =
                 mLinks.call(
                                 to,
-                                Envelope.newBuilder().setOperationAsk(ask).build(),
+                                Envelope.newBuilder().setOperationAsk(message).build(),
                                 Duration.ofNanos(remaining).plus(ANSWER_MARGIN))
                         .thenAccept(
                                 answer ->
@@ -128,13 +134,13 @@
         if (adopter.isEmpty() || outcomes.isEmpty()) {
             return CompletableFuture.completedFuture(0);
         }
-        List<CompletableFuture<Integer>> receipts = new ArrayList<>();
+        List<CompletableFuture<Integer>> adoptedCounts = new ArrayList<>();
         for (int from = 0; from < outcomes.size(); from += HANDOVER_BATCH) {
             int to = Math.min(from + HANDOVER_BATCH, outcomes.size());
-            receipts.add(
+            adoptedCounts.add(
                     handOver(adopter.get(), OutcomeCodec.toMessage(outcomes.subList(from, to))));
         }
-        return receipts.stream()
+        return adoptedCounts.stream()
                 .reduce((first, second) -> first.thenCombine(second, Integer::sum))
                 .orElseThrow();
     }
@@ -142,10 +148,10 @@
     private CompletableFuture<Integer> handOver(InstanceId adopter, OutcomeHandover outcomes) {
         Envelope envelope = Envelope.newBuilder().setOutcomeHandover(outcomes).build();
         return mLinks.call(adopter, envelope, HANDOVER_TIMEOUT)
-                .thenApply(LinkOperationPeers::taken);
+                .thenApply(LinkOperationPeers::adoptedCount);
     }
 
-    private static int taken(Either<LinkError, Envelope> answer) {
+    private static int adoptedCount(Either<LinkError, Envelope> answer) {
         return answer.isRight() ? answer.get().getHandoverReceipt().getTaken() : 0;
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/MemberHomeDirectory.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/MemberHomeDirectory.java
@@ -14,10 +14,11 @@
 import java.util.stream.Stream;
 
 /**
- * Tells the state of homes from the members that this instance sees.
+ * {@link HomeDirectory} that derives the state of homes from the members known to this instance.
  *
- * <p>A silent home is never taken for gone: it may be paused or cut off, and run the operation when
- * it comes back. Only a later run of the same instance shows that it is gone.
+ * <p>An unresponsive home is never considered terminated: it may be paused or partitioned, and run
+ * the operation when it resumes. Only a later incarnation of the same instance proves that it has
+ * terminated.
  *
  * @since 0.1
  */
@@ -27,13 +28,13 @@
     private final Supplier<? extends Collection<Member>> mMembers;
 
     /**
-     * Makes a directory.
+     * Creates a directory.
      *
-     * @param self the run of this instance
-     * @param members gives the members as this instance sees them now
+     * @param self the incarnation of this instance
+     * @param members supplies the members currently known to this instance
      */
     public MemberHomeDirectory(Incarnation self, Supplier<? extends Collection<Member>> members) {
-        mSelf = Assert.notNull(self, "The run of this instance");
+        mSelf = Assert.notNull(self, "The incarnation of this instance");
         mMembers = Assert.notNull(members, "Members");
     }
 
@@ -56,11 +57,11 @@
     }
 
     /**
-     * Chooses the instance that takes over the outcomes of a home that stops as planned: all that
-     * see the same members choose the same one, without messages.
+     * Determines the instance that adopts the outcomes of a home after its planned stop. Instances
+     * that know the same members choose the same one without exchanging messages.
      *
-     * @param home the run of the instance that stops
-     * @return another instance that takes work, or empty if there is none
+     * @param home the incarnation that stops
+     * @return another instance that accepts work, or empty if there is none
      */
     public Optional<InstanceId> adopterOf(Incarnation home) {
         List<InstanceId> others =
@@ -73,10 +74,10 @@
     }
 
     /**
-     * Chooses the instance that claims the keys of a bucket.
+     * Determines the instance that claims the keys of a bucket.
      *
      * @param bucket the number of the bucket
-     * @return an instance that takes work, or this one
+     * @return an instance that accepts work, or this one
      */
     public InstanceId claimerOf(int bucket) {
         List<InstanceId> candidates =
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyGuard.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyGuard.java
@@ -160,7 +160,7 @@
      * @param nowNanos the current time, in nanoseconds of the monotonic clock
      */
     public void advance(long nowNanos) {
-        mWaiters.endOverdue(nowNanos);
+        mWaiters.refuseOverdue(nowNanos);
         mRegistry.forgetExpired();
     }
 
@@ -255,8 +255,9 @@
             } else if (result instanceof ForwardResult.Lost lost) {
                 refuse(Refusal.mayHaveRun(lost.cause(), lost.reason()));
             } else {
-                RequestCompletion end = ((ForwardResult.Ended) result).completion();
-                mListener.accept(mFirstAttempt ? OnceOnlyRefusals.ofFirstAttempt(end) : end);
+                RequestCompletion completion = ((ForwardResult.Ended) result).completion();
+                mListener.accept(
+                        mFirstAttempt ? OnceOnlyRefusals.ofFirstAttempt(completion) : completion);
             }
         }
 
@@ -307,7 +308,7 @@
             record("operation-begun", mRequest, key);
             mRunner.run(
                     mRequest.withOperationId(key.operationId()),
-                    end -> ended(key, OutcomeConverter.toOutcome(end)));
+                    completion -> ended(key, OutcomeConverter.toOutcome(completion)));
         }
 
         private void ended(OperationKey key, OperationOutcome<RequestCompletion.Answered> result) {
@@ -317,7 +318,7 @@
                 mArchive.keep(new KeptOutcome<>(key, mFingerprint, outcome));
             }
             mListener.accept(OutcomeConverter.toCompletion(outcome));
-            mWaiters.end(key, OutcomeConverter.toCompletion(outcome));
+            mWaiters.complete(key, OutcomeConverter.toCompletion(outcome));
         }
 
         private void forwardToHome(OperationKey key, InstanceId home) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyKeys.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyKeys.java
@@ -4,13 +4,14 @@
 import java.util.Optional;
 
 /**
- * What a caller said about the identity of a once-only operation.
+ * Keys by which a caller identifies a once-only operation.
  *
- * @param operationKey the operation key that a look-up gave, if any
- * @param idempotencyKey the caller's own key, if any; at most one of both may be given
- * @param scope what keeps the own keys of unrelated callers apart, such as their credentials
- * @param firstAttempt whether the caller says that it never sent this key before; without that word
- *     the system takes it that an earlier attempt may have run elsewhere
+ * @param operationKey the operation key issued by a look-up, if any
+ * @param idempotencyKey the caller's own key, if any; at most one of the two keys may be given
+ * @param scope the namespace that separates the own keys of unrelated callers, such as their
+ *     credentials
+ * @param firstAttempt whether the caller states that it never sent this key before; without that
+ *     statement an earlier attempt is assumed to have possibly run elsewhere
  * @since 0.1
  */
 public record OnceOnlyKeys(
@@ -19,7 +20,7 @@
         String scope,
         boolean firstAttempt) {
 
-    /** Checks that at most one key is given. */
+    /** Validates that at most one key is given. */
     public OnceOnlyKeys {
         Assert.isTrue(
                 operationKey.isEmpty() || idempotencyKey.isEmpty(),
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyRefusals.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyRefusals.java
@@ -9,11 +9,13 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** The refusals of once-only operations; each verdict is about the operation, not the attempt. */
+/**
+ * Factory for refusals of once-only operations; each verdict covers the operation, not the attempt.
+ */
 final class OnceOnlyRefusals {
 
-    private static final Duration SHORTLY = Duration.ofSeconds(1);
-    private static final Duration AFTER_OUTAGE = Duration.ofSeconds(5);
+    private static final Duration SHORT_RETRY_DELAY = Duration.ofSeconds(1);
+    private static final Duration OUTAGE_RETRY_DELAY = Duration.ofSeconds(5);
 
     private OnceOnlyRefusals() {}
 
@@ -33,43 +35,44 @@
         return Refusal.mayHaveRun(
                         RefusalCause.OPERATION_IN_PROGRESS,
                         "The operation runs now; ask again with the same key for its outcome.")
-                .retryAfter(SHORTLY);
+                .retryAfter(SHORT_RETRY_DELAY);
     }
 
     static Refusal claimsFull() {
         return Refusal.didNotRun(
                         RefusalCause.OPERATION_STORE_FULL,
                         "The platform holds as many keys of callers as it may.")
-                .retryAfter(AFTER_OUTAGE);
+                .retryAfter(OUTAGE_RETRY_DELAY);
     }
 
     static Refusal platformUnavailable(boolean firstAttempt) {
         return new Refusal(
-                earlierAttempts(firstAttempt),
+                verdict(firstAttempt),
                 RefusalCause.PLATFORM_AWAY,
                 "This attempt did not run: the key cannot be claimed while the platform is away."
-                        + doubt(firstAttempt),
-                Optional.of(AFTER_OUTAGE));
+                        + earlierAttemptNote(firstAttempt),
+                Optional.of(OUTAGE_RETRY_DELAY));
     }
 
     /**
-     * Gives the end of a first attempt that another instance could not claim: that instance did not
-     * know that no attempt came before.
+     * Returns the completion of a first attempt that was forwarded to be claimed. If the other
+     * instance could not claim it, the verdict is corrected: that instance did not know that there
+     * was no earlier attempt.
      */
-    static RequestCompletion ofFirstAttempt(RequestCompletion end) {
+    static RequestCompletion ofFirstAttempt(RequestCompletion completion) {
         boolean unclaimed =
-                end instanceof RequestCompletion.Refused refused
+                completion instanceof RequestCompletion.Refused refused
                         && refused.refusal().cause() == RefusalCause.PLATFORM_AWAY;
-        return unclaimed ? new RequestCompletion.Refused(platformUnavailable(true)) : end;
+        return unclaimed ? new RequestCompletion.Refused(platformUnavailable(true)) : completion;
     }
 
     static Refusal homeUnreachable(boolean firstAttempt) {
         return new Refusal(
-                earlierAttempts(firstAttempt),
+                verdict(firstAttempt),
                 RefusalCause.INSTANCE_LOST,
                 "This attempt did not run: the home of the key cannot be reached."
-                        + doubt(firstAttempt),
-                Optional.of(SHORTLY));
+                        + earlierAttemptNote(firstAttempt),
+                Optional.of(SHORT_RETRY_DELAY));
     }
 
     static Refusal homeTerminated(Incarnation home) {
@@ -80,7 +83,7 @@
                         + ", is gone: the operation may have run and no repeat will run it.");
     }
 
-    /** Gives the refusal for a decision that needs nothing but one. */
+    /** Returns the refusal for a decision that requires no other action. */
     static Refusal of(OperationDecision<?> decision, boolean firstAttempt) {
         if (decision instanceof OperationDecision.WrongRequest) {
             return wrongRequest();
@@ -90,16 +93,17 @@
         }
         if (decision instanceof OperationDecision.Expired) {
             return new Refusal(
-                    earlierAttempts(firstAttempt),
+                    verdict(firstAttempt),
                     RefusalCause.OPERATION_KEY_EXPIRED,
-                    "The operation key expired; no repeat will run it." + doubt(firstAttempt),
+                    "The operation key expired; no repeat will run it."
+                            + earlierAttemptNote(firstAttempt),
                     Optional.empty());
         }
         if (decision instanceof OperationDecision.Full) {
             return Refusal.didNotRun(
                             RefusalCause.OPERATION_STORE_FULL,
                             "The instance holds as many operations as it may.")
-                    .retryAfter(AFTER_OUTAGE);
+                    .retryAfter(OUTAGE_RETRY_DELAY);
         }
         if (decision instanceof OperationDecision.Stopping) {
             return Refusal.didNotRun(
@@ -108,11 +112,11 @@
         throw new IllegalStateException("The decision " + decision + " is no refusal.");
     }
 
-    private static Verdict earlierAttempts(boolean firstAttempt) {
+    private static Verdict verdict(boolean firstAttempt) {
         return firstAttempt ? Verdict.DID_NOT_RUN : Verdict.MAY_HAVE_RUN;
     }
 
-    private static String doubt(boolean firstAttempt) {
+    private static String earlierAttemptNote(boolean firstAttempt) {
         return firstAttempt ? "" : " An earlier attempt with the key may have run.";
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyRunner.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyRunner.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 
 /**
- * Runs an operation that the guard allowed to run.
+ * Strategy interface for running an operation that the guard has allowed.
  *
  * @since 0.1
  */
@@ -13,11 +13,11 @@
 public interface OnceOnlyRunner {
 
     /**
-     * Steers a request to its end. A refusal that says that it did not run must be true of all
-     * attempts together, now and later.
+     * Runs a request to completion. A refusal with the verdict "did not run" must hold for all
+     * attempts of the operation, now and later.
      *
      * @param request the request, with its operation id
-     * @param listener takes the one end, on the steering duty
+     * @param listener receives the completion exactly once, on the steering thread
      */
     void run(SteeredRequest request, Consumer<RequestCompletion> listener);
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationArchive.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationArchive.java
@@ -9,7 +9,8 @@
 import java.util.function.Consumer;
 
 /**
- * The claims and outcomes at the platform, as the steering duty sees them; nothing blocks.
+ * Archive of the claims and outcomes stored at the platform, for use on the steering thread. No
+ * method blocks.
  *
  * @since 0.1
  */
@@ -19,24 +20,24 @@
      * Claims a caller's own key.
      *
      * @param entry the caller's key and the operation key to bind it to
-     * @param deadlineNanos when the request gives up, in nanoseconds of the monotonic clock
-     * @param listener takes the one result, on the steering duty
+     * @param deadlineNanos the deadline of the request, in nanoseconds of the monotonic clock
+     * @param listener receives the result exactly once, on the steering thread
      */
     void claim(ClaimEntry entry, long deadlineNanos, Consumer<ClaimResult> listener);
 
     /**
-     * Copies an outcome of this home, some time later.
+     * Schedules an outcome of this home to be copied to the platform; returns before it is written.
      *
      * @param outcome the outcome
      */
     void keep(KeptOutcome<RequestCompletion.Answered> outcome);
 
     /**
-     * Looks for the outcome of an operation of another home.
+     * Finds the outcome of an operation of another home.
      *
      * @param key the operation key
-     * @param listener takes the outcome, or empty if the platform has none or is away; on the
-     *     steering duty
+     * @param listener receives the outcome, or empty if the platform has none or is unavailable;
+     *     called on the steering thread
      */
     void find(
             OperationKey key, Consumer<Optional<KeptOutcome<RequestCompletion.Answered>>> listener);
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationHandover.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationHandover.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Leaves the outcomes of this home behind at a planned stop: at the platform and at another
- * instance. Safe for all threads but those of duties.
+ * Hand-over of the outcomes of this home at a planned stop, to the platform and to another
+ * instance. Thread-safe, but must not be called on the thread of an event loop, since it blocks.
  *
  * @since 0.1
  */
@@ -21,54 +21,54 @@
     private final Incarnation mHome;
     private final EventLoop mSteering;
     private final OnceOnlyGuard mGuard;
-    private final PlatformOperationArchive mOperations;
+    private final PlatformOperationArchive mArchive;
     private final OperationPeers mPeers;
 
     /**
-     * Makes a hand-over that has not begun.
+     * Creates a hand-over that has not started.
      *
-     * @param home the run of this instance
-     * @param steering the steering duty, which the guard belongs to
+     * @param home the incarnation of this instance
+     * @param steering the event loop to which the guard is confined
      * @param guard the guard
-     * @param operations copies outcomes to the platform
+     * @param archive copies outcomes to the platform
      * @param peers hands outcomes to another instance
      */
     public OperationHandover(
             Incarnation home,
             EventLoop steering,
             OnceOnlyGuard guard,
-            PlatformOperationArchive operations,
+            PlatformOperationArchive archive,
             OperationPeers peers) {
         mHome = Assert.notNull(home, "A home");
-        mSteering = Assert.notNull(steering, "A duty");
+        mSteering = Assert.notNull(steering, "An event loop");
         mGuard = Assert.notNull(guard, "A guard");
-        mOperations = Assert.notNull(operations, "An operation duty");
+        mArchive = Assert.notNull(archive, "An operation archive");
         mPeers = Assert.notNull(peers, "Peers");
     }
 
     /**
-     * Lets no further operation begin and leaves the outcomes behind.
+     * Rejects further operations and hands over the outcomes.
      *
-     * @param bound how long to try
+     * @param timeout the longest time to try
      * @return whether the platform or another instance holds every outcome
      */
-    public boolean handOver(Duration bound) {
-        CompletableFuture<List<KeptOutcome<RequestCompletion.Answered>>> kept =
+    public boolean handOver(Duration timeout) {
+        CompletableFuture<List<KeptOutcome<RequestCompletion.Answered>>> outcomes =
                 new CompletableFuture<>();
-        boolean taken =
+        boolean accepted =
                 mSteering.put(
                         () -> {
                             mGuard.stop();
-                            kept.complete(mGuard.keptOutcomes());
+                            outcomes.complete(mGuard.keptOutcomes());
                         });
-        if (!taken) {
+        if (!accepted) {
             return false;
         }
-        CompletableFuture<Boolean> copied = mOperations.flush(bound);
+        CompletableFuture<Boolean> archived = mArchive.flush(timeout);
         CompletableFuture<Boolean> adopted =
-                kept.thenCompose(this::adopt)
-                        .completeOnTimeout(false, bound.toMillis(), TimeUnit.MILLISECONDS);
-        return copied.thenCombine(adopted, Boolean::logicalOr).join();
+                outcomes.thenCompose(this::adopt)
+                        .completeOnTimeout(false, timeout.toMillis(), TimeUnit.MILLISECONDS);
+        return archived.thenCombine(adopted, Boolean::logicalOr).join();
     }
 
     private CompletableFuture<Boolean> adopt(
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationHome.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationHome.java
@@ -5,10 +5,10 @@
 import io.masticpond.daemon.steering.RequestCompletion;
 
 /**
- * The keys and operations of this run of the instance.
+ * Key issuer and operation registry of this incarnation of the instance.
  *
- * @param issuer issues its keys
- * @param registry keeps its operations
+ * @param issuer issues the operation keys
+ * @param registry keeps the operations
  * @since 0.1
  */
 public record OperationHome(
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationObjects.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationObjects.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Names the objects of claims and outcomes, and turns claims into JSON and back. */
+/** Factory for the keys of claim and outcome objects, and codec of claims as JSON. */
 final class OperationObjects {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -33,10 +33,10 @@
     }
 
     static byte[] toBytes(ClaimContents contents) {
-        Map<String, String> texts = new TreeMap<>();
-        contents.claims().forEach((key, value) -> texts.put(key.text(), value.toString()));
+        Map<String, String> textsByKey = new TreeMap<>();
+        contents.claims().forEach((key, value) -> textsByKey.put(key.text(), value.toString()));
         try {
-            return MAPPER.writeValueAsBytes(texts);
+            return MAPPER.writeValueAsBytes(textsByKey);
         } catch (JsonProcessingException e) {
             throw new IllegalStateException("Claims cannot be written as JSON.", e);
         }
@@ -45,7 +45,7 @@
     /**
      * Reads the claims of a bucket.
      *
-     * @throws IllegalArgumentException if the object is not what an instance of ours writes
+     * @throws IllegalArgumentException if the object is not in the format that instances write
      */
     static ClaimContents toClaims(StoredObject object) {
         Map<CallerKey, OperationKey> claims = new HashMap<>();
@@ -53,7 +53,8 @@
             MAPPER.readValue(object.value(), CLAIMS)
                     .forEach((key, value) -> claims.put(new CallerKey(key), operationKey(value)));
         } catch (IOException e) {
-            throw new IllegalArgumentException("The claims " + object.key() + " are no JSON.", e);
+            throw new IllegalArgumentException(
+                    "The claims " + object.key() + " are not valid JSON.", e);
         }
         return new ClaimContents(object.version(), claims);
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationPeers.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationPeers.java
@@ -14,19 +14,20 @@
 import java.util.function.Consumer;
 
 /**
- * Passes requests on to the homes of their operation keys; safe for all threads.
+ * Strategy interface for forwarding requests to the homes of their operation keys. Implementations
+ * must be thread-safe.
  *
  * @since 0.1
  */
 public interface OperationPeers {
 
     /**
-     * Passes a request on, once.
+     * Forwards a request to the home of its key, without retries.
      *
-     * @param to the instance of the home
+     * @param to the home instance
      * @param key the operation key
      * @param request the request
-     * @param listener takes the one result, on any thread
+     * @param listener receives the result exactly once, on any thread
      */
     void forward(
             InstanceId to,
@@ -35,30 +36,31 @@
             Consumer<ForwardResult> listener);
 
     /**
-     * Tells which instance took over the outcomes of a home that stopped as planned, if any did.
+     * Returns the instance that adopted the outcomes of a home after its planned stop, if any.
      *
-     * @param home the run of the instance that stopped
-     * @return another live instance, or empty if it is this one or none
+     * @param home the incarnation that stopped
+     * @return another live instance, or empty if it is this instance or there is none
      */
     Optional<InstanceId> adopterOf(Incarnation home);
 
     /**
-     * Chooses the instance that claims a caller's own key, so that updates of one bucket come from
-     * one instance and seldom meet; all that see the same instances choose the same one. It is a
-     * matter of speed only: any instance may claim any key.
+     * Returns the instance that should claim a caller's own key, so that the updates of a bucket
+     * come from one instance and rarely conflict. Instances that know the same members choose the
+     * same one. This is only an optimization: any instance may claim any key.
      *
      * @param callerKey the caller's key
-     * @return another instance, or empty if it is this one
+     * @return another instance, or empty if it is this instance
      */
     Optional<InstanceId> claimerOf(CallerKey callerKey);
 
     /**
-     * Passes a request with a caller's own key on to the instance that should claim it, once.
+     * Forwards a request with a caller's own key to the instance that should claim it, without
+     * retries.
      *
      * @param to the instance
      * @param callerKey the caller's key
      * @param request the request
-     * @param listener takes the one result, on any thread
+     * @param listener receives the result exactly once, on any thread
      */
     void forwardToClaim(
             InstanceId to,
@@ -67,11 +69,11 @@
             Consumer<ForwardResult> listener);
 
     /**
-     * Hands outcomes over to the instance that answers for this home when it is gone.
+     * Hands outcomes over to the instance that answers for this home after it has terminated.
      *
-     * @param home the run of this instance
+     * @param home the incarnation of this instance
      * @param outcomes the outcomes
-     * @return how many outcomes the other instance took
+     * @return the number of outcomes that the other instance adopted
      */
     CompletableFuture<Integer> handOver(
             Incarnation home, List<KeptOutcome<RequestCompletion.Answered>> outcomes);
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationReceiver.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationReceiver.java
@@ -19,46 +19,48 @@
 import java.util.function.Consumer;
 
 /**
- * Takes the requests and outcomes that other instances pass on, and hands them to the guard.
+ * Receiver of the requests and outcomes that other instances forward, which passes them to the
+ * guard.
  *
- * <p>When the ring of the steering duty is full they are declined, which is true: nothing ran.
+ * <p>When the queue of the steering event loop is full they are declined, which is a reliable
+ * statement that nothing ran.
  *
  * @since 0.1
  */
 public final class OperationReceiver {
 
-    private static final Duration SWEEP = Duration.ofMillis(20);
+    private static final Duration ADVANCE_PERIOD = Duration.ofMillis(20);
 
     private final EventLoop mSteering;
     private final OnceOnlyGuard mGuard;
     private final TimeSource mTimeSource;
 
     /**
-     * Makes a receiver.
+     * Creates a receiver.
      *
-     * @param steering the steering duty
-     * @param guard the guard, which belongs to that duty
+     * @param steering the steering event loop
+     * @param guard the guard, which is confined to that event loop
      * @param timeSource the clocks
      */
     public OperationReceiver(EventLoop steering, OnceOnlyGuard guard, TimeSource timeSource) {
-        mSteering = Assert.notNull(steering, "A duty");
+        mSteering = Assert.notNull(steering, "An event loop");
         mGuard = Assert.notNull(guard, "A guard");
         mTimeSource = Assert.notNull(timeSource, "A time source");
     }
 
     /**
-     * Takes the messages of its kinds from now on, and lets time act on the guard; must be called
-     * before the steering duty starts.
+     * Registers the message handlers and the periodic task that advances the guard. Must be called
+     * before the steering event loop starts.
      *
      * @param links the links
      */
     public void register(InstanceLinks links) {
-        mSteering.every(SWEEP, () -> mGuard.advance(mTimeSource.monotonicNanos()));
-        links.handle(Envelope.BodyCase.OPERATION_ASK, this::ask);
-        links.handle(Envelope.BodyCase.OUTCOME_HANDOVER, this::handover);
+        mSteering.every(ADVANCE_PERIOD, () -> mGuard.advance(mTimeSource.monotonicNanos()));
+        links.handle(Envelope.BodyCase.OPERATION_ASK, this::handleRequest);
+        links.handle(Envelope.BodyCase.OUTCOME_HANDOVER, this::handleHandover);
     }
 
-    private void ask(InstanceId from, Envelope envelope, Responder responder) {
+    private void handleRequest(InstanceId from, Envelope envelope, Responder responder) {
         String key = envelope.getOperationAsk().getOperationKey();
         SteeredRequest request;
         Consumer<Consumer<RequestCompletion>> task;
@@ -71,10 +73,10 @@
             responder.refuse("The request cannot be read: " + e.getMessage());
             return;
         }
-        offer(responder, () -> task.accept(end -> answer(responder, request, end)));
+        offer(responder, () -> task.accept(completion -> answer(responder, request, completion)));
     }
 
-    /** Tells what to do with a request, which ends by a call of the listener given to the task. */
+    /** Returns the task that passes a request to the guard, with the given completion listener. */
     private Consumer<Consumer<RequestCompletion>> task(String key, SteeredRequest request) {
         if (key.startsWith(LinkOperationPeers.CLAIM_PREFIX)) {
             CallerKey callerKey =
@@ -87,14 +89,15 @@
         return listener -> mGuard.receive(operationKey, request, listener);
     }
 
-    private static void answer(Responder responder, SteeredRequest request, RequestCompletion end) {
+    private static void answer(
+            Responder responder, SteeredRequest request, RequestCompletion completion) {
         responder.answer(
                 Envelope.newBuilder()
-                        .setForwardAnswer(ForwardCodec.toAnswer(request.head().id(), end))
+                        .setForwardAnswer(ForwardCodec.toAnswer(request.head().id(), completion))
                         .build());
     }
 
-    private void handover(InstanceId from, Envelope envelope, Responder responder) {
+    private void handleHandover(InstanceId from, Envelope envelope, Responder responder) {
         List<KeptOutcome<RequestCompletion.Answered>> outcomes;
         try {
             outcomes = OutcomeCodec.fromMessage(envelope.getOutcomeHandover());
@@ -105,21 +108,23 @@
         offer(responder, () -> adopt(from, outcomes, responder));
     }
 
-    /** Takes the outcomes of the sender's own operations; of others it has no say. */
+    /**
+     * Adopts outcomes of the sender's own operations only, since it has no authority over others.
+     */
     private void adopt(
             InstanceId from,
             List<KeptOutcome<RequestCompletion.Answered>> outcomes,
             Responder responder) {
-        int taken = 0;
+        int adopted = 0;
         for (KeptOutcome<RequestCompletion.Answered> outcome : outcomes) {
             boolean own = outcome.key().home().instance().equals(from);
             if (own && mGuard.adopt(outcome)) {
-                taken++;
+                adopted++;
             }
         }
         responder.answer(
                 Envelope.newBuilder()
-                        .setHandoverReceipt(HandoverReceipt.newBuilder().setTaken(taken))
+                        .setHandoverReceipt(HandoverReceipt.newBuilder().setTaken(adopted))
                         .build());
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OutcomeCodec.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OutcomeCodec.java
@@ -14,13 +14,18 @@
 import io.masticpond.protocol.generated.OutcomeHandover;
 import java.util.List;
 
-/** Writes outcomes as messages, for objects at the platform and for hand-overs, and reads them. */
+/** Codec of outcomes as messages, for objects at the platform and for hand-overs. */
 final class OutcomeCodec {
 
-    /** The largest answer that is copied; of a larger one only the fact that it ran. */
-    static final int LARGEST_COPIED_ANSWER = 8 << 10;
+    /**
+     * Maximum size of an answer that is copied, in bytes; for a larger one only the verdict that it
+     * ran is.
+     */
+    static final int MAXIMUM_COPIED_ANSWER_BYTES = 8 << 10;
 
-    /** An outcome's end names no request, since a repeat is another request. */
+    /**
+     * Placeholder request id: an outcome names no request, since a repeat is a different request.
+     */
     private static final RequestId NO_REQUEST = new RequestId("none");
 
     private OutcomeCodec() {}
@@ -40,14 +45,14 @@
                 .setOperationKey(outcome.key().toString())
                 .setFingerprint(ByteString.copyFromUtf8(outcome.fingerprint().text()))
                 .setExpiresMillis(outcome.key().expiresMillis())
-                .setEnd(ForwardCodec.toAnswer(NO_REQUEST, toEnd(outcome.outcome())))
+                .setEnd(ForwardCodec.toAnswer(NO_REQUEST, toCopiedCompletion(outcome.outcome())))
                 .build();
     }
 
     /**
-     * Reads outcomes.
+     * Decodes outcomes.
      *
-     * @throws IllegalArgumentException if the bytes are not what an instance of ours writes
+     * @throws IllegalArgumentException if the bytes are not in the format that instances write
      */
     static List<KeptOutcome<RequestCompletion.Answered>> fromBytes(byte[] bytes) {
         try {
@@ -58,9 +63,9 @@
     }
 
     /**
-     * Reads outcomes.
+     * Decodes outcomes.
      *
-     * @throws IllegalArgumentException if an entry is not what an instance of ours writes
+     * @throws IllegalArgumentException if an entry is not in the format that instances write
      */
     static List<KeptOutcome<RequestCompletion.Answered>> fromMessage(OutcomeHandover message) {
         return message.getOutcomesList().stream().map(OutcomeCodec::fromEntry).toList();
@@ -79,16 +84,23 @@
                 toOutcome(ForwardCodec.toCompletion(entry.getEnd())));
     }
 
-    /** Gives the end that repeats get, without an answer that is too big to be copied. */
-    private static RequestCompletion toEnd(OperationOutcome<RequestCompletion.Answered> outcome) {
-        RequestCompletion end = OutcomeConverter.toCompletion(outcome);
-        boolean tooBig =
-                end instanceof RequestCompletion.Answered answered
-                        && AnswerSize.of(answered) > LARGEST_COPIED_ANSWER;
-        return tooBig ? new RequestCompletion.Refused(OperationRegistry.answerNotKept()) : end;
+    /**
+     * Returns the completion for repeated requests, without an answer that is too large to be
+     * copied.
+     */
+    private static RequestCompletion toCopiedCompletion(
+            OperationOutcome<RequestCompletion.Answered> outcome) {
+        RequestCompletion completion = OutcomeConverter.toCompletion(outcome);
+        boolean tooLarge =
+                completion instanceof RequestCompletion.Answered answered
+                        && AnswerSize.of(answered) > MAXIMUM_COPIED_ANSWER_BYTES;
+        return tooLarge
+                ? new RequestCompletion.Refused(OperationRegistry.answerNotKept())
+                : completion;
     }
 
-    private static OperationOutcome<RequestCompletion.Answered> toOutcome(RequestCompletion end) {
-        return OutcomeConverter.toOutcome(end);
+    private static OperationOutcome<RequestCompletion.Answered> toOutcome(
+            RequestCompletion completion) {
+        return OutcomeConverter.toOutcome(completion);
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OutcomeConverter.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OutcomeConverter.java
@@ -3,7 +3,7 @@
 import io.masticpond.core.operation.OperationOutcome;
 import io.masticpond.daemon.steering.RequestCompletion;
 
-/** Turns ends of requests into outcomes of operations and back. */
+/** Converter between completions of requests and outcomes of operations. */
 final class OutcomeConverter {
 
     private OutcomeConverter() {}
@@ -16,10 +16,10 @@
                 ((OperationOutcome.Refused<RequestCompletion.Answered>) outcome).refusal());
     }
 
-    static OperationOutcome<RequestCompletion.Answered> toOutcome(RequestCompletion end) {
-        if (end instanceof RequestCompletion.Answered answered) {
+    static OperationOutcome<RequestCompletion.Answered> toOutcome(RequestCompletion completion) {
+        if (completion instanceof RequestCompletion.Answered answered) {
             return new OperationOutcome.Answered<>(answered);
         }
-        return new OperationOutcome.Refused<>(((RequestCompletion.Refused) end).refusal());
+        return new OperationOutcome.Refused<>(((RequestCompletion.Refused) completion).refusal());
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OutcomeWaiters.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OutcomeWaiters.java
@@ -10,22 +10,22 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Requests that wait for the outcome of an operation that runs; belongs to the steering duty. */
+/** Requests that wait for the outcome of a running operation. Confined to the steering thread. */
 final class OutcomeWaiters {
 
-    private static final int MAXIMUM_FOR_OPERATION = 32;
+    private static final int MAXIMUM_PER_OPERATION = 32;
     private static final int MAXIMUM = 10_000;
 
     private final Map<OperationKey, List<Waiter>> mWaiters = new HashMap<>();
     private int mCount;
 
-    /** A request that waits. */
+    /** Waiting request with its listener. */
     private record Waiter(SteeredRequest request, Consumer<RequestCompletion> listener) {}
 
-    /** Lets a request wait, or ends it at once if too many wait. */
+    /** Adds a waiting request, or refuses it immediately if too many requests are waiting. */
     void add(OperationKey key, SteeredRequest request, Consumer<RequestCompletion> listener) {
         List<Waiter> waiters = mWaiters.computeIfAbsent(key, unused -> new ArrayList<>());
-        if (waiters.size() >= MAXIMUM_FOR_OPERATION || mCount >= MAXIMUM) {
+        if (waiters.size() >= MAXIMUM_PER_OPERATION || mCount >= MAXIMUM) {
             listener.accept(new RequestCompletion.Refused(OnceOnlyRefusals.inProgress()));
             return;
         }
@@ -33,33 +33,33 @@
         mCount++;
     }
 
-    /** Gives the outcome to all who wait for it. */
-    void end(OperationKey key, RequestCompletion end) {
+    /** Completes all requests that wait for the operation. */
+    void complete(OperationKey key, RequestCompletion completion) {
         List<Waiter> waiters = mWaiters.remove(key);
         if (waiters == null) {
             return;
         }
         mCount -= waiters.size();
-        waiters.forEach(waiter -> waiter.listener().accept(end));
+        waiters.forEach(waiter -> waiter.listener().accept(completion));
     }
 
-    /** Ends those whose deadline has passed. */
-    void endOverdue(long nowNanos) {
+    /** Refuses waiting requests whose deadline has passed. */
+    void refuseOverdue(long nowNanos) {
         List<Waiter> overdue = new ArrayList<>();
         for (List<Waiter> waiters : mWaiters.values()) {
             waiters.removeIf(
                     waiter -> {
-                        boolean late = waiter.request().head().deadlineNanos() - nowNanos <= 0;
-                        return late && overdue.add(waiter);
+                        boolean expired = waiter.request().head().deadlineNanos() - nowNanos <= 0;
+                        return expired && overdue.add(waiter);
                     });
         }
         mWaiters.values().removeIf(List::isEmpty);
         mCount -= overdue.size();
-        RequestCompletion end = new RequestCompletion.Refused(OnceOnlyRefusals.inProgress());
-        overdue.forEach(waiter -> waiter.listener().accept(end));
+        RequestCompletion completion = new RequestCompletion.Refused(OnceOnlyRefusals.inProgress());
+        overdue.forEach(waiter -> waiter.listener().accept(completion));
     }
 
-    /** Forgets the listener of a request. */
+    /** Removes the listener of a request. */
     void cancel(RequestId request) {
         for (List<Waiter> waiters : mWaiters.values()) {
             if (waiters.removeIf(waiter -> waiter.request().head().id().equals(request))) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/PlatformOperationArchive.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/PlatformOperationArchive.java
@@ -32,20 +32,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Makes the calls to the platform that claims and outcomes need, on a duty of its own.
+ * {@link OperationArchive} implementation that calls the platform from an event loop of its own.
  *
- * <p>When the ring of the duty is full, a claim is refused and an outcome is not copied; neither
- * blocks the steering duty.
+ * <p>When the queue of the event loop is full, a claim is refused and an outcome is not copied;
+ * neither blocks the steering thread.
  *
  * @since 0.1
  */
 public final class PlatformOperationArchive implements OperationArchive {
 
     private static final Logger sLogger = LoggerFactory.getLogger(PlatformOperationArchive.class);
-    private static final Duration CALL_PERIOD = Duration.ofMillis(5);
-    private static final Duration IDLE_PERIOD = Duration.ofSeconds(30);
+    private static final Duration PLATFORM_CALL_PERIOD = Duration.ofMillis(5);
+    private static final Duration IDLE_REMOVAL_PERIOD = Duration.ofSeconds(30);
 
-    private final EventLoop mDuty;
+    private final EventLoop mEventLoop;
     private final ObjectStore mStore;
     private final Incarnation mHome;
     private final ClaimBatcher mClaims;
@@ -54,51 +54,52 @@
     private final List<CompletableFuture<Boolean>> mFlushes = new ArrayList<>();
 
     /**
-     * Makes the calls of a home; the duty must not be started yet.
+     * Creates the archive of a home; the event loop must not be started yet.
      *
-     * @param duty the duty that the batchers belong to
-     * @param store the platform
-     * @param home the run of this instance
-     * @param claims groups claims
-     * @param outcomes groups outcomes
-     * @param steering runs tasks on the steering duty, and may wait for room there
+     * @param eventLoop the event loop to which the batchers are confined
+     * @param store the object store of the platform
+     * @param home the incarnation of this instance
+     * @param claims batches claims
+     * @param outcomes batches outcomes
+     * @param steering runs tasks on the steering thread, and may block until its queue has room
      */
     public PlatformOperationArchive(
-            EventLoop duty,
+            EventLoop eventLoop,
             ObjectStore store,
             Incarnation home,
             ClaimBatcher claims,
             OutcomeBatcher<RequestCompletion.Answered> outcomes,
             Executor steering) {
-        mDuty = Assert.notNull(duty, "A duty");
+        mEventLoop = Assert.notNull(eventLoop, "An event loop");
         mStore = Assert.notNull(store, "An object store");
         mHome = Assert.notNull(home, "A home");
         mClaims = Assert.notNull(claims, "A batcher of claims");
         mOutcomes = Assert.notNull(outcomes, "A batcher of outcomes");
         mSteering = Assert.notNull(steering, "An executor");
-        mDuty.every(CALL_PERIOD, this::callPlatform);
-        mDuty.every(IDLE_PERIOD, mClaims::forgetIdle);
+        mEventLoop.every(PLATFORM_CALL_PERIOD, this::sendPendingCalls);
+        mEventLoop.every(IDLE_REMOVAL_PERIOD, mClaims::forgetIdle);
     }
 
     @Override
     public void claim(ClaimEntry entry, long deadlineNanos, Consumer<ClaimResult> listener) {
         Consumer<ClaimResult> onSteering =
                 result -> mSteering.execute(() -> listener.accept(result));
-        boolean taken =
-                mDuty.offer(
+        boolean accepted =
+                mEventLoop.offer(
                         () -> {
                             mClaims.submit(entry, deadlineNanos, onSteering);
-                            callClaims();
+                            sendClaimCalls();
                         });
-        if (!taken) {
+        if (!accepted) {
             listener.accept(new ClaimResult.Unavailable());
         }
     }
 
     @Override
     public void keep(KeptOutcome<RequestCompletion.Answered> outcome) {
-        if (!mDuty.offer(() -> mOutcomes.add(outcome))) {
-            sLogger.warn("ONCE  An outcome was not copied: the ring was full.");
+        if (!mEventLoop.offer(() -> mOutcomes.add(outcome))) {
+            sLogger.warn(
+                    "ONCE  Outcome not copied to the platform: the event loop's queue is full");
         }
     }
 
@@ -115,21 +116,21 @@
     }
 
     /**
-     * Writes what was not written yet, before a planned stop.
+     * Writes all pending outcomes, before a planned stop.
      *
-     * @param timeout how long to try
-     * @return whether the platform holds every outcome in the end
+     * @param timeout the longest time to try
+     * @return a future of whether the platform holds every outcome when the call ends
      */
     public CompletableFuture<Boolean> flush(Duration timeout) {
         CompletableFuture<Boolean> flushed = new CompletableFuture<>();
-        if (!mDuty.put(() -> mFlushes.add(flushed))) {
+        if (!mEventLoop.put(() -> mFlushes.add(flushed))) {
             flushed.complete(false);
         }
         return flushed.completeOnTimeout(false, timeout.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    private void callPlatform() {
-        callClaims();
+    private void sendPendingCalls() {
+        sendClaimCalls();
         if (mFlushes.isEmpty()) {
             mOutcomes.nextCalls().forEach(this::call);
             return;
@@ -141,7 +142,7 @@
         mFlushes.removeIf(CompletableFuture::isDone);
     }
 
-    private void callClaims() {
+    private void sendClaimCalls() {
         mClaims.nextCalls().forEach(this::call);
     }
 
@@ -159,10 +160,10 @@
         CompletableFuture<Void> unused =
                 answer.thenAccept(
                         result ->
-                                mDuty.put(
+                                mEventLoop.put(
                                         () -> {
                                             mClaims.answered(call, result);
-                                            callClaims();
+                                            sendClaimCalls();
                                         }));
     }
 
@@ -181,13 +182,13 @@
                             .thenApply(
                                     result ->
                                             written(
-                                                    result.map(nothing -> ObjectStore.ABSENT),
+                                                    result.map(ignored -> ObjectStore.ABSENT),
                                                     PlatformOperationArchive::version));
         } else {
             answer = mStore.read(key).thenApply(PlatformOperationArchive::version);
         }
         CompletableFuture<Void> unused =
-                answer.thenAccept(result -> mDuty.put(() -> mOutcomes.answered(call, result)));
+                answer.thenAccept(result -> mEventLoop.put(() -> mOutcomes.answered(call, result)));
     }
 
     private static StoreAnswer<ClaimContents> claims(
@@ -210,7 +211,7 @@
         try {
             return new StoreAnswer.Held<>(reader.apply(answer.get()));
         } catch (IllegalArgumentException e) {
-            sLogger.error("ONCE  An object of the platform cannot be read.", e);
+            sLogger.error("ONCE  Failed to decode an object read from the platform", e);
             return new StoreAnswer.Unavailable<>();
         }
     }
@@ -236,7 +237,7 @@
             return new StoreAnswer.Postponed<>();
         }
         if (error instanceof PlatformError.Rejected) {
-            sLogger.error("ONCE  The platform refused a call: {}", error.message());
+            sLogger.error("ONCE  Platform rejected a call: {}", error.message());
         }
         return new StoreAnswer.Unavailable<>();
     }
@@ -251,7 +252,7 @@
                     .filter(outcome -> outcome.key().equals(key))
                     .findFirst();
         } catch (IllegalArgumentException e) {
-            sLogger.error("ONCE  The outcomes of {} cannot be read.", key.home(), e);
+            sLogger.error("ONCE  Failed to decode the outcomes of {}", key.home(), e);
             return Optional.empty();
         }
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/package-info.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Operations that run at most once: the guard before the request path, claims and outcomes at the
- * platform, and passing on between instances; it must not know how requests are steered.
+ * Operations that run at most once: the guard in front of the request path, the claims and outcomes
+ * at the platform, and forwarding between instances. This package must not depend on how requests
+ * are steered.
  */
 package io.masticpond.daemon.operation;
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/operation/GuardedInstances.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/operation/GuardedInstances.java
@@ -35,8 +35,8 @@
 import java.util.function.Consumer;
 
 /**
- * Guards of several instances on one thread, with a platform, links and backend servers that fail
- * as told; executions are counted behind the guards.
+ * Guards of several instances on one thread, with a simulated platform, links and backend servers
+ * that fail as configured. Counts the executions behind the guards.
  */
 final class GuardedInstances {
 
@@ -52,7 +52,7 @@
     LinkFault mLinkFault = LinkFault.NONE;
     private int mRequests;
 
-    /** What becomes of a request that is passed on. */
+    /** Fault that a forwarded request meets. */
     enum LinkFault {
         NONE,
         NOT_SENT,
@@ -89,11 +89,11 @@
                 Optional.empty());
     }
 
-    static OnceOnlyKeys homed(OperationKey key) {
+    static OnceOnlyKeys operationKeyOf(OperationKey key) {
         return new OnceOnlyKeys(Optional.of(key.toString()), Optional.empty(), "", false);
     }
 
-    static OnceOnlyKeys claimed(String key, boolean firstAttempt) {
+    static OnceOnlyKeys callerKeyOf(String key, boolean firstAttempt) {
         return new OnceOnlyKeys(Optional.empty(), Optional.of(key), "", firstAttempt);
     }
 
@@ -106,34 +106,35 @@
         return new RequestCompletion.Refused(refusal);
     }
 
-    /** The one end of a request, as its caller sees it. */
-    static final class End implements Consumer<RequestCompletion> {
+    /** Listener that captures the single completion of a request, as its caller receives it. */
+    static final class CapturedCompletion implements Consumer<RequestCompletion> {
 
-        private RequestCompletion mEnd;
+        private RequestCompletion mCompletion;
 
         @Override
-        public void accept(RequestCompletion end) {
-            if (mEnd != null) {
-                throw new AssertionError("A request ended twice: " + mEnd + ", then " + end + ".");
+        public void accept(RequestCompletion completion) {
+            if (mCompletion != null) {
+                throw new AssertionError(
+                        "A request completed twice: " + mCompletion + ", then " + completion + ".");
             }
-            mEnd = end;
+            mCompletion = completion;
         }
 
         boolean isOpen() {
-            return mEnd == null;
+            return mCompletion == null;
         }
 
         String body() {
-            RequestCompletion.Answered answered = (RequestCompletion.Answered) mEnd;
+            RequestCompletion.Answered answered = (RequestCompletion.Answered) mCompletion;
             return new String(answered.body(), StandardCharsets.UTF_8);
         }
 
         Refusal refusal() {
-            return ((RequestCompletion.Refused) mEnd).refusal();
+            return ((RequestCompletion.Refused) mCompletion).refusal();
         }
     }
 
-    /** One instance; its request path answers when told. */
+    /** Instance whose request path answers when {@link #execute} or {@link #refuse} is called. */
     final class Instance implements OperationPeers, OperationArchive {
 
         final Incarnation mHome;
@@ -161,25 +162,25 @@
                             Timeline.NONE);
         }
 
-        End submit(SteeredRequest request, OnceOnlyKeys keys) {
-            End end = new End();
-            mGuard.submit(request, keys, end);
-            return end;
+        CapturedCompletion submit(SteeredRequest request, OnceOnlyKeys keys) {
+            CapturedCompletion completion = new CapturedCompletion();
+            mGuard.submit(request, keys, completion);
+            return completion;
         }
 
-        /** Runs the one operation that waits at a backend server and gives its answer. */
-        void execute(RequestCompletion end) {
+        /** Executes the single operation pending at a backend server and completes it. */
+        void execute(RequestCompletion completion) {
             String operation = mRunning.keySet().iterator().next();
             mExecutions.merge(operation, 1, Integer::sum);
-            mRunning.remove(operation).accept(end);
+            mRunning.remove(operation).accept(completion);
         }
 
-        /** Ends the one operation that waits without running it. */
+        /** Refuses the single pending operation without executing it. */
         void refuse(Refusal refusal) {
             mRunning.remove(mRunning.keySet().iterator().next()).accept(refused(refusal));
         }
 
-        /** Kills the instance; what it sent to backend servers runs all the same. */
+        /** Terminates the instance; operations already sent to backend servers still execute. */
         void kill() {
             mAlive = false;
             mRunning.keySet().forEach(operation -> mExecutions.merge(operation, 1, Integer::sum));
@@ -206,7 +207,7 @@
                 OperationKey key,
                 SteeredRequest request,
                 Consumer<ForwardResult> listener) {
-            pass(to, listener, end -> guard(to).receive(key, request, end));
+            forward(to, listener, completion -> guard(to).receive(key, request, completion));
         }
 
         @Override
@@ -235,15 +236,18 @@
                 CallerKey callerKey,
                 SteeredRequest request,
                 Consumer<ForwardResult> listener) {
-            pass(to, listener, end -> guard(to).receiveClaim(callerKey, request, end));
+            forward(
+                    to,
+                    listener,
+                    completion -> guard(to).receiveClaim(callerKey, request, completion));
         }
 
         private OnceOnlyGuard guard(InstanceId instance) {
             return mInstances.get(instance).mGuard;
         }
 
-        /** Passes a request on, or breaks the link before or after. */
-        private void pass(
+        /** Forwards a request, or breaks the link before or after sending it. */
+        private void forward(
                 InstanceId to,
                 Consumer<ForwardResult> listener,
                 Consumer<Consumer<RequestCompletion>> request) {
@@ -253,10 +257,12 @@
             }
             if (mLinkFault == LinkFault.NONE) {
                 request.accept(
-                        end -> listener.accept(new ForwardResult.Ended(end, Optional.empty())));
+                        completion ->
+                                listener.accept(
+                                        new ForwardResult.Ended(completion, Optional.empty())));
                 return;
             }
-            request.accept(end -> {});
+            request.accept(completion -> {});
             listener.accept(new ForwardResult.Lost(RefusalCause.INSTANCE_LOST, "The link broke."));
         }
 
@@ -266,10 +272,12 @@
                 listener.accept(new ClaimResult.Unavailable());
                 return;
             }
-            OperationKey holder =
+            OperationKey existing =
                     mClaims.putIfAbsent(entry.callerKey().text(), entry.operationKey());
             listener.accept(
-                    holder == null ? new ClaimResult.Claimed() : new ClaimResult.HeldBy(holder));
+                    existing == null
+                            ? new ClaimResult.Claimed()
+                            : new ClaimResult.HeldBy(existing));
         }
 
         @Override
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/operation/OnceOnlyGuardTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/operation/OnceOnlyGuardTest.java
@@ -1,15 +1,15 @@
 package io.masticpond.daemon.operation;
 
 import static io.masticpond.daemon.operation.GuardedInstances.answer;
-import static io.masticpond.daemon.operation.GuardedInstances.claimed;
-import static io.masticpond.daemon.operation.GuardedInstances.homed;
+import static io.masticpond.daemon.operation.GuardedInstances.callerKeyOf;
+import static io.masticpond.daemon.operation.GuardedInstances.operationKeyOf;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.masticpond.core.operation.OperationKey;
 import io.masticpond.core.request.Refusal;
 import io.masticpond.core.request.RefusalCause;
 import io.masticpond.core.request.Verdict;
-import io.masticpond.daemon.operation.GuardedInstances.End;
+import io.masticpond.daemon.operation.GuardedInstances.CapturedCompletion;
 import io.masticpond.daemon.operation.GuardedInstances.Instance;
 import io.masticpond.daemon.operation.GuardedInstances.LinkFault;
 import io.masticpond.daemon.steering.SteeredRequest;
@@ -28,32 +28,33 @@
     private final Instance mFes = mInstances.start("fes-1");
     private final OperationKey mKey = mCasa.mGuard.issueKey();
 
-    private End submit(Instance instance) {
-        return instance.submit(mInstances.request("plate 7"), homed(mKey));
+    private CapturedCompletion submit(Instance instance) {
+        return instance.submit(mInstances.request("plate 7"), operationKeyOf(mKey));
     }
 
-    private void assertRefused(End end, Verdict verdict, RefusalCause cause, int executions) {
-        assertThat(end.refusal().verdict()).isEqualTo(verdict);
-        assertThat(end.refusal().cause()).isEqualTo(cause);
+    private void assertRefused(
+            CapturedCompletion completion, Verdict verdict, RefusalCause cause, int executions) {
+        assertThat(completion.refusal().verdict()).isEqualTo(verdict);
+        assertThat(completion.refusal().cause()).isEqualTo(cause);
         assertThat(mInstances.executions()).isEqualTo(executions);
     }
 
     @Example
-    void repeatsThroughAnyInstanceGetTheOneAnswer() {
-        End first = submit(mFes);
-        End meanwhile = submit(mCasa);
+    void repeatsThroughAnyInstanceReceiveSameAnswer() {
+        CapturedCompletion first = submit(mFes);
+        CapturedCompletion concurrent = submit(mCasa);
         mCasa.execute(answer("reserved"));
-        End later = submit(mFes);
+        CapturedCompletion later = submit(mFes);
         assertThat(first.body()).isEqualTo("reserved");
-        assertThat(meanwhile.body()).isEqualTo("reserved");
+        assertThat(concurrent.body()).isEqualTo("reserved");
         assertThat(later.body()).isEqualTo("reserved");
         assertThat(mInstances.executions()).isEqualTo(1);
     }
 
     @Example
-    void anAnswerLostBetweenInstancesIsFoundByTheRepeat() {
+    void repeatReceivesAnswerLostBetweenInstances() {
         mInstances.mLinkFault = LinkFault.ANSWER_LOST;
-        End first = submit(mFes);
+        CapturedCompletion first = submit(mFes);
         mCasa.execute(answer("reserved"));
         assertRefused(first, Verdict.MAY_HAVE_RUN, RefusalCause.INSTANCE_LOST, 1);
         mInstances.mLinkFault = LinkFault.NONE;
@@ -62,7 +63,7 @@
     }
 
     @Example
-    void anInstanceThatIsKilledLeavesItsAnswerBehind() {
+    void answerOfKilledInstanceIsFoundInArchive() {
         submit(mCasa);
         mCasa.execute(answer("reserved"));
         mCasa.kill();
@@ -72,7 +73,7 @@
     }
 
     @Example
-    void anInstanceThatIsKilledWhileItRunsMayHaveRunItAndNobodyRunsItAgain() {
+    void operationOfKilledInstanceMayHaveRunAndIsNeverRunAgain() {
         submit(mCasa);
         mCasa.kill();
         assertRefused(submit(mFes), Verdict.MAY_HAVE_RUN, RefusalCause.INSTANCE_LOST, 1);
@@ -82,29 +83,29 @@
     }
 
     @Example
-    void aHomeThatCannotBeReachedIsDidNotRunOnlyForFirstAttempts() {
+    void unreachableHomeMeansDidNotRunOnlyForFirstAttempt() {
         mInstances.mLinkFault = LinkFault.NOT_SENT;
         assertRefused(submit(mFes), Verdict.MAY_HAVE_RUN, RefusalCause.INSTANCE_LOST, 0);
         OnceOnlyKeys first =
                 new OnceOnlyKeys(Optional.of(mKey.toString()), Optional.empty(), "", true);
-        End end = mFes.submit(mInstances.request("plate 7"), first);
-        assertRefused(end, Verdict.DID_NOT_RUN, RefusalCause.INSTANCE_LOST, 0);
+        CapturedCompletion completion = mFes.submit(mInstances.request("plate 7"), first);
+        assertRefused(completion, Verdict.DID_NOT_RUN, RefusalCause.INSTANCE_LOST, 0);
     }
 
     @Example
-    void whatDidNotRunRunsOnceWhenItIsSentAgain() {
-        End first = submit(mFes);
+    void requestThatDidNotRunRunsOnceWhenRepeated() {
+        CapturedCompletion first = submit(mFes);
         mCasa.refuse(NO_SLOT);
         assertRefused(first, Verdict.DID_NOT_RUN, RefusalCause.NO_CAPACITY, 0);
-        End second = submit(mFes);
+        CapturedCompletion second = submit(mFes);
         mCasa.execute(answer("reserved"));
         assertThat(second.body()).isEqualTo("reserved");
         assertThat(mInstances.executions()).isEqualTo(1);
     }
 
     @Example
-    void whatMayHaveRunIsNeverSentAgain() {
-        End first = submit(mCasa);
+    void requestThatMayHaveRunIsNeverSentAgain() {
+        CapturedCompletion first = submit(mCasa);
         mCasa.execute(GuardedInstances.refused(NO_ANSWER));
         assertRefused(first, Verdict.MAY_HAVE_RUN, RefusalCause.BACKEND_FAILED, 1);
         assertRefused(submit(mFes), Verdict.MAY_HAVE_RUN, RefusalCause.BACKEND_FAILED, 1);
@@ -113,38 +114,41 @@
     @Example
     void aRepeatWaitsNoLongerThanItsDeadline() {
         submit(mCasa);
-        End repeat = submit(mCasa);
+        CapturedCompletion repeat = submit(mCasa);
         mInstances.mTime.advance(GuardedInstances.DEADLINE);
         mCasa.mGuard.advance(mInstances.mTime.monotonicNanos());
         assertRefused(repeat, Verdict.MAY_HAVE_RUN, RefusalCause.OPERATION_IN_PROGRESS, 0);
     }
 
     @Example
-    void theOutcomeIsKeptForCallersThatWentAway() {
-        SteeredRequest gone = mInstances.request("plate 7");
-        mCasa.submit(mInstances.request("plate 7"), homed(mKey));
-        End cancelled = mCasa.submit(gone, homed(mKey));
-        mCasa.mGuard.cancel(gone.head().id());
+    void keepsOutcomeAfterCallerDisconnects() {
+        SteeredRequest cancelledRequest = mInstances.request("plate 7");
+        mCasa.submit(mInstances.request("plate 7"), operationKeyOf(mKey));
+        CapturedCompletion cancelled = mCasa.submit(cancelledRequest, operationKeyOf(mKey));
+        mCasa.mGuard.cancel(cancelledRequest.head().id());
         mCasa.execute(answer("reserved"));
         assertThat(cancelled.isOpen()).isTrue();
         assertThat(submit(mFes).body()).isEqualTo("reserved");
     }
 
     @Example
-    void aKeyIsRefusedForAnotherBodyAlsoByTheCopyOfItsOutcome() {
+    void rejectsKeyForDifferentBodyAlsoFromArchivedOutcome() {
         submit(mCasa);
         mCasa.execute(answer("reserved"));
-        End other = mFes.submit(mInstances.request("plate 8"), homed(mKey));
+        CapturedCompletion other = mFes.submit(mInstances.request("plate 8"), operationKeyOf(mKey));
         assertRefused(other, Verdict.DID_NOT_RUN, RefusalCause.BAD_OPERATION_KEY, 1);
         mCasa.kill();
-        End afterwards = mFes.submit(mInstances.request("plate 8"), homed(mKey));
+        CapturedCompletion afterwards =
+                mFes.submit(mInstances.request("plate 8"), operationKeyOf(mKey));
         assertRefused(afterwards, Verdict.DID_NOT_RUN, RefusalCause.BAD_OPERATION_KEY, 1);
     }
 
     @Example
-    void aCallersKeyRunsOnceThroughAllInstances() {
-        End first = mCasa.submit(mInstances.request("plate 7"), claimed("order-1", true));
-        End second = mFes.submit(mInstances.request("plate 7"), claimed("order-1", false));
+    void callerKeyRunsOnceThroughAllInstances() {
+        CapturedCompletion first =
+                mCasa.submit(mInstances.request("plate 7"), callerKeyOf("order-1", true));
+        CapturedCompletion second =
+                mFes.submit(mInstances.request("plate 7"), callerKeyOf("order-1", false));
         mCasa.execute(answer("reserved"));
         assertThat(first.body()).isEqualTo("reserved");
         assertThat(second.body()).isEqualTo("reserved");
@@ -152,27 +156,30 @@
     }
 
     @Example
-    void aCallersKeyThatCannotBeClaimedIsDidNotRunOnlyForItsFirstAttempt() {
-        mCasa.submit(mInstances.request("plate 7"), claimed("order-1", true));
+    void unclaimableCallerKeyMeansDidNotRunOnlyForFirstAttempt() {
+        mCasa.submit(mInstances.request("plate 7"), callerKeyOf("order-1", true));
         mCasa.execute(answer("reserved"));
         mInstances.mPlatformUnavailable = true;
-        End repeat = mFes.submit(mInstances.request("plate 7"), claimed("order-1", false));
+        CapturedCompletion repeat =
+                mFes.submit(mInstances.request("plate 7"), callerKeyOf("order-1", false));
         assertRefused(repeat, Verdict.MAY_HAVE_RUN, RefusalCause.PLATFORM_AWAY, 1);
-        End other = mFes.submit(mInstances.request("plate 8"), claimed("order-2", true));
+        CapturedCompletion other =
+                mFes.submit(mInstances.request("plate 8"), callerKeyOf("order-2", true));
         assertRefused(other, Verdict.DID_NOT_RUN, RefusalCause.PLATFORM_AWAY, 1);
     }
 
     @Example
-    void aClaimOfHomeThatIsGoneMayHaveRunAndNeverRunsAgain() {
-        mCasa.submit(mInstances.request("plate 7"), claimed("order-1", true));
+    void claimOfTerminatedHomeMayHaveRunAndNeverRunsAgain() {
+        mCasa.submit(mInstances.request("plate 7"), callerKeyOf("order-1", true));
         mCasa.kill();
         mInstances.start("casa-1");
-        End repeat = mFes.submit(mInstances.request("plate 7"), claimed("order-1", false));
+        CapturedCompletion repeat =
+                mFes.submit(mInstances.request("plate 7"), callerKeyOf("order-1", false));
         assertRefused(repeat, Verdict.MAY_HAVE_RUN, RefusalCause.OPERATION_HOME_GONE, 1);
     }
 
     @Example
-    void homedKeysNeedNoPlatformAndHandoverReplacesIt() {
+    void operationKeysNeedNoPlatformAndHandoverReplacesArchive() {
         mInstances.mPlatformUnavailable = true;
         submit(mCasa);
         mCasa.execute(answer("reserved"));
@@ -185,37 +192,42 @@
     }
 
     @Example
-    void aCallersKeyIsClaimedWhereItsBucketIsWrittenOrFailingThatHere() {
+    void claimsCallerKeyAtBucketWriterOrLocallyIfUnreachable() {
         mInstances.mClaimer = mCasa.mHome.instance();
-        End first = mFes.submit(mInstances.request("plate 7"), claimed("order-1", true));
+        CapturedCompletion first =
+                mFes.submit(mInstances.request("plate 7"), callerKeyOf("order-1", true));
         mCasa.execute(answer("reserved"));
         assertThat(first.body()).isEqualTo("reserved");
         mCasa.kill();
-        End second = mFes.submit(mInstances.request("plate 8"), claimed("order-2", true));
+        CapturedCompletion second =
+                mFes.submit(mInstances.request("plate 8"), callerKeyOf("order-2", true));
         mFes.execute(answer("reserved too"));
         assertThat(second.body()).isEqualTo("reserved too");
         assertThat(mInstances.executions()).isEqualTo(2);
     }
 
     @Example
-    void aClaimerThatBreaksOffMayHaveRunIt() {
+    void lostConnectionToClaimerMeansMayHaveRun() {
         mInstances.mClaimer = mCasa.mHome.instance();
         mInstances.mLinkFault = LinkFault.ANSWER_LOST;
-        End first = mFes.submit(mInstances.request("plate 7"), claimed("order-1", true));
+        CapturedCompletion first =
+                mFes.submit(mInstances.request("plate 7"), callerKeyOf("order-1", true));
         mCasa.execute(answer("reserved"));
         assertRefused(first, Verdict.MAY_HAVE_RUN, RefusalCause.INSTANCE_LOST, 1);
         mInstances.mClaimer = null;
         mInstances.mLinkFault = LinkFault.NONE;
-        End repeat = mFes.submit(mInstances.request("plate 7"), claimed("order-1", false));
+        CapturedCompletion repeat =
+                mFes.submit(mInstances.request("plate 7"), callerKeyOf("order-1", false));
         assertThat(repeat.body()).isEqualTo("reserved");
         assertThat(mInstances.executions()).isEqualTo(1);
     }
 
     @Example
-    void aFirstAttemptThatItsClaimerCannotClaimDidNotRun() {
+    void firstAttemptDidNotRunWhenClaimerCannotClaim() {
         mInstances.mClaimer = mCasa.mHome.instance();
         mInstances.mPlatformUnavailable = true;
-        End end = mFes.submit(mInstances.request("plate 7"), claimed("order-1", true));
-        assertRefused(end, Verdict.DID_NOT_RUN, RefusalCause.PLATFORM_AWAY, 0);
+        CapturedCompletion completion =
+                mFes.submit(mInstances.request("plate 7"), callerKeyOf("order-1", true));
+        assertRefused(completion, Verdict.DID_NOT_RUN, RefusalCause.PLATFORM_AWAY, 0);
     }
 }
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/operation/PlatformOperationArchiveTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/operation/PlatformOperationArchiveTest.java
@@ -47,12 +47,12 @@
 import net.jqwik.api.lifecycle.AfterTry;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Two homes against a stand-in platform over HTTP. */
+/** Tests the archives of two homes against a simulated platform over HTTP. */
 class PlatformOperationArchiveTest {
 
     private static final TimeSource TIME = new SystemTimeSource();
 
-    /** Only bounds a hang: no verdict rests on how soon something ends. */
+    /** Only bounds a hang: no assertion depends on how soon a call completes. */
     private static final Duration DEADLINE = Duration.ofSeconds(60);
 
     private static final Instant START = Instant.parse("2026-12-02T06:00:00Z");
@@ -75,14 +75,14 @@
     }
 
     @Example
-    void claimsThatComeTogetherShareUpdates() {
+    void concurrentClaimsShareWrites() {
         List<CompletableFuture<ClaimResult>> results = mCasa.claimAll();
         results.forEach(result -> assertThat(get(result)).isEqualTo(new ClaimResult.Claimed()));
         assertThat(writes()).isLessThan(CLAIMS / 2);
     }
 
     @Example
-    void ofTwoInstancesOneHoldsEachClaim() {
+    void exactlyOneOfTwoInstancesHoldsEachClaim() {
         assertOneHolderOfEachClaim();
     }
 
@@ -96,7 +96,7 @@
     }
 
     @Example
-    void claimsEndAtOnceWhilePlatformIsAway() {
+    void claimsFailImmediatelyWhilePlatformIsUnavailable() {
         mPlatform.state().setFaults(PlatformFaults.outage(PlatformCallDisposition.REFUSED));
         mCasa.claimAll()
                 .forEach(
@@ -104,14 +104,14 @@
     }
 
     @Example
-    void outcomesOutliveTheirHomeAndShareUpdates() {
+    void outcomesSurviveTheirHomeAndShareWrites() {
         List<OperationKey> keys = new ArrayList<>();
         for (int i = 0; i < CLAIMS; i++) {
             OperationKey key = mCasa.mIssuer.issue();
             keys.add(key);
-            mCasa.mDuty.keep(outcome(key, "answer " + key.sequence()));
+            mCasa.mArchive.keep(outcome(key, "answer " + key.sequence()));
         }
-        assertThat(get(mCasa.mDuty.flush(DEADLINE))).isTrue();
+        assertThat(get(mCasa.mArchive.flush(DEADLINE))).isTrue();
         assertThat(writes()).isLessThan(CLAIMS / 2);
         mCasa.close();
         for (OperationKey key : keys) {
@@ -123,23 +123,23 @@
     }
 
     @Example
-    void outcomesReachThePlatformWhenItComesBack() {
+    void outcomesAreWrittenWhenPlatformRecovers() {
         OperationKey key = mCasa.mIssuer.issue();
         mPlatform.state().setFaults(PlatformFaults.outage(PlatformCallDisposition.REFUSED));
-        mCasa.mDuty.keep(outcome(key, "reserved"));
-        assertThat(get(mCasa.mDuty.flush(Duration.ofMillis(300)))).isFalse();
+        mCasa.mArchive.keep(outcome(key, "reserved"));
+        assertThat(get(mCasa.mArchive.flush(Duration.ofMillis(300)))).isFalse();
         assertThat(mFes.find(key)).isEmpty();
         mPlatform.state().setFaults(PlatformFaults.lostAnswers(0.5));
-        assertThat(get(mCasa.mDuty.flush(DEADLINE))).isTrue();
+        assertThat(get(mCasa.mArchive.flush(DEADLINE))).isTrue();
         mPlatform.state().setFaults(PlatformFaults.NONE);
         assertThat(body(mFes.find(key).orElseThrow())).isEqualTo("reserved");
     }
 
     @Example
-    void ofBigAnswersOnlyTheFactThatTheyRanIsCopied() {
+    void copiesOnlyVerdictOfLargeAnswers() {
         OperationKey key = mCasa.mIssuer.issue();
-        mCasa.mDuty.keep(outcome(key, "x".repeat(OutcomeCodec.LARGEST_COPIED_ANSWER)));
-        assertThat(get(mCasa.mDuty.flush(DEADLINE))).isTrue();
+        mCasa.mArchive.keep(outcome(key, "x".repeat(OutcomeCodec.MAXIMUM_COPIED_ANSWER_BYTES)));
+        assertThat(get(mCasa.mArchive.flush(DEADLINE))).isTrue();
         OperationOutcome<RequestCompletion.Answered> found = mFes.find(key).orElseThrow().outcome();
         assertThat(found).isInstanceOf(OperationOutcome.Refused.class);
         assertThat(found.verdict()).isEqualTo(Verdict.RAN);
@@ -149,20 +149,20 @@
         List<CompletableFuture<ClaimResult>> atCasa = mCasa.claimAll();
         List<CompletableFuture<ClaimResult>> atFes = mFes.claimAll();
         for (int i = 0; i < CLAIMS; i++) {
-            OperationKey holder = holder(get(atCasa.get(i)), mCasa.mKeys.get(i));
-            assertThat(holder(get(atFes.get(i)), mFes.mKeys.get(i))).isEqualTo(holder);
+            OperationKey holderOf = holderOf(get(atCasa.get(i)), mCasa.mKeys.get(i));
+            assertThat(holderOf(get(atFes.get(i)), mFes.mKeys.get(i))).isEqualTo(holderOf);
         }
     }
 
-    private static OperationKey holder(ClaimResult result, OperationKey own) {
+    private static OperationKey holderOf(ClaimResult result, OperationKey newKey) {
         return result instanceof ClaimResult.HeldBy held
                 ? held.operationKey()
-                : claimed(own, result);
+                : claimedKey(newKey, result);
     }
 
-    private static OperationKey claimed(OperationKey own, ClaimResult result) {
+    private static OperationKey claimedKey(OperationKey newKey, ClaimResult result) {
         assertThat(result).isEqualTo(new ClaimResult.Claimed());
-        return own;
+        return newKey;
     }
 
     private long writes() {
@@ -180,7 +180,7 @@
         return new String(answer.body(), StandardCharsets.UTF_8);
     }
 
-    /** Lets the time of both homes pass until an answer is there. */
+    /** Advances the clock of both homes until the future completes. */
     private <T> T get(CompletableFuture<T> future) {
         CompletableFuture<T> bounded = future.orTimeout(DEADLINE.toSeconds(), TimeUnit.SECONDS);
         while (!bounded.isDone()) {
@@ -190,14 +190,14 @@
         return bounded.join();
     }
 
-    /** The claims and outcomes of one run of an instance. */
+    /** Archive of one incarnation of an instance, with its event loop and store. */
     private final class Home {
 
         private final Map<Integer, OperationKey> mKeys = new HashMap<>();
         private final OperationKeyIssuer mIssuer;
         private final HttpObjectStore mStore;
-        private final EventLoop mThread;
-        private final PlatformOperationArchive mDuty;
+        private final EventLoop mEventLoop;
+        private final PlatformOperationArchive mArchive;
 
         Home(String name) {
             Incarnation home = new Incarnation(new InstanceId(name), 1);
@@ -213,10 +213,10 @@
                             TIME,
                             RandomSource.SPLIT_MIX_64.create(SEED),
                             PlatformObserver.NONE);
-            mThread = new EventLoop("operations-" + name, 4_096, mTime);
-            mDuty =
+            mEventLoop = new EventLoop("operations-" + name, 4_096, mTime);
+            mArchive =
                     new PlatformOperationArchive(
-                            mThread,
+                            mEventLoop,
                             mStore,
                             home,
                             new ClaimBatcher(
@@ -224,7 +224,7 @@
                             new OutcomeBatcher<>(
                                     mTime, Duration.ofMillis(20), Duration.ofMinutes(2), 10_000),
                             Runnable::run);
-            mThread.start();
+            mEventLoop.start();
         }
 
         private PlatformClientSettings settings() {
@@ -245,33 +245,36 @@
             List<CompletableFuture<ClaimResult>> results = new ArrayList<>();
             long deadline = mTime.monotonicNanos() + Duration.ofHours(1).toNanos();
             for (int i = 0; i < CLAIMS; i++) {
-                OperationKey own = mIssuer.issue();
-                mKeys.put(i, own);
+                OperationKey newKey = mIssuer.issue();
+                mKeys.put(i, newKey);
                 CompletableFuture<ClaimResult> result = new CompletableFuture<>();
                 results.add(result);
                 CallerKey name = CallerKey.of("plate-ledger", "order " + i);
-                mDuty.claim(new ClaimEntry(name, own), deadline, result::complete);
+                mArchive.claim(new ClaimEntry(name, newKey), deadline, result::complete);
             }
-            awaitTaken();
+            awaitSubmittedTasks();
             return results;
         }
 
-        /** Waits until the duty has taken what it was given; no time passes meanwhile. */
-        void awaitTaken() {
-            CompletableFuture<Boolean> taken = new CompletableFuture<>();
-            assertThat(mThread.put(() -> taken.complete(true))).isTrue();
-            taken.orTimeout(DEADLINE.toSeconds(), TimeUnit.SECONDS).join();
+        /**
+         * Waits until the event loop has run the tasks submitted so far, without advancing the
+         * clock.
+         */
+        void awaitSubmittedTasks() {
+            CompletableFuture<Boolean> done = new CompletableFuture<>();
+            assertThat(mEventLoop.put(() -> done.complete(true))).isTrue();
+            done.orTimeout(DEADLINE.toSeconds(), TimeUnit.SECONDS).join();
         }
 
         Optional<KeptOutcome<RequestCompletion.Answered>> find(OperationKey key) {
             CompletableFuture<Optional<KeptOutcome<RequestCompletion.Answered>>> found =
                     new CompletableFuture<>();
-            mDuty.find(key, found::complete);
+            mArchive.find(key, found::complete);
             return get(found);
         }
 
         void close() {
-            mThread.close();
+            mEventLoop.close();
             mStore.close();
         }
     }
