--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/ConfigurationProblems.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/ConfigurationProblems.java
@@ -10,7 +10,7 @@
 import io.masticpond.daemon.configuration.ConfigurationError.Unsettled;
 import java.util.List;
 
-/** Turns errors of the configuration into answers to operators. */
+/** Converter from configuration errors to problem documents for operators. */
 final class ConfigurationProblems {
 
     private static final int BAD_REQUEST = 400;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/ConfigurationRoutes.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/ConfigurationRoutes.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The routes of intents, plans and the configuration.
+ * Routes for intents, plans and the configuration.
  *
  * @since 0.1
  */
@@ -26,10 +26,10 @@
     private final ConfigurationCodec mCodec;
 
     /**
-     * Makes the routes.
+     * Creates the routes.
      *
-     * @param commands what carries the commands out
-     * @param codec reads and writes the documents
+     * @param commands executes the commands
+     * @param codec encodes and decodes the documents
      */
     public ConfigurationRoutes(ConfigurationCommands commands, ConfigurationCodec codec) {
         mCommands = Assert.notNull(commands, "Configuration commands");
@@ -55,14 +55,14 @@
     }
 
     private void showPlan(Context context) {
-        planOf(context)
+        planIdOf(context)
                 .peek(plan -> answer(context, OK, mCommands.find(plan)))
                 .peekLeft(problem -> problem.answer(context));
     }
 
     private void confirm(Context context) {
         String operator = operatorOf(context);
-        planOf(context)
+        planIdOf(context)
                 .peek(
                         plan ->
                                 answer(
@@ -103,7 +103,7 @@
                                                                         .answer(context))));
     }
 
-    private static Either<OperatorProblem, PlanId> planOf(Context context) {
+    private static Either<OperatorProblem, PlanId> planIdOf(Context context) {
         try {
             return Either.right(new PlanId(context.pathParam("id")));
         } catch (IllegalArgumentException e) {
@@ -117,10 +117,10 @@
     }
 
     /**
-     * The answer to a confirmation.
+     * Answer to a confirmation.
      *
-     * @param plan the plan
-     * @param version the version that it became
+     * @param plan the confirmed plan
+     * @param version the configuration version that the plan became
      */
     record Confirmed(PlanId plan, ConfigurationVersion version) {}
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/DrainControl.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/DrainControl.java
@@ -1,19 +1,19 @@
 package io.masticpond.daemon.operator;
 
 /**
- * Drains this instance and takes a drain back; safe for all threads, never waits.
+ * Control of the drain of this instance. Implementations must be thread-safe and must not block.
  *
  * @since 0.1
  */
 public interface DrainControl {
 
-    /** Begins to leave, or goes on leaving. */
+    /** Starts to drain this instance; has no effect if a drain is in progress. */
     void drain();
 
     /**
-     * Takes back a drain.
+     * Cancels a drain.
      *
-     * @return whether this instance serves again; false once it stops
+     * @return whether this instance serves again; {@code false} once it is stopping
      */
     boolean undrain();
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/HealthRoutes.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/HealthRoutes.java
@@ -4,7 +4,7 @@
 import io.javalin.http.Context;
 
 /**
- * Says without a token whether the process serves and whether it takes requests.
+ * Routes for liveness and readiness, which need no token.
  *
  * @since 0.1
  */
@@ -16,9 +16,9 @@
     private final StatusSource mSource;
 
     /**
-     * Makes the routes.
+     * Creates the routes.
      *
-     * @param source knows the status of this instance
+     * @param source provides the status of this instance
      */
     public HealthRoutes(StatusSource source) {
         mSource = source;
@@ -27,10 +27,10 @@
     @Override
     public void addTo(JavalinConfig config) {
         config.routes.get("/health", context -> context.result("healthy\n"));
-        config.routes.get("/ready", this::ready);
+        config.routes.get("/ready", this::showReadiness);
     }
 
-    private void ready(Context context) {
+    private void showReadiness(Context context) {
         StatusAnswer status = mSource.status();
         context.status(status.ready() ? OK : UNAVAILABLE);
         context.result(status.ready() ? "ready\n" : String.join("\n", status.reasons()) + "\n");
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/OperatorProblem.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/OperatorProblem.java
@@ -9,13 +9,13 @@
 import java.util.List;
 
 /**
- * The answer to an operator's request that failed (RFC 9457).
+ * Problem document that answers a failed request of an operator (RFC 9457).
  *
  * @param status the HTTP status
- * @param cause a fixed word for programs, such as "base-changed"
- * @param detail one sentence for people
- * @param faults what is wrong in the document given, all at once
- * @param differences what changed since the base of a plan
+ * @param cause a stable machine-readable cause, such as "base-changed"
+ * @param detail one human-readable sentence
+ * @param faults all faults of the submitted document
+ * @param differences the changes since the base of a plan
  * @since 0.1
  */
 @JsonInclude(JsonInclude.Include.NON_EMPTY)
@@ -30,11 +30,11 @@
     private static final ObjectMapper sMapper = new ObjectMapper();
 
     /**
-     * Makes a problem without faults and differences.
+     * Creates a problem without faults and differences.
      *
      * @param status the HTTP status
-     * @param cause a fixed word for programs
-     * @param detail one sentence for people
+     * @param cause a stable machine-readable cause
+     * @param detail one human-readable sentence
      * @return the problem
      */
     public static OperatorProblem of(int status, String cause, String detail) {
@@ -44,7 +44,7 @@
     /**
      * Answers a request with this problem.
      *
-     * @param context the request
+     * @param context the context of the request
      */
     public void answer(Context context) {
         try {
@@ -52,7 +52,7 @@
                     .contentType(CONTENT_TYPE)
                     .result(sMapper.writeValueAsBytes(this));
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("A problem could not be written.", e);
+            throw new IllegalStateException("Failed to serialize a problem document.", e);
         }
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/OperatorRoutes.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/OperatorRoutes.java
@@ -3,10 +3,10 @@
 import io.javalin.config.JavalinConfig;
 
 /**
- * Routes that a part of the system adds to the operators' server.
+ * Strategy interface for the routes that a component adds to the operator server.
  *
- * <p>Every route but those of {@link OperatorServer#OPEN_PATHS} is behind the token check. Handlers
- * run on threads of the server: they hand work to a duty and answer by {@code Context.future}.
+ * <p>All routes except {@link OperatorServer#OPEN_PATHS} require a token. Handlers run on threads
+ * of the server: they submit work to an event loop and answer through {@code Context.future}.
  *
  * @since 0.1
  */
@@ -15,7 +15,7 @@
     /**
      * Adds the routes.
      *
-     * @param config the configuration of the server before it starts
+     * @param config the configuration of the server, which has not started yet
      */
     void addTo(JavalinConfig config);
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/OperatorServer.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/OperatorServer.java
@@ -17,38 +17,38 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Serves operators on an address of their own, behind a token check that lets nothing through but
- * {@link #OPEN_PATHS}.
+ * HTTP server for operators on an address of its own. Every path except {@link #OPEN_PATHS}
+ * requires a valid token.
  *
- * <p>Errors are answered as problem+json; their text never has a token or a stack trace.
+ * <p>Errors are answered as problem+json; their text never contains a token or a stack trace.
  *
  * @since 0.1
  */
 public final class OperatorServer implements AutoCloseable {
 
-    /** The paths that need no token. */
+    /** Paths that need no token. */
     public static final Set<String> OPEN_PATHS = Set.of("/health", "/ready");
 
-    /** The attribute of a request that names its operator. */
+    /** Name of the request attribute that holds the operator's name. */
     public static final String OPERATOR_ATTRIBUTE = "masticpond-operator";
 
     private static final Logger sLogger = LoggerFactory.getLogger(OperatorServer.class);
     private static final int MAXIMUM_THREADS = 16;
     private static final int MINIMUM_THREADS = 4;
-    private static final int IDLE_MILLIS = 10_000;
+    private static final int THREAD_IDLE_TIMEOUT_MILLIS = 10_000;
     private static final long ANSWER_TIMEOUT_MILLIS = 30_000;
-    private static final int FIRST_ERROR = 400;
-    private static final int SERVER_ERROR = 500;
+    private static final int MINIMUM_ERROR_STATUS = 400;
+    private static final int INTERNAL_ERROR_STATUS = 500;
 
     private final OperatorSettings mSettings;
     private final OperatorTokens mTokens;
     private final Javalin mServer;
 
     /**
-     * Makes a server that does not listen yet.
+     * Creates a server that does not listen yet.
      *
-     * @param settings the address, the tokens and the limits
-     * @param routes the routes of all parts
+     * @param settings the address, tokens and limits
+     * @param routes the routes of all components
      */
     public OperatorServer(OperatorSettings settings, Set<OperatorRoutes> routes) {
         mSettings = Assert.notNull(settings, "Operator settings");
@@ -57,18 +57,18 @@
     }
 
     /**
-     * Starts to listen.
+     * Starts listening.
      *
      * @return this server
      */
     public OperatorServer start() {
         mServer.start(mSettings.host(), mSettings.port());
-        sLogger.info("OPERATOR  The operators' server listens on port {}.", port());
+        sLogger.info("OPERATOR  Operator server listening on port {}", port());
         return this;
     }
 
     /**
-     * Tells the port, which the machine picked if the settings say 0.
+     * Returns the port, which the operating system chose if the settings have port 0.
      *
      * @return the port
      */
@@ -87,14 +87,14 @@
         config.http.maxRequestSize = mSettings.maximumBodyBytes();
         config.http.asyncTimeout = ANSWER_TIMEOUT_MILLIS;
         config.jetty.threadPool =
-                new QueuedThreadPool(MAXIMUM_THREADS, MINIMUM_THREADS, IDLE_MILLIS);
+                new QueuedThreadPool(MAXIMUM_THREADS, MINIMUM_THREADS, THREAD_IDLE_TIMEOUT_MILLIS);
         config.jetty.modifyHttpConfiguration(http -> http.setSendServerVersion(false));
         config.routes.before(this::checkToken);
         config.routes.exception(HttpResponseException.class, OperatorServer::answerHttpError);
-        config.routes.exception(IOException.class, OperatorServer::answerBrokenBody);
-        config.routes.exception(BadMessageException.class, OperatorServer::answerBrokenBody);
-        config.routes.exception(Exception.class, OperatorServer::answerBug);
-        routes.forEach(each -> each.addTo(config));
+        config.routes.exception(IOException.class, OperatorServer::answerMalformedBody);
+        config.routes.exception(BadMessageException.class, OperatorServer::answerMalformedBody);
+        config.routes.exception(Exception.class, OperatorServer::answerUnexpectedError);
+        routes.forEach(component -> component.addTo(config));
     }
 
     private void checkToken(Context context) {
@@ -110,20 +110,20 @@
     }
 
     private static void answerHttpError(HttpResponseException error, Context context) {
-        int status = Math.max(FIRST_ERROR, error.getStatus());
-        OperatorProblem.of(status, causeOf(status), sentenceOf(error)).answer(context);
+        int status = Math.max(MINIMUM_ERROR_STATUS, error.getStatus());
+        OperatorProblem.of(status, causeOf(status), detailOf(error)).answer(context);
     }
 
     private static String causeOf(int status) {
         return HttpStatus.forStatus(status).getMessage().toLowerCase(Locale.ROOT).replace(' ', '-');
     }
 
-    private static String sentenceOf(HttpResponseException error) {
+    private static String detailOf(HttpResponseException error) {
         String message = error.getMessage();
         return message == null || message.isBlank() ? "The request failed." : message;
     }
 
-    private static void answerBrokenBody(Exception error, Context context) {
+    private static void answerMalformedBody(Exception error, Context context) {
         OperatorProblem.of(
                         HttpStatus.BAD_REQUEST.getCode(),
                         "broken-body",
@@ -131,9 +131,11 @@
                 .answer(context);
     }
 
-    private static void answerBug(Exception error, Context context) {
-        sLogger.error("OPERATOR  A request to {} failed.", context.path(), error);
-        OperatorProblem.of(SERVER_ERROR, "internal-error", "The request failed; see the log.")
+    private static void answerUnexpectedError(Exception error, Context context) {
+        sLogger.error(
+                "OPERATOR  Unexpected error while handling a request to {}", context.path(), error);
+        OperatorProblem.of(
+                        INTERNAL_ERROR_STATUS, "internal-error", "The request failed; see the log.")
                 .answer(context);
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/OperatorSettings.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/OperatorSettings.java
@@ -4,27 +4,30 @@
 import java.util.List;
 
 /**
- * Where operators are served, and who is let in.
+ * Settings of the operator server.
  *
  * @param host the address to listen on
  * @param port the port, or 0 for any
- * @param tokens the tokens of operators
- * @param maximumBodyBytes the greatest body that is read, in bytes
+ * @param tokens the accepted operator tokens
+ * @param maximumBodyBytes the maximum size of a request body, in bytes
  * @since 0.1
  */
 public record OperatorSettings(
         String host, int port, List<OperatorToken> tokens, long maximumBodyBytes) {
 
-    /** The greatest body that is read unless settings say otherwise, in bytes. */
+    /** Default maximum size of a request body, in bytes. */
     public static final long DEFAULT_MAXIMUM_BODY_BYTES = 8L << 20;
 
-    private static final int HIGHEST_PORT = 65_535;
+    private static final int MAXIMUM_PORT = 65_535;
 
-    /** Checks the parts. */
+    /** Validates the settings and copies the list. */
     public OperatorSettings {
-        Assert.hasText(host, "The host of the operators' server");
-        Assert.isTrue(port >= 0 && port <= HIGHEST_PORT, "A port must fit, but was %d.", port);
+        Assert.hasText(host, "The host of the operator server");
+        Assert.isTrue(
+                port >= 0 && port <= MAXIMUM_PORT,
+                "A port must be from 0 to 65535, but was %d.",
+                port);
         tokens = List.copyOf(tokens);
-        Assert.positive(maximumBodyBytes, "The greatest body");
+        Assert.positive(maximumBodyBytes, "The maximum body size");
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/OperatorToken.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/OperatorToken.java
@@ -3,7 +3,7 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * A secret that lets an operator in, with the name under which its use is logged.
+ * Secret that authenticates an operator, with the name under which its use is logged.
  *
  * @param name the name, which may be logged
  * @param secret the secret, at least 16 characters, which is never logged
@@ -11,10 +11,10 @@
  */
 public record OperatorToken(String name, String secret) {
 
-    /** The least length of a secret, in characters. */
+    /** Minimum length of a secret, in characters. */
     public static final int MINIMUM_SECRET_LENGTH = 16;
 
-    /** Checks the parts without naming the secret. */
+    /** Validates the components; the error messages do not contain the secret. */
     public OperatorToken {
         Assert.hasText(name, "The name of an operator token");
         Assert.isTrue(
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/OperatorTokens.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/OperatorTokens.java
@@ -8,10 +8,10 @@
 import java.util.Optional;
 
 /**
- * Checks the bearer tokens of operators (RFC 6750) in constant time; safe for all threads.
+ * Authenticator of operators by bearer tokens (RFC 6750), in constant time. Thread-safe.
  *
- * <p>Only hashes are kept. Every token is compared at every check, so the time tells neither which
- * one matched nor how much of it.
+ * <p>Only hashes of the tokens are kept. Every check compares all tokens, so its duration reveals
+ * neither which one matched nor how much of it.
  *
  * @since 0.1
  */
@@ -22,9 +22,9 @@
     private final List<HashedToken> mTokens;
 
     /**
-     * Takes the tokens.
+     * Creates an authenticator for the given tokens.
      *
-     * @param tokens the tokens; with none, nobody is let in
+     * @param tokens the accepted tokens; if empty, every request is rejected
      */
     public OperatorTokens(List<OperatorToken> tokens) {
         Assert.notNull(tokens, "Operator tokens");
@@ -35,7 +35,7 @@
     }
 
     /**
-     * Finds the operator that a header names.
+     * Returns the operator whose token a header contains.
      *
      * @param authorization the value of the Authorization header, or {@code null}
      * @return the name of the token, or empty if no token matches
@@ -59,11 +59,11 @@
             return MessageDigest.getInstance("SHA-256")
                     .digest(secret.getBytes(StandardCharsets.UTF_8));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("The machine has no SHA-256.", e);
+            throw new IllegalStateException("SHA-256 is not available.", e);
         }
     }
 
-    /** A token without its secret. */
+    /** Hashed secret of a token, with the token's name. */
     private static final class HashedToken {
 
         private final String mName;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/StatusAnswer.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/StatusAnswer.java
@@ -11,19 +11,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What one instance knows: of itself, of the other instances, and of the services' capacity.
+ * Status of one instance: its own state, the other instances it knows, and the capacity of the
+ * services.
  *
  * @param instance the instance that answers
  * @param incarnation the number of its incarnation
  * @param zone its availability zone
  * @param state "serving", "leaving", "drained" or "stopping"
- * @param ready whether it takes requests
- * @param reasons why it is not ready, one sentence each
- * @param configurationVersion the configuration in force here
- * @param platformReachable whether the platform answered lately
- * @param requestsInFlight the requests of callers that have not ended
- * @param members all instances known, with this one
- * @param capacity the services in each region, as far as known here
+ * @param ready whether it accepts requests
+ * @param reasons the reasons why it is not ready, one sentence each
+ * @param configurationVersion the version of the configuration in force at this instance
+ * @param platformReachable whether the platform answered recently
+ * @param requestsInFlight the number of callers' requests in flight
+ * @param members all known instances, including this one
+ * @param capacity the known capacity of the services in each region
  * @since 0.1
  */
 public record StatusAnswer(
@@ -47,14 +48,14 @@
     }
 
     /**
-     * Makes the part of an answer that tells of this instance, with no members and capacity.
+     * Creates a status with the state of this instance only, without members and capacity.
      *
      * @param incarnation the incarnation of this instance
      * @param zone its availability zone
-     * @param state how far its planned stop is, in lower case
-     * @param reasons why it is not ready; empty if it is
-     * @param version the configuration in force
-     * @return the answer
+     * @param state the state of its planned stop, in lower case
+     * @param reasons the reasons why it is not ready; empty if it is
+     * @param version the version of the configuration in force
+     * @return the status
      */
     public static StatusAnswer of(
             Incarnation incarnation,
@@ -77,15 +78,15 @@
     }
 
     /**
-     * One instance as this one sees it.
+     * Status of a member, as known to this instance.
      *
      * @param instance the instance
      * @param incarnation the number of its incarnation
      * @param zone its availability zone
      * @param state the state, a name of {@link io.masticpond.core.membership.MemberState}
-     * @param callerAddress where callers reach it
-     * @param operatorAddress where operators reach it
-     * @param configurationVersion the configuration that it said it has in force
+     * @param callerAddress the address for callers
+     * @param operatorAddress the address for operators
+     * @param configurationVersion the version of the configuration that it reported in force
      * @since 0.1
      */
     public record MemberEntry(
@@ -98,7 +99,7 @@
             long configurationVersion) {
 
         /**
-         * Makes an entry.
+         * Creates an entry.
          *
          * @param member the instance
          * @return the entry
@@ -116,17 +117,18 @@
     }
 
     /**
-     * The capacity of a service in a region.
+     * Capacity of a service in a region.
      *
      * @param service the service
      * @param region the region
-     * @param usableSlots the slots that may be used now
-     * @param inFlight the requests at backend servers
-     * @param waiting the requests that wait for a slot
-     * @param expectedWaitMillis how long a request offered now would wait, -1 if it would not end
-     * @param step the step of degradation, a name of {@link
+     * @param usableSlots the number of slots that may be used now
+     * @param inFlight the number of requests at backend servers
+     * @param waiting the number of requests that wait for a slot
+     * @param expectedWaitMillis the expected wait of a new request, in milliseconds; -1 if the wait
+     *     would not end
+     * @param step the degradation step, a name of {@link
      *     io.masticpond.core.admission.DegradationStep}
-     * @param admitter the instance that admits to it, or "" if not known
+     * @param admitter the instance that admits to the service, or "" if unknown
      * @since 0.1
      */
     public record CapacityEntry(
@@ -140,12 +142,12 @@
             String admitter) {
 
         /**
-         * Makes an entry.
+         * Creates an entry.
          *
          * @param service the service
          * @param region the region
-         * @param headroom the counts
-         * @param admitter the instance that admits to it, or "" if not known
+         * @param headroom the headroom of the service in the region
+         * @param admitter the instance that admits to the service, or "" if unknown
          * @return the entry
          */
         public static CapacityEntry of(
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/StatusRoutes.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/StatusRoutes.java
@@ -10,10 +10,10 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * The routes that show the status of this instance, drain it, and take a drain back.
+ * Routes that show the status of this instance, drain it, and cancel a drain.
  *
- * <p>A drain for another instance is refused with 404 and not passed on: the command line tool
- * finds the address of the instance meant, so no instance needs a token for another.
+ * <p>A drain of another instance is rejected with 404 and not forwarded: the command line tool
+ * finds the address of the target instance, so no instance needs a token for another.
  *
  * @since 0.1
  */
@@ -25,11 +25,11 @@
     private final ObjectMapper mMapper = new ObjectMapper();
 
     /**
-     * Makes the routes.
+     * Creates the routes.
      *
-     * @param instance this instance
-     * @param source tells the status
-     * @param drainControl drains this instance
+     * @param instance the id of this instance
+     * @param source provides the status
+     * @param drainControl drains this instance and cancels a drain
      */
     public StatusRoutes(InstanceId instance, StatusSource source, DrainControl drainControl) {
         mInstance = Assert.notNull(instance, "An instance id");
@@ -49,20 +49,20 @@
     }
 
     private void drain(Context context) throws JsonProcessingException {
-        checkMeant(context);
+        checkTarget(context);
         mDrainControl.drain();
         show(context);
     }
 
     private void undrain(Context context) throws JsonProcessingException {
-        checkMeant(context);
+        checkTarget(context);
         if (!mDrainControl.undrain()) {
             throw new ConflictResponse("The instance is stopping already.");
         }
         show(context);
     }
 
-    private void checkMeant(Context context) {
+    private void checkTarget(Context context) {
         if (!context.pathParam("id").equals(mInstance.value())) {
             throw new NotFoundResponse(
                     "This is instance %s; ask the instance that is meant.".formatted(mInstance));
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/StatusSource.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/StatusSource.java
@@ -1,14 +1,14 @@
 package io.masticpond.daemon.operator;
 
 /**
- * Knows the status of this instance; safe for all threads.
+ * Provider of the status of this instance. Implementations must be thread-safe.
  *
  * @since 0.1
  */
 public interface StatusSource {
 
     /**
-     * Tells the status now.
+     * Returns the current status.
      *
      * @return the status
      */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/package-info.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operator/package-info.java
@@ -1,2 +1,5 @@
-/** The HTTP interface of operators; it must not know how configurations are distributed. */
+/**
+ * The HTTP interface for operators. This package must not depend on how configurations are
+ * distributed.
+ */
 package io.masticpond.daemon.operator;
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/operator/OperatorServerTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/operator/OperatorServerTest.java
@@ -24,7 +24,9 @@
 import okhttp3.RequestBody;
 import okhttp3.Response;
 
-/** Checks that only operators with a token get through, and that failures are told as problems. */
+/**
+ * Tests that only operators with a token have access, and that failures are answered as problems.
+ */
 class OperatorServerTest {
 
     private static final String SECRET = "correct-horse-battery";
@@ -46,7 +48,8 @@
                                 Set.of(
                                         health,
                                         new ConfigurationRoutes(
-                                                new RacedCommands(), new ConfigurationCodec())))
+                                                new ConflictingCommands(),
+                                                new ConfigurationCodec())))
                         .start();
     }
 
@@ -58,7 +61,7 @@
     }
 
     @Example
-    void noRouteAnswersWithoutValidToken() throws IOException {
+    void rejectsEveryRouteWithoutValidToken() throws IOException {
         for (String path :
                 List.of(
                         "/v1/configuration",
@@ -81,14 +84,15 @@
                             token,
                             status);
                     Assert.isTrue(
-                            !response.body().string().contains(SECRET), "The secret was told.");
+                            !response.body().string().contains(SECRET),
+                            "The answer contains the secret.");
                 }
             }
         }
     }
 
     @Example
-    void aTokenLetsInAndHealthNeedsNone() throws IOException {
+    void acceptsValidTokenAndHealthNeedsNone() throws IOException {
         try (Response response = get("/v1/configuration", "Bearer " + SECRET)) {
             Assert.isTrue(response.code() == 200, "It answered %d.", response.code());
         }
@@ -98,7 +102,7 @@
     }
 
     @Example
-    void aRacedConfirmationTellsTheDifferences() throws IOException {
+    void conflictingConfirmationReturnsDifferences() throws IOException {
         String body = post("/v1/plans/p-1/confirm", "", 409);
         Assert.isTrue(
                 body.contains("\"cause\":\"base-changed\"") && body.contains("services[a]"),
@@ -107,19 +111,19 @@
     }
 
     @Example
-    void anUnknownFieldIsRefusedWithItsPath() throws IOException {
+    void rejectsUnknownFieldWithItsPath() throws IOException {
         String body = post("/v1/intents", "{\"content\":{\"regionz\":[]}}", 422);
         Assert.isTrue(
                 body.contains("$.content") && body.contains("regionz"), "It answered %s.", body);
     }
 
     @Example
-    void aBodyAboveTheLimitIsRefused() throws IOException {
+    void rejectsBodyAboveLimit() throws IOException {
         post("/v1/intents", " ".repeat((int) BODY_LIMIT + 1), 413);
     }
 
     @Example
-    void aTokenDoesNotShowInItsText() {
+    void tokenTextDoesNotContainSecret() {
         String text = new OperatorToken("ops", SECRET).toString();
         Assert.isTrue(!text.contains(SECRET), "The secret shows in %s.", text);
     }
@@ -155,14 +159,16 @@
         }
     }
 
-    /** Answers as if another operator always was first. */
-    private static final class RacedCommands implements ConfigurationCommands {
+    /** Simulates another operator that always confirms first. */
+    private static final class ConflictingCommands implements ConfigurationCommands {
 
         @Override
         public CompletableFuture<Either<ConfigurationError, Plan>> plan(
                 ConfigurationIntent intent, String operator) {
             return CompletableFuture.completedFuture(
-                    Either.left(new ConfigurationError.PlatformUnavailable("It is away.")));
+                    Either.left(
+                            new ConfigurationError.PlatformUnavailable(
+                                    "The platform is unavailable.")));
         }
 
         @Override
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/operator/StatusRoutesTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/operator/StatusRoutesTest.java
@@ -43,7 +43,7 @@
     }
 
     @Example
-    void drainOfAnotherInstanceChangesNothingHere() throws IOException {
+    void drainOfAnotherInstanceHasNoEffect() throws IOException {
         assertThat(post("/v1/instances/perth-b-1/drain")).isEqualTo(404);
         assertThat(mDrainControl.mState).isEqualTo("serving");
         assertThat(post("/v1/instances/perth-a-1/drain")).isEqualTo(200);
@@ -51,14 +51,14 @@
     }
 
     @Example
-    void undrainOfStopIsConflict() throws IOException {
+    void undrainOfStoppingInstanceIsConflict() throws IOException {
         mDrainControl.mState = "stopping";
         assertThat(post("/v1/instances/perth-a-1/undrain")).isEqualTo(409);
         assertThat(get().path("ready").asBoolean()).isFalse();
     }
 
     @Example
-    void waitWithoutEndIsShownAsMinusOne() {
+    void unboundedWaitIsShownAsMinusOne() {
         Headroom full = new Headroom(4, 4, 9, Long.MAX_VALUE, DegradationStep.FAIR_SHARE);
         StatusAnswer.CapacityEntry entry =
                 StatusAnswer.CapacityEntry.of(
@@ -96,7 +96,7 @@
         return "http://127.0.0.1:" + mServer.port() + path;
     }
 
-    /** Goes through the states of a planned stop. */
+    /** Fake that moves through the states of a planned stop. */
     private static final class FakeDrainControl implements DrainControl {
 
         private String mState = "serving";
