--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/AnswerReader.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/AnswerReader.java
@@ -14,9 +14,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Turns answers of the platform into values, and trusts none that breaks the rules of its API.
+ * Decoder of answers of the platform, which rejects answers that violate its API.
  *
- * <p>An answer that cannot be understood is treated like one that was lost.
+ * <p>An answer that cannot be decoded is treated like a lost one.
  */
 final class AnswerReader {
 
@@ -28,8 +28,8 @@
     private static final int PRECONDITION_FAILED = 412;
     private static final int TOO_MANY_REQUESTS = 429;
     private static final int SERVICE_UNAVAILABLE = 503;
-    private static final int CLIENT_ERRORS = 400;
-    private static final int SERVER_ERRORS = 500;
+    private static final int MINIMUM_CLIENT_ERROR = 400;
+    private static final int MINIMUM_SERVER_ERROR = 500;
     private static final String PROBLEM = "application/problem+json";
     private static final Pattern ENTITY_TAG = Pattern.compile("\"([1-9][0-9]{0,17})\"");
     private static final ObjectMapper MAPPER =
@@ -84,19 +84,22 @@
         return Either.left(error(PlatformCallKind.DELETE, answer));
     }
 
-    /** Reads a page of names, which must follow each other and the name before the page. */
+    /**
+     * Decodes a page of names, which must be in ascending order and follow the last name of the
+     * previous page.
+     */
     static Either<PlatformError, List<String>> names(String prefix, String after, Answered answer) {
         if (answer.status() != OK) {
             return Either.left(error(PlatformCallKind.LIST, answer));
         }
         try {
             List<String> names = MAPPER.readValue(answer.body(), Names.class).names();
-            String last = after;
+            String previous = after;
             for (String name : names) {
-                if (name.compareTo(last) <= 0 || !name.startsWith(prefix)) {
+                if (name.compareTo(previous) <= 0 || !name.startsWith(prefix)) {
                     return Either.left(malformed(PlatformCallKind.LIST, "order"));
                 }
-                last = name;
+                previous = name;
             }
             return Either.right(names);
         } catch (IOException | RuntimeException e) {
@@ -134,22 +137,22 @@
                         .map(version -> new StoredObject(key, version, answer.body())));
     }
 
-    /** Says what a status means that is not one of those that the call asks for. */
+    /** Returns the error for a status that is not a regular result of the call. */
     private static PlatformError error(PlatformCallKind kind, Answered answer) {
         String message = "The platform answered with status " + answer.status() + ".";
         int status = answer.status();
         if (status == TOO_MANY_REQUESTS || status == SERVICE_UNAVAILABLE) {
             return new PlatformError.Away(message);
         }
-        boolean refused = status >= CLIENT_ERRORS && status < SERVER_ERRORS;
-        if (refused && status != NOT_FOUND && status != REQUEST_TIMEOUT) {
+        boolean clientError = status >= MINIMUM_CLIENT_ERROR && status < MINIMUM_SERVER_ERROR;
+        if (clientError && status != NOT_FOUND && status != REQUEST_TIMEOUT) {
             return new PlatformError.Rejected(message);
         }
-        return kind.lost(message);
+        return kind.lostAnswerError(message);
     }
 
     private static PlatformError malformed(PlatformCallKind kind, String part) {
-        return kind.lost("The answer of the platform has no proper " + part + ".");
+        return kind.lostAnswerError("The answer of the platform has no proper " + part + ".");
     }
 
     private static Optional<Long> version(Answered answer) {
@@ -163,13 +166,13 @@
         return answer.contentType().filter(type -> type.startsWith(PROBLEM)).isPresent();
     }
 
-    /** A page of names. */
+    /** Page of names. */
     private record Names(List<String> names) {}
 
-    /** The list of instances. */
+    /** List of instances. */
     private record Instances(List<InstanceEntry> instances) {}
 
-    /** An entry of the list of instances. */
+    /** Entry of the list of instances. */
     private record InstanceEntry(String id, String zone, String linkAddress, boolean leaving) {
 
         ListedInstance toListedInstance() {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/Backoff.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/Backoff.java
@@ -5,9 +5,10 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Spreads retries: a random time below a bound that doubles with each attempt ("full jitter").
+ * Exponential backoff with jitter: a random delay below a bound that doubles with each attempt
+ * ("full jitter").
  *
- * <p>Half of the least delay is always kept, so that a retry is never immediate. For one thread.
+ * <p>The delay is at least half of the base, so that a retry is never immediate. Not thread-safe.
  *
  * @since 0.1
  */
@@ -20,24 +21,24 @@
     private final UniformRandomProvider mRandom;
 
     /**
-     * Makes a backoff.
+     * Creates a backoff.
      *
-     * @param base the bound of the first delay, positive
-     * @param maximum the greatest bound, at least the base
-     * @param random the source of the jitter
+     * @param base the upper bound of the first delay, positive
+     * @param maximum the maximum upper bound, at least the base
+     * @param random the random source of the jitter
      */
     public Backoff(Duration base, Duration maximum, UniformRandomProvider random) {
         mBaseNanos = Assert.positive(base.toNanos(), "The base of a backoff");
         mMaximumNanos = maximum.toNanos();
-        Assert.isTrue(mMaximumNanos >= mBaseNanos, "A greatest delay is at least the base.");
+        Assert.isTrue(mMaximumNanos >= mBaseNanos, "The maximum delay must be at least the base.");
         mRandom = Assert.notNull(random, "A source of random numbers");
     }
 
     /**
-     * Draws the delay before the next attempt.
+     * Returns a random delay before the next attempt.
      *
-     * @param failures how many attempts have failed, at least 1
-     * @return the delay, from half of the base to the bound
+     * @param failures the number of failed attempts, at least 1
+     * @return the delay, from half of the base to the current bound
      */
     public Duration delay(int failures) {
         Assert.positive(failures, "The number of failures");
@@ -46,7 +47,7 @@
         if (bound <= 0) {
             bound = mMaximumNanos;
         }
-        long least = mBaseNanos / 2;
-        return Duration.ofNanos(least + mRandom.nextLong(bound - least + 1));
+        long minimum = mBaseNanos / 2;
+        return Duration.ofNanos(minimum + mRandom.nextLong(bound - minimum + 1));
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/Breaker.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/Breaker.java
@@ -4,13 +4,15 @@
 import io.masticpond.core.time.TimeSource;
 
 /**
- * Stops calls to an address that fails, and tries it again with one call after a time.
+ * Circuit breaker that stops calls to a failing address and probes it with a single call after a
+ * delay.
  *
- * <p>Closed, it lets all calls through. After some failures in a row it opens and lets none
- * through; after a time drawn from a {@link Backoff} it lets one probe through, whose end closes it
- * or opens it for longer. A probe whose end is never told counts as failed after as long a time.
+ * <p>A closed breaker permits all calls. After a number of consecutive failures it opens and
+ * permits none; after a delay from a {@link Backoff} it permits one probe, whose result closes the
+ * breaker or opens it for a longer time. A probe without a result counts as failed after a delay of
+ * the same length.
  *
- * <p>A state machine for one thread.
+ * <p>Not thread-safe.
  *
  * @since 0.1
  */
@@ -20,26 +22,26 @@
     private final int mThreshold;
     private final Backoff mBackoff;
     private State mState = State.CLOSED;
-    private int mFailures;
+    private int mConsecutiveFailures;
     private int mOpenings;
     private long mWaitUntilNanos;
 
-    /** Whether calls go through. */
+    /** State of a breaker. */
     public enum State {
-        /** All calls go through. */
+        /** All calls are permitted. */
         CLOSED,
-        /** No call goes through. */
+        /** No call is permitted. */
         OPEN,
-        /** One probe is on its way. */
+        /** One probe is in flight. */
         PROBING
     }
 
     /**
-     * Makes a closed breaker.
+     * Creates a closed breaker.
      *
      * @param timeSource the clock
-     * @param threshold how many failures in a row open it, positive
-     * @param backoff how long it stays open
+     * @param threshold the number of consecutive failures that open the breaker, positive
+     * @param backoff determines how long the breaker stays open
      */
     public Breaker(TimeSource timeSource, int threshold, Backoff backoff) {
         mTimeSource = Assert.notNull(timeSource, "A time source");
@@ -48,43 +50,43 @@
     }
 
     /**
-     * Asks whether a call may go through now; a call that was let through must be made.
+     * Requests permission for a call; a permitted call must be made.
      *
-     * @return whether it may
+     * @return whether the call is permitted
      */
-    public boolean allow() {
+    public boolean tryAcquirePermission() {
         if (mState == State.CLOSED) {
             return true;
         }
         if (mTimeSource.monotonicNanos() - mWaitUntilNanos < 0) {
             return false;
         }
-        waitLonger();
+        extendWait();
         mState = State.PROBING;
         return true;
     }
 
-    /** Takes the news that a call was answered. */
-    public void succeed() {
+    /** Records that a call was answered, and closes the breaker. */
+    public void recordSuccess() {
         mState = State.CLOSED;
-        mFailures = 0;
+        mConsecutiveFailures = 0;
         mOpenings = 0;
     }
 
-    /** Takes the news that a call failed. */
-    public void fail() {
+    /** Records that a call failed. */
+    public void recordFailure() {
         if (mState == State.OPEN) {
             return;
         }
-        mFailures++;
-        if (mState == State.PROBING || mFailures >= mThreshold) {
+        mConsecutiveFailures++;
+        if (mState == State.PROBING || mConsecutiveFailures >= mThreshold) {
             mState = State.OPEN;
-            waitLonger();
+            extendWait();
         }
     }
 
     /**
-     * Tells the state.
+     * Returns the state.
      *
      * @return the state
      */
@@ -92,7 +94,7 @@
         return mState;
     }
 
-    private void waitLonger() {
+    private void extendWait() {
         mOpenings++;
         mWaitUntilNanos = mTimeSource.monotonicNanos() + mBackoff.delay(mOpenings).toNanos();
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/CallBudget.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/CallBudget.java
@@ -5,9 +5,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Limits the calls a second to the platform (a token bucket), and keeps a part of them for writes.
+ * Token bucket that limits the calls per second to the platform and reserves a part of them for
+ * writes.
  *
- * <p>A state machine for one thread.
+ * <p>Not thread-safe.
  *
  * @since 0.1
  */
@@ -20,39 +21,41 @@
     private final double mCallsPerNano;
     private final double mCapacity;
     private double mTokens;
-    private long mFilledNanos;
+    private long mRefilledNanos;
 
-    /** Which calls may use the whole budget. */
+    /** Priority of a call, which determines whether it may use the reserved part. */
     public enum Priority {
-        /** Calls that a request may wait for, such as writes. */
+        /**
+         * Calls for which a request may be waiting, such as writes; they may use the whole bucket.
+         */
         URGENT,
-        /** Calls that can wait, which leave a quarter of the bucket to the others. */
+        /** Calls that can wait; a quarter of the bucket is reserved from them. */
         ORDINARY
     }
 
     /**
-     * Makes a budget that is full: it allows as many calls at once as in one second.
+     * Creates a full budget, which permits as many calls at once as in one second.
      *
      * @param timeSource the clock
-     * @param callsPerSecond how many calls a second, positive
+     * @param callsPerSecond the permitted calls per second, positive
      */
     public CallBudget(TimeSource timeSource, int callsPerSecond) {
         mTimeSource = Assert.notNull(timeSource, "A time source");
-        Assert.positive(callsPerSecond, "A budget of calls a second");
+        Assert.positive(callsPerSecond, "A budget of calls per second");
         mCallsPerNano = callsPerSecond / NANOS_PER_SECOND;
         mCapacity = callsPerSecond;
         mTokens = mCapacity;
-        mFilledNanos = timeSource.monotonicNanos();
+        mRefilledNanos = timeSource.monotonicNanos();
     }
 
     /**
-     * Takes one call out of the budget if there is one left.
+     * Takes one call from the budget if one is available.
      *
-     * @param priority whether the call may use the reserved part
+     * @param priority the priority of the call
      * @return whether the call may be made
      */
-    public boolean take(Priority priority) {
-        fill();
+    public boolean tryAcquire(Priority priority) {
+        refill();
         double reserved = priority == Priority.URGENT ? 0 : mCapacity * RESERVED_SHARE;
         if (mTokens - 1 < reserved && mTokens < mCapacity) {
             return false;
@@ -64,9 +67,9 @@
         return true;
     }
 
-    private void fill() {
+    private void refill() {
         long now = mTimeSource.monotonicNanos();
-        mTokens = Math.min(mCapacity, mTokens + (now - mFilledNanos) * mCallsPerNano);
-        mFilledNanos = now;
+        mTokens = Math.min(mCapacity, mTokens + (now - mRefilledNanos) * mCallsPerNano);
+        mRefilledNanos = now;
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/CallRunner.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/CallRunner.java
@@ -20,21 +20,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs calls to the platform on one duty: budget, breakers, choice of address, retries of reads.
+ * Executor of calls to the platform on one event loop, with budget, circuit breakers, choice of
+ * address and retries of reads.
  *
- * <p>A call that finds the duty's ring full fails as {@link PlatformError.Away}. A call that
- * changes an object is sent once; only if no byte of it was sent does it go on to the next address.
+ * <p>A call submitted while the event loop's queue is full fails with {@link PlatformError.Away}. A
+ * call that modifies an object is sent once; it is tried at the next address only if no byte of it
+ * was sent.
  */
 final class CallRunner implements AutoCloseable {
 
     private static final Logger sLogger = LoggerFactory.getLogger(CallRunner.class);
     private static final int RING_CAPACITY = 1_024;
-    private static final Duration RETRY_CHECK = Duration.ofMillis(10);
-    private static final int SERVER_ERRORS = 500;
+    private static final Duration RETRY_CHECK_PERIOD = Duration.ofMillis(10);
+    private static final int MINIMUM_SERVER_ERROR = 500;
     private static final long MAXIMUM_RETRY_AFTER_SECONDS = 30;
-    private static final PlatformError BUSY =
+    private static final PlatformError TOO_MANY_CALLS =
             new PlatformError.Away("Too many calls to the platform wait in this process.");
-    private static final PlatformError STANDING_OFF =
+    private static final PlatformError ALL_BREAKERS_OPEN =
             new PlatformError.Away("The platform has not answered of late; no call was made.");
     private static final PlatformError OVER_BUDGET =
             new PlatformError.OverBudget("The calls a second to the platform are used up.");
@@ -46,9 +48,9 @@
     private final CallBudget mBudget;
     private final Endpoints mEndpoints;
     private final Backoff mRetryBackoff;
-    private final EventLoop mDuty;
+    private final EventLoop mEventLoop;
     private final PriorityQueue<Retry> mRetries = new PriorityQueue<>();
-    private final Set<PendingCall<?>> mOpen = new LinkedHashSet<>();
+    private final Set<PendingCall<?>> mOpenCalls = new LinkedHashSet<>();
     private boolean mClosed;
 
     CallRunner(
@@ -62,56 +64,59 @@
         mTransport = new HttpTransport(settings.connectTimeout());
         mBudget = new CallBudget(timeSource, settings.callsPerSecond());
         mRetryBackoff = new Backoff(settings.retryBase(), settings.retryMaximum(), random);
-        Backoff open = new Backoff(settings.breakerBase(), settings.breakerMaximum(), random);
+        Backoff breakerBackoff =
+                new Backoff(settings.breakerBase(), settings.breakerMaximum(), random);
         mEndpoints =
                 new Endpoints(
                         settings.addresses(),
-                        () -> new Breaker(timeSource, settings.breakerThreshold(), open));
-        mDuty = new EventLoop("platform", RING_CAPACITY, timeSource);
-        mDuty.every(RETRY_CHECK, this::retryDue);
-        mDuty.start();
+                        () -> new Breaker(timeSource, settings.breakerThreshold(), breakerBackoff));
+        mEventLoop = new EventLoop("platform", RING_CAPACITY, timeSource);
+        mEventLoop.every(RETRY_CHECK_PERIOD, this::runDueRetries);
+        mEventLoop.start();
     }
 
     <T> CompletableFuture<Either<PlatformError, T>> run(PendingCall<T> call) {
-        if (!mDuty.offer(() -> start(call))) {
-            call.complete(Either.left(BUSY));
+        if (!mEventLoop.offer(() -> start(call))) {
+            call.complete(Either.left(TOO_MANY_CALLS));
         }
         return call.future();
     }
 
     @Override
     public void close() {
-        mDuty.offer(this::giveUp);
-        mDuty.close();
+        mEventLoop.offer(this::failOpenCalls);
+        mEventLoop.close();
         mTransport.close();
     }
 
-    private void giveUp() {
+    private void failOpenCalls() {
         mClosed = true;
-        for (PendingCall<?> call : List.copyOf(mOpen)) {
+        for (PendingCall<?> call : List.copyOf(mOpenCalls)) {
             boolean sent = call.attempts() > 0;
             PlatformError closed = new PlatformError.Away("The client of the platform is closed.");
-            finish(call, Either.left(sent ? call.kind().lost(closed.message()) : closed));
+            complete(
+                    call,
+                    Either.left(sent ? call.kind().lostAnswerError(closed.message()) : closed));
         }
     }
 
     private <T> void start(PendingCall<T> call) {
-        mOpen.add(call);
+        mOpenCalls.add(call);
         attempt(call);
     }
 
     private <T> void attempt(PendingCall<T> call) {
         if (mClosed || mTransport.isFull()) {
-            finish(call, Either.left(call.lastErrorOr(BUSY)));
+            complete(call, Either.left(call.lastErrorOr(TOO_MANY_CALLS)));
             return;
         }
         Optional<Endpoint> endpoint = mEndpoints.choose();
         if (endpoint.isEmpty()) {
-            finish(call, Either.left(call.lastErrorOr(STANDING_OFF)));
+            complete(call, Either.left(call.lastErrorOr(ALL_BREAKERS_OPEN)));
             return;
         }
-        if (!mBudget.take(call.kind().priority())) {
-            finish(call, Either.left(call.lastErrorOr(OVER_BUDGET)));
+        if (!mBudget.tryAcquire(call.kind().priority())) {
+            complete(call, Either.left(call.lastErrorOr(OVER_BUDGET)));
             return;
         }
         send(call, endpoint.get());
@@ -123,82 +128,90 @@
         mTransport.send(
                 call.request(endpoint.address()),
                 call.timeout(),
-                end -> {
-                    if (!mDuty.offer(() -> end(call, endpoint, end))) {
-                        call.complete(Either.left(call.kind().lost("The ring is full.")));
+                result -> {
+                    if (!mEventLoop.offer(() -> handleResult(call, endpoint, result))) {
+                        call.complete(
+                                Either.left(call.kind().lostAnswerError("The ring is full.")));
                     }
                 });
     }
 
-    private <T> void end(PendingCall<T> call, Endpoint endpoint, TransportResult end) {
+    private <T> void handleResult(PendingCall<T> call, Endpoint endpoint, TransportResult result) {
         if (call.future().isDone()) {
             return;
         }
-        if (end instanceof Answered answer) {
-            answered(call, endpoint, answer);
-        } else if (end instanceof NotSent notSent) {
-            notSent(call, endpoint, notSent);
-        } else if (end instanceof Broken broken) {
-            failed(endpoint);
-            fail(call, call.kind().lost("The answer was lost: " + broken.reason()), Duration.ZERO);
+        if (result instanceof Answered answer) {
+            handleAnswer(call, endpoint, answer);
+        } else if (result instanceof NotSent notSent) {
+            handleNotSent(call, endpoint, notSent);
+        } else if (result instanceof Broken broken) {
+            recordFailure(endpoint);
+            retryOrFail(
+                    call,
+                    call.kind().lostAnswerError("The answer was lost: " + broken.reason()),
+                    Duration.ZERO);
         }
     }
 
-    private <T> void answered(PendingCall<T> call, Endpoint endpoint, Answered answer) {
+    private <T> void handleAnswer(PendingCall<T> call, Endpoint endpoint, Answered answer) {
         Either<PlatformError, T> result = call.read(answer);
-        boolean understood = result.isRight() || isOrdinary(result.getLeft());
-        if (answer.status() >= SERVER_ERRORS || !understood) {
-            failed(endpoint);
+        boolean valid = result.isRight() || isDefinitive(result.getLeft());
+        if (answer.status() >= MINIMUM_SERVER_ERROR || !valid) {
+            recordFailure(endpoint);
         } else {
-            succeeded(endpoint);
+            recordSuccess(endpoint);
         }
-        if (result.isRight() || isOrdinary(result.getLeft())) {
-            finish(call, result);
+        if (result.isRight() || isDefinitive(result.getLeft())) {
+            complete(call, result);
         } else {
-            fail(call, result.getLeft(), retryAfter(answer));
+            retryOrFail(call, result.getLeft(), retryAfter(answer));
         }
     }
 
-    private <T> void notSent(PendingCall<T> call, Endpoint endpoint, NotSent end) {
-        failed(endpoint);
-        call.setLastError(new PlatformError.Away("The platform: " + end.reason()));
+    private <T> void handleNotSent(PendingCall<T> call, Endpoint endpoint, NotSent result) {
+        recordFailure(endpoint);
+        call.setLastError(new PlatformError.Away("The platform: " + result.reason()));
         if (call.attempts() < Math.max(mSettings.attempts(), mSettings.addresses().size())) {
             if (call.attempts() < mSettings.addresses().size()) {
                 attempt(call);
                 return;
             }
-            if (!call.kind().changes()) {
-                retryLater(call, Duration.ZERO);
+            if (!call.kind().isMutating()) {
+                scheduleRetry(call, Duration.ZERO);
                 return;
             }
         }
-        finish(call, Either.left(call.lastErrorOr(BUSY)));
+        complete(call, Either.left(call.lastErrorOr(TOO_MANY_CALLS)));
     }
 
-    /** Takes an error that another attempt may mend, if the call may have one. */
-    private <T> void fail(PendingCall<T> call, PlatformError error, Duration least) {
+    /**
+     * Schedules a retry after a transient error if the call may be retried, else completes it with
+     * the error.
+     */
+    private <T> void retryOrFail(PendingCall<T> call, PlatformError error, Duration minimumDelay) {
         call.setLastError(error);
-        if (call.kind().changes() || call.attempts() >= mSettings.attempts()) {
-            finish(call, Either.left(error));
+        if (call.kind().isMutating() || call.attempts() >= mSettings.attempts()) {
+            complete(call, Either.left(error));
             return;
         }
-        retryLater(call, least);
+        scheduleRetry(call, minimumDelay);
     }
 
-    private void retryLater(PendingCall<?> call, Duration least) {
-        long delay = Math.max(least.toNanos(), mRetryBackoff.delay(call.attempts()).toNanos());
+    private void scheduleRetry(PendingCall<?> call, Duration minimumDelay) {
+        long delay =
+                Math.max(minimumDelay.toNanos(), mRetryBackoff.delay(call.attempts()).toNanos());
         mRetries.add(new Retry(call, mTimeSource.monotonicNanos() + delay));
     }
 
-    private void retryDue() {
+    private void runDueRetries() {
         long now = mTimeSource.monotonicNanos();
         while (!mRetries.isEmpty() && mRetries.peek().dueNanos() - now <= 0) {
             attempt(mRetries.poll().call());
         }
     }
 
-    private <T> void finish(PendingCall<T> call, Either<PlatformError, T> result) {
-        mOpen.remove(call);
+    private <T> void complete(PendingCall<T> call, Either<PlatformError, T> result) {
+        mOpenCalls.remove(call);
         if (call.complete(result)) {
             Optional<PlatformError> error =
                     result.isLeft() ? Optional.of(result.getLeft()) : Optional.empty();
@@ -206,31 +219,31 @@
         }
     }
 
-    private void succeeded(Endpoint endpoint) {
-        Breaker.State before = endpoint.breaker().state();
-        mEndpoints.succeed(endpoint);
-        if (before != Breaker.State.CLOSED) {
-            sLogger.info("PLATFORM  The platform at {} answers again.", endpoint.address());
+    private void recordSuccess(Endpoint endpoint) {
+        Breaker.State previous = endpoint.breaker().state();
+        mEndpoints.recordSuccess(endpoint);
+        if (previous != Breaker.State.CLOSED) {
+            sLogger.info("PLATFORM  The platform at {} is answering again", endpoint.address());
             mObserver.breakerChanged(endpoint.address(), Breaker.State.CLOSED);
         }
     }
 
-    private void failed(Endpoint endpoint) {
-        Breaker.State before = endpoint.breaker().state();
-        mEndpoints.fail(endpoint);
-        Breaker.State after = endpoint.breaker().state();
-        if (before == Breaker.State.CLOSED && after == Breaker.State.OPEN) {
+    private void recordFailure(Endpoint endpoint) {
+        Breaker.State previous = endpoint.breaker().state();
+        mEndpoints.recordFailure(endpoint);
+        Breaker.State current = endpoint.breaker().state();
+        if (previous == Breaker.State.CLOSED && current == Breaker.State.OPEN) {
             sLogger.warn(
-                    "PLATFORM  The platform at {} does not answer; calls to it stop for a time.",
+                    "PLATFORM  The platform at {} is not answering; suspending calls to it",
                     endpoint.address());
         }
-        if (before != after) {
-            mObserver.breakerChanged(endpoint.address(), after);
+        if (previous != current) {
+            mObserver.breakerChanged(endpoint.address(), current);
         }
     }
 
-    /** Tells whether an error is a proper answer, which another attempt would not change. */
-    private static boolean isOrdinary(PlatformError error) {
+    /** Determines whether an error is a valid answer, which a retry would not change. */
+    private static boolean isDefinitive(PlatformError error) {
         return error instanceof PlatformError.Conflict || error instanceof PlatformError.Rejected;
     }
 
@@ -243,7 +256,7 @@
         }
     }
 
-    /** A call that waits for its next attempt. */
+    /** Call that waits for its next attempt. */
     private record Retry(PendingCall<?> call, long dueNanos) implements Comparable<Retry> {
 
         @Override
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/Endpoints.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/Endpoints.java
@@ -6,30 +6,31 @@
 import java.util.function.Supplier;
 
 /**
- * The addresses of the platform, each behind its breaker: stays with one while it answers.
+ * Addresses of the platform, each with a circuit breaker. One address is used for as long as it
+ * answers.
  *
- * <p>A state machine for one thread.
+ * <p>Not thread-safe.
  *
  * @since 0.1
  */
 public final class Endpoints {
 
     private final List<Endpoint> mEndpoints;
-    private int mPreferred;
+    private int mPreferredIndex;
 
     /**
-     * An address with its breaker.
+     * Address with its circuit breaker.
      *
      * @param address the address as "ip:port"
-     * @param breaker the breaker
+     * @param breaker the circuit breaker
      */
     public record Endpoint(String address, Breaker breaker) {}
 
     /**
-     * Makes the endpoints, the first one preferred.
+     * Creates the endpoints, of which the first is preferred initially.
      *
      * @param addresses the addresses, at least one
-     * @param breakers makes a breaker for each
+     * @param breakers creates the breaker of each address
      */
     public Endpoints(List<String> addresses, Supplier<Breaker> breakers) {
         Assert.notEmpty(addresses, "The addresses of the platform");
@@ -38,15 +39,15 @@
     }
 
     /**
-     * Chooses where the next call goes.
+     * Selects the endpoint for the next call.
      *
-     * @return the preferred address, or else the next whose breaker lets the call through; empty if
+     * @return the preferred endpoint, or else the next whose breaker permits the call; empty if
      *     none does
      */
     public Optional<Endpoint> choose() {
         for (int step = 0; step < mEndpoints.size(); step++) {
-            Endpoint endpoint = mEndpoints.get((mPreferred + step) % mEndpoints.size());
-            if (endpoint.breaker().allow()) {
+            Endpoint endpoint = mEndpoints.get((mPreferredIndex + step) % mEndpoints.size());
+            if (endpoint.breaker().tryAcquirePermission()) {
                 return Optional.of(endpoint);
             }
         }
@@ -54,28 +55,29 @@
     }
 
     /**
-     * Takes the news that a call was answered.
+     * Records that a call was answered.
      *
-     * @param endpoint where it went
+     * @param endpoint the endpoint of the call
      */
-    public void succeed(Endpoint endpoint) {
-        endpoint.breaker().succeed();
+    public void recordSuccess(Endpoint endpoint) {
+        endpoint.breaker().recordSuccess();
     }
 
     /**
-     * Takes the news that a call failed, and prefers the next address from now on.
+     * Records that a call failed. If the endpoint was the preferred one, the next one becomes
+     * preferred.
      *
-     * @param endpoint where it went
+     * @param endpoint the endpoint of the call
      */
-    public void fail(Endpoint endpoint) {
-        endpoint.breaker().fail();
-        if (mEndpoints.get(mPreferred).equals(endpoint)) {
-            mPreferred = (mPreferred + 1) % mEndpoints.size();
+    public void recordFailure(Endpoint endpoint) {
+        endpoint.breaker().recordFailure();
+        if (mEndpoints.get(mPreferredIndex).equals(endpoint)) {
+            mPreferredIndex = (mPreferredIndex + 1) % mEndpoints.size();
         }
     }
 
     /**
-     * Lists all endpoints.
+     * Returns all endpoints.
      *
      * @return the endpoints in the order of the settings
      */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/HttpObjectStore.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/HttpObjectStore.java
@@ -16,35 +16,35 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The platform's object API over HTTP, as docs/PLATFORM_API.md says.
+ * {@link ObjectStore} implementation over HTTP, as specified in docs/PLATFORM_API.md.
  *
  * <p>Reads are retried with a jittered backoff; a write is sent once. Every attempt counts against
- * the budget of calls a second, and an address that fails is left alone for a time. A write ends as
- * {@link PlatformError.Away} only if it had no effect: no byte of it was sent, or the platform
- * answered 429 or 503, which promise that.
+ * the budget of calls per second, and a failing address is not called for some time. A write fails
+ * with {@link PlatformError.Away} only if it had no effect: no byte of it was sent, or the platform
+ * answered 429 or 503, which guarantee that.
  *
  * @since 0.1
  */
 public final class HttpObjectStore implements ObjectStore, AutoCloseable {
 
-    /** The greatest size of a value in bytes. */
+    /** Maximum size of a value, in bytes. */
     public static final int MAXIMUM_VALUE_BYTES = 1 << 20;
 
-    private static final int PAGE_NAMES = 1_000;
+    private static final int NAMES_PER_PAGE = 1_000;
     private static final int MAXIMUM_NAMES = 100_000;
-    private static final String CONDITION = "If-Match";
+    private static final String IF_MATCH_HEADER = "If-Match";
 
     private final CallRunner mRunner;
     private final PlatformClientSettings mSettings;
     private final TimeSource mTimeSource;
 
     /**
-     * Starts the duty that makes the calls.
+     * Creates the store and starts the event loop that makes the calls.
      *
-     * @param settings how the platform is called
-     * @param timeSource the clock of timeouts, budget and breakers
-     * @param random the source of the jitter, for this object alone
-     * @param observer is told how calls go
+     * @param settings the settings of the client
+     * @param timeSource the clock of timeouts, call budget and circuit breakers
+     * @param random the random source of the jitter, which must not be shared
+     * @param observer is notified of attempts and results
      */
     public HttpObjectStore(
             PlatformClientSettings settings,
@@ -78,7 +78,8 @@
                 PlatformCallKind.WRITE,
                 Duration.ZERO,
                 address ->
-                        conditional(address, key, expectedVersion).put(RequestBody.create(value)),
+                        conditionalRequest(address, key, expectedVersion)
+                                .put(RequestBody.create(value)),
                 answer -> AnswerReader.write(key, expectedVersion, answer));
     }
 
@@ -115,7 +116,7 @@
         return run(
                 PlatformCallKind.DELETE,
                 Duration.ZERO,
-                address -> conditional(address, key, expectedVersion).delete(),
+                address -> conditionalRequest(address, key, expectedVersion).delete(),
                 answer -> AnswerReader.delete(key, expectedVersion, answer));
     }
 
@@ -130,34 +131,34 @@
                 AnswerReader::instances);
     }
 
-    /** Ends the calls that wait and stops the duty. */
+    /** Fails the open calls and stops the event loop. */
     @Override
     public void close() {
         mRunner.close();
     }
 
     private CompletableFuture<Either<PlatformError, List<String>>> list(
-            ObjectKind kind, String prefix, List<String> before) {
-        String after = before.isEmpty() ? "" : before.get(before.size() - 1);
+            ObjectKind kind, String prefix, List<String> previousNames) {
+        String after = previousNames.isEmpty() ? "" : previousNames.get(previousNames.size() - 1);
         return run(
                         PlatformCallKind.LIST,
                         Duration.ZERO,
                         address -> page(address, kind, prefix, after),
                         answer -> AnswerReader.names(prefix, after, answer))
-                .thenCompose(page -> nextPage(kind, prefix, before, page));
+                .thenCompose(page -> nextPage(kind, prefix, previousNames, page));
     }
 
     private CompletableFuture<Either<PlatformError, List<String>>> nextPage(
             ObjectKind kind,
             String prefix,
-            List<String> before,
+            List<String> previousNames,
             Either<PlatformError, List<String>> page) {
         if (page.isLeft()) {
             return CompletableFuture.completedFuture(page);
         }
-        List<String> names = new ArrayList<>(before);
+        List<String> names = new ArrayList<>(previousNames);
         names.addAll(page.get());
-        if (page.get().size() < PAGE_NAMES) {
+        if (page.get().size() < NAMES_PER_PAGE) {
             return CompletableFuture.completedFuture(Either.right(names));
         }
         if (names.size() >= MAXIMUM_NAMES) {
@@ -170,20 +171,20 @@
 
     private <T> CompletableFuture<Either<PlatformError, T>> run(
             PlatformCallKind kind,
-            Duration wait,
+            Duration additionalTimeout,
             Function<String, Request.Builder> request,
             Function<Answered, Either<PlatformError, T>> reader) {
-        Duration timeout = mSettings.callTimeout().plus(wait);
+        Duration timeout = mSettings.callTimeout().plus(additionalTimeout);
         return mRunner.run(
                 new PendingCall<>(kind, timeout, request, reader, mTimeSource.monotonicNanos()));
     }
 
-    private static Request.Builder conditional(
+    private static Request.Builder conditionalRequest(
             String address, ObjectKey key, long expectedVersion) {
         Request.Builder request = new Request.Builder().url(url(address, key).build());
         return expectedVersion == ABSENT
                 ? request.header("If-None-Match", "*")
-                : request.header(CONDITION, "\"" + expectedVersion + "\"");
+                : request.header(IF_MATCH_HEADER, "\"" + expectedVersion + "\"");
     }
 
     private static Request.Builder page(
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/HttpTransport.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/HttpTransport.java
@@ -17,14 +17,14 @@
 import okhttp3.Response;
 
 /**
- * Makes one HTTP call at a time it is told to, and says whether any of it was sent.
+ * HTTP transport that makes each call once and reports whether any part of it was sent.
  *
- * <p>Never retries or follows a redirection. An answer larger than an object may be is not read.
- * Safe for all threads; ends are told on a thread of the client.
+ * <p>It never retries or follows a redirect, and does not read an answer larger than the maximum
+ * size of an object. Thread-safe; listeners are called on a thread of the HTTP client.
  */
 final class HttpTransport implements AutoCloseable {
 
-    /** The greatest size of an answer: a value of a megabyte, or a page of names. */
+    /** Maximum size of an answer, in bytes: a value of one megabyte, or a page of names. */
     static final int MAXIMUM_ANSWER_BYTES = 1 << 20;
 
     private static final int MAXIMUM_IN_FLIGHT = 64;
@@ -41,24 +41,24 @@
                                 MAXIMUM_IDLE_CONNECTIONS,
                                 KEEP_ALIVE,
                                 connectTimeout)
-                        .eventListenerFactory(call -> call.request().tag(SendWatch.class))
+                        .eventListenerFactory(call -> call.request().tag(SendDetector.class))
                         .build();
     }
 
-    /** Tells whether another call would only wait for those in flight. */
+    /** Determines whether a further call would be queued behind those in flight. */
     boolean isFull() {
         return mClient.dispatcher().runningCallsCount() >= MAXIMUM_IN_FLIGHT;
     }
 
     void send(Request.Builder request, Duration timeout, Consumer<TransportResult> listener) {
-        SendWatch watch = new SendWatch();
-        Call call = mClient.newCall(request.tag(SendWatch.class, watch).build());
+        SendDetector detector = new SendDetector();
+        Call call = mClient.newCall(request.tag(SendDetector.class, detector).build());
         call.timeout().timeout(timeout.toNanos(), TimeUnit.NANOSECONDS);
         call.enqueue(
                 new Callback() {
                     @Override
                     public void onFailure(Call failed, IOException e) {
-                        listener.accept(watch.end(e));
+                        listener.accept(detector.toFailure(e));
                     }
 
                     @Override
@@ -85,7 +85,7 @@
                     Optional.ofNullable(response.header("Retry-After")),
                     response.body().source().readByteArray());
         } catch (IOException | RuntimeException e) {
-            // OkHttp throws an unchecked exception at a negative length of the body.
+            // OkHttp throws an unchecked exception for a negative content length.
             return new Broken(reason(e));
         }
     }
@@ -94,18 +94,18 @@
         return e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage();
     }
 
-    /** Watches whether the first byte of a call was written. */
-    private static final class SendWatch extends EventListener {
+    /** Event listener that detects whether the first byte of a call was written. */
+    private static final class SendDetector extends EventListener {
 
-        private volatile boolean mStarted;
+        private volatile boolean mSendStarted;
 
         @Override
         public void requestHeadersStart(Call call) {
-            mStarted = true;
+            mSendStarted = true;
         }
 
-        TransportResult end(IOException e) {
-            return mStarted ? new Broken(reason(e)) : new NotSent(reason(e));
+        TransportResult toFailure(IOException e) {
+            return mSendStarted ? new Broken(reason(e)) : new NotSent(reason(e));
         }
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/ObjectKind.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/ObjectKind.java
@@ -1,14 +1,14 @@
 package io.masticpond.daemon.platform;
 
 /**
- * The kinds of objects that the system keeps at the platform.
+ * Kinds of objects that the system stores at the platform.
  *
  * @since 0.1
  */
 public enum ObjectKind {
     /** The chain of configurations; see docs/PLATFORM_API.md. */
     CONFIGURATION("configurations"),
-    /** Plans that wait for confirmation. */
+    /** Plans awaiting confirmation. */
     PLAN("plans"),
     /** Spending ledgers, one for each service and shift. */
     LEDGER("ledgers"),
@@ -24,9 +24,9 @@
     }
 
     /**
-     * Gives the name of the kind in paths of the object API.
+     * Returns the path segment of the kind in the object API.
      *
-     * @return one path segment
+     * @return the path segment
      */
     public String path() {
         return mPath;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/PendingCall.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/PendingCall.java
@@ -7,7 +7,9 @@
 import java.util.function.Function;
 import okhttp3.Request;
 
-/** A call to the platform with all its attempts; belongs to the platform duty. */
+/**
+ * Call to the platform with all its attempts. Confined to the event loop of the {@link CallRunner}.
+ */
 final class PendingCall<T> {
 
     private final PlatformCallKind mKind;
@@ -68,7 +70,7 @@
         mLastError = error;
     }
 
-    /** Gives the error of the last attempt, or one for a call without any. */
+    /** Returns the error of the last attempt, or the given one if there was no attempt. */
     PlatformError lastErrorOr(PlatformError error) {
         return mLastError == null ? error : mLastError;
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/PlatformCallKind.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/PlatformCallKind.java
@@ -3,45 +3,45 @@
 import io.masticpond.daemon.platform.CallBudget.Priority;
 
 /**
- * The kinds of calls to the platform.
+ * Kinds of calls to the platform.
  *
  * @since 0.1
  */
 public enum PlatformCallKind {
-    /** A read of one object. */
+    /** Read of one object. */
     READ(false),
-    /** A conditional update. */
+    /** Conditional update. */
     WRITE(true),
-    /** A conditional deletion. */
+    /** Conditional deletion. */
     DELETE(true),
-    /** A wait for a newer version, which counts as one call. */
+    /** Wait for a newer version, which counts as one call. */
     WATCH(false),
-    /** A page of a list of names. */
+    /** Page of a list of names. */
     LIST(false),
-    /** A read of the list of instances. */
+    /** Read of the list of instances. */
     INSTANCES(false);
 
-    private final boolean mChanges;
+    private final boolean mMutating;
 
-    PlatformCallKind(boolean changes) {
-        mChanges = changes;
+    PlatformCallKind(boolean mutating) {
+        mMutating = mutating;
     }
 
     /**
-     * Tells whether a call of this kind changes an object, and so is made once.
+     * Determines whether a call of this kind modifies an object and is therefore made only once.
      *
-     * @return whether it does
+     * @return whether it modifies an object
      */
-    public boolean changes() {
-        return mChanges;
+    public boolean isMutating() {
+        return mMutating;
     }
 
     Priority priority() {
-        return mChanges ? Priority.URGENT : Priority.ORDINARY;
+        return mMutating ? Priority.URGENT : Priority.ORDINARY;
     }
 
-    /** Says what a call means whose answer is missing or cannot be understood. */
-    PlatformError lost(String message) {
-        return mChanges ? new PlatformError.Uncertain(message) : new PlatformError.Away(message);
+    /** Returns the error of a call whose answer is missing or cannot be decoded. */
+    PlatformError lostAnswerError(String message) {
+        return mMutating ? new PlatformError.Uncertain(message) : new PlatformError.Away(message);
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/PlatformClientSettings.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/PlatformClientSettings.java
@@ -5,18 +5,18 @@
 import java.util.List;
 
 /**
- * How the platform is called.
+ * Settings of the platform client.
  *
- * @param addresses where it listens, each as "ip:port", at least one
- * @param callsPerSecond how many calls this process may make each second
- * @param connectTimeout how long a connection may take
- * @param callTimeout how long an answer may take, apart from the wait of a watch
- * @param attempts how often a read is tried at most
- * @param retryBase the bound of the first delay before a retry
- * @param retryMaximum the greatest bound of such a delay
- * @param breakerThreshold how many failures in a row open a breaker
- * @param breakerBase the bound of the first time that a breaker is open
- * @param breakerMaximum the greatest bound of such a time
+ * @param addresses the addresses of the platform, each as "ip:port", at least one
+ * @param callsPerSecond the maximum calls of this process per second
+ * @param connectTimeout the timeout of connecting
+ * @param callTimeout the timeout of an answer, in addition to the wait of a watch
+ * @param attempts the maximum number of attempts of a read
+ * @param retryBase the upper bound of the delay before the first retry
+ * @param retryMaximum the maximum upper bound of that delay
+ * @param breakerThreshold the number of consecutive failures that open a circuit breaker
+ * @param breakerBase the upper bound of the first open time of a circuit breaker
+ * @param breakerMaximum the maximum upper bound of that time
  * @since 0.1
  */
 public record PlatformClientSettings(
@@ -31,41 +31,41 @@
         Duration breakerBase,
         Duration breakerMaximum) {
 
-    private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
-    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(2);
-    private static final int ATTEMPTS = 3;
-    private static final Duration RETRY_BASE = Duration.ofMillis(50);
-    private static final Duration RETRY_MAXIMUM = Duration.ofSeconds(1);
-    private static final int BREAKER_THRESHOLD = 5;
-    private static final Duration BREAKER_BASE = Duration.ofMillis(500);
-    private static final Duration BREAKER_MAXIMUM = Duration.ofSeconds(5);
+    private static final Duration DEFAULT_CONNECT_TIMEOUT = Duration.ofMillis(500);
+    private static final Duration DEFAULT_CALL_TIMEOUT = Duration.ofSeconds(2);
+    private static final int DEFAULT_ATTEMPTS = 3;
+    private static final Duration DEFAULT_RETRY_BASE = Duration.ofMillis(50);
+    private static final Duration DEFAULT_RETRY_MAXIMUM = Duration.ofSeconds(1);
+    private static final int DEFAULT_BREAKER_THRESHOLD = 5;
+    private static final Duration DEFAULT_BREAKER_BASE = Duration.ofMillis(500);
+    private static final Duration DEFAULT_BREAKER_MAXIMUM = Duration.ofSeconds(5);
 
-    /** Checks the parts and copies the list. */
+    /** Validates the settings and copies the list. */
     public PlatformClientSettings {
         addresses = List.copyOf(Assert.notEmpty(addresses, "The addresses of the platform"));
-        Assert.positive(callsPerSecond, "A budget of calls a second");
+        Assert.positive(callsPerSecond, "A budget of calls per second");
         Assert.positive(attempts, "A number of attempts");
         Assert.positive(breakerThreshold, "The threshold of a breaker");
     }
 
     /**
-     * Makes settings with the default times.
+     * Creates settings with the default timeouts, retries and circuit breaker.
      *
-     * @param addresses where the platform listens
-     * @param callsPerSecond how many calls this process may make each second
+     * @param addresses the addresses of the platform
+     * @param callsPerSecond the maximum calls of this process per second
      * @return the settings
      */
     public static PlatformClientSettings of(List<String> addresses, int callsPerSecond) {
         return new PlatformClientSettings(
                 addresses,
                 callsPerSecond,
-                CONNECT_TIMEOUT,
-                CALL_TIMEOUT,
-                ATTEMPTS,
-                RETRY_BASE,
-                RETRY_MAXIMUM,
-                BREAKER_THRESHOLD,
-                BREAKER_BASE,
-                BREAKER_MAXIMUM);
+                DEFAULT_CONNECT_TIMEOUT,
+                DEFAULT_CALL_TIMEOUT,
+                DEFAULT_ATTEMPTS,
+                DEFAULT_RETRY_BASE,
+                DEFAULT_RETRY_MAXIMUM,
+                DEFAULT_BREAKER_THRESHOLD,
+                DEFAULT_BREAKER_BASE,
+                DEFAULT_BREAKER_MAXIMUM);
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/PlatformError.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/PlatformError.java
@@ -3,28 +3,29 @@
 import java.util.Optional;
 
 /**
- * Says why a call to the platform did not give what was asked for.
+ * Error of a call to the platform. The simple names of the subtypes are metric labels and must not
+ * change.
  *
  * @since 0.1
  */
 public sealed interface PlatformError {
 
     /**
-     * Gives one sentence for logs.
+     * Returns a description of one sentence.
      *
      * @return the sentence
      */
     String message();
 
     /**
-     * The platform cannot be reached, is slow, or refuses work; a write had no effect.
+     * The platform is unreachable, slow or refuses work; a write had no effect.
      *
      * @param message one sentence
      */
     record Away(String message) implements PlatformError {}
 
     /**
-     * The answer to a write was lost: it may have taken effect or may still do so.
+     * The answer to a write was lost: the write may have taken effect or may still do so.
      *
      * @param message one sentence
      */
@@ -33,7 +34,7 @@
     /**
      * The condition of a write did not hold; it had no effect.
      *
-     * @param current the object as it stands, if there is one and the platform told it
+     * @param current the current object, if it exists and the platform returned it
      */
     record Conflict(Optional<StoredObject> current) implements PlatformError {
 
@@ -44,14 +45,14 @@
     }
 
     /**
-     * The budget of calls is used up for now; no call was made.
+     * The budget of calls is exhausted for the moment; no call was made.
      *
      * @param message one sentence
      */
     record OverBudget(String message) implements PlatformError {}
 
     /**
-     * The platform refused the call as wrong; a retry will not help.
+     * The platform rejected the call as invalid; a retry cannot succeed.
      *
      * @param message one sentence
      */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/PlatformObserver.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/PlatformObserver.java
@@ -3,13 +3,14 @@
 import java.util.Optional;
 
 /**
- * Is told how calls to the platform go, for metrics; calls come from one thread and must be short.
+ * Callback interface for the course of calls to the platform, used for metrics. Methods are called
+ * from one thread and must return quickly.
  *
  * @since 0.1
  */
 public interface PlatformObserver {
 
-    /** Looks at nothing. */
+    /** Observer that ignores all events. */
     PlatformObserver NONE =
             new PlatformObserver() {
                 @Override
@@ -24,27 +25,27 @@
             };
 
     /**
-     * Is told of an attempt, which the platform counts as a call.
+     * Handles the start of an attempt, which the platform counts as one call.
      *
      * @param kind the kind of the call
-     * @param address where it goes
+     * @param address the address called
      */
     void attempted(PlatformCallKind kind, String address);
 
     /**
-     * Is told of the end of a call with all its attempts.
+     * Handles the completion of a call with all its attempts.
      *
      * @param kind the kind of the call
-     * @param error why it failed, or empty if it did not
-     * @param nanos how long it took
+     * @param error the error, or empty if the call succeeded
+     * @param nanos the duration of the call, in nanoseconds
      */
     void ended(PlatformCallKind kind, Optional<PlatformError> error, long nanos);
 
     /**
-     * Is told of the new state of a breaker.
+     * Handles a change of the state of a circuit breaker.
      *
-     * @param address the address behind it
-     * @param state the state
+     * @param address the address that the breaker guards
+     * @param state the new state
      */
     void breakerChanged(String address, Breaker.State state);
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/StoredObject.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/StoredObject.java
@@ -1,11 +1,11 @@
 package io.masticpond.daemon.platform;
 
 /**
- * An object as the platform holds it; the value must not be changed.
+ * Object as stored at the platform; the value must not be modified.
  *
- * @param key the name
- * @param version the version, from 1, higher with each write
- * @param value the bytes, at most a megabyte
+ * @param key the key
+ * @param version the version, which starts at 1 and increases with each write
+ * @param value the value, at most one megabyte
  * @since 0.1
  */
 @SuppressWarnings("ArrayRecordComponent")
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/TransportResult.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/TransportResult.java
@@ -2,10 +2,10 @@
 
 import java.util.Optional;
 
-/** How one attempt to call the platform ended. */
+/** Result of one attempt to call the platform. */
 sealed interface TransportResult {
 
-    /** A whole answer came. */
+    /** A complete answer was received. */
     @SuppressWarnings("ArrayRecordComponent")
     record Answered(
             int status,
@@ -18,6 +18,6 @@
     /** No byte of the call was sent. */
     record NotSent(String reason) implements TransportResult {}
 
-    /** The call was sent, at least in part, and no whole answer came. */
+    /** The call was sent, at least in part, and no complete answer was received. */
     record Broken(String reason) implements TransportResult {}
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/package-info.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/package-info.java
@@ -1,2 +1,5 @@
-/** The client of the platform's object API; it must not know what the objects mean. */
+/**
+ * The client of the platform's object API. This package must not depend on the meaning of the
+ * objects.
+ */
 package io.masticpond.daemon.platform;
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/platform/CallLimitsTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/platform/CallLimitsTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.constraints.LongRange;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Drives budget, backoff, breaker and endpoints with a clock that stands still. */
+/** Tests call budget, backoff, circuit breaker and endpoints with a manual clock. */
 class CallLimitsTest {
 
     private static final Duration BASE = Duration.ofMillis(100);
@@ -23,31 +23,31 @@
     private final ManualTimeSource mTime = new ManualTimeSource(Instant.EPOCH);
 
     @Example
-    void readsLeavePartOfTheBudgetToWrites() {
+    void budgetReservesCallsForWrites() {
         CallBudget budget = new CallBudget(mTime, 20);
-        assertThat(takeAll(budget, Priority.ORDINARY)).isEqualTo(15);
-        assertThat(takeAll(budget, Priority.URGENT)).isEqualTo(5);
+        assertThat(acquireAll(budget, Priority.ORDINARY)).isEqualTo(15);
+        assertThat(acquireAll(budget, Priority.URGENT)).isEqualTo(5);
         mTime.advance(Duration.ofMillis(100));
-        assertThat(takeAll(budget, Priority.URGENT)).isEqualTo(2);
+        assertThat(acquireAll(budget, Priority.URGENT)).isEqualTo(2);
     }
 
     @Example
-    void eachBudgetAllowsReadsSometime() {
+    void smallestBudgetStillPermitsReads() {
         CallBudget budget = new CallBudget(mTime, 1);
-        assertThat(takeAll(budget, Priority.ORDINARY)).isEqualTo(1);
+        assertThat(acquireAll(budget, Priority.ORDINARY)).isEqualTo(1);
         mTime.advance(Duration.ofSeconds(1));
-        assertThat(takeAll(budget, Priority.ORDINARY)).isEqualTo(1);
+        assertThat(acquireAll(budget, Priority.ORDINARY)).isEqualTo(1);
     }
 
     @Property(tries = 200, seed = "11")
-    void noIntervalSpendsMoreThanItsBudget(
+    void callsInAnyIntervalStayWithinBudget(
             @ForAll @IntRange(min = 1, max = 500) int rate,
             @ForAll @IntRange(min = 1, max = 50) int steps,
             @ForAll @LongRange(min = 0, max = 300) long stepMillis) {
         CallBudget budget = new CallBudget(mTime, rate);
         int taken = 0;
         for (int step = 0; step < steps; step++) {
-            taken += takeAll(budget, Priority.URGENT);
+            taken += acquireAll(budget, Priority.URGENT);
             mTime.advance(Duration.ofMillis(stepMillis));
         }
         double allowed = rate + rate * (steps - 1) * stepMillis / 1_000.0;
@@ -78,12 +78,12 @@
         Breaker breaker = breaker();
         failTimes(breaker, 3);
         assertThat(breaker.state()).isEqualTo(Breaker.State.OPEN);
-        assertThat(breaker.allow()).isFalse();
+        assertThat(breaker.tryAcquirePermission()).isFalse();
         mTime.advance(BASE);
-        assertThat(breaker.allow()).isTrue();
-        assertThat(breaker.allow()).isFalse();
-        breaker.succeed();
-        assertThat(breaker.allow()).isTrue();
+        assertThat(breaker.tryAcquirePermission()).isTrue();
+        assertThat(breaker.tryAcquirePermission()).isFalse();
+        breaker.recordSuccess();
+        assertThat(breaker.tryAcquirePermission()).isTrue();
         assertThat(breaker.state()).isEqualTo(Breaker.State.CLOSED);
     }
 
@@ -91,7 +91,7 @@
     void oneSuccessAmongFailuresKeepsTheBreakerClosed() {
         Breaker breaker = breaker();
         failTimes(breaker, 2);
-        breaker.succeed();
+        breaker.recordSuccess();
         failTimes(breaker, 2);
         assertThat(breaker.state()).isEqualTo(Breaker.State.CLOSED);
     }
@@ -101,28 +101,28 @@
         Breaker breaker = breaker();
         failTimes(breaker, 3);
         mTime.advance(BASE);
-        assertThat(breaker.allow()).isTrue();
-        breaker.fail();
-        assertThat(breaker.allow()).isFalse();
+        assertThat(breaker.tryAcquirePermission()).isTrue();
+        breaker.recordFailure();
+        assertThat(breaker.tryAcquirePermission()).isFalse();
         mTime.advance(MAXIMUM);
-        assertThat(breaker.allow()).isTrue();
+        assertThat(breaker.tryAcquirePermission()).isTrue();
     }
 
     @Example
-    void probesWhoseEndIsNeverToldDoNotKeepTheBreakerOpen() {
+    void probeWithoutResultDoesNotKeepBreakerOpen() {
         Breaker breaker = breaker();
         failTimes(breaker, 3);
         mTime.advance(BASE);
-        assertThat(breaker.allow()).isTrue();
+        assertThat(breaker.tryAcquirePermission()).isTrue();
         mTime.advance(MAXIMUM);
-        assertThat(breaker.allow()).isTrue();
+        assertThat(breaker.tryAcquirePermission()).isTrue();
     }
 
     @Example
-    void failuresMoveCallsToTheNextAddressAndAnOutageStopsThem() {
+    void failuresSwitchToNextAddressAndOutageStopsCalls() {
         Endpoints endpoints = new Endpoints(List.of("first", "second"), this::breaker);
         assertThat(endpoints.choose().orElseThrow().address()).isEqualTo("first");
-        endpoints.fail(endpoints.all().get(0));
+        endpoints.recordFailure(endpoints.all().get(0));
         assertThat(endpoints.choose().orElseThrow().address()).isEqualTo("second");
         for (Endpoints.Endpoint endpoint : endpoints.all()) {
             failTimes(endpoint.breaker(), 3);
@@ -140,13 +140,13 @@
 
     private static void failTimes(Breaker breaker, int times) {
         for (int time = 0; time < times; time++) {
-            breaker.fail();
+            breaker.recordFailure();
         }
     }
 
-    private static int takeAll(CallBudget budget, Priority priority) {
+    private static int acquireAll(CallBudget budget, Priority priority) {
         int taken = 0;
-        while (budget.take(priority)) {
+        while (budget.tryAcquire(priority)) {
             taken++;
         }
         return taken;
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/platform/HostileAnswersTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/platform/HostileAnswersTest.java
@@ -20,10 +20,10 @@
 import net.jqwik.api.lifecycle.AfterTry;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Answers calls in ways that the object API rules out; no answer may pass for a good one. */
+/** Tests that answers which violate the object API are never accepted as valid. */
 class HostileAnswersTest {
 
-    private static final int HUGE = 2 << 20;
+    private static final int OVERSIZED_BYTES = 2 << 20;
 
     private final HttpServer mServer;
     private final HttpObjectStore mStore;
@@ -70,7 +70,7 @@
     }
 
     @Example
-    void conflictsWithTheExpectedVersionTellNoObject() {
+    void conflictsWithExpectedVersionReturnNoObject() {
         mStatus = 412;
         mEntityTag = "\"3\"";
         PlatformError error = await(mStore.write(KEY, 3, bytes("value"))).getLeft();
@@ -78,20 +78,20 @@
     }
 
     @Example
-    void objectsWithoutVersionAreNotTaken() {
+    void rejectsObjectsWithoutVersion() {
         mBody = bytes("value");
         assertAway(await(mStore.read(KEY)));
     }
 
     @Example
-    void watchesTakeNoVersionThatWasSeen() {
+    void watchesRejectVersionsAlreadySeen() {
         mEntityTag = "\"3\"";
         assertAway(await(mStore.watch(KEY, 3, Duration.ofMillis(100))));
         assertThat(await(mStore.watch(KEY, 2, Duration.ofMillis(100))).isRight()).isTrue();
     }
 
     @Example
-    void missingPagesOfOtherServersAreNoMissingObjects() {
+    void notFoundWithoutProblemDocumentIsNotMissingObject() {
         mStatus = 404;
         mContentType = "text/html";
         assertAway(await(mStore.read(KEY)));
@@ -100,14 +100,14 @@
     }
 
     @Example
-    void hugeAnswersAreNotTaken() {
+    void rejectsOversizedAnswers() {
         mEntityTag = "\"3\"";
-        mBody = new byte[HUGE];
+        mBody = new byte[OVERSIZED_BYTES];
         assertAway(await(mStore.read(KEY)));
     }
 
     @Example
-    void truncatedAnswersAreNotTaken() {
+    void rejectsTruncatedAnswers() {
         mEntityTag = "\"3\"";
         mBody = bytes("half");
         mDeclaredLength = 100;
@@ -115,7 +115,7 @@
     }
 
     @Example
-    void listsThatAreNoListsOrOutOfOrderAreNotTaken() {
+    void rejectsMalformedOrUnorderedLists() {
         List<String> bodies =
                 List.of(
                         "",
@@ -135,19 +135,22 @@
     }
 
     @Example
-    void instancesWithWrongNamesAreNotTaken() {
+    void rejectsInstancesWithInvalidNames() {
         mBody = bytes("{\"instances\":[{\"id\":\"../x\",\"zone\":\"z\",\"linkAddress\":\"a\"}]}");
         assertAway(await(mStore.instances()));
     }
 
-    /** Answers well until calls go through again, so that the next case is really sent. */
+    /**
+     * Serves valid answers until the circuit breaker is closed, so that the next case is actually
+     * sent.
+     */
     private void awaitClosedBreaker() {
         int status = mStatus;
         mStatus = 200;
         mBody = bytes("{\"names\":[]}");
-        long giveUp = System.nanoTime() + Duration.ofSeconds(60).toNanos();
+        long deadlineNanos = System.nanoTime() + Duration.ofSeconds(60).toNanos();
         while (await(mStore.list(ObjectKind.PLAN, "")).isLeft()) {
-            assertThat(System.nanoTime()).isLessThan(giveUp);
+            assertThat(System.nanoTime()).isLessThan(deadlineNanos);
         }
         mStatus = status;
         mBody = bytes("");
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/platform/HttpObjectStoreTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/platform/HttpObjectStoreTest.java
@@ -20,11 +20,11 @@
 import net.jqwik.api.Example;
 import net.jqwik.api.lifecycle.AfterTry;
 
-/** Calls a stand-in platform that fails in each of its ways. */
+/** Tests the client against a simulated platform with each kind of fault. */
 class HttpObjectStoreTest {
 
-    private static final String NOBODY = "127.0.0.1:1";
-    private static final int NEVER_MILLIS = 600_000;
+    private static final String UNUSED_ADDRESS = "127.0.0.1:1";
+    private static final int NEVER_ANSWERED_MILLIS = 600_000;
 
     private final StoreFixture mFixture = new StoreFixture();
     private final HttpObjectStore mStore = mFixture.store();
@@ -35,7 +35,7 @@
     }
 
     @Example
-    void racingWritersOverOneVersionHaveOneWinner() {
+    void onlyOneOfConflictingWritesSucceeds() {
         assertThat(write(mStore, ObjectStore.ABSENT, "first").get()).isEqualTo(1);
         assertThat(write(mStore, 1, "second").get()).isEqualTo(2);
         PlatformError error = write(mStore, 1, "third").getLeft();
@@ -46,7 +46,7 @@
     }
 
     @Example
-    void readsFindWhatIsThereAndNothingElse() {
+    void readsReturnExistingObjectsOnly() {
         assertThat(await(mStore.read(KEY)).get()).isEmpty();
         write(mStore, ObjectStore.ABSENT, "first");
         assertThat(await(mStore.read(KEY)).get().orElseThrow().value()).isEqualTo(bytes("first"));
@@ -57,7 +57,7 @@
     }
 
     @Example
-    void longListsComeWholeAndInOrder() {
+    void longListsAreCompleteAndOrdered() {
         for (int number = 0; number < 2_500; number++) {
             String name = "batch.%05d".formatted(number);
             mFixture.state().write("claims", name, 0, bytes("claim"));
@@ -76,24 +76,27 @@
         assertThat(await(mStore.read(KEY)).get().orElseThrow().version()).isEqualTo(1);
     }
 
-    /** A call that ends before its first byte went out is away; so the time grows till one goes. */
+    /**
+     * A call that times out before its first byte is sent ends as {@link PlatformError.Away}, so
+     * the timeout is doubled until a write reaches the platform.
+     */
     @Example
-    void slowAnswersToWritesAreUncertainAndMakeReadsGiveUp() {
-        mFixture.state().setFaults(PlatformFaults.delay(NEVER_MILLIS));
+    void unansweredWritesAreUncertainAndReadsTimeOut() {
+        mFixture.state().setFaults(PlatformFaults.delay(NEVER_ANSWERED_MILLIS));
         Duration timeout = Duration.ofMillis(250);
-        boolean uncertain = writeWithin(timeout);
+        boolean uncertain = writeEndsUncertain(timeout);
         while (mFixture.state().read("ledgers", KEY.name()).isEmpty()) {
             timeout = timeout.multipliedBy(2);
             assertThat(timeout).isLessThan(Duration.ofMinutes(5));
-            uncertain |= writeWithin(timeout);
+            uncertain |= writeEndsUncertain(timeout);
         }
         assertThat(uncertain).isTrue();
-        assertThat(await(within(Duration.ofMillis(250)).read(KEY)).getLeft())
+        assertThat(await(storeWithTimeout(Duration.ofMillis(250)).read(KEY)).getLeft())
                 .isInstanceOf(PlatformError.Away.class);
     }
 
     @Example
-    void refusedWritesAreAwayAndHaveNoEffect() {
+    void refusedWritesAreUnavailableAndHaveNoEffect() {
         mFixture.state().setFaults(PlatformFaults.outage(PlatformCallDisposition.REFUSED));
         assertThat(write(mStore, ObjectStore.ABSENT, "first").getLeft())
                 .isInstanceOf(PlatformError.Away.class);
@@ -101,20 +104,20 @@
     }
 
     @Example
-    void writesThatWereNeverSentAreAway() {
-        assertThat(write(mFixture.store(100, NOBODY), 0, "first").getLeft())
+    void writesThatWereNeverSentAreUnavailable() {
+        assertThat(write(mFixture.store(100, UNUSED_ADDRESS), 0, "first").getLeft())
                 .isInstanceOf(PlatformError.Away.class);
     }
 
     @Example
-    void callsGoOnToTheNextAddress() {
-        HttpObjectStore store = mFixture.store(100, NOBODY, mFixture.server().address());
+    void callsFallBackToNextAddress() {
+        HttpObjectStore store = mFixture.store(100, UNUSED_ADDRESS, mFixture.server().address());
         assertThat(write(store, ObjectStore.ABSENT, "first").get()).isEqualTo(1);
         assertThat(await(store.read(KEY)).get()).isPresent();
     }
 
     @Example
-    void readsAreTriedAgain() {
+    void readsAreRetried() {
         write(mStore, ObjectStore.ABSENT, "first");
         mFixture.state().setFaults(new PlatformFaults(null, 0.3, 0, 0, 0, 0, 0));
         int answered = 0;
@@ -126,7 +129,7 @@
     }
 
     @Example
-    void anOutageStopsCallsUntilThePlatformIsBack() {
+    void outageSuspendsCallsUntilPlatformRecovers() {
         ManualTimeSource time = new ManualTimeSource(Instant.EPOCH);
         HttpObjectStore store =
                 mFixture.store(
@@ -153,18 +156,19 @@
                 mFixture.store(
                         StoreFixture.settings(4, mFixture.server().address()),
                         new ManualTimeSource(Instant.EPOCH));
-        int over = 0;
+        int overBudget = 0;
         for (int call = 0; call < 40; call++) {
             Either<PlatformError, Optional<StoredObject>> read = await(store.read(KEY));
-            over += read.isLeft() && read.getLeft() instanceof PlatformError.OverBudget ? 1 : 0;
+            overBudget +=
+                    read.isLeft() && read.getLeft() instanceof PlatformError.OverBudget ? 1 : 0;
         }
-        assertThat(over).isEqualTo(37);
-        assertThat(mFixture.state().counts().of(PlatformCall.READ)).isEqualTo(40 - over);
+        assertThat(overBudget).isEqualTo(37);
+        assertThat(mFixture.state().counts().of(PlatformCall.READ)).isEqualTo(40 - overBudget);
         assertThat(write(store, ObjectStore.ABSENT, "first").isRight()).isTrue();
     }
 
     @Example
-    void watchesTellOfChangesEvenIfTheyLag() {
+    void watchesReportChangesDespiteLag() {
         write(mStore, ObjectStore.ABSENT, "first");
         mFixture.state().setFaults(PlatformFaults.lag(100, 0));
         CompletableFuture<Either<PlatformError, Optional<StoredObject>>> watch =
@@ -178,7 +182,7 @@
     }
 
     @Example
-    void watchesEndWhenTheirTimeIsUp() {
+    void watchesEndAtTheirTimeout() {
         assertThat(await(mStore.watch(KEY, 0, Duration.ofMillis(20))).get()).isEmpty();
     }
 
@@ -191,7 +195,7 @@
     }
 
     @Example
-    void closingEndsCallsThatWait() {
+    void closingEndsOpenCalls() {
         CompletableFuture<Either<PlatformError, Optional<StoredObject>>> watch =
                 mStore.watch(KEY, 0, Duration.ofSeconds(50));
         while (mFixture.state().counts().of(PlatformCall.WATCH) == 0) {
@@ -202,16 +206,17 @@
         assertThat(await(mStore.read(KEY)).isLeft()).isTrue();
     }
 
-    private HttpObjectStore within(Duration callTimeout) {
+    private HttpObjectStore storeWithTimeout(Duration callTimeout) {
         return mFixture.store(
                 StoreFixture.settings(
                         StoreFixture.BUDGET, 1, callTimeout, mFixture.server().address()),
                 new SystemTimeSource());
     }
 
-    /** Tells whether a write that is not answered ends as uncertain; else it was never sent. */
-    private boolean writeWithin(Duration callTimeout) {
-        PlatformError error = write(within(callTimeout), ObjectStore.ABSENT, "first").getLeft();
+    /** Determines whether an unanswered write ends as uncertain; otherwise it was never sent. */
+    private boolean writeEndsUncertain(Duration callTimeout) {
+        PlatformError error =
+                write(storeWithTimeout(callTimeout), ObjectStore.ABSENT, "first").getLeft();
         assertThat(error).isInstanceOfAny(PlatformError.Uncertain.class, PlatformError.Away.class);
         return error instanceof PlatformError.Uncertain;
     }
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/platform/NegativeLengthTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/platform/NegativeLengthTest.java
@@ -14,7 +14,9 @@
 import net.jqwik.api.Example;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** An answer with a negative length makes the HTTP client throw; the call must end nevertheless. */
+/**
+ * Tests that a call completes although the HTTP client throws for an answer with a negative length.
+ */
 class NegativeLengthTest {
 
     private static final String ANSWER = "HTTP/1.1 200 OK\r\nContent-Length: -14\r\n\r\nvalue";
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/platform/StoreFixture.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/platform/StoreFixture.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeoutException;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** A stand-in platform with a client of it, closed together. */
+/** Simulated platform with its clients, which are closed together. */
 final class StoreFixture implements AutoCloseable {
 
     static final ObjectKey KEY = new ObjectKey(ObjectKind.LEDGER, "plate-ledger.2026-12-02");
@@ -22,8 +22,8 @@
 
     private static final long SEED = 7;
 
-    /** Only bounds a hang: no verdict rests on how soon an answer comes. */
-    private static final Duration LONG = Duration.ofSeconds(60);
+    /** Only bounds a hang: no assertion depends on how soon an answer arrives. */
+    private static final Duration HANG_TIMEOUT = Duration.ofSeconds(60);
 
     private final PlatformState mState = new PlatformState(new SystemTimeSource(), SEED);
     private final PlatformServer mServer = new PlatformServer(mState, 0);
@@ -45,7 +45,7 @@
         return store(settings(callsPerSecond, addresses), new SystemTimeSource());
     }
 
-    /** Makes a client whose budget, retries and breakers follow a clock of the test. */
+    /** Creates a client whose budget, retries and circuit breakers use the given clock. */
     HttpObjectStore store(PlatformClientSettings settings, TimeSource timeSource) {
         HttpObjectStore store =
                 new HttpObjectStore(
@@ -58,7 +58,7 @@
     }
 
     static PlatformClientSettings settings(int callsPerSecond, String... addresses) {
-        return settings(callsPerSecond, 3, LONG, addresses);
+        return settings(callsPerSecond, 3, HANG_TIMEOUT, addresses);
     }
 
     static PlatformClientSettings settings(
@@ -66,7 +66,7 @@
         return new PlatformClientSettings(
                 List.of(addresses),
                 callsPerSecond,
-                LONG,
+                HANG_TIMEOUT,
                 callTimeout,
                 attempts,
                 Duration.ofMillis(5),
@@ -82,7 +82,7 @@
 
     static <T> T await(CompletableFuture<T> future) {
         try {
-            return future.get(2 * LONG.toSeconds(), TimeUnit.SECONDS);
+            return future.get(2 * HANG_TIMEOUT.toSeconds(), TimeUnit.SECONDS);
         } catch (InterruptedException | ExecutionException | TimeoutException e) {
             throw new AssertionError("A call to the platform did not end.", e);
         }
