--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/settings/DaemonSettings.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/settings/DaemonSettings.java
@@ -7,11 +7,11 @@
 import java.util.List;
 
 /**
- * The settings of a daemon, after their file was checked; see docs/SETTINGS.md.
+ * Validated settings of a daemon; see docs/SETTINGS.md.
  *
- * @param instance who the process is
- * @param caller the interface towards callers
- * @param operator the interface towards operators
+ * @param instance the identity of the instance
+ * @param caller the interface for callers
+ * @param operator the interface for operators
  * @param link the links to other instances
  * @param platform the platform's object API
  * @param steering the request path
@@ -27,7 +27,7 @@
         SteeringSettings steering,
         LogSettings log) {
 
-    /** Fills in the parts that may be left out. */
+    /** Replaces omitted sections by their defaults. */
     public DaemonSettings {
         steering = steering == null ? new SteeringSettings(null, null) : steering;
         log = log == null ? new LogSettings(null, null) : log;
@@ -38,9 +38,9 @@
     }
 
     /**
-     * Who the process is.
+     * Identity of the instance.
      *
-     * @param id the instance
+     * @param id the instance id
      * @param zone its availability zone
      */
     public record InstanceSettings(InstanceId id, ZoneId zone) {
@@ -53,15 +53,15 @@
     }
 
     /**
-     * The interface towards callers.
+     * Settings of the interface for callers.
      *
-     * @param address where it listens, as "ip:port"
-     * @param maximumBodyBytes the largest body of a request, in bytes
-     * @param maximumHeaderBytes the largest header of a request, in bytes
-     * @param maximumConnections how many connections callers may hold
-     * @param idleMillis how long a caller may be silent within a request, in milliseconds
-     * @param maximumRequests how many requests may be in flight
-     * @param lookupCacheMillis how long a look-up answer may be cached, in milliseconds
+     * @param address the address to listen on, as "ip:port"
+     * @param maximumBodyBytes the maximum size of a request body, in bytes
+     * @param maximumHeaderBytes the maximum size of a request header, in bytes
+     * @param maximumConnections the maximum number of connections of callers
+     * @param idleMillis the maximum inactivity of a caller within a request, in milliseconds
+     * @param maximumRequests the maximum number of requests in flight
+     * @param lookupCacheMillis the time for which a look-up answer may be cached, in milliseconds
      */
     public record CallerSettings(
             String address,
@@ -72,36 +72,36 @@
             Integer maximumRequests,
             Integer lookupCacheMillis) {
 
-        private static final int BODY_BYTES = 1 << 20;
-        private static final int HEADER_BYTES = 16 << 10;
-        private static final int CONNECTIONS = 2_000;
-        private static final int IDLE_MILLIS = 10_000;
-        private static final int REQUESTS = 4_000;
-        private static final int LOOKUP_CACHE_MILLIS = 2_000;
+        private static final int DEFAULT_MAXIMUM_BODY_BYTES = 1 << 20;
+        private static final int DEFAULT_MAXIMUM_HEADER_BYTES = 16 << 10;
+        private static final int DEFAULT_MAXIMUM_CONNECTIONS = 2_000;
+        private static final int DEFAULT_IDLE_MILLIS = 10_000;
+        private static final int DEFAULT_MAXIMUM_REQUESTS = 4_000;
+        private static final int DEFAULT_LOOKUP_CACHE_MILLIS = 2_000;
 
-        /** Fills in what may be left out. */
+        /** Replaces omitted values by their defaults. */
         public CallerSettings {
-            maximumBodyBytes = orDefault(maximumBodyBytes, BODY_BYTES);
-            maximumHeaderBytes = orDefault(maximumHeaderBytes, HEADER_BYTES);
-            maximumConnections = orDefault(maximumConnections, CONNECTIONS);
-            idleMillis = orDefault(idleMillis, IDLE_MILLIS);
-            maximumRequests = orDefault(maximumRequests, REQUESTS);
-            lookupCacheMillis = orDefault(lookupCacheMillis, LOOKUP_CACHE_MILLIS);
+            maximumBodyBytes = orDefault(maximumBodyBytes, DEFAULT_MAXIMUM_BODY_BYTES);
+            maximumHeaderBytes = orDefault(maximumHeaderBytes, DEFAULT_MAXIMUM_HEADER_BYTES);
+            maximumConnections = orDefault(maximumConnections, DEFAULT_MAXIMUM_CONNECTIONS);
+            idleMillis = orDefault(idleMillis, DEFAULT_IDLE_MILLIS);
+            maximumRequests = orDefault(maximumRequests, DEFAULT_MAXIMUM_REQUESTS);
+            lookupCacheMillis = orDefault(lookupCacheMillis, DEFAULT_LOOKUP_CACHE_MILLIS);
         }
     }
 
     /**
-     * The interface towards operators.
+     * Settings of the interface for operators.
      *
-     * @param address where it listens, as "ip:port"
-     * @param tokens the tokens that operators show
+     * @param address the address to listen on, as "ip:port"
+     * @param tokens the tokens of operators
      */
     public record OperatorSettings(String address, List<TokenSettings> tokens) {}
 
     /**
-     * A token of an operator; its text form hides the value.
+     * Token of an operator, whose string representation omits the secret.
      *
-     * @param name who holds it
+     * @param name the name of its holder
      * @param value the secret
      */
     public record TokenSettings(String name, String value) {
@@ -112,24 +112,24 @@
     }
 
     /**
-     * The links to other instances.
+     * Settings of the links to other instances.
      *
-     * @param address where it listens, as "ip:port"
-     * @param seeds link addresses of instances to ask when the platform is away
+     * @param address the address to listen on, as "ip:port"
+     * @param seeds the link addresses of instances to query while the platform is unavailable
      * @param keys the shared keys; the first is used, all are accepted
      */
     public record LinkSettings(String address, List<String> seeds, List<KeySettings> keys) {
 
-        /** Fills in what may be left out. */
+        /** Replaces omitted values by their defaults. */
         public LinkSettings {
             seeds = seeds == null ? List.of() : List.copyOf(seeds);
         }
     }
 
     /**
-     * A key that instances share; its text form hides the value.
+     * Key shared by the instances, whose string representation omits the secret.
      *
-     * @param id the name of the key
+     * @param id the id of the key
      * @param value the secret
      */
     public record KeySettings(String id, String value) {
@@ -140,48 +140,48 @@
     }
 
     /**
-     * The platform's object API.
+     * Settings of the platform's object API.
      *
-     * @param addresses where it listens, each as "ip:port"
-     * @param callsPerSecond how many calls this process may make each second
+     * @param addresses the addresses of the API, each as "ip:port"
+     * @param callsPerSecond the maximum calls of this process per second
      */
     public record PlatformSettings(List<String> addresses, Integer callsPerSecond) {
 
-        private static final int CALLS_PER_SECOND = 20;
+        private static final int DEFAULT_CALLS_PER_SECOND = 20;
 
-        /** Fills in what may be left out. */
+        /** Replaces omitted values by their defaults. */
         public PlatformSettings {
-            callsPerSecond = orDefault(callsPerSecond, CALLS_PER_SECOND);
+            callsPerSecond = orDefault(callsPerSecond, DEFAULT_CALLS_PER_SECOND);
         }
     }
 
     /**
-     * The request path.
+     * Settings of the request path.
      *
-     * @param ringCapacity how many tasks may wait for the steering thread
-     * @param drainMillis the longest time a planned stop takes, in milliseconds
+     * @param ringCapacity the maximum number of tasks that wait for the steering thread
+     * @param drainMillis the maximum duration of a planned stop, in milliseconds
      */
     public record SteeringSettings(Integer ringCapacity, Integer drainMillis) {
 
-        private static final int RING_CAPACITY = 16_384;
-        private static final int DRAIN_MILLIS = 30_000;
+        private static final int DEFAULT_RING_CAPACITY = 16_384;
+        private static final int DEFAULT_DRAIN_MILLIS = 30_000;
 
-        /** Fills in what may be left out. */
+        /** Replaces omitted values by their defaults. */
         public SteeringSettings {
-            ringCapacity = orDefault(ringCapacity, RING_CAPACITY);
-            drainMillis = orDefault(drainMillis, DRAIN_MILLIS);
+            ringCapacity = orDefault(ringCapacity, DEFAULT_RING_CAPACITY);
+            drainMillis = orDefault(drainMillis, DEFAULT_DRAIN_MILLIS);
         }
     }
 
     /**
-     * The log.
+     * Settings of the log.
      *
      * @param format "text" or "json"
      * @param level "error", "warn", "info", "debug" or "trace"
      */
     public record LogSettings(String format, String level) {
 
-        /** Fills in what may be left out. */
+        /** Replaces omitted values by their defaults. */
         public LogSettings {
             format = orDefault(format, "text");
             level = orDefault(level, "info");
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/settings/SettingsError.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/settings/SettingsError.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * Says all that is wrong with a settings file.
+ * Error that lists all faults of a settings file.
  *
- * @param file the file as it was named
- * @param faults one sentence for each fault, with key, what was found and what is allowed
+ * @param file the name of the file, as given
+ * @param faults one sentence per fault, with the key, the value found and the values allowed
  * @since 0.1
  */
 public record SettingsError(String file, List<String> faults) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/settings/SettingsReader.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/settings/SettingsReader.java
@@ -26,7 +26,7 @@
 import java.util.Map;
 
 /**
- * Reads a settings file in JSON with comments, and reports all its faults at once.
+ * Reader of settings files in JSON with comments, which reports all faults of a file at once.
  *
  * @since 0.1
  */
@@ -45,10 +45,10 @@
     private final JsonSchema mSchema = readSchema();
 
     /**
-     * Reads and checks a file.
+     * Reads and validates a file.
      *
      * @param file the file
-     * @return the settings, or all that is wrong with them
+     * @return the settings, or all their faults
      */
     public Either<SettingsError, DaemonSettings> read(Path file) {
         try {
@@ -59,11 +59,11 @@
     }
 
     /**
-     * Checks the text of a file.
+     * Parses and validates the text of a file.
      *
-     * @param file what errors call the file
+     * @param file the name of the file in errors
      * @param text the text
-     * @return the settings, or all that is wrong with them
+     * @return the settings, or all their faults
      */
     public Either<SettingsError, DaemonSettings> parse(String file, String text) {
         JsonNode tree;
@@ -94,21 +94,24 @@
         try {
             return Either.right(mMapper.treeToValue(tree, DaemonSettings.class));
         } catch (JsonProcessingException | IllegalArgumentException e) {
-            return failure(file, List.of("The settings do not fit together: " + e.getMessage()));
+            return failure(file, List.of("The settings are inconsistent: " + e.getMessage()));
         }
     }
 
-    /** A value that is too long or too deep comes without a place. */
+    /**
+     * Returns a one-line description; errors for values that are too long or nested too deeply have
+     * no location.
+     */
     private static String oneLine(JsonProcessingException e) {
-        JsonLocation place = e.getLocation();
-        if (place == null) {
+        JsonLocation location = e.getLocation();
+        if (location == null) {
             return e.getOriginalMessage() + ".";
         }
         return e.getOriginalMessage()
                 + " at line "
-                + place.getLineNr()
+                + location.getLineNr()
                 + ", column "
-                + place.getColumnNr()
+                + location.getColumnNr()
                 + ".";
     }
 
@@ -179,16 +182,16 @@
     }
 
     private static void checkDistinctAddresses(JsonNode tree, List<String> faults) {
-        Map<String, String> seen = new HashMap<>();
-        for (String part : List.of("caller", "operator", "link")) {
-            String address = tree.path(part).path("address").asText();
-            String other = seen.putIfAbsent(address, part);
-            if (other != null) {
+        Map<String, String> sectionsByAddress = new HashMap<>();
+        for (String section : List.of("caller", "operator", "link")) {
+            String address = tree.path(section).path("address").asText();
+            String otherSection = sectionsByAddress.putIfAbsent(address, section);
+            if (otherSection != null) {
                 faults.add(
                         "Key '"
-                                + part
+                                + section
                                 + ".address': must differ from "
-                                + other
+                                + otherSection
                                 + ".address, found \""
                                 + address
                                 + "\".");
@@ -204,7 +207,7 @@
         try (InputStream stream = InstanceId.class.getResourceAsStream(SCHEMA)) {
             return JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(stream);
         } catch (IOException e) {
-            throw new UncheckedIOException("The schema of the settings cannot be read.", e);
+            throw new UncheckedIOException("Failed to read the schema of the settings.", e);
         }
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/settings/package-info.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/settings/package-info.java
@@ -1,2 +1,5 @@
-/** The daemon's settings, read once at the start; they must know none of the parts they set. */
+/**
+ * The settings of the daemon, read once at startup. This package must not depend on the components
+ * that it configures.
+ */
 package io.masticpond.daemon.settings;
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/settings/SettingsReaderTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/settings/SettingsReaderTest.java
@@ -8,7 +8,7 @@
 
 class SettingsReaderTest {
 
-    private static final String GOOD =
+    private static final String VALID =
             """
             {
               // A comment.
@@ -25,22 +25,22 @@
     private final SettingsReader mReader = new SettingsReader();
 
     @Example
-    void goodSettingsFillInWhatIsLeftOut() {
-        DaemonSettings settings = mReader.parse("good.json", GOOD).get();
+    void omittedSettingsHaveDefaults() {
+        DaemonSettings settings = mReader.parse("good.json", VALID).get();
         assertThat(settings.caller().maximumBodyBytes()).isEqualTo(1 << 20);
         assertThat(settings.log().format()).isEqualTo("text");
     }
 
     @Example
-    void allFaultsAreReportedAtOnceWithKeyAndWhatWasFound() {
-        String bad =
-                GOOD.replace("\"casa-1\"", "\"casa 1!\"")
+    void reportsAllFaultsAtOnceWithKeyAndValueFound() {
+        String invalid =
+                VALID.replace("\"casa-1\"", "\"casa 1!\"")
                         .replace("\"caller\": {\"address\": \"127.0.1.1:8080\"}", "\"caller\": {}")
                         .replace(
                                 "[\"127.0.0.1:7100\"]",
                                 "[\"127.0.0.1:7100\"], \"callsPerSecond\": -5")
                         .replace("\"platform\"", "\"colour\": 1, \"platform\"");
-        SettingsError error = mReader.parse("bad.json", bad).getLeft();
+        SettingsError error = mReader.parse("bad.json", invalid).getLeft();
         assertThat(error.file()).isEqualTo("bad.json");
         assertThat(error.faults()).hasSize(4);
         assertThat(error.faults())
@@ -54,8 +54,8 @@
     }
 
     @Example
-    void oddDocumentsAreFaultsAndNoExceptions() {
-        for (String odd :
+    void malformedDocumentsAreReportedAsFaults() {
+        for (String malformed :
                 new String[] {
                     "",
                     "// nothing",
@@ -64,34 +64,34 @@
                     "1".repeat(2_000),
                     "[".repeat(2_000)
                 }) {
-            assertThat(mReader.parse("odd.json", odd).isLeft()).isTrue();
+            assertThat(mReader.parse("odd.json", malformed).isLeft()).isTrue();
         }
     }
 
     @Example
-    void hostNamesAndPortsOutOfRangeAreRefused() {
-        assertThat(faults(GOOD.replace("127.0.1.1:8080", "localhost:8080")))
+    void rejectsHostNamesAndPortsOutOfRange() {
+        assertThat(faults(VALID.replace("127.0.1.1:8080", "localhost:8080")))
                 .contains("caller.address");
-        assertThat(faults(GOOD.replace("127.0.1.1:8080", "127.0.1.1:99999"))).contains("99999");
-        assertThat(faults(GOOD.replace("127.0.1.1:8080", "127.0.1.300:80"))).contains("300");
-        assertThat(faults(GOOD.replace("127.0.1.1:8080", "127.0.1.1:8081"))).contains("differ");
+        assertThat(faults(VALID.replace("127.0.1.1:8080", "127.0.1.1:99999"))).contains("99999");
+        assertThat(faults(VALID.replace("127.0.1.1:8080", "127.0.1.300:80"))).contains("300");
+        assertThat(faults(VALID.replace("127.0.1.1:8080", "127.0.1.1:8081"))).contains("differ");
     }
 
     @Example
-    void secretsAreNotRepeatedInErrors() {
-        String faults = faults(GOOD.replace("0123456789abcdef", "hunter2"));
+    void errorsDoNotContainSecrets() {
+        String faults = faults(VALID.replace("0123456789abcdef", "hunter2"));
         assertThat(faults).contains("operator.tokens").doesNotContain("hunter2");
     }
 
     @Example
-    void textThatIsNotJsonNamesThePlace() {
-        assertThat(faults(GOOD + "}")).contains("line");
+    void syntaxErrorsNameTheLocation() {
+        assertThat(faults(VALID + "}")).contains("line");
         assertThat(faults("{\"instance\": 1, \"instance\": 2}")).contains("instance");
         assertThat(faults("")).isNotEmpty();
     }
 
     @Example
-    void theExamplesAreValid() {
+    void examplesAreValid() {
         for (String name : new String[] {"atlas", "tankround"}) {
             Path file = Path.of("..", "examples", "settings-" + name + ".json");
             Either<SettingsError, DaemonSettings> settings = mReader.read(file);
