--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/CrashMessageCodec.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/CrashMessageCodec.java
@@ -9,21 +9,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The layout of datagrams about requests under which backend servers end: a version byte, then for
- * each message its kind, the fingerprint and what the kind has; ages in milliseconds. It is laid
- * out by hand for the same reason as {@link PeerMessageCodec}.
+ * Codec for the datagrams that report requests under which backend servers end.
+ *
+ * <p>A datagram is a version byte, followed for each message by its kind, the request fingerprint
+ * and the fields of that kind; ages are in milliseconds. It is encoded by hand for the same reason
+ * as {@link PeerMessageCodec}.
  *
  * @since 0.2
  */
 public final class CrashMessageCodec {
 
-    /** Tells these datagrams from those of {@link PeerMessageCodec} and {@link LoadReportCodec}. */
+    /**
+     * Version byte that distinguishes these datagrams from those of {@link PeerMessageCodec} and
+     * {@link LoadReportCodec}.
+     */
     public static final int VERSION = 3;
 
-    /** So many messages fit into the greatest datagram, whatever their kinds. */
+    /** Maximum number of messages that fit into the largest datagram, whatever their kinds. */
     public static final int MAXIMUM_MESSAGES = 36;
 
-    /** The greatest number of ends, or of rejections, that is told. */
+    /** Maximum number of ends, or of rejections, that is reported. */
     private static final int MAXIMUM_COUNTED = 255;
 
     private static final byte END = 1;
@@ -33,10 +38,10 @@
     private CrashMessageCodec() {}
 
     /**
-     * Writes messages, the first {@link #MAXIMUM_MESSAGES} of them.
+     * Writes the first {@link #MAXIMUM_MESSAGES} of the given messages.
      *
      * @param messages the messages
-     * @param out takes the bytes
+     * @param out the buffer to write to
      */
     public static void write(List<CrashMessage> messages, ByteBuf out) {
         out.writeByte(VERSION);
@@ -58,8 +63,8 @@
     }
 
     /**
-     * Reads the messages after the version; what is cut short or cannot be is left out with all
-     * behind it.
+     * Reads the messages that follow the version byte. A message that is truncated or invalid is
+     * left out, together with all that follow it.
      *
      * @param in the bytes
      * @return the messages
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/HeartbeatService.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/HeartbeatService.java
@@ -30,9 +30,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells other instances that this one lives, and knows by their heartbeats which others do.
+ * Service that sends heartbeats to other instances and determines which of them are alive.
  *
- * <p>All methods may be called by any thread; the work is done on the control thread.
+ * <p>Methods may be called from any thread if not stated otherwise; the control thread does the
+ * work.
  *
  * @since 0.2
  */
@@ -40,8 +41,8 @@
 
     private static final Logger sLogger = LoggerFactory.getLogger(HeartbeatService.class);
     private static final int LEAVING_REPEATS = 3;
-    private static final long LEAVING_GAP_MILLIS = 100;
-    private static final long SPREAD_GAP_MILLIS = 100;
+    private static final long LEAVING_INTERVAL_MILLIS = 100;
+    private static final long FLUSH_DELAY_MILLIS = 100;
 
     private final HeartbeatSettings mSettings;
     private final TimeSource mTimeSource;
@@ -50,24 +51,24 @@
     private final PeerExchange mExchange;
     private final Map<ServerAddress, InetSocketAddress> mAddresses = new HashMap<>();
     private final Queue<Runnable> mPendingNotifications = new ArrayDeque<>();
-    private final Map<Byte, BiConsumer<ServerAddress, ByteBuf>> mListeners =
+    private final Map<Byte, BiConsumer<ServerAddress, ByteBuf>> mReceivers =
             new ConcurrentHashMap<>();
     private volatile PeerSnapshot mSnapshot;
     private Channel mChannel;
-    private boolean mFlushDue;
-    private boolean mEvaluationDue;
+    private boolean mFlushScheduled;
+    private boolean mEvaluationScheduled;
     private long mSent;
     private long mReceived;
 
     /**
-     * Prepares the duty; nothing is sent before {@link #start}.
+     * Creates the service; nothing is sent before {@link #start}.
      *
-     * @param self this instance; its incarnation is the wall time or higher
-     * @param seeds internal addresses where others may be, perhaps stale
-     * @param settings how often and how patient
+     * @param self this instance; its incarnation is the wall-clock time or higher
+     * @param seeds internal addresses at which other instances may be found, possibly stale
+     * @param settings the periods and timeouts
      * @param timeSource the clocks
      * @param eventLoop the control thread
-     * @param listener hears of those that come and go
+     * @param listener notified when other instances become reachable or unreachable
      */
     public HeartbeatService(
             PeerInstance self,
@@ -81,14 +82,14 @@
         mEventLoop = eventLoop;
         mSelf = new OwnStatus(self.id(), PeerPlace.of(self), self.incarnation());
         long now = timeSource.monotonicNanos();
-        mExchange = new PeerExchange(mSelf, settings, seeds, this::send, kept(listener), now);
+        mExchange = new PeerExchange(mSelf, settings, seeds, this::send, deferred(listener), now);
         mSnapshot = mExchange.snapshot(now);
     }
 
     /**
-     * Binds the internal address and begins.
+     * Binds the internal address and starts to send heartbeats.
      *
-     * @return tells when the address is bound, or why it cannot be
+     * @return a future that completes once the address is bound, or fails with the reason
      */
     public ChannelFuture start() {
         ServerAddress own = mSelf.place().internal();
@@ -104,35 +105,35 @@
                         mChannel = bound.channel();
                         begin();
                     } else {
-                        sLogger.error("PEER  {} cannot be bound.", own, done.cause());
+                        sLogger.error("PEER  Cannot bind {}.", own, done.cause());
                     }
                 });
         return bound;
     }
 
     /**
-     * Takes other seeds in place of those before.
+     * Replaces the seeds.
      *
-     * @param seeds internal addresses where others may be, perhaps stale
+     * @param seeds internal addresses at which other instances may be found, possibly stale
      */
     public void setSeeds(List<ServerAddress> seeds) {
-        run(() -> mExchange.seeds(seeds));
+        run(() -> mExchange.setSeeds(seeds));
     }
 
     /**
-     * Takes instances that the platform's store lists; each counts once it is heard.
+     * Adds instances that the store lists. Each counts as alive once its heartbeat is received.
      *
-     * @param instances the instances, this one perhaps among them
+     * @param instances the instances, possibly including this one
      */
     public void addKnown(List<PeerInstance> instances) {
-        run(() -> mExchange.known(instances, now()));
+        run(() -> mExchange.addKnown(instances, now()));
     }
 
     /**
-     * Tells how far this instance is; others hear a change of readiness at once.
+     * Updates the reported status. A change of readiness is announced to the others at once.
      *
-     * @param ready whether it takes new clients
-     * @param revision the revision of the platform's store that its snapshot rests on
+     * @param ready whether this instance takes new clients
+     * @param revision the revision of the platform's store that its snapshot is based on
      */
     public void update(boolean ready, long revision) {
         run(
@@ -146,7 +147,7 @@
                 });
     }
 
-    /** Tells all at once that this instance leaves; nothing takes that back. */
+    /** Announces at once that this instance is leaving, which cannot be revoked. */
     public void leave() {
         run(
                 () -> {
@@ -157,31 +158,31 @@
     }
 
     /**
-     * Says who takes the datagrams of another layout than the heartbeats'. To be called before the
-     * start.
+     * Registers a receiver for datagrams of a layout other than the heartbeats'. Must be called
+     * before {@link #start}.
      *
-     * @param version the first byte of these datagrams, which tells them apart
-     * @param listener hears on the control thread who sent one, and the bytes after the version
+     * @param version the version byte, the first of these datagrams
+     * @param receiver called on the control thread with the sender and the bytes after the version
      */
-    public void registerReceiver(int version, BiConsumer<ServerAddress, ByteBuf> listener) {
-        mListeners.put((byte) version, Assert.notNull(listener, "A listener"));
+    public void registerReceiver(int version, BiConsumer<ServerAddress, ByteBuf> receiver) {
+        mReceivers.put((byte) version, Assert.notNull(receiver, "A receiver"));
     }
 
     /**
-     * Sends other instances a datagram; what is lost on the way is not sent again. Control thread
-     * only.
+     * Sends a datagram to other instances. A datagram that is lost in transit is not sent again.
+     * Control thread only.
      *
-     * @param hearers the instances; this one is left out
-     * @param content writes the version and what follows
+     * @param recipients the instances; this one is left out
+     * @param content writes the version byte and what follows
      */
-    public void sendDatagram(Collection<PeerInstance> hearers, Consumer<ByteBuf> content) {
+    public void sendDatagram(Collection<PeerInstance> recipients, Consumer<ByteBuf> content) {
         if (mChannel == null) {
             return;
         }
         ByteBuf buffer = datagram(content);
-        for (PeerInstance hearer : hearers) {
-            if (!hearer.id().equals(mSelf.id())) {
-                write(hearer.internal(), buffer.retainedDuplicate());
+        for (PeerInstance recipient : recipients) {
+            if (!recipient.id().equals(mSelf.id())) {
+                write(recipient.internal(), buffer.retainedDuplicate());
             }
         }
         buffer.release();
@@ -193,7 +194,7 @@
         return buffer;
     }
 
-    /** Sends a datagram to one address, as it is sent to instances. Control thread only. */
+    /** Sends a datagram to one address; it is not sent again if lost. Control thread only. */
     public void sendDatagram(ServerAddress to, Consumer<ByteBuf> content) {
         if (mChannel != null) {
             write(to, datagram(content));
@@ -201,7 +202,7 @@
     }
 
     /**
-     * Gives the living instances of the own availability zone, this one included.
+     * Returns the live instances of this instance's availability zone, including this one.
      *
      * @return the instances
      */
@@ -209,7 +210,7 @@
         return mSnapshot.inZone(mSelf.place().zone());
     }
 
-    /** Ends the heartbeats. */
+    /** Stops sending and receiving heartbeats. */
     public void stop() {
         mEventLoop.execute(
                 () -> {
@@ -236,8 +237,8 @@
     }
 
     /**
-     * Tells of this instance and all others that it knows, the gone ones too until they are
-     * forgotten. Control thread only.
+     * Returns this instance and all others that it knows, including the unreachable ones until they
+     * are forgotten. Control thread only.
      *
      * @return the members, in the order of their ids
      */
@@ -246,7 +247,7 @@
     }
 
     /**
-     * Counts the messages sent. Control thread only.
+     * Returns the number of messages sent. Control thread only.
      *
      * @return the count
      */
@@ -255,7 +256,7 @@
     }
 
     /**
-     * Counts the messages heard that could be read. Control thread only.
+     * Returns the number of valid messages received. Control thread only.
      *
      * @return the count
      */
@@ -266,14 +267,14 @@
     private void begin() {
         long period = mSettings.period().toNanos();
         mExchange.tick(now());
-        afterwards();
+        publishChanges();
         mEventLoop.scheduleWithFixedDelay(this::tick, period, period, TimeUnit.NANOSECONDS);
     }
 
     private void tick() {
         if (mChannel != null) {
             mExchange.tick(now());
-            afterwards();
+            publishChanges();
         }
     }
 
@@ -282,7 +283,7 @@
         if (times > 1) {
             mEventLoop.schedule(
                     () -> run(() -> announceLeaving(times - 1)),
-                    LEAVING_GAP_MILLIS,
+                    LEAVING_INTERVAL_MILLIS,
                     TimeUnit.MILLISECONDS);
         }
     }
@@ -291,16 +292,16 @@
         mEventLoop.execute(
                 () -> {
                     work.run();
-                    afterwards();
+                    publishChanges();
                 });
     }
 
-    /** Publishes the snapshot and sets the timers that are due before the next heartbeat. */
-    private void afterwards() {
+    /** Publishes the snapshot and schedules work that is due before the next heartbeat. */
+    private void publishChanges() {
         long now = now();
-        if (mExchange.hasPendingUpdates() && !mFlushDue) {
-            mFlushDue = true;
-            mEventLoop.schedule(this::flush, SPREAD_GAP_MILLIS, TimeUnit.MILLISECONDS);
+        if (mExchange.hasPendingUpdates() && !mFlushScheduled) {
+            mFlushScheduled = true;
+            mEventLoop.schedule(this::flush, FLUSH_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         }
         if (!mExchange.takeChanged()) {
             return;
@@ -308,21 +309,21 @@
         mSnapshot = mExchange.snapshot(now);
         notifyListener();
         long next = mExchange.untilNextVerdict(now);
-        if (!mEvaluationDue && next < mSettings.period().toNanos()) {
-            mEvaluationDue = true;
+        if (!mEvaluationScheduled && next < mSettings.period().toNanos()) {
+            mEvaluationScheduled = true;
             mEventLoop.schedule(this::evaluate, next, TimeUnit.NANOSECONDS);
         }
     }
 
     private void flush() {
-        mFlushDue = false;
+        mFlushScheduled = false;
         mExchange.flush(now());
     }
 
     private void evaluate() {
-        mEvaluationDue = false;
+        mEvaluationScheduled = false;
         mExchange.evaluate(now());
-        afterwards();
+        publishChanges();
     }
 
     private long now() {
@@ -343,18 +344,18 @@
         mChannel.writeAndFlush(new DatagramPacket(buffer, address), mChannel.voidPromise());
     }
 
-    /** Keeps what the listener must hear until the snapshot that it may look at is published. */
-    private PeerListener kept(PeerListener listener) {
+    /** Defers notifications until the snapshot that the listener may read is published. */
+    private PeerListener deferred(PeerListener listener) {
         return new PeerListener() {
             @Override
             public void onPeerReachable(PeerInstance instance) {
-                sLogger.info("PEER  {} of {} is heard.", instance.id(), instance.zone());
+                sLogger.info("PEER  {} of {} is reachable.", instance.id(), instance.zone());
                 mPendingNotifications.add(() -> listener.onPeerReachable(instance));
             }
 
             @Override
             public void onPeerUnreachable(InstanceId id, boolean planned) {
-                sLogger.info("PEER  {} is silent{}.", id, planned ? " as planned" : "");
+                sLogger.info("PEER  {} is unreachable{}.", id, planned ? " as planned" : "");
                 mPendingNotifications.add(() -> listener.onPeerUnreachable(id, planned));
             }
         };
@@ -370,12 +371,12 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
             ByteBuf content = packet.content();
-            BiConsumer<ServerAddress, ByteBuf> listener =
+            BiConsumer<ServerAddress, ByteBuf> receiver =
                     content.isReadable()
-                            ? mListeners.get(content.getByte(content.readerIndex()))
+                            ? mReceivers.get(content.getByte(content.readerIndex()))
                             : null;
-            if (listener != null) {
-                listener.accept(address(packet.sender()), content.skipBytes(1));
+            if (receiver != null) {
+                receiver.accept(address(packet.sender()), content.skipBytes(1));
                 return;
             }
             PeerMessageCodec.read(content).ifPresent(message -> receive(message, packet.sender()));
@@ -383,14 +384,14 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            sLogger.debug("PEER  A datagram failed.", cause);
+            sLogger.debug("PEER  A datagram could not be sent or received.", cause);
         }
     }
 
     private void receive(PeerMessage message, InetSocketAddress sender) {
         mReceived++;
         mExchange.receive(message, address(sender), now());
-        afterwards();
+        publishChanges();
     }
 
     private static ServerAddress address(InetSocketAddress sender) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/HeartbeatSettings.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/HeartbeatSettings.java
@@ -4,18 +4,19 @@
 import java.time.Duration;
 
 /**
- * How often heartbeats are sent and what silence means.
+ * Settings of the heartbeats between instances and of the failure detection that is based on them.
  *
- * @param period the time between heartbeats to a neighbor
- * @param suspectAfter the silence after which an instance is not named while others are there
- * @param deadAfter the silence after which it counts as gone
- * @param claimTimeout how long others' word that an instance is silent can be refuted before it
- *     counts
- * @param cutOffFor how long a silent instance that did not leave is counted among those that may be
- *     sending requests
- * @param idleAfter the silence after which it gets fewer heartbeats
- * @param idlePeriod the time between these
- * @param forgetAfter the silence after which it is forgotten
+ * @param period the interval between heartbeats to a neighbor
+ * @param suspectAfter the inactivity after which an instance is suspect and no longer named to
+ *     clients while others are available
+ * @param deadAfter the inactivity after which an instance counts as terminated
+ * @param claimTimeout how long a claim by others that an instance is unresponsive can be overridden
+ *     before it takes effect
+ * @param cutOffFor how long an unresponsive instance that did not leave is counted among those that
+ *     may be sending requests
+ * @param idleAfter the inactivity after which an instance is sent fewer heartbeats
+ * @param idlePeriod the interval between these heartbeats
+ * @param forgetAfter the inactivity after which an instance is forgotten
  * @since 0.2
  */
 public record HeartbeatSettings(
@@ -29,8 +30,8 @@
         Duration forgetAfter) {
 
     /**
-     * The settings that suit most deployments: one lost datagram makes nobody a suspect, two do,
-     * three make it gone.
+     * Default settings. One lost datagram makes no instance suspect; two make it suspect, and with
+     * three it counts as terminated.
      */
     public static final HeartbeatSettings DEFAULT =
             new HeartbeatSettings(
@@ -43,17 +44,18 @@
                     Duration.ofSeconds(5),
                     Duration.ofMinutes(10));
 
-    /** Checks that the times are in order. */
+    /** Validates the order of the durations. */
     public HeartbeatSettings {
         Assert.isTrue(
                 period.compareTo(suspectAfter) < 0 && suspectAfter.compareTo(deadAfter) < 0,
-                "Heartbeats must come sooner (%s) than suspicion (%s), and that sooner than %s.",
+                "The heartbeat period (%s) must be below suspectAfter (%s), and that below"
+                        + " deadAfter (%s).",
                 period,
                 suspectAfter,
                 deadAfter);
         Assert.isTrue(
                 deadAfter.compareTo(idleAfter) < 0 && idleAfter.compareTo(forgetAfter) < 0,
-                "An instance must be gone (%s) before it gets less (%s) and is forgotten (%s).",
+                "deadAfter (%s) must be below idleAfter (%s), and that below forgetAfter (%s).",
                 deadAfter,
                 idleAfter,
                 forgetAfter);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/LimitReportCodec.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/LimitReportCodec.java
@@ -7,27 +7,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The layout of datagrams that tell the limits of backend servers: a version byte, a byte that says
- * whether the hearer passes news on to its zone, then for each server the hash of its id, its limit
- * and two ages in milliseconds. It is laid out by hand for the same reason as {@link
- * PeerMessageCodec}.
+ * Codec for the datagrams that report the limits of backend servers.
+ *
+ * <p>A datagram is a version byte, a byte that says whether the receiver forwards updates to its
+ * zone, then for each server the hash of its id, its limit and two ages in milliseconds. It is
+ * encoded by hand for the same reason as {@link PeerMessageCodec}.
  *
  * @since 0.2
  */
 public final class LimitReportCodec {
 
-    /** Tells these datagrams from those of the other layouts. */
+    /** Version byte that distinguishes these datagrams from those of the other codecs. */
     public static final int VERSION = 6;
 
     private static final int REPORT_BYTES = 2 * Long.BYTES + 2 * Integer.BYTES;
 
-    /** So many reports fit into the greatest datagram. */
+    /** Maximum number of reports that fit into the largest datagram. */
     public static final int MAXIMUM_REPORTS = (PeerMessageCodec.MAXIMUM_BYTES - 2) / REPORT_BYTES;
 
     /**
-     * One datagram.
+     * Content of one datagram.
      *
-     * @param forward whether the hearer passes news on to its zone
+     * @param forward whether the receiver forwards updates to its zone
      * @param reports the reports
      */
     public record Content(boolean forward, List<LimitReport> reports) {}
@@ -35,10 +36,10 @@
     private LimitReportCodec() {}
 
     /**
-     * Writes a datagram, with the first {@link #MAXIMUM_REPORTS} of its reports.
+     * Writes a datagram with the first {@link #MAXIMUM_REPORTS} of its reports.
      *
      * @param content the datagram
-     * @param out takes the bytes
+     * @param out the buffer to write to
      */
     public static void write(Content content, ByteBuf out) {
         out.writeByte(VERSION).writeBoolean(content.forward());
@@ -50,24 +51,25 @@
     }
 
     /**
-     * Reads a datagram after the version; reports that are cut short or cannot be are left out.
+     * Reads what follows the version byte of a datagram. Reports that are truncated or invalid are
+     * left out.
      *
      * @param in the bytes
-     * @return the datagram
+     * @return the content of the datagram
      */
     public static Content read(ByteBuf in) {
-        boolean passOn = in.isReadable() && in.readBoolean();
+        boolean forward = in.isReadable() && in.readBoolean();
         List<LimitReport> reports = new ArrayList<>();
         while (in.readableBytes() >= REPORT_BYTES) {
             long hash = in.readLong();
             double perSecond = in.readDouble();
             long sentAgo = nanos(in.readUnsignedInt());
-            long heardAgo = nanos(in.readUnsignedInt());
-            if (perSecond >= 0 && sentAgo >= heardAgo) {
-                reports.add(new LimitReport(hash, perSecond, sentAgo, heardAgo));
+            long receivedAgo = nanos(in.readUnsignedInt());
+            if (perSecond >= 0 && sentAgo >= receivedAgo) {
+                reports.add(new LimitReport(hash, perSecond, sentAgo, receivedAgo));
             }
         }
-        return new Content(passOn, reports);
+        return new Content(forward, reports);
     }
 
     private static int millis(long nanos) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/LoadReportCodec.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/LoadReportCodec.java
@@ -7,30 +7,32 @@
 import java.util.List;
 
 /**
- * The layout of datagrams that tell loads: a version byte, then for each server the hash of its id
- * and three bytes for the requests that run and wait there and for its slots. Counts above 255 are
- * told as 255. It is laid out by hand for the same reason as {@link PeerMessageCodec}.
+ * Codec for the datagrams that report the load of backend servers.
+ *
+ * <p>A datagram is a version byte, then for each server the hash of its id and three bytes: the
+ * number of its running requests, of its waiting requests and of its slots. Counts above 255 are
+ * reported as 255. It is encoded by hand for the same reason as {@link PeerMessageCodec}.
  *
  * @since 0.2
  */
 public final class LoadReportCodec {
 
-    /** Tells these datagrams from those of {@link PeerMessageCodec}. */
+    /** Version byte that distinguishes these datagrams from those of {@link PeerMessageCodec}. */
     public static final int VERSION = 2;
 
     private static final int REPORT_BYTES = Long.BYTES + 3;
     private static final int MAXIMUM_VALUE = 255;
 
-    /** So many fit into the greatest datagram. */
+    /** Maximum number of reports that fit into the largest datagram. */
     static final int MAXIMUM_REPORTS = (PeerMessageCodec.MAXIMUM_BYTES - 1) / REPORT_BYTES;
 
     private LoadReportCodec() {}
 
     /**
-     * Writes reports, leaving out those that do not fit in.
+     * Writes the reports, leaving out those that do not fit.
      *
      * @param reports the reports
-     * @param out takes the bytes
+     * @param out the buffer to write to
      */
     public static void write(List<LoadReport> reports, ByteBuf out) {
         out.writeByte(VERSION);
@@ -43,7 +45,8 @@
     }
 
     /**
-     * Reads reports after the version; what is cut short or tells no slots is left out.
+     * Reads the reports that follow the version byte. Reports that are truncated or state no slots
+     * are left out.
      *
      * @param in the bytes
      * @return the reports
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/OwnStatus.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/OwnStatus.java
@@ -3,7 +3,7 @@
 import io.masticpond.core.id.InstanceId;
 import java.util.Optional;
 
-/** What this instance tells of itself. */
+/** Status that this instance reports of itself. */
 final class OwnStatus {
 
     private final InstanceId mId;
@@ -32,7 +32,7 @@
         return mState == PeerUpdate.State.LEAVING;
     }
 
-    void next() {
+    void advanceSequence() {
         mSequence++;
     }
 
@@ -40,7 +40,10 @@
         mRevision = revision;
     }
 
-    /** Takes a state; tells whether it is another one. One that leaves never comes back. */
+    /**
+     * Changes the state and returns whether it differs from the one before. The state {@code
+     * LEAVING} is final.
+     */
     boolean changeState(PeerUpdate.State state) {
         if (isLeaving() || mState == state) {
             return false;
@@ -49,26 +52,29 @@
         return true;
     }
 
-    /** Goes above an earlier run. */
-    void startAbove(long incarnation) {
+    /** Raises the incarnation above that of an earlier run. */
+    void raiseIncarnationAbove(long incarnation) {
         if (incarnation > mIncarnation) {
             mIncarnation = incarnation + 1;
         }
     }
 
     /**
-     * Goes above what others tell of an earlier run, whose clock may have been ahead; and refutes,
-     * once, that this instance is silent.
+     * Supersedes what others report of this instance: raises the incarnation above that of an
+     * earlier run, whose clock may have been ahead, and overrides, once, a claim that this instance
+     * is unresponsive.
      *
-     * @return whether others must hear this instance anew
+     * @return whether this instance must be announced to others again
      */
-    boolean supersede(PeerUpdate news) {
-        if (news.isLaterThan(mIncarnation, mSequence)) {
-            mIncarnation = news.incarnation() + 1;
+    boolean supersede(PeerUpdate update) {
+        if (update.isLaterThan(mIncarnation, mSequence)) {
+            mIncarnation = update.incarnation() + 1;
             return true;
         }
-        boolean silent = news.state() == PeerUpdate.State.SILENT;
-        if (!silent || news.incarnation() < mIncarnation || news.sequence() < mSuperseded) {
+        boolean unresponsive = update.state() == PeerUpdate.State.UNRESPONSIVE;
+        if (!unresponsive
+                || update.incarnation() < mIncarnation
+                || update.sequence() < mSuperseded) {
             return false;
         }
         mSuperseded = mSequence + 1;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerExchange.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerExchange.java
@@ -8,20 +8,23 @@
 import java.util.Set;
 
 /**
- * Exchanges heartbeats and news with other instances; knows no sockets and no timers. Used by the
- * control thread alone.
+ * Exchanges heartbeats and updates with other instances, without any knowledge of sockets and
+ * timers. Confined to the control thread.
  *
- * <p>While they are few, all exchange heartbeats with each other and each is believed about itself
- * alone. Many exchange heartbeats with a few neighbors and pass news on at once: who is new,
- * restarted, ready, leaving, or silent to a neighbor of it. Who knows better answers. Besides, each
- * tells one neighbor at a time of a few members in turn, which mends what was lost on the way.
+ * <p>Up to {@link PeerNeighbors#FULL_MESH} other instances form a full mesh: all exchange
+ * heartbeats with each other, and each instance is the only source of updates about itself. In a
+ * larger fleet each instance exchanges heartbeats with a few neighbors and forwards updates at
+ * once: that an instance is new, restarted, ready, leaving, or unresponsive to one of its
+ * neighbors. An instance that knows of a later state answers with it. In addition each instance
+ * reports a few members to one neighbor per period, in turn, which repairs what was lost in
+ * transit.
  */
 final class PeerExchange {
 
-    private static final int TURN_IN_MESH = 5;
-    private static final int REPORTED_IN_TURN = 3;
+    private static final int MESH_REPORT_TICKS = 5;
+    private static final int MAXIMUM_REPORTED_IN_TURN = 3;
 
-    /** The periods in which a new instance asks somebody for the list of members once more. */
+    /** Periods since the start in which this instance requests the list of members again. */
     private static final Set<Long> LIST_TICKS = Set.of(2L, 5L, 12L);
 
     private final OwnStatus mSelf;
@@ -44,14 +47,14 @@
             long now) {
         mSelf = self;
         mSettings = settings;
-        seeds(seeds);
+        setSeeds(seeds);
         mTable = new PeerTable(self, settings, listener);
         mSender = new PeerSender(self, output);
         mStart = now;
         mLastTick = now;
     }
 
-    /** Tells of this instance and all others that are known. */
+    /** Returns this instance and all others that are known. */
     List<PeerMember> members(long now) {
         List<PeerMember> members = new ArrayList<>(mTable.members(now));
         members.add(new PeerMember(mSelf.instance(), PeerMember.State.SELF, mSelf.isLeaving(), 0));
@@ -59,19 +62,22 @@
         return members;
     }
 
-    /** Takes other seeds in place of those before. */
-    void seeds(List<ServerAddress> seeds) {
+    /** Replaces the seeds. */
+    void setSeeds(List<ServerAddress> seeds) {
         ServerAddress own = mSelf.place().internal();
         mSeeds = seeds.stream().filter(seed -> !seed.equals(own)).toList();
     }
 
-    /** Takes instances that are listed elsewhere; they count as alive once they are heard. */
-    void known(List<PeerInstance> instances, long now) {
+    /**
+     * Adds instances that are listed elsewhere; they count as alive once a heartbeat of them is
+     * received.
+     */
+    void addKnown(List<PeerInstance> instances, long now) {
         mChanged = true;
         for (PeerInstance instance : instances) {
             PeerPlace place = PeerPlace.of(instance);
             if (instance.id().equals(mSelf.id())) {
-                mSelf.startAbove(instance.incarnation());
+                mSelf.raiseIncarnationAbove(instance.incarnation());
             } else if (mTable.get(instance.id()) == null
                     && !mTable.isTaken(place, instance.incarnation())) {
                 mTable.add(instance.id(), place, instance.incarnation(), now);
@@ -84,7 +90,7 @@
         }
     }
 
-    /** Does what is due each period. */
+    /** Performs the work of one heartbeat period. */
     void tick(long now) {
         if (now - mLastTick > 2 * mSettings.period().toNanos()) {
             mTable.limitInactivity(now);
@@ -92,7 +98,7 @@
         mLastTick = now;
         mTicks++;
         mChanged = true;
-        mSelf.next();
+        mSelf.advanceSequence();
         evaluate(now);
         contactSeeds(now);
         for (PeerRecord record : mTable.watched(now)) {
@@ -102,7 +108,10 @@
         reportInTurn(now);
     }
 
-    /** Judges all anew, and passes on who fell silent. */
+    /**
+     * Evaluates all instances, and disseminates a claim about each neighbor that became
+     * unresponsive.
+     */
     void evaluate(long now) {
         for (PeerRecord lost : mTable.evaluate(now)) {
             if (!mTable.isFullMesh() && lost.isWatched() && !lost.isClaimed()) {
@@ -115,16 +124,16 @@
         return mTable.untilNextVerdict(now);
     }
 
-    /** Tells a change of this instance to all who must hear it at once. */
+    /** Announces a change of this instance to all its neighbors at once. */
     void announce(long now) {
-        mSelf.next();
+        mSelf.advanceSequence();
         mChanged = true;
         boolean mesh = mTable.isFullMesh();
         mTable.watched(now).forEach(r -> mSender.heartbeat(r.place().internal(), !mesh, List.of()));
     }
 
-    /** Tells whether an instance is a neighbor. */
-    boolean watches(InstanceId id) {
+    /** Determines whether this instance exchanges heartbeats with another as its neighbor. */
+    boolean isWatching(InstanceId id) {
         PeerRecord record = mTable.get(id);
         return record != null && record.isWatched();
     }
@@ -133,13 +142,13 @@
         return mSender.hasPendingUpdates();
     }
 
-    /** Passes on what was kept for the neighbors. */
+    /** Sends the pending updates to the neighbors. */
     void flush(long now) {
         mSender.flush(
                 mTable.watched(now).stream().filter(r -> r.verdict() != Verdict.GONE).toList());
     }
 
-    /** Tells, once, whether the snapshot changed since this was asked last. */
+    /** Returns whether the snapshot changed since the last call, and resets that state. */
     boolean takeChanged() {
         boolean changed = mChanged || mTable.takeChanged();
         mChanged = false;
@@ -147,12 +156,13 @@
     }
 
     PeerSnapshot snapshot(long now) {
-        boolean young = now - mStart < mSettings.cutOffFor().toNanos();
-        long unknown = young ? mSeeds.stream().filter(s -> !mTable.knowsAddress(s)).count() : 0;
+        boolean recentlyStarted = now - mStart < mSettings.cutOffFor().toNanos();
+        long unknown =
+                recentlyStarted ? mSeeds.stream().filter(s -> !mTable.knowsAddress(s)).count() : 0;
         return mTable.snapshot(mSelf.instance(), (int) unknown, now);
     }
 
-    /** Takes a datagram. */
+    /** Handles a received datagram. */
     void receive(PeerMessage message, ServerAddress from, long now) {
         PeerUpdate sender = message.sender();
         if (sender.id().equals(mSelf.id())) {
@@ -162,33 +172,33 @@
         if (!receiveSender(sender, from, now)) {
             return;
         }
-        message.updates().forEach(news -> receiveUpdate(news, from, now));
+        message.updates().forEach(update -> receiveUpdate(update, from, now));
         switch (message.kind()) {
-            case HEARTBEAT -> mTable.get(sender.id()).picked(now);
+            case HEARTBEAT -> mTable.get(sender.id()).recordPicked(now);
             case ANSWER -> {}
-            case ASK -> mSender.answer(from, true, List.of());
-            case LIST_ASK -> mSender.page(from, list(message.listAfter()));
+            case PLACE_REQUEST -> mSender.answer(from, true, List.of());
+            case LIST_REQUEST -> mSender.page(from, list(message.listAfter()));
             case LIST_PAGE -> requestNextPage(message, from);
             default -> throw new IllegalStateException("The kind is unknown.");
         }
     }
 
-    private boolean receiveSender(PeerUpdate news, ServerAddress from, long now) {
-        PeerRecord record = mTable.get(news.id());
-        if (record == null && news.place().isEmpty()) {
+    private boolean receiveSender(PeerUpdate update, ServerAddress from, long now) {
+        PeerRecord record = mTable.get(update.id());
+        if (record == null && update.place().isEmpty()) {
             mSender.requestPlace(from);
             return false;
         }
         if (record == null) {
-            record = mTable.add(news.id(), news.place().get(), news.incarnation(), now);
+            record = mTable.add(update.id(), update.place().get(), update.incarnation(), now);
         }
-        if (news.incarnation() < record.incarnation()) {
+        if (update.incarnation() < record.incarnation()) {
             mSender.answer(from, true, List.of(record.update(false)));
             return false;
         }
         boolean wasClaimed = record.isClaimed();
-        boolean changed = record.applyUpdate(news, now);
-        record.received(news, now);
+        boolean changed = record.applyUpdate(update, now);
+        record.recordReceived(update, now);
         mTable.evaluate(record, now);
         mChanged |= changed;
         if (changed || wasClaimed) {
@@ -197,8 +207,8 @@
         return true;
     }
 
-    private void receiveAboutSelf(PeerUpdate news, long now) {
-        if (mSelf.supersede(news)) {
+    private void receiveAboutSelf(PeerUpdate update, long now) {
+        if (mSelf.supersede(update)) {
             announce(now);
             if (!mTable.isFullMesh()) {
                 mSender.disseminate(mSelf.update(true), true);
@@ -206,22 +216,22 @@
         }
     }
 
-    private void receiveUpdate(PeerUpdate news, ServerAddress from, long now) {
-        if (news.id().equals(mSelf.id())) {
-            receiveAboutSelf(news, now);
+    private void receiveUpdate(PeerUpdate update, ServerAddress from, long now) {
+        if (update.id().equals(mSelf.id())) {
+            receiveAboutSelf(update, now);
             return;
         }
-        PeerRecord record = mTable.get(news.id());
+        PeerRecord record = mTable.get(update.id());
         if (record == null) {
-            receiveAboutUnknown(news, now);
-        } else if (news.state() == PeerUpdate.State.SILENT) {
-            receiveClaim(record, news, from, now);
+            receiveAboutUnknown(update, now);
+        } else if (update.state() == PeerUpdate.State.UNRESPONSIVE) {
+            receiveClaim(record, update, from, now);
         } else if (record.isClaimed()
-                && !news.isLaterThan(record.incarnation(), record.lastSequence())) {
+                && !update.isLaterThan(record.incarnation(), record.lastSequence())) {
             mSender.answer(from, false, List.of(record.claimUpdate()));
-        } else if (news.isLaterThan(record.incarnation(), record.lastSequence())) {
+        } else if (update.isLaterThan(record.incarnation(), record.lastSequence())) {
             boolean wasClaimed = record.isClaimed();
-            if (record.applyUpdate(news, now)) {
+            if (record.applyUpdate(update, now)) {
                 mTable.evaluate(record, now);
                 mChanged = true;
                 disseminate(record, wasClaimed);
@@ -229,13 +239,15 @@
         }
     }
 
-    private void receiveAboutUnknown(PeerUpdate news, long now) {
-        boolean unknown = news.place().isEmpty() || news.state() == PeerUpdate.State.SILENT;
-        if (unknown || mTable.isTaken(news.place().get(), news.incarnation())) {
+    private void receiveAboutUnknown(PeerUpdate update, long now) {
+        boolean unknown =
+                update.place().isEmpty() || update.state() == PeerUpdate.State.UNRESPONSIVE;
+        if (unknown || mTable.isTaken(update.place().get(), update.incarnation())) {
             return;
         }
-        PeerRecord record = mTable.add(news.id(), news.place().get(), news.incarnation(), now);
-        record.applyUpdate(news, now);
+        PeerRecord record =
+                mTable.add(update.id(), update.place().get(), update.incarnation(), now);
+        record.applyUpdate(update, now);
         mTable.evaluate(record, now);
         mChanged = true;
         if (mTable.isFullMesh()) {
@@ -244,7 +256,7 @@
         disseminate(record, false);
     }
 
-    /** Passes news on, unless all hear them from the instance itself. */
+    /** Disseminates the update of an instance, unless all receive it from the instance itself. */
     private void disseminate(PeerRecord record, boolean wasClaimed) {
         if (!mTable.isFullMesh()) {
             boolean leaves = record.state() == PeerUpdate.State.LEAVING;
@@ -255,7 +267,7 @@
     private void receiveClaim(PeerRecord record, PeerUpdate claim, ServerAddress from, long now) {
         if (record.supersedes(claim)) {
             mSender.answer(from, false, List.of(record.update(true)));
-        } else if (!mTable.isFullMesh() && record.claim(now)) {
+        } else if (!mTable.isFullMesh() && record.recordClaim(now)) {
             mTable.evaluate(record, now);
             mChanged = true;
             mSender.disseminate(claim, true);
@@ -280,9 +292,9 @@
     }
 
     private void contactSeeds(long now) {
-        long quietTicks = ticksOf(mSettings.idlePeriod().toNanos());
-        boolean young = now - mStart < mSettings.idleAfter().toNanos();
-        if (young || mTicks % quietTicks == 0) {
+        long idleTicks = ticksOf(mSettings.idlePeriod().toNanos());
+        boolean recentlyStarted = now - mStart < mSettings.idleAfter().toNanos();
+        if (recentlyStarted || mTicks % idleTicks == 0) {
             mSeeds.stream()
                     .filter(seed -> !mTable.knowsAddress(seed))
                     .forEach(seed -> mSender.requestList(seed, ""));
@@ -293,14 +305,17 @@
         return Math.max(1, nanos / mSettings.period().toNanos());
     }
 
-    /** Sends a neighbor its heartbeat, or asks it where it was never heard. */
+    /**
+     * Sends a neighbor its heartbeat, or requests its place if none of its heartbeats was received
+     * yet.
+     */
     private void sendTo(PeerRecord record, long now) {
-        boolean quiet = record.sinceSign(now) >= mSettings.idleAfter().toNanos();
+        boolean idle = record.sinceLastSign(now) >= mSettings.idleAfter().toNanos();
         long slack = mSettings.period().toNanos() / 2;
-        if (quiet && record.sinceSent(now) < mSettings.idlePeriod().toNanos() - slack) {
+        if (idle && record.sinceSent(now) < mSettings.idlePeriod().toNanos() - slack) {
             return;
         }
-        record.sent(now);
+        record.recordSent(now);
         ServerAddress to = record.place().internal();
         if (record.hasReceived()) {
             mSender.heartbeat(to, false, List.of());
@@ -309,41 +324,44 @@
         }
     }
 
-    /** Sends heartbeats to those who send theirs to this instance though it did not pick them. */
+    /**
+     * Sends heartbeats to the instances that send theirs to this one although it did not pick them
+     * as neighbors.
+     */
     private void answerOthers(long now) {
-        long near = mSettings.deadAfter().toNanos();
+        long deadAfter = mSettings.deadAfter().toNanos();
         for (PeerRecord record : mTable.records()) {
-            if (!record.isWatched() && record.isPicked(near, now)) {
+            if (!record.isWatched() && record.isPicked(deadAfter, now)) {
                 mSender.answer(record.place().internal(), false, List.of());
             }
         }
     }
 
-    /** Tells one neighbor of a few members. */
+    /** Reports a few members to one neighbor. */
     private void reportInTurn(long now) {
-        List<PeerRecord> near =
+        List<PeerRecord> live =
                 mTable.watched(now).stream().filter(r -> r.verdict() == Verdict.ALIVE).toList();
         boolean mesh = mTable.isFullMesh();
-        if (near.isEmpty()) {
+        if (live.isEmpty()) {
             return;
         }
-        PeerRecord to = near.get((int) (mTicks % near.size()));
+        PeerRecord to = live.get((int) (mTicks % live.size()));
         if (LIST_TICKS.contains(mTicks)) {
             mSender.requestList(to.place().internal(), "");
         }
-        if (mesh && mTicks % TURN_IN_MESH != 0) {
+        if (mesh && mTicks % MESH_REPORT_TICKS != 0) {
             return;
         }
-        List<PeerUpdate> told = new ArrayList<>();
-        int most = mesh ? 1 : REPORTED_IN_TURN;
+        List<PeerUpdate> reported = new ArrayList<>();
+        int maximum = mesh ? 1 : MAXIMUM_REPORTED_IN_TURN;
         for (PeerRecord record : mTable.after(mTurn)) {
-            if (told.size() < most && record != to && record.verdict() == Verdict.ALIVE) {
-                told.add(record.update(true));
+            if (reported.size() < maximum && record != to && record.verdict() == Verdict.ALIVE) {
+                reported.add(record.update(true));
             }
         }
-        mTurn = told.isEmpty() ? null : told.get(told.size() - 1).id();
-        if (!told.isEmpty()) {
-            mSender.heartbeat(to.place().internal(), false, told);
+        mTurn = reported.isEmpty() ? null : reported.get(reported.size() - 1).id();
+        if (!reported.isEmpty()) {
+            mSender.heartbeat(to.place().internal(), false, reported);
         }
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerFailureDetector.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerFailureDetector.java
@@ -3,11 +3,11 @@
 import io.masticpond.entry.peer.PeerRecord.Verdict;
 
 /**
- * Says what the silence of an instance means.
+ * Failure detector that evaluates the inactivity of an instance.
  *
- * <p>A neighbor is judged by what this instance hears of it alone. Others are alive while none of
- * their neighbors says that they are silent, and while this instance hears enough of its own
- * neighbors for such word to reach it.
+ * <p>A neighbor is evaluated only by the heartbeats that this instance receives from it. Any other
+ * instance is alive while none of its neighbors claims that it is unresponsive, and while this
+ * instance receives the heartbeats of enough of its own neighbors for such a claim to reach it.
  */
 final class PeerFailureDetector {
 
@@ -18,12 +18,12 @@
     }
 
     Verdict evaluate(PeerRecord record, boolean cutOff, long now) {
-        long silence = record.inactivity(now);
-        if (silence < mSettings.suspectAfter().toNanos()) {
+        long inactivity = record.inactivity(now);
+        if (inactivity < mSettings.suspectAfter().toNanos()) {
             return Verdict.ALIVE;
         }
         if (record.isWatched()) {
-            return evaluateWatched(record, silence, now);
+            return evaluateWatched(record, inactivity, now);
         }
         if (!record.isReported() || cutOff) {
             return Verdict.GONE;
@@ -31,19 +31,19 @@
         return record.isClaimed() ? evaluateClaimed(record, now) : Verdict.ALIVE;
     }
 
-    /** Gives the time until the verdict can change by silence alone. */
+    /** Returns the time in nanoseconds until the verdict can change by inactivity alone. */
     long untilNext(PeerRecord record, long now) {
         if (record.verdict() == Verdict.GONE) {
             return Long.MAX_VALUE;
         }
         long next = Long.MAX_VALUE;
         if (record.hasReceived()) {
-            long silence = record.inactivity(now);
-            next = earlier(next, mSettings.suspectAfter().toNanos() - silence);
-            next = earlier(next, mSettings.deadAfter().toNanos() - silence);
+            long inactivity = record.inactivity(now);
+            next = earlier(next, mSettings.suspectAfter().toNanos() - inactivity);
+            next = earlier(next, mSettings.deadAfter().toNanos() - inactivity);
         }
         if (record.isWatched()) {
-            next = earlier(next, grace() - record.sinceWatched(now));
+            next = earlier(next, firstHeartbeatTimeout() - record.sinceWatched(now));
         }
         if (record.isClaimed()) {
             next = earlier(next, mSettings.claimTimeout().toNanos() - record.sinceClaim(now));
@@ -55,13 +55,15 @@
         return candidate > 0 ? Math.min(next, candidate) : next;
     }
 
-    private Verdict evaluateWatched(PeerRecord record, long silence, long now) {
-        if (silence < mSettings.deadAfter().toNanos()) {
+    private Verdict evaluateWatched(PeerRecord record, long inactivity, long now) {
+        if (inactivity < mSettings.deadAfter().toNanos()) {
             return Verdict.SUSPECT;
         }
-        boolean mayCome =
-                record.isReported() && !record.isClaimed() && record.sinceWatched(now) < grace();
-        return mayCome ? Verdict.ALIVE : Verdict.GONE;
+        boolean isAwaited =
+                record.isReported()
+                        && !record.isClaimed()
+                        && record.sinceWatched(now) < firstHeartbeatTimeout();
+        return isAwaited ? Verdict.ALIVE : Verdict.GONE;
     }
 
     private Verdict evaluateClaimed(PeerRecord record, long now) {
@@ -70,8 +72,11 @@
                 : Verdict.GONE;
     }
 
-    /** A new neighbor answers within this, or it is gone though others do not know yet. */
-    private long grace() {
+    /**
+     * Returns the time in which a new neighbor must answer; after it the neighbor counts as
+     * unreachable, even if other instances do not know so yet.
+     */
+    private long firstHeartbeatTimeout() {
         return mSettings.period().plus(mSettings.claimTimeout()).toNanos();
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerInstance.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerInstance.java
@@ -6,16 +6,16 @@
 import io.masticpond.core.id.ZoneId;
 
 /**
- * What an instance tells of itself.
+ * State that an instance reports of itself.
  *
  * @param id its name, which a restart keeps
- * @param incarnation the run, higher after each restart
+ * @param incarnation the number of its run, higher after each restart
  * @param zone its availability zone
  * @param region its region
- * @param entry where it takes requests of clients
- * @param internal where it hears heartbeats (UDP) and serves its peers (TCP)
+ * @param entry the address at which it takes requests of clients
+ * @param internal the address at which it receives heartbeats (UDP) and serves its peers (TCP)
  * @param ready whether it takes new clients; false while it starts and from a planned stop on
- * @param revision the revision of the platform's store that its snapshot rests on
+ * @param revision the revision of the platform's store that its snapshot is based on
  * @since 0.2
  */
 public record PeerInstance(
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerListener.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerListener.java
@@ -3,24 +3,26 @@
 import io.masticpond.core.id.InstanceId;
 
 /**
- * Hears of instances that come and go, on the control thread, once the snapshot shows it.
+ * Callback interface for instances that become reachable or unreachable. Called on the control
+ * thread, once the published snapshot reflects the change.
  *
  * @since 0.2
  */
 public interface PeerListener {
 
     /**
-     * Tells that an instance is heard, for the first time, again, or after its restart.
+     * Called when a heartbeat of an instance is received for the first time, again after
+     * inactivity, or after its restart.
      *
      * @param instance the instance
      */
     void onPeerReachable(PeerInstance instance);
 
     /**
-     * Tells that an instance is silent.
+     * Called when an instance has become unresponsive.
      *
      * @param id the instance
-     * @param planned whether it had told that it leaves
+     * @param planned whether it had announced that it leaves
      */
     void onPeerUnreachable(InstanceId id, boolean planned);
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerMember.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerMember.java
@@ -1,25 +1,25 @@
 package io.masticpond.entry.peer;
 
 /**
- * An instance as another one sees it.
+ * Immutable view of one instance as seen by another.
  *
- * @param instance what it told last
- * @param state what its silence makes of it
- * @param leaving whether it said that it stops
- * @param inactiveMillis the time since the last sign of it
+ * @param instance the state that it reported last
+ * @param state the verdict on its inactivity
+ * @param leaving whether it announced a planned stop
+ * @param inactiveMillis the time since the last sign of it, received from it or reported by others
  * @since 0.2
  */
 public record PeerMember(PeerInstance instance, State state, boolean leaving, long inactiveMillis) {
 
-    /** What silence makes of an instance. */
+    /** Verdict on the inactivity of an instance. */
     public enum State {
-        /** The instance that tells. */
+        /** The reporting instance itself. */
         SELF,
-        /** Heard from a short time ago. */
+        /** A heartbeat was received recently. */
         ALIVE,
         /** Some heartbeats are missing. */
         SUSPECT,
-        /** Silent for long, stopped, or never heard yet. */
+        /** Unresponsive for long, stopped, or never heard from yet. */
         GONE
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerMessage.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerMessage.java
@@ -5,30 +5,34 @@
 /**
  * One datagram between instances.
  *
- * @param kind what the sender wants
+ * @param kind the purpose of the datagram
  * @param sender the sender's heartbeat
- * @param listAfter the last id that the sender has of the list that it asks for, else empty
- * @param updates what the sender tells of others
+ * @param listAfter in a list request, the last id of the list that the sender already has; empty
+ *     otherwise
+ * @param updates what the sender reports of other instances
  * @since 0.2
  */
 public record PeerMessage(
         Kind kind, PeerUpdate sender, String listAfter, List<PeerUpdate> updates) {
 
     /**
-     * What a datagram is for. The order is part of the message layout.
+     * Purpose of a datagram. The order is part of the message layout.
      *
      * @since 0.2
      */
     public enum Kind {
-        /** Tells that the sender lives, and perhaps news of others, and wants the same back. */
+        /**
+         * Reports that the sender is alive, possibly with updates about others, and requests the
+         * same in return.
+         */
         HEARTBEAT,
-        /** Tells the same, and wants nothing back. */
+        /** Reports the same, and requests nothing in return. */
         ANSWER,
-        /** Asks the hearer to tell its place. */
-        ASK,
-        /** Asks for the list of members, from the one after an id on. */
-        LIST_ASK,
-        /** Answers with the next part of the list; an empty one ends it. */
+        /** Requests the place of the receiver. */
+        PLACE_REQUEST,
+        /** Requests the list of members that follow a given id. */
+        LIST_REQUEST,
+        /** Answers with the next page of the list; an empty page ends it. */
         LIST_PAGE
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerMessageCodec.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerMessageCodec.java
@@ -14,16 +14,17 @@
 import java.util.Optional;
 
 /**
- * The layout of datagrams between instances.
+ * Codec for the datagrams between instances.
  *
- * <p>A version byte; the kind; the sender; the id that a list is wanted after, if one is asked for;
- * and news up to the end. Numbers are little groups of 7 bits, texts have a length byte. It is laid
- * out by hand, unlike the frames of the links: a heartbeat has five fields, is sent all the time,
- * and must not cost a restarted process the start of a message library.
+ * <p>A datagram is a version byte; the kind; the sender; in a list request, the id after which the
+ * list is requested; and updates up to the end. Numbers are little-endian groups of 7 bits, texts
+ * have a length byte. It is encoded by hand, unlike the frames of the links: a heartbeat has five
+ * fields, is sent all the time, and must not cost a restarted process the initialization of a
+ * message library.
  */
 final class PeerMessageCodec {
 
-    /** The greatest datagram, well below what any link carries in one piece. */
+    /** Maximum size of a datagram, well below what any link carries without fragmentation. */
     static final int MAXIMUM_BYTES = 1200;
 
     private static final int VERSION = 1;
@@ -36,18 +37,18 @@
 
     private PeerMessageCodec() {}
 
-    /** Writes a message, leaving out the news that do not fit in. */
+    /** Writes a message, leaving out the updates that do not fit. */
     static void write(PeerMessage message, ByteBuf out) {
         int start = out.writerIndex();
         out.writeByte(VERSION);
         out.writeByte(message.kind().ordinal());
         writeUpdate(message.sender(), out);
-        if (message.kind() == PeerMessage.Kind.LIST_ASK) {
+        if (message.kind() == PeerMessage.Kind.LIST_REQUEST) {
             writeText(message.listAfter(), out);
         }
-        for (PeerUpdate news : message.updates()) {
+        for (PeerUpdate update : message.updates()) {
             int before = out.writerIndex();
-            writeUpdate(news, out);
+            writeUpdate(update, out);
             if (out.writerIndex() - start > MAXIMUM_BYTES) {
                 out.writerIndex(before);
                 return;
@@ -55,7 +56,7 @@
         }
     }
 
-    /** Reads a message; empty if it is of another layout or broken. */
+    /** Reads a message. Returns empty if it has another layout or is malformed. */
     static Optional<PeerMessage> read(ByteBuf in) {
         try {
             return in.readByte() == VERSION ? Optional.of(readMessage(in)) : Optional.empty();
@@ -65,29 +66,29 @@
     }
 
     private static PeerMessage readMessage(ByteBuf in) {
-        PeerMessage.Kind kind = oneOf(PeerMessage.Kind.values(), in.readByte());
+        PeerMessage.Kind kind = valueOf(PeerMessage.Kind.values(), in.readByte());
         PeerUpdate sender = readUpdate(in);
-        String listAfter = kind == PeerMessage.Kind.LIST_ASK ? readText(in) : "";
-        List<PeerUpdate> news = new ArrayList<>();
+        String listAfter = kind == PeerMessage.Kind.LIST_REQUEST ? readText(in) : "";
+        List<PeerUpdate> updates = new ArrayList<>();
         while (in.isReadable()) {
-            news.add(readUpdate(in));
+            updates.add(readUpdate(in));
         }
-        return new PeerMessage(kind, sender, listAfter, news);
+        return new PeerMessage(kind, sender, listAfter, updates);
     }
 
-    private static <T> T oneOf(T[] values, int index) {
+    private static <T> T valueOf(T[] values, int index) {
         Assert.isTrue(index < values.length, "The value %d is unknown.", index);
         return values[index];
     }
 
-    private static void writeUpdate(PeerUpdate news, ByteBuf out) {
-        out.writeByte(news.state().ordinal() | (news.place().isPresent() ? FLAG_PLACE : 0));
-        writeText(news.id().value(), out);
-        writeNumber(news.incarnation(), out);
-        writeNumber(news.sequence(), out);
-        writeNumber(news.revision(), out);
-        if (news.place().isPresent()) {
-            PeerPlace place = news.place().get();
+    private static void writeUpdate(PeerUpdate update, ByteBuf out) {
+        out.writeByte(update.state().ordinal() | (update.place().isPresent() ? FLAG_PLACE : 0));
+        writeText(update.id().value(), out);
+        writeNumber(update.incarnation(), out);
+        writeNumber(update.sequence(), out);
+        writeNumber(update.revision(), out);
+        if (update.place().isPresent()) {
+            PeerPlace place = update.place().get();
             writeText(place.zone().value(), out);
             writeText(place.region().value(), out);
             writeAddress(place.entry(), out);
@@ -97,7 +98,7 @@
 
     private static PeerUpdate readUpdate(ByteBuf in) {
         int flags = in.readByte();
-        PeerUpdate.State state = oneOf(PeerUpdate.State.values(), flags & STATE_MASK);
+        PeerUpdate.State state = valueOf(PeerUpdate.State.values(), flags & STATE_MASK);
         InstanceId id = new InstanceId(readText(in));
         long incarnation = readNumber(in);
         long sequence = readNumber(in);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerOutput.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerOutput.java
@@ -2,13 +2,13 @@
 
 import io.masticpond.core.fleet.ServerAddress;
 
-/** Sends datagrams to other instances. */
+/** Strategy interface for sending datagrams to other instances. */
 interface PeerOutput {
 
     /**
-     * Sends a message; nothing tells whether it arrives.
+     * Sends a message, without any confirmation that it arrives.
      *
-     * @param to where the other instance hears heartbeats
+     * @param to the address at which the other instance receives heartbeats
      * @param message the message
      */
     void send(ServerAddress to, PeerMessage message);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerPlace.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerPlace.java
@@ -5,18 +5,18 @@
 import io.masticpond.core.id.ZoneId;
 
 /**
- * Where an instance is, which one run of it never changes.
+ * Location and addresses of an instance, which do not change during one run.
  *
  * @param zone its availability zone
  * @param region its region
- * @param entry where it takes requests of clients
- * @param internal where it hears heartbeats
+ * @param entry the address at which it takes requests of clients
+ * @param internal the address at which it receives heartbeats
  * @since 0.2
  */
 public record PeerPlace(ZoneId zone, RegionId region, ServerAddress entry, ServerAddress internal) {
 
     /**
-     * Takes the place out of what an instance tells of itself.
+     * Returns the place of an instance.
      *
      * @param instance the instance
      * @return its place
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerRecord.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerRecord.java
@@ -3,10 +3,10 @@
 import io.masticpond.core.id.InstanceId;
 import java.util.Optional;
 
-/** What this instance knows of another. */
+/** Mutable record of what this instance knows of another. */
 final class PeerRecord {
 
-    /** What silence makes of an instance. */
+    /** Verdict on the inactivity of an instance. */
     enum Verdict {
         ALIVE,
         SUSPECT,
@@ -75,7 +75,7 @@
         return mHasReceived;
     }
 
-    /** Tells whether anybody ever heard this run of it. */
+    /** Returns whether any instance ever received a heartbeat of this run. */
     boolean isReported() {
         return mSequence > 0;
     }
@@ -92,13 +92,16 @@
         return now - mWatchedSince;
     }
 
-    /** Gives the time since the last sign of it, of whatever kind. */
-    long sinceSign(long now) {
+    /**
+     * Returns the time in nanoseconds since the last sign of the instance, received from it or
+     * reported by others.
+     */
+    long sinceLastSign(long now) {
         return now - (mHasReceived ? Math.max(mReceivedAt, mReportedAt) : mReportedAt);
     }
 
-    /** Notes that the instance picked this one as its neighbor. */
-    void picked(long now) {
+    /** Records that the instance picked this one as its neighbor. */
+    void recordPicked(long now) {
         mPicked = true;
         mPickedAt = now;
     }
@@ -111,13 +114,13 @@
         return now - mSentAt;
     }
 
-    void sent(long now) {
+    void recordSent(long now) {
         mSentAt = now;
     }
 
-    /** Counts a silence as no longer than this. */
-    void limitInactivity(long most, long now) {
-        mReceivedAt = Math.max(mReceivedAt, now - most);
+    /** Limits the inactivity of the instance to a maximum, in nanoseconds. */
+    void limitInactivity(long maximum, long now) {
+        mReceivedAt = Math.max(mReceivedAt, now - maximum);
     }
 
     void watch(boolean watched, long now) {
@@ -128,44 +131,50 @@
         mWatched = watched;
     }
 
-    /** Takes a heartbeat of its own. */
-    void received(PeerUpdate news, long now) {
-        if (news.sequence() >= mReceivedSequence) {
+    /** Records a heartbeat received from the instance itself. */
+    void recordReceived(PeerUpdate update, long now) {
+        if (update.sequence() >= mReceivedSequence) {
             mHasReceived = true;
-            mReceivedSequence = news.sequence();
+            mReceivedSequence = update.sequence();
             mReceivedAt = now;
             mClaimed = false;
         }
     }
 
-    /** Takes over news of at least this moment; tells whether others must hear of them. */
-    boolean applyUpdate(PeerUpdate news, long now) {
-        if (mIncarnation > news.incarnation()
-                || (mIncarnation == news.incarnation() && mSequence > news.sequence())) {
+    /**
+     * Applies an update that is not older than the known state. Returns whether others must be
+     * informed of the change.
+     */
+    boolean applyUpdate(PeerUpdate update, long now) {
+        if (mIncarnation > update.incarnation()
+                || (mIncarnation == update.incarnation() && mSequence > update.sequence())) {
             return false;
         }
-        boolean restarted = news.incarnation() > mIncarnation;
+        boolean restarted = update.incarnation() > mIncarnation;
         if (restarted) {
             mHasReceived = false;
             mReceivedSequence = 0;
             mVerdict = Verdict.GONE;
         }
-        boolean refuted = mClaimed && news.isLaterThan(mIncarnation, mSequence);
-        boolean changed = restarted || refuted || mState != news.state() || mSequence == 0;
-        if (refuted) {
+        boolean overridden = mClaimed && update.isLaterThan(mIncarnation, mSequence);
+        boolean changed = restarted || overridden || mState != update.state() || mSequence == 0;
+        if (overridden) {
             mClaimed = false;
         }
-        mIncarnation = news.incarnation();
-        mSequence = news.sequence();
-        mRevision = news.revision();
-        mState = news.state();
-        mPlace = news.place().orElse(mPlace);
+        mIncarnation = update.incarnation();
+        mSequence = update.sequence();
+        mRevision = update.revision();
+        mState = update.state();
+        mPlace = update.place().orElse(mPlace);
         mReportedAt = now;
         return changed;
     }
 
-    /** Takes others' word that it is silent; tells whether that is new. */
-    boolean claim(long now) {
+    /**
+     * Records a claim by others that the instance is unresponsive. Returns whether the claim is
+     * new.
+     */
+    boolean recordClaim(long now) {
         if (mClaimed) {
             return false;
         }
@@ -174,26 +183,31 @@
         return true;
     }
 
-    /** Tells whether a sign later than a claim of silence is known. */
+    /** Determines whether a later sign of the instance than that of a claim is known. */
     boolean supersedes(PeerUpdate claim) {
         return mIncarnation > claim.incarnation()
                 || (mIncarnation == claim.incarnation() && mSequence > claim.sequence());
     }
 
-    /** Gives the news of it as told by itself. */
+    /** Returns the update as the instance reported it. */
     PeerUpdate update(boolean withPlace) {
         Optional<PeerPlace> place = withPlace ? Optional.of(mPlace) : Optional.empty();
         return new PeerUpdate(mId, mIncarnation, mSequence, mRevision, mState, place);
     }
 
-    /** Gives the word that it is silent since it was heard last. */
+    /** Returns a claim that the instance is unresponsive since its last known heartbeat. */
     PeerUpdate claimUpdate() {
         long sequence = mHasReceived && !mClaimed ? mReceivedSequence : mSequence;
         return new PeerUpdate(
-                mId, mIncarnation, sequence, mRevision, PeerUpdate.State.SILENT, Optional.empty());
+                mId,
+                mIncarnation,
+                sequence,
+                mRevision,
+                PeerUpdate.State.UNRESPONSIVE,
+                Optional.empty());
     }
 
-    /** Gives it as others see it. */
+    /** Returns the public view of the instance. */
     PeerInstance instance() {
         return new PeerInstance(
                 mId,
@@ -206,7 +220,7 @@
                 mRevision);
     }
 
-    /** Gives the last moment of it that is known. */
+    /** Returns the sequence number of the latest known heartbeat. */
     long lastSequence() {
         return mSequence;
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerSender.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerSender.java
@@ -7,17 +7,23 @@
 import java.util.List;
 import java.util.Map;
 
-/** Words the datagrams of this instance, and keeps the news that neighbors must hear soon. */
+/**
+ * Sender of the datagrams of this instance, which also holds the updates that are pending for the
+ * neighbors.
+ */
 final class PeerSender {
 
-    /** So many news of a list or of the spread fit into one datagram, however long the names. */
+    /**
+     * Maximum number of updates of a list or of the dissemination in one datagram, chosen to fit
+     * with names of any length.
+     */
     static final int PAGE = 5;
 
     private static final int FAN_OUT = 4;
 
     private final OwnStatus mSelf;
     private final PeerOutput mOutput;
-    private final Map<InstanceId, PeerUpdate> mSpread = new LinkedHashMap<>();
+    private final Map<InstanceId, PeerUpdate> mRegular = new LinkedHashMap<>();
     private final Map<InstanceId, PeerUpdate> mUrgent = new LinkedHashMap<>();
     private int mTurn;
 
@@ -26,58 +32,58 @@
         mOutput = output;
     }
 
-    void heartbeat(ServerAddress to, boolean withPlace, List<PeerUpdate> news) {
-        send(PeerMessage.Kind.HEARTBEAT, to, withPlace, "", news);
+    void heartbeat(ServerAddress to, boolean withPlace, List<PeerUpdate> updates) {
+        send(PeerMessage.Kind.HEARTBEAT, to, withPlace, "", updates);
     }
 
-    void answer(ServerAddress to, boolean withPlace, List<PeerUpdate> news) {
-        send(PeerMessage.Kind.ANSWER, to, withPlace, "", news);
+    void answer(ServerAddress to, boolean withPlace, List<PeerUpdate> updates) {
+        send(PeerMessage.Kind.ANSWER, to, withPlace, "", updates);
     }
 
     void requestPlace(ServerAddress to) {
-        send(PeerMessage.Kind.ASK, to, true, "", List.of());
+        send(PeerMessage.Kind.PLACE_REQUEST, to, true, "", List.of());
     }
 
     void requestList(ServerAddress to, String after) {
-        send(PeerMessage.Kind.LIST_ASK, to, true, after, List.of());
+        send(PeerMessage.Kind.LIST_REQUEST, to, true, after, List.of());
     }
 
-    void page(ServerAddress to, List<PeerUpdate> news) {
-        send(PeerMessage.Kind.LIST_PAGE, to, true, "", news);
+    void page(ServerAddress to, List<PeerUpdate> updates) {
+        send(PeerMessage.Kind.LIST_PAGE, to, true, "", updates);
     }
 
     /**
-     * Keeps news for the neighbors; newer ones of the same instance replace older.
+     * Holds an update for the neighbors; it replaces an older one of the same instance.
      *
-     * @param news the news
-     * @param isUrgent whether all neighbors must hear it, and not just enough of them for it to get
-     *     round nearly everywhere
+     * @param update the update
+     * @param isUrgent whether all neighbors must receive it, and not only enough of them for it to
+     *     reach nearly all instances
      */
-    void disseminate(PeerUpdate news, boolean isUrgent) {
-        mSpread.remove(news.id());
-        mUrgent.remove(news.id());
-        (isUrgent ? mUrgent : mSpread).put(news.id(), news);
+    void disseminate(PeerUpdate update, boolean isUrgent) {
+        mRegular.remove(update.id());
+        mUrgent.remove(update.id());
+        (isUrgent ? mUrgent : mRegular).put(update.id(), update);
     }
 
     boolean hasPendingUpdates() {
-        return !mSpread.isEmpty() || !mUrgent.isEmpty();
+        return !mRegular.isEmpty() || !mUrgent.isEmpty();
     }
 
-    /** Sends the kept news to the neighbors, in as few datagrams as they fit in. */
+    /** Sends the pending updates to the neighbors, in as few datagrams as they fit into. */
     void flush(List<PeerRecord> neighbors) {
         flush(mUrgent, neighbors);
         List<PeerRecord> some = new ArrayList<>();
         for (int i = 0; i < Math.min(FAN_OUT, neighbors.size()); i++) {
             some.add(neighbors.get(mTurn++ % neighbors.size()));
         }
-        flush(mSpread, some);
+        flush(mRegular, some);
     }
 
     private void flush(Map<InstanceId, PeerUpdate> from, List<PeerRecord> neighbors) {
-        List<PeerUpdate> kept = new ArrayList<>(from.values());
+        List<PeerUpdate> pending = new ArrayList<>(from.values());
         from.clear();
-        for (int first = 0; first < kept.size(); first += PAGE) {
-            List<PeerUpdate> part = kept.subList(first, Math.min(kept.size(), first + PAGE));
+        for (int first = 0; first < pending.size(); first += PAGE) {
+            List<PeerUpdate> part = pending.subList(first, Math.min(pending.size(), first + PAGE));
             neighbors.forEach(neighbor -> heartbeat(neighbor.place().internal(), false, part));
         }
     }
@@ -87,7 +93,7 @@
             ServerAddress to,
             boolean withPlace,
             String listAfter,
-            List<PeerUpdate> news) {
-        mOutput.send(to, new PeerMessage(kind, mSelf.update(withPlace), listAfter, news));
+            List<PeerUpdate> updates) {
+        mOutput.send(to, new PeerMessage(kind, mSelf.update(withPlace), listAfter, updates));
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerSnapshot.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerSnapshot.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Set;
 
-/** Who is alive at a moment. */
+/** Immutable snapshot of the live instances. */
 record PeerSnapshot(List<PeerInstance> alive, Set<InstanceId> suspects, int shareholders)
         implements PeerView {
 
-    /** Gives the living instances of an availability zone. */
+    /** Returns the live instances of an availability zone. */
     List<PeerInstance> inZone(ZoneId zone) {
         return alive.stream().filter(each -> each.zone().equals(zone)).toList();
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerTable.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerTable.java
@@ -12,10 +12,13 @@
 import java.util.TreeSet;
 import java.util.concurrent.TimeUnit;
 
-/** What this instance knows of all others; used by the control thread alone. */
+/** Table of what this instance knows of all others. Confined to the control thread. */
 final class PeerTable {
 
-    /** Of so many neighbors, one at least must be heard, or this instance is cut off itself. */
+    /**
+     * Number of neighbors of which the heartbeats of at least one must be received, or this
+     * instance is itself cut off.
+     */
     private static final int RECEIVED_ONE_IN = 3;
 
     private final InstanceId mSelf;
@@ -44,12 +47,14 @@
         return mRecords.values();
     }
 
-    /** Gives those whose ids come after one, in order. */
+    /** Returns the records whose ids follow the given one, in order; all if it is null. */
     Collection<PeerRecord> after(InstanceId id) {
         return id == null ? records() : mRecords.tailMap(id, false).values();
     }
 
-    /** Tells whether an address belongs to one that started later, or to this instance. */
+    /**
+     * Determines whether an address belongs to an instance that started later, or to this instance.
+     */
     boolean isTaken(PeerPlace place, long incarnation) {
         ServerAddress internal = place.internal();
         return internal.equals(mOwnAddress)
@@ -58,7 +63,7 @@
                         .anyMatch(other -> other.incarnation() > incarnation);
     }
 
-    /** Adds an instance that is not known, in place of any that had its address before. */
+    /** Adds an unknown instance, and removes any that had its address before. */
     PeerRecord add(InstanceId id, PeerPlace place, long incarnation, long now) {
         List<PeerRecord> replaced =
                 mRecords.values().stream()
@@ -80,12 +85,15 @@
         return mRecords.values().stream().anyMatch(r -> r.place().internal().equals(internal));
     }
 
-    /** Tells whether all exchange heartbeats with each other, so that nobody tells for others. */
+    /**
+     * Determines whether all exchange heartbeats with each other, so that no instance reports on
+     * behalf of others.
+     */
     boolean isFullMesh() {
         return mRecords.size() <= PeerNeighbors.FULL_MESH;
     }
 
-    /** Gives the neighbors. */
+    /** Returns the neighbors. */
     List<PeerRecord> watched(long now) {
         if (mStale) {
             pickNeighbors(now);
@@ -94,9 +102,10 @@
     }
 
     /**
-     * Judges all, tells the listener what changed, and forgets the long silent.
+     * Evaluates all instances, notifies the listener of changes, and removes those that have been
+     * unresponsive for long.
      *
-     * @return those that were alive and are not any more
+     * @return the instances that were alive and no longer are
      */
     List<PeerRecord> evaluate(long now) {
         mCutOff = isCutOff(now);
@@ -106,12 +115,12 @@
                 lost.add(record);
             }
         }
-        long forget = mSettings.forgetAfter().toNanos();
-        mStale |= mRecords.values().removeIf(record -> isForgotten(record, forget, now));
+        long forgetAfter = mSettings.forgetAfter().toNanos();
+        mStale |= mRecords.values().removeIf(record -> isForgotten(record, forgetAfter, now));
         return lost;
     }
 
-    /** Judges one, and tells whether it was alive and is not any more. */
+    /** Evaluates one instance, and returns whether it was alive and no longer is. */
     boolean evaluate(PeerRecord record, long now) {
         Verdict before = record.verdict();
         Verdict verdict = mFailureDetector.evaluate(record, mCutOff, now);
@@ -121,21 +130,21 @@
         if (before == Verdict.GONE && verdict != Verdict.GONE) {
             mListener.onPeerReachable(record.instance());
         }
-        boolean lost = before != Verdict.GONE && verdict == Verdict.GONE;
-        if (lost) {
+        boolean isLost = before != Verdict.GONE && verdict == Verdict.GONE;
+        if (isLost) {
             mListener.onPeerUnreachable(record.id(), record.state() == PeerUpdate.State.LEAVING);
         }
-        return lost;
+        return isLost;
     }
 
-    /** Tells, once, whether a verdict changed since this was asked last. */
+    /** Returns whether a verdict changed since the last call, and resets that state. */
     boolean takeChanged() {
         boolean changed = mChanged;
         mChanged = false;
         return changed;
     }
 
-    /** Gives the time until silence alone changes something. */
+    /** Returns the time in nanoseconds until inactivity alone changes a verdict. */
     long untilNextVerdict(long now) {
         long next = Long.MAX_VALUE;
         for (PeerRecord record : mRecords.values()) {
@@ -145,20 +154,20 @@
     }
 
     /**
-     * Makes good for a pause of this instance, in which it could hear nobody: those who were alive
-     * have time for one more heartbeat.
+     * Compensates for a pause of this instance, during which it could not receive heartbeats:
+     * instances that were alive have time for one more heartbeat.
      */
     void limitInactivity(long now) {
         long period = mSettings.period().toNanos();
-        long most = mSettings.deadAfter().toNanos() - period - period / 2;
+        long maximum = mSettings.deadAfter().toNanos() - period - period / 2;
         for (PeerRecord record : mRecords.values()) {
             if (record.verdict() != Verdict.GONE) {
-                record.limitInactivity(most, now);
+                record.limitInactivity(maximum, now);
             }
         }
     }
 
-    /** Tells of all others. */
+    /** Returns all other instances. */
     List<PeerMember> members(long now) {
         List<PeerMember> members = new ArrayList<>();
         for (PeerRecord record : mRecords.values()) {
@@ -167,12 +176,12 @@
                             record.instance(),
                             PeerMember.State.valueOf(record.verdict().name()),
                             record.state() == PeerUpdate.State.LEAVING,
-                            TimeUnit.NANOSECONDS.toMillis(record.sinceSign(now))));
+                            TimeUnit.NANOSECONDS.toMillis(record.sinceLastSign(now))));
         }
         return members;
     }
 
-    /** Gives the snapshot for others. */
+    /** Returns the published snapshot. */
     PeerSnapshot snapshot(PeerInstance self, int unknownSeeds, long now) {
         List<PeerInstance> alive = new ArrayList<>();
         Set<InstanceId> suspects = new TreeSet<>();
@@ -181,14 +190,14 @@
         alive.add(self);
         for (PeerRecord record : mRecords.values()) {
             boolean gone = record.verdict() == Verdict.GONE;
-            boolean left = record.state() == PeerUpdate.State.LEAVING;
+            boolean leaving = record.state() == PeerUpdate.State.LEAVING;
             if (!gone) {
                 alive.add(record.instance());
             }
             if (record.verdict() == Verdict.SUSPECT) {
                 suspects.add(record.id());
             }
-            if (!gone || (!left && record.sinceSign(now) < cutOffFor)) {
+            if (!gone || (!leaving && record.sinceLastSign(now) < cutOffFor)) {
                 shareholders++;
             }
         }
@@ -196,26 +205,29 @@
         return new PeerSnapshot(List.copyOf(alive), Set.copyOf(suspects), shareholders);
     }
 
-    /** Tells whether too few neighbors are heard to believe what is told of others. */
+    /**
+     * Determines whether the heartbeats of too few neighbors are received for reports about others
+     * to be relied on.
+     */
     private boolean isCutOff(long now) {
         if (isFullMesh()) {
             return false;
         }
         int watched = 0;
-        int heard = 0;
+        int received = 0;
         for (PeerRecord record : mRecords.values()) {
-            boolean left = record.state() == PeerUpdate.State.LEAVING;
-            if (record.isWatched() && record.isReported() && !left) {
+            boolean leaving = record.state() == PeerUpdate.State.LEAVING;
+            if (record.isWatched() && record.isReported() && !leaving) {
                 watched++;
-                boolean isNear = record.inactivity(now) < mSettings.deadAfter().toNanos();
-                heard += isNear || record.verdict() != Verdict.GONE ? 1 : 0;
+                boolean isActive = record.inactivity(now) < mSettings.deadAfter().toNanos();
+                received += isActive || record.verdict() != Verdict.GONE ? 1 : 0;
             }
         }
-        return heard * RECEIVED_ONE_IN < watched;
+        return received * RECEIVED_ONE_IN < watched;
     }
 
-    private boolean isForgotten(PeerRecord record, long forget, long now) {
-        return record.verdict() == Verdict.GONE && record.sinceSign(now) >= forget;
+    private boolean isForgotten(PeerRecord record, long forgetAfter, long now) {
+        return record.verdict() == Verdict.GONE && record.sinceLastSign(now) >= forgetAfter;
     }
 
     private void pickNeighbors(long now) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerUpdate.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerUpdate.java
@@ -4,14 +4,15 @@
 import java.util.Optional;
 
 /**
- * What is known of an instance at a moment of its own.
+ * Immutable state of an instance at a given heartbeat.
  *
  * @param id the instance
- * @param incarnation its run
- * @param sequence the heartbeat that this rests on; later ones count more
+ * @param incarnation the number of its run
+ * @param sequence the number of the heartbeat that this is based on; later ones supersede earlier
+ *     ones
  * @param revision the revision of the platform's store that it had
- * @param state what it did
- * @param place where it is, absent where the hearer knows
+ * @param state what it was doing
+ * @param place its place, absent where the receiver knows it
  * @since 0.2
  */
 public record PeerUpdate(
@@ -23,27 +24,30 @@
         Optional<PeerPlace> place) {
 
     /**
-     * What an instance does, as far as others must know. The order is part of the message layout.
+     * State of an instance, as far as others need it. The order is part of the message layout.
      *
      * @since 0.2
      */
     public enum State {
-        /** It runs and takes no new clients yet. */
+        /** Runs, and takes no new clients yet. */
         STARTING,
-        /** It takes clients. */
+        /** Takes clients. */
         READY,
-        /** It has begun a planned stop. */
+        /** Has begun a planned stop. */
         LEAVING,
-        /** One of its neighbors hears nothing of it any more. */
-        SILENT
+        /** One of its neighbors no longer receives its heartbeats. */
+        UNRESPONSIVE
     }
 
-    /** Gives the same news with or without the place. */
+    /** Returns the same update with another place, or without one. */
     PeerUpdate withPlace(Optional<PeerPlace> place) {
         return new PeerUpdate(id, incarnation, sequence, revision, state, place);
     }
 
-    /** Tells whether these news are of a later moment than others of the same instance. */
+    /**
+     * Determines whether this update is later than the given incarnation and sequence of the same
+     * instance.
+     */
     boolean isLaterThan(long otherIncarnation, long otherSequence) {
         return incarnation > otherIncarnation
                 || (incarnation == otherIncarnation && sequence > otherSequence);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerView.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerView.java
@@ -5,21 +5,21 @@
 import java.util.Set;
 
 /**
- * Tells which instances are alive. Safe for all threads.
+ * Read-only view of which instances are alive. Safe for use by multiple threads.
  *
  * @since 0.2
  */
 public interface PeerView {
 
     /**
-     * Gives this instance and the others heard from lately, ready or not.
+     * Returns this instance and the others whose heartbeats were received recently, ready or not.
      *
      * @return the instances, in the order of their ids
      */
     List<PeerInstance> alive();
 
     /**
-     * Names those of the alive that have missed heartbeats, and may be gone.
+     * Returns those of the live instances that have missed heartbeats and may have terminated.
      *
      * @return their ids
      */
@@ -28,10 +28,10 @@
     }
 
     /**
-     * Counts the instances that may be sending requests now: alive, or known and cut off. Shares of
-     * a common limit are divided by it.
+     * Returns the number of instances that may be sending requests now: alive, or known and cut
+     * off. Shares of a common limit are divided by this number.
      *
-     * @return the count, at least 1, this instance included
+     * @return the number, at least 1, including this instance
      */
     int shareholders();
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/ProofCodec.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/ProofCodec.java
@@ -4,39 +4,41 @@
 import java.util.Optional;
 
 /**
- * The layout of datagrams about the proof that a routing configuration is current: a version byte,
- * the kind, a number that joins an answer to its ask, and in an answer the age in milliseconds and
- * the revision. An answer tells an age and not a moment: who asked counts it from before the ask,
- * so that no delay on the way makes a proof look younger.
+ * Codec for the datagrams about the proof that a routing configuration is current.
+ *
+ * <p>A datagram is a version byte, the kind, a number that correlates an answer with its request,
+ * and in an answer the age in milliseconds and the revision. An answer states an age and not a
+ * point in time: the requester counts the age from before its request, so that no delay in transit
+ * makes a proof appear younger.
  *
  * @since 0.2
  */
 public final class ProofCodec {
 
-    /** Tells these datagrams from the others between instances. */
+    /** Version byte that distinguishes these datagrams from those of the other codecs. */
     public static final int VERSION = 5;
 
-    private static final byte ASK = 1;
+    private static final byte REQUEST = 1;
     private static final byte ANSWER = 2;
 
     private ProofCodec() {}
 
-    /** A message about a proof. */
+    /** Message about a proof. */
     public sealed interface Message permits Request, Answer {}
 
     /**
-     * Asks for a proof.
+     * Request for a proof.
      *
-     * @param number the number of the ask
+     * @param number the number of the request
      */
     public record Request(long number) implements Message {}
 
     /**
-     * Gives a proof.
+     * Answer that carries a proof.
      *
-     * @param number the number of the ask
-     * @param ageMillis how old the proof is
-     * @param revision the revision that it proves to be the newest
+     * @param number the number of the request
+     * @param ageMillis the age of the proof
+     * @param revision the revision that is proven to be the newest
      */
     public record Answer(long number, long ageMillis, long revision) implements Message {}
 
@@ -44,7 +46,7 @@
      * Writes a message.
      *
      * @param message the message
-     * @param out takes the bytes
+     * @param out the buffer to write to
      */
     public static void write(Message message, ByteBuf out) {
         out.writeByte(VERSION);
@@ -54,16 +56,16 @@
             out.writeInt((int) Math.min(Integer.MAX_VALUE, answer.ageMillis()));
             out.writeLong(answer.revision());
         } else {
-            out.writeByte(ASK);
+            out.writeByte(REQUEST);
             out.writeLong(((Request) message).number());
         }
     }
 
     /**
-     * Reads a message after the version.
+     * Reads the message that follows the version byte.
      *
      * @param in the bytes
-     * @return the message, or empty if it is cut short or unknown
+     * @return the message, or empty if it is truncated or of an unknown kind
      */
     public static Optional<Message> read(ByteBuf in) {
         if (in.readableBytes() < Byte.BYTES + Long.BYTES) {
@@ -71,7 +73,7 @@
         }
         byte kind = in.readByte();
         long number = in.readLong();
-        if (kind == ASK) {
+        if (kind == REQUEST) {
             return Optional.of(new Request(number));
         }
         if (kind != ANSWER || in.readableBytes() < Integer.BYTES + Long.BYTES) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/RateCodec.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/RateCodec.java
@@ -7,22 +7,24 @@
 import java.util.Optional;
 
 /**
- * The layout of datagrams about the rates of workspaces: a version byte, the kind, which part of
- * how many this is, over how many instances it goes, and for each workspace its hash and what is
- * used and demand, in tenths of a request a second. A workspace belongs to the part that its hash
- * gives; one that is not listed is not in use.
+ * Codec for the datagrams about the request rates of workspaces.
+ *
+ * <p>A datagram is a version byte, the kind, the index of this part, the number of parts, the
+ * number of instances that it covers, and for each workspace its hash, its used rate and its
+ * demand, both in tenths of a request per second. A workspace belongs to the part that its hash
+ * determines; one that is not listed is not in use.
  *
  * @since 0.2
  */
 public final class RateCodec {
 
-    /** Tells these datagrams from the others between instances. */
+    /** Version byte that distinguishes these datagrams from those of the other codecs. */
     public static final int VERSION = 4;
 
     private static final int HEAD_BYTES = 8;
     private static final int ENTRY_BYTES = 8;
 
-    /** So many workspaces fit into the greatest datagram. */
+    /** Maximum number of workspaces that fit into the largest datagram. */
     public static final int MAXIMUM_ENTRIES =
             (PeerMessageCodec.MAXIMUM_BYTES - HEAD_BYTES) / ENTRY_BYTES;
 
@@ -31,33 +33,33 @@
 
     private RateCodec() {}
 
-    /** Who tells what. */
+    /** Scope of the rates in a datagram. The order is part of the message layout. */
     public enum Kind {
-        /** An instance tells what it does itself. */
+        /** Rates of the sending instance alone. */
         INSTANCE,
-        /** What all others do is told to an instance. */
+        /** Rates of all other instances, as reported to one instance. */
         OTHERS,
-        /** A zone tells what it does. */
+        /** Rates of a whole availability zone. */
         ZONE
     }
 
     /**
-     * A part of what is told.
+     * One part of the rates of a scope.
      *
-     * @param kind who tells what
-     * @param part which part, from 0
-     * @param parts how many there are
-     * @param instances over how many instances the uses go
-     * @param uses the use by the hash of the workspace
+     * @param kind the scope of the rates
+     * @param part the index of this part, from 0
+     * @param parts the number of parts
+     * @param instances the number of instances that the rates cover
+     * @param uses the usage by the hash of the workspace
      */
     public record Part(
             Kind kind, int part, int parts, int instances, Map<Integer, RateUsage> uses) {
 
         /**
-         * Tells whether a workspace belongs to this part.
+         * Determines whether a workspace belongs to this part.
          *
-         * @param hash its hash
-         * @return whether it does
+         * @param hash the hash of the workspace
+         * @return whether the workspace belongs to this part
          */
         public boolean covers(int hash) {
             return Math.floorMod(hash, parts) == part;
@@ -65,10 +67,10 @@
     }
 
     /**
-     * Writes one part of the uses.
+     * Writes one part of the rates.
      *
-     * @param part the part; uses that belong to others are left out
-     * @param out takes the bytes
+     * @param part the part; workspaces that belong to other parts are left out
+     * @param out the buffer to write to
      */
     public static void write(Part part, ByteBuf out) {
         out.writeByte(VERSION);
@@ -91,10 +93,10 @@
     }
 
     /**
-     * Reads a part after the version.
+     * Reads the part that follows the version byte.
      *
      * @param in the bytes
-     * @return the part, or empty if it cannot be one
+     * @return the part, or empty if the bytes are no valid part
      */
     public static Optional<Part> read(ByteBuf in) {
         if (in.readableBytes() < HEAD_BYTES - 1) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/package-info.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which instances are alive, by heartbeats between them, and what a client is told about them; must
- * know nothing of routes and backend servers.
+ * Heartbeats between instances and the detection of which are alive, with the datagrams that
+ * instances exchange. Must not depend on routes and backend servers.
  */
 package io.masticpond.entry.peer;
--- a/masticpond-entry/src/test/java/io/masticpond/entry/peer/CrashMessageCodecTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/peer/CrashMessageCodecTest.java
@@ -20,7 +20,7 @@
             new CrashMessage.ServerEnd(REQUEST, -9, millis(70_000), millis(3));
 
     @Example
-    void messagesAreReadAsTheyWereWritten() {
+    void readsMessagesAsWritten() {
         List<CrashMessage> messages =
                 List.of(
                         END,
@@ -31,7 +31,7 @@
     }
 
     @Example
-    void datagramHoldsNoMoreThanLinksCarry() {
+    void datagramDoesNotExceedMaximumSize() {
         ByteBuf buffer = Unpooled.buffer();
         CrashMessageCodec.write(Collections.nCopies(500, END), buffer);
         assertThat(buffer.readableBytes()).isLessThanOrEqualTo(PeerMessageCodec.MAXIMUM_BYTES);
@@ -40,15 +40,15 @@
     }
 
     @Example
-    void whatIsCutShortLosesTheLastMessageAlone() {
+    void truncatedDatagramLosesOnlyTheLastMessage() {
         ByteBuf buffer = Unpooled.buffer();
         CrashMessageCodec.write(List.of(END, END), buffer);
-        ByteBuf cut = buffer.slice(1, buffer.readableBytes() - 3);
-        assertThat(CrashMessageCodec.read(cut)).containsExactly(END);
+        ByteBuf truncated = buffer.slice(1, buffer.readableBytes() - 3);
+        assertThat(CrashMessageCodec.read(truncated)).containsExactly(END);
     }
 
     @Property(tries = 500, seed = "7")
-    void whateverArrivesIsReadAsSoundMessagesOrNone(@ForAll byte[] bytes) {
+    void arbitraryBytesYieldOnlyValidMessages(@ForAll byte[] bytes) {
         for (CrashMessage each : CrashMessageCodec.read(Unpooled.wrappedBuffer(bytes))) {
             assertThat(each.request()).isNotNull();
         }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/peer/HeartbeatServiceTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/peer/HeartbeatServiceTest.java
@@ -24,20 +24,23 @@
 import net.jqwik.api.Example;
 import net.jqwik.api.lifecycle.AfterTry;
 
-/** Two instances that exchange datagrams on this machine. */
+/** Tests of two instances that exchange datagrams on this machine. */
 class HeartbeatServiceTest {
 
     private static final int OCTETS = 250;
     private static final Duration STEP = Duration.ofMillis(10);
 
-    /** An address of this process alone, so that no other takes a port that was free. */
+    /**
+     * Loopback address that only this process uses, so that no other process takes a port that was
+     * found free.
+     */
     private static final String HOST = host(ProcessHandle.current().pid());
 
     private final MultiThreadIoEventLoopGroup mGroup =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final BlockingQueue<String> mEvents = new LinkedBlockingQueue<>();
 
-    /** Stands still until the test lets time pass, so that nobody is lost by silence. */
+    /** Advances only when the test does so, so that no instance is lost by inactivity. */
     private final ManualTimeSource mTime = new ManualTimeSource(Instant.EPOCH);
 
     @AfterTry
@@ -55,12 +58,12 @@
         }
     }
 
-    private HeartbeatService duty(String name, ServerAddress internal, ServerAddress seed) {
+    private HeartbeatService service(String name, ServerAddress internal, ServerAddress seed) {
         PeerListener listener =
                 new PeerListener() {
                     @Override
                     public void onPeerReachable(PeerInstance instance) {
-                        mEvents.add(name + " hears " + instance.id());
+                        mEvents.add(name + " reaches " + instance.id());
                     }
 
                     @Override
@@ -68,7 +71,7 @@
                         mEvents.add(name + " lost " + id + " " + planned);
                     }
                 };
-        HeartbeatService duty =
+        HeartbeatService service =
                 new HeartbeatService(
                         instance(name, internal),
                         List.of(seed),
@@ -76,8 +79,8 @@
                         mTime,
                         mGroup.next(),
                         listener);
-        assertThat(duty.alive()).containsExactly(instance(name, internal));
-        return duty;
+        assertThat(service.alive()).containsExactly(instance(name, internal));
+        return service;
     }
 
     private static PeerInstance instance(String name, ServerAddress internal) {
@@ -93,17 +96,17 @@
     }
 
     @Example
-    void instancesHearEachOtherAndThatOneLeaves() throws Exception {
+    void instancesReachEachOtherAndLearnThatOneLeaves() throws Exception {
         ServerAddress first = freeAddress();
         ServerAddress second = freeAddress();
-        HeartbeatService one = duty("one", first, second);
-        HeartbeatService two = duty("two", second, first);
+        HeartbeatService one = service("one", first, second);
+        HeartbeatService two = service("two", second, first);
         one.start().syncUninterruptibly();
         two.start().syncUninterruptibly();
         two.update(true, 7);
-        List<String> heard =
+        List<String> received =
                 List.of(mEvents.poll(60, TimeUnit.SECONDS), mEvents.poll(60, TimeUnit.SECONDS));
-        assertThat(heard).containsExactlyInAnyOrder("one hears two", "two hears one");
+        assertThat(received).containsExactlyInAnyOrder("one reaches two", "two reaches one");
         two.leave();
         two.stop();
         assertThat(nextEventAsTimePasses()).isEqualTo("one lost two true");
@@ -112,17 +115,17 @@
     }
 
     @Example
-    void loadsReachTheOthersOfTheZoneBetweenHeartbeats() throws Exception {
+    void loadReportsReachTheZoneBetweenHeartbeats() throws Exception {
         ServerAddress first = freeAddress();
         ServerAddress second = freeAddress();
-        HeartbeatService one = duty("one", first, second);
-        HeartbeatService two = duty("two", second, first);
-        BlockingQueue<LoadReport> heard = new LinkedBlockingQueue<>();
+        HeartbeatService one = service("one", first, second);
+        HeartbeatService two = service("two", second, first);
+        BlockingQueue<LoadReport> received = new LinkedBlockingQueue<>();
         two.registerReceiver(
                 LoadReportCodec.VERSION,
                 (sender, content) -> {
                     assertThat(sender).isEqualTo(first);
-                    heard.addAll(LoadReportCodec.read(content));
+                    received.addAll(LoadReportCodec.read(content));
                 });
         one.start().syncUninterruptibly();
         two.start().syncUninterruptibly();
@@ -136,11 +139,14 @@
                                 one.sendDatagram(
                                         one.ownZone(),
                                         out -> LoadReportCodec.write(List.of(report), out)));
-        assertThat(heard.poll(60, TimeUnit.SECONDS)).isEqualTo(report);
+        assertThat(received.poll(60, TimeUnit.SECONDS)).isEqualTo(report);
         assertThat(two.alive()).hasSize(2);
     }
 
-    /** Lets time pass once the loop has read what was sent to it. */
+    /**
+     * Returns the next event. Advances the time step by step, once the event loop has read what was
+     * sent to it.
+     */
     private String nextEventAsTimePasses() throws InterruptedException {
         for (int turn = 0; turn < 2; turn++) {
             mGroup.next().submit(() -> {}).syncUninterruptibly();
@@ -154,12 +160,12 @@
     }
 
     @Example
-    void anAddressThatIsTakenIsTold() throws Exception {
+    void startFailsIfTheAddressIsInUse() throws Exception {
         ServerAddress address = freeAddress();
         InetAddress loopback = InetAddress.getByName(HOST);
         try (DatagramSocket socket = new DatagramSocket(address.port(), loopback)) {
             assertThat(socket.isBound()).isTrue();
-            HeartbeatService one = duty("one", address, address);
+            HeartbeatService one = service("one", address, address);
             assertThat(one.start().awaitUninterruptibly().isSuccess()).isFalse();
             assertThat(mEvents).isEmpty();
         }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/peer/LimitReportCodecTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/peer/LimitReportCodecTest.java
@@ -12,7 +12,10 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Tests that limits are read as they were written, and that no bytes do harm. */
+/**
+ * Tests that limits are read as they were written, and that arbitrary bytes yield valid reports or
+ * none.
+ */
 class LimitReportCodecTest {
 
     private static final LimitReport LIMITED = new LimitReport(-7, 0.25, millis(700), millis(400));
@@ -20,10 +23,10 @@
             new LimitReport(9, Double.POSITIVE_INFINITY, millis(20), 0);
 
     @Example
-    void reportsAreReadAsTheyWereWritten() {
-        for (boolean passOn : List.of(true, false)) {
+    void readsReportsAsWritten() {
+        for (boolean forward : List.of(true, false)) {
             LimitReportCodec.Content content =
-                    new LimitReportCodec.Content(passOn, List.of(LIMITED, LIFTED));
+                    new LimitReportCodec.Content(forward, List.of(LIMITED, LIFTED));
             ByteBuf buffer = Unpooled.buffer();
             LimitReportCodec.write(content, buffer);
             assertThat(buffer.readByte()).isEqualTo((byte) LimitReportCodec.VERSION);
@@ -32,7 +35,7 @@
     }
 
     @Example
-    void datagramHoldsNoMoreThanLinksCarry() {
+    void datagramDoesNotExceedMaximumSize() {
         ByteBuf buffer = Unpooled.buffer();
         List<LimitReport> many = Collections.nCopies(500, LIMITED);
         LimitReportCodec.write(new LimitReportCodec.Content(false, many), buffer);
@@ -42,7 +45,7 @@
     }
 
     @Property(tries = 500, seed = "9")
-    void whateverArrivesIsReadAsSoundReportsOrNone(@ForAll byte[] bytes) {
+    void arbitraryBytesYieldOnlyValidReports(@ForAll byte[] bytes) {
         for (LimitReport each : LimitReportCodec.read(Unpooled.wrappedBuffer(bytes)).reports()) {
             assertThat(each.perSecond()).isNotNegative();
             assertThat(each.sentAgoNanos()).isGreaterThanOrEqualTo(each.receivedAgoNanos());
--- a/masticpond-entry/src/test/java/io/masticpond/entry/peer/LoadReportCodecTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/peer/LoadReportCodecTest.java
@@ -15,18 +15,18 @@
 class LoadReportCodecTest {
 
     @Example
-    void reportsAreReadAsTheyWereWritten() {
+    void readsReportsAsWritten() {
         List<LoadReport> reports = List.of(report(7, 5, 3, 5), report(-9, 0, 0, 1));
         assertThat(read(reports)).isEqualTo(reports);
     }
 
     @Example
-    void countsAboveOneByteAreCut() {
+    void countsAreCappedAtOneByte() {
         assertThat(read(List.of(report(7, 300, 1_000, 5)))).containsExactly(report(7, 255, 255, 5));
     }
 
     @Example
-    void datagramHoldsNoMoreThanLinksCarry() {
+    void datagramDoesNotExceedMaximumSize() {
         List<LoadReport> many =
                 LongStream.range(0, 1_000).mapToObj(hash -> report(hash, 5, 1, 5)).toList();
         ByteBuf buffer = Unpooled.buffer();
@@ -37,7 +37,7 @@
     }
 
     @Property(tries = 300, seed = "7")
-    void whateverArrivesIsReadAsSoundReportsOrNone(@ForAll byte[] bytes) {
+    void arbitraryBytesYieldOnlyValidReports(@ForAll byte[] bytes) {
         for (LoadReport each : LoadReportCodec.read(Unpooled.wrappedBuffer(bytes))) {
             assertThat(each.load().slots()).isPositive();
             assertThat(each.load().running()).isNotNegative();
--- a/masticpond-entry/src/test/java/io/masticpond/entry/peer/PeerMessageCodecTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/peer/PeerMessageCodecTest.java
@@ -14,7 +14,7 @@
 
 class PeerMessageCodecTest {
 
-    private static PeerUpdate news(long number, boolean withPlace) {
+    private static PeerUpdate update(long number, boolean withPlace) {
         PeerInstance instance = PeerSimulation.instance("edge-casa-ain-1", 1, number);
         Optional<PeerPlace> place =
                 withPlace ? Optional.of(PeerPlace.of(instance)) : Optional.empty();
@@ -29,17 +29,17 @@
     }
 
     @Property(seed = "17")
-    void whatIsWrittenIsRead(@ForAll @LongRange(min = 0) long number) {
+    void readsMessageAsWritten(@ForAll @LongRange(min = 0) long number) {
         for (PeerMessage.Kind kind : PeerMessage.Kind.values()) {
-            String after = kind == PeerMessage.Kind.LIST_ASK ? "edge-9" : "";
+            String after = kind == PeerMessage.Kind.LIST_REQUEST ? "edge-9" : "";
             PeerMessage message =
-                    new PeerMessage(kind, news(number, false), after, List.of(news(3, true)));
+                    new PeerMessage(kind, update(number, false), after, List.of(update(3, true)));
             assertThat(PeerMessageCodec.read(written(message))).contains(message);
         }
     }
 
     @Example
-    void aHeartbeatIsSmall() {
+    void heartbeatIsSmall() {
         PeerUpdate sender =
                 new PeerUpdate(
                         PeerSimulation.instance("edge-casa-ain-1", 1, 1).id(),
@@ -53,20 +53,23 @@
     }
 
     @Example
-    void whatDoesNotFitIsLeftOut() {
-        List<PeerUpdate> many = Collections.nCopies(100, news(1, true));
-        PeerMessage message = new PeerMessage(PeerMessage.Kind.LIST_PAGE, news(1, true), "", many);
+    void updatesThatDoNotFitAreLeftOut() {
+        List<PeerUpdate> many = Collections.nCopies(100, update(1, true));
+        PeerMessage message =
+                new PeerMessage(PeerMessage.Kind.LIST_PAGE, update(1, true), "", many);
         ByteBuf bytes = written(message);
         assertThat(bytes.readableBytes()).isLessThanOrEqualTo(PeerMessageCodec.MAXIMUM_BYTES);
         assertThat(PeerMessageCodec.read(bytes).orElseThrow().updates()).isNotEmpty();
     }
 
     @Property(seed = "18")
-    void brokenBytesAreNoMessage(@ForAll byte[] garbage) {
+    void malformedBytesYieldNoMessage(@ForAll byte[] garbage) {
         ByteBuf bytes = Unpooled.buffer().writeByte(1).writeBytes(garbage);
         assertThat(PeerMessageCodec.read(bytes)).isNotNull();
-        PeerMessage message = new PeerMessage(PeerMessage.Kind.ASK, news(9, true), "", List.of());
-        ByteBuf cut = written(message);
-        assertThat(PeerMessageCodec.read(cut.slice(0, cut.readableBytes() - 1))).isEmpty();
+        PeerMessage message =
+                new PeerMessage(PeerMessage.Kind.PLACE_REQUEST, update(9, true), "", List.of());
+        ByteBuf truncated = written(message);
+        assertThat(PeerMessageCodec.read(truncated.slice(0, truncated.readableBytes() - 1)))
+                .isEmpty();
     }
 }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/peer/PeerSimulation.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/peer/PeerSimulation.java
@@ -17,7 +17,9 @@
 import java.util.TreeMap;
 import java.util.function.BiPredicate;
 
-/** Instances that exchange datagrams through a queue, on one clock that moves when told to. */
+/**
+ * Simulation of instances that exchange datagrams through a queue, on one manually advanced clock.
+ */
 final class PeerSimulation {
 
     static final long CLOCK = 1_700_000_000_000L;
@@ -32,9 +34,9 @@
         final PeerInstance mInstance;
         final OwnStatus mStatus;
         final PeerExchange mExchange;
-        final List<String> mHeard = new ArrayList<>();
+        final List<String> mNotifications = new ArrayList<>();
         boolean mRunning = true;
-        boolean mFlushDue;
+        boolean mFlushScheduled;
         long mBytes;
         long mLargest;
 
@@ -62,33 +64,33 @@
         private void tick() {
             if (mRunning) {
                 mExchange.tick(mNow);
-                after(SETTINGS.period().toNanos(), this::tick);
-                afterwards();
+                schedule(SETTINGS.period().toNanos(), this::tick);
+                scheduleFollowUps();
             }
         }
 
-        private void afterwards() {
-            if (mExchange.hasPendingUpdates() && !mFlushDue) {
-                mFlushDue = true;
-                after(100 * MILLI, this::flush);
+        private void scheduleFollowUps() {
+            if (mExchange.hasPendingUpdates() && !mFlushScheduled) {
+                mFlushScheduled = true;
+                schedule(100 * MILLI, this::flush);
             }
             if (mExchange.takeChanged()) {
                 long next = mExchange.untilNextVerdict(mNow);
                 if (next < SETTINGS.period().toNanos()) {
-                    after(next, this::judge);
+                    schedule(next, this::evaluate);
                 }
             }
         }
 
         private void flush() {
-            mFlushDue = false;
+            mFlushScheduled = false;
             mExchange.flush(mNow);
         }
 
-        private void judge() {
+        private void evaluate() {
             if (mRunning) {
                 mExchange.evaluate(mNow);
-                afterwards();
+                scheduleFollowUps();
             }
         }
 
@@ -100,16 +102,16 @@
             String target = mIds.getOrDefault(to, "nobody");
             boolean lost = mRandom.nextDouble() < mLoss || !mRunning;
             if (!lost && mPath.test(mInstance.id().value(), target)) {
-                after(DELAY, () -> arrive(target, bytes));
+                schedule(DELAY, () -> deliver(target, bytes));
             }
         }
 
-        private void arrive(String target, ByteBuf bytes) {
+        private void deliver(String target, ByteBuf bytes) {
             Run run = mRuns.get(target);
             if (run != null && run.mRunning) {
                 PeerMessage message = PeerMessageCodec.read(bytes).orElseThrow();
                 run.mExchange.receive(message, mInstance.internal(), mNow);
-                run.afterwards();
+                run.scheduleFollowUps();
             }
         }
 
@@ -117,12 +119,12 @@
             return new PeerListener() {
                 @Override
                 public void onPeerReachable(PeerInstance instance) {
-                    mHeard.add("+" + instance.id());
+                    mNotifications.add("+" + instance.id());
                 }
 
                 @Override
                 public void onPeerUnreachable(InstanceId id, boolean planned) {
-                    mHeard.add((planned ? "left " : "-") + id);
+                    mNotifications.add((planned ? "left " : "-") + id);
                 }
             };
         }
@@ -139,7 +141,7 @@
     private long mNow = 1;
     private long mOrder;
 
-    /** Gives the address of the n-th instance. */
+    /** Returns the address of the n-th instance. */
     static ServerAddress address(int number) {
         return new ServerAddress("10.1." + number / 200 + "." + (number % 200 + 1), 7100);
     }
@@ -157,13 +159,15 @@
                 0);
     }
 
-    /** Starts an instance that knows the first three addresses, in the middle of a period. */
+    /**
+     * Starts an instance whose seeds are the first three addresses, at a random moment of a period.
+     */
     Run start(String name, int number, long incarnation) {
         List<ServerAddress> seeds = List.of(address(0), address(1), address(2));
         Run run = new Run(instance(name, number, incarnation), seeds);
         mRuns.put(name, run);
         mIds.put(run.mInstance.internal(), name);
-        after(mRandom.nextInt(300) * MILLI, run::tick);
+        schedule(mRandom.nextInt(300) * MILLI, run::tick);
         return run;
     }
 
@@ -186,7 +190,7 @@
         run(number).mRunning = false;
     }
 
-    void pass(Duration duration) {
+    void advance(Duration duration) {
         long end = mNow + duration.toNanos();
         while (!mEvents.isEmpty() && mEvents.peek().at() <= end) {
             Event event = mEvents.poll();
@@ -196,7 +200,7 @@
         mNow = end;
     }
 
-    private void after(long delay, Runnable work) {
+    private void schedule(long delay, Runnable work) {
         mEvents.add(new Event(mNow + delay, mOrder++, work));
     }
 }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/peer/WorkspaceCodecTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/peer/WorkspaceCodecTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Datagrams about proofs and rates. */
+/** Tests of the codecs for proofs and rates. */
 class WorkspaceCodecTest {
 
     private static ByteBuf written(RateCodec.Part part) {
@@ -21,7 +21,7 @@
     }
 
     @Example
-    void partIsReadAsItWasWritten() {
+    void readsPartAsWritten() {
         RateCodec.Part part =
                 new RateCodec.Part(
                         RateCodec.Kind.ZONE,
@@ -33,7 +33,7 @@
     }
 
     @Example
-    void partsTogetherHoldAllWorkspacesAndEachFitsLinks() {
+    void partsTogetherHoldAllWorkspacesAndEachFitsOneDatagram() {
         Map<Integer, RateUsage> uses = new HashMap<>();
         for (int hash = -500; hash < 500; hash++) {
             uses.put(hash * 7_919, new RateUsage(1, 2));
@@ -50,7 +50,7 @@
     }
 
     @Example
-    void ratesBeyondWhatIsToldAreCutAndNotWrapped() {
+    void ratesAboveMaximumAreCappedAndDoNotWrap() {
         RateCodec.Part part =
                 new RateCodec.Part(
                         RateCodec.Kind.ZONE, 0, 1, 1, Map.of(1, new RateUsage(1e6, 1e9)));
@@ -59,7 +59,7 @@
     }
 
     @Property(tries = 300, seed = "7")
-    void whateverArrivesIsReadOrLeftOut(@ForAll byte[] bytes) {
+    void arbitraryBytesYieldValidMessagesOrNone(@ForAll byte[] bytes) {
         RateCodec.read(Unpooled.wrappedBuffer(bytes))
                 .ifPresent(part -> assertThat(part.part()).isLessThan(part.parts()));
         ProofCodec.read(Unpooled.wrappedBuffer(bytes))
@@ -69,7 +69,7 @@
     }
 
     @Example
-    void proofIsReadAsItWasWritten() {
+    void readsProofAsWritten() {
         ProofCodec.Answer answer = new ProofCodec.Answer(9, 1_234, 77);
         ByteBuf buffer = Unpooled.buffer();
         ProofCodec.write(answer, buffer);
