--- a/masticpond-entry/src/main/java/io/masticpond/entry/directory/DirectoryAnswer.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/directory/DirectoryAnswer.java
@@ -5,10 +5,10 @@
 import java.util.List;
 
 /**
- * Where a client may connect.
+ * Answer of the directory to a client.
  *
- * @param addresses the addresses, any of which it may pick; empty if no instance is ready
- * @param timeToLive how long it may keep them
+ * @param addresses the addresses, any of which the client may pick; empty if no instance is ready
+ * @param timeToLive how long the client may keep them
  * @since 0.2
  */
 public record DirectoryAnswer(List<ServerAddress> addresses, Duration timeToLive) {}
--- a/masticpond-entry/src/main/java/io/masticpond/entry/directory/DirectoryDecider.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/directory/DirectoryDecider.java
@@ -13,18 +13,20 @@
 import java.util.Set;
 
 /**
- * Decides which instances a client may connect to. Safe for all threads.
+ * Decides which instances a client may connect to. Safe for use by multiple threads.
  *
- * <p>The ready instances of the client's availability zone are named; where these are too few to
- * lose one, those of its region; and those of other regions only while none of its region is ready
- * and in no doubt. An instance that missed heartbeats is named only where its whole region did, and
- * then beside the sound ones of other regions: it may be dead, and a client that is told of nothing
- * else has nowhere to go; it may live, and a client that is told of it keeps its connections. A
- * client picks one at random for each connection, so instances of one answer share its load evenly.
+ * <p>The answer names the ready instances of the client's availability zone. If these are too few
+ * to lose one, it names those of the region; and those of other regions only while the client's
+ * region has no instance that is ready and not suspect. A suspect instance, that is one that missed
+ * heartbeats, is named only if its whole region is suspect, and then beside the instances of other
+ * regions that are not: it may have terminated, and a client that gets no other address could not
+ * connect; or it may be alive, and a client that still gets its address keeps its connections. A
+ * client picks one address at random for each connection, so the instances of one answer share its
+ * load evenly.
  *
- * <p>Naming the whole region would even out zones with unlike numbers of clients for each instance,
- * but of z zones it sends (z - 1) / z of all bytes between clients and instances across zones,
- * which cost more than anything else; so it is a setting, and off.
+ * <p>Naming the whole region would even out the load of zones whose numbers of clients per instance
+ * differ. But with z zones it would send (z - 1) / z of all bytes between clients and instances
+ * across zones, which cost more than anything else; therefore it is a setting, and off by default.
  *
  * @since 0.2
  */
@@ -35,11 +37,11 @@
     private final InstanceId mSelf;
 
     /**
-     * Decides by what heartbeats tell.
+     * Creates a decider that relies on heartbeats.
      *
-     * @param settings how clients are spread
-     * @param peers who is alive, this instance included
-     * @param self this instance
+     * @param settings how clients are distributed over instances
+     * @param peers the live instances, including this one
+     * @param self the id of this instance
      */
     public DirectoryDecider(DirectorySettings settings, PeerView peers, InstanceId self) {
         mSettings = settings;
@@ -48,7 +50,7 @@
     }
 
     /**
-     * Decides for a client.
+     * Decides which addresses a client is given.
      *
      * @param region the client's region
      * @param zone the client's availability zone
@@ -56,33 +58,33 @@
      */
     public DirectoryAnswer decide(RegionId region, ZoneId zone) {
         Set<InstanceId> suspects = mPeers.suspects();
-        List<PeerInstance> sound = new ArrayList<>();
-        List<PeerInstance> doubtful = new ArrayList<>();
+        List<PeerInstance> healthy = new ArrayList<>();
+        List<PeerInstance> suspect = new ArrayList<>();
         for (PeerInstance instance : mPeers.alive()) {
             if (instance.ready()) {
-                (suspects.contains(instance.id()) ? doubtful : sound).add(instance);
+                (suspects.contains(instance.id()) ? suspect : healthy).add(instance);
             }
         }
-        return answer(pick(region, zone, sound, doubtful));
+        return answer(pick(region, zone, healthy, suspect));
     }
 
     private List<PeerInstance> pick(
-            RegionId region, ZoneId zone, List<PeerInstance> sound, List<PeerInstance> doubtful) {
-        List<PeerInstance> near = ofRegion(region, sound);
-        if (near.isEmpty() && !sound.isEmpty()) {
-            List<PeerInstance> named = new ArrayList<>(ofRegion(region, doubtful));
-            named.addAll(sound);
+            RegionId region, ZoneId zone, List<PeerInstance> healthy, List<PeerInstance> suspect) {
+        List<PeerInstance> inRegion = ofRegion(region, healthy);
+        if (inRegion.isEmpty() && !healthy.isEmpty()) {
+            List<PeerInstance> named = new ArrayList<>(ofRegion(region, suspect));
+            named.addAll(healthy);
             return named;
         }
-        if (near.isEmpty()) {
-            near = ofRegion(region, doubtful);
+        if (inRegion.isEmpty()) {
+            inRegion = ofRegion(region, suspect);
         }
-        if (near.isEmpty()) {
-            return doubtful;
+        if (inRegion.isEmpty()) {
+            return suspect;
         }
-        List<PeerInstance> own = near.stream().filter(i -> i.zone().equals(zone)).toList();
-        boolean suffices = own.size() >= mSettings.minimumInZone();
-        return suffices && !mSettings.isRegionWide() ? own : near;
+        List<PeerInstance> inZone = inRegion.stream().filter(i -> i.zone().equals(zone)).toList();
+        boolean isSufficient = inZone.size() >= mSettings.minimumInZone();
+        return isSufficient && !mSettings.isRegionWide() ? inZone : inRegion;
     }
 
     private static List<PeerInstance> ofRegion(RegionId region, List<PeerInstance> instances) {
@@ -90,13 +92,17 @@
     }
 
     private DirectoryAnswer answer(List<PeerInstance> named) {
-        List<PeerInstance> kept = named.size() > mSettings.maximumAddresses() ? cut(named) : named;
+        List<PeerInstance> selected =
+                named.size() > mSettings.maximumAddresses() ? truncate(named) : named;
         return new DirectoryAnswer(
-                kept.stream().map(PeerInstance::entry).toList(), mSettings.timeToLive());
+                selected.stream().map(PeerInstance::entry).toList(), mSettings.timeToLive());
     }
 
-    /** Leaves out the same ones each time, and other ones than other directories do. */
-    private List<PeerInstance> cut(List<PeerInstance> named) {
+    /**
+     * Returns at most the maximum number of instances. The selection is the same each time, and
+     * differs from that of other directories.
+     */
+    private List<PeerInstance> truncate(List<PeerInstance> named) {
         Map<InstanceId, PeerInstance> byId = new HashMap<>();
         named.forEach(instance -> byId.put(instance.id(), instance));
         return Rendezvous.order(mSelf.value(), byId.keySet()).stream()
--- a/masticpond-entry/src/main/java/io/masticpond/entry/directory/DirectorySettings.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/directory/DirectorySettings.java
@@ -4,39 +4,42 @@
 import java.time.Duration;
 
 /**
- * How clients are spread over instances.
+ * Settings of how clients are distributed over instances.
  *
  * @param timeToLive how long a client may keep an answer
- * @param minimumInZone with fewer ready instances than this in the client's availability zone,
+ * @param minimumInZone the number of ready instances in the client's availability zone below which
  *     those of its region are named too
- * @param isRegionWide whether all ready instances of the region are always named: the load is even
- *     where zones have unlike numbers of clients for each instance, and most bytes of clients and
+ * @param isRegionWide whether all ready instances of the region are always named: the load is then
+ *     even where zones differ in the number of clients per instance, and most bytes of clients and
  *     answers cross zones
- * @param maximumAddresses the most addresses of one answer
+ * @param maximumAddresses the maximum number of addresses in one answer
  * @since 0.2
  */
 public record DirectorySettings(
         Duration timeToLive, int minimumInZone, boolean isRegionWide, int maximumAddresses) {
 
-    /** Short-lived answers, the own zone first. */
+    /** Default settings: short-lived answers that prefer the client's own zone. */
     public static final DirectorySettings DEFAULT =
             new DirectorySettings(Duration.ofMillis(1500), 2, false, 64);
 
-    /** Checks the settings. */
+    /** Validates the settings. */
     public DirectorySettings {
-        Assert.isTrue(timeToLive.toNanos() > 0, "An answer must last a while, not %s.", timeToLive);
-        Assert.positive(minimumInZone, "The least number in a zone");
-        Assert.positive(maximumAddresses, "The most addresses of an answer");
+        Assert.isTrue(
+                timeToLive.toNanos() > 0,
+                "The time to live of an answer must be positive, but was %s.",
+                timeToLive);
+        Assert.positive(minimumInZone, "The minimum number of instances in a zone");
+        Assert.positive(maximumAddresses, "The maximum number of addresses in an answer");
     }
 
     /**
-     * Keeps the time that a client may keep an answer within a bound.
+     * Returns these settings with the time to live limited to a bound.
      *
-     * @param bound the longest that counts
-     * @return the settings with at most that
+     * @param bound the maximum time to live
+     * @return the settings with at most this time to live
      */
     public DirectorySettings within(Duration bound) {
-        Duration least = timeToLive.compareTo(bound) < 0 ? timeToLive : bound;
-        return new DirectorySettings(least, minimumInZone, isRegionWide, maximumAddresses);
+        Duration bounded = timeToLive.compareTo(bound) < 0 ? timeToLive : bound;
+        return new DirectorySettings(bounded, minimumInZone, isRegionWide, maximumAddresses);
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/directory/package-info.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/directory/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Where clients are told to connect; must know no sockets and nothing of routes and backend
- * servers.
+ * Selection of the instances that clients may connect to. Must not depend on sockets, routes and
+ * backend servers.
  */
 package io.masticpond.entry.directory;
--- a/masticpond-entry/src/test/java/io/masticpond/entry/directory/DirectoryDeciderTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/directory/DirectoryDeciderTest.java
@@ -72,13 +72,13 @@
     }
 
     @Example
-    void theOwnZoneIsNamedWhileItCanLoseOne() {
+    void namesOwnZoneWhileItCanLoseOneInstance() {
         addSix();
         assertThat(named(CASA, AIN)).containsExactly(1, 2);
     }
 
     @Example
-    void theRegionIsNamedWhereTheZoneHasTooFew() {
+    void namesRegionIfZoneHasTooFewInstances() {
         addSix();
         mAlive.remove(1);
         assertThat(named(CASA, AIN)).containsExactly(1, 3, 4);
@@ -86,7 +86,7 @@
     }
 
     @Example
-    void otherRegionsAreNamedOnlyWhileNoneOfTheOwnIsReady() {
+    void namesOtherRegionsOnlyWhileNoInstanceOfOwnRegionIsReady() {
         add(1, CASA, AIN, false);
         add(2, CASA, BERN, true);
         add(5, FES, SIDI, true);
@@ -96,7 +96,7 @@
     }
 
     @Example
-    void soundOnesElsewhereAreNamedBesideRegionsInDoubt() {
+    void namesHealthyInstancesOfOtherRegionsBesideSuspectRegion() {
         add(2, CASA, BERN, true);
         add(5, FES, SIDI, true);
         add(6, FES, SIDI, false);
@@ -111,7 +111,7 @@
     }
 
     @Example
-    void aSuspectIsNotNamedWhileOthersOfItsRegionAreThere() {
+    void doesNotNameSuspectWhileOthersOfItsRegionAreHealthy() {
         addSix();
         mSuspects.add(id(1));
         assertThat(named(CASA, AIN)).containsExactly(2, 3, 4);
@@ -122,7 +122,7 @@
     }
 
     @Example
-    void oneThatKnowsNobodyNamesItselfIfReadyAndElseNone() {
+    void instanceWithoutPeersNamesItselfOnlyIfReady() {
         add(1, CASA, AIN, true);
         assertThat(named(FES, SIDI)).containsExactly(1);
         mAlive.clear();
@@ -131,14 +131,14 @@
     }
 
     @Example
-    void theWholeRegionIsNamedWhereThatIsWanted() {
+    void namesWholeRegionIfConfigured() {
         addSix();
         mSettings = new DirectorySettings(Duration.ofSeconds(2), 2, true, 64);
         assertThat(named(CASA, AIN)).containsExactly(1, 2, 3, 4);
     }
 
     @Example
-    void anAnswerNamesTheSameFewOfTooMany() {
+    void answerIsLimitedToTheSameInstancesEachTime() {
         for (int number = 1; number <= 100; number++) {
             add(number, CASA, AIN, true);
         }
@@ -148,7 +148,7 @@
     }
 
     @Example
-    void aBoundShortensTheTimeButNeverLengthensIt() {
+    void boundShortensTimeToLiveButNeverLengthensIt() {
         DirectorySettings settings = DirectorySettings.DEFAULT;
         assertThat(settings.within(Duration.ofSeconds(9)).timeToLive())
                 .isEqualTo(settings.timeToLive());
