--- a/masticpond-entry/src/main/java/io/masticpond/entry/lifecycle/DelayedRunner.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/lifecycle/DelayedRunner.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /**
- * Runs work later, on one thread.
+ * Strategy interface for running work after a delay, on one thread.
  *
  * @since 0.2
  */
@@ -11,9 +11,9 @@
 public interface DelayedRunner {
 
     /**
-     * Runs work once.
+     * Runs the given work once.
      *
-     * @param delay how much later
+     * @param delay the delay before the work is run
      * @param work the work
      */
     void after(Duration delay, Runnable work);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/lifecycle/OpenWork.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/lifecycle/OpenWork.java
@@ -1,30 +1,31 @@
 package io.masticpond.entry.lifecycle;
 
 /**
- * Counts what is not finished yet. Safe for the thread of the planned stop.
+ * Strategy interface for querying the work that is not finished yet. May be called from the thread
+ * of the planned stop.
  *
  * @since 0.2
  */
 public interface OpenWork {
 
     /**
-     * Counts the requests that have no whole answer yet.
+     * Returns the number of requests without a complete answer.
      *
-     * @return the count
+     * @return the number of requests
      */
     int requests();
 
     /**
-     * Counts the connections of clients.
+     * Returns the number of connections of clients.
      *
-     * @return the count
+     * @return the number of connections
      */
     int connections();
 
     /**
-     * Tells whether the removal from the platform's store is still awaited.
+     * Returns whether the removal from the platform's store is still pending.
      *
-     * @return whether it is
+     * @return whether the removal is pending
      */
     boolean isWithdrawalPending();
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/lifecycle/PlannedStop.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/lifecycle/PlannedStop.java
@@ -6,31 +6,32 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Leaves without breaking a request.
+ * Stops this instance without failing a request.
  *
- * <p>First this instance tells that it leaves and goes on serving, each answer ending its
- * connection, for clients that were told of it a moment ago. Then it takes no more connections and
- * finishes what it has. It ends once nothing is open, and shortly before it would be killed at the
- * latest; what is unfinished then is answered truthfully. {@link #begin} and the work run on the
- * thread of the runner; the phase may be read by any.
+ * <p>First this instance announces that it leaves and continues to serve, with each answer closing
+ * its connection, for clients that were given its address shortly before. Then it accepts no more
+ * connections and finishes its open requests. It ends once nothing is open, and at the latest
+ * shortly before it would be killed; a request that is then unfinished is answered truthfully.
+ * {@link #begin} and the scheduled work run on the thread of the runner; the phase may be read from
+ * any thread.
  *
  * @since 0.2
  */
 public final class PlannedStop {
 
     /**
-     * How far a stop is.
+     * Phase of a planned stop.
      *
      * @since 0.2
      */
     public enum Phase {
-        /** No stop is wanted. */
+        /** No stop was requested. */
         SERVING,
-        /** Requests are still taken; each answer ends its connection. */
+        /** Requests are still accepted; each answer closes its connection. */
         LEAVING,
-        /** No request is taken; those taken before are finished. */
+        /** No request is accepted; those accepted before are finished. */
         FINISHING,
-        /** The last answers leave. */
+        /** The last answers are being sent. */
         ENDING,
         /** The process may end. */
         ENDED
@@ -44,14 +45,14 @@
     private final DelayedRunner mRunner;
     private final TimeSource mTimeSource;
     private volatile Phase mPhase = Phase.SERVING;
-    private long mBegan;
+    private long mStartNanos;
 
     /**
-     * Prepares a stop.
+     * Creates a planned stop.
      *
-     * @param settings how long its parts may take
-     * @param actions what it does
-     * @param work what is open
+     * @param settings the durations of its parts
+     * @param actions the actions that it performs
+     * @param work the work that is open
      * @param runner runs its later parts
      * @param timeSource the clocks
      */
@@ -68,21 +69,21 @@
         mTimeSource = timeSource;
     }
 
-    /** Begins the stop; a second wish changes nothing. */
+    /** Begins the stop; further calls have no effect. */
     public void begin() {
         if (mPhase != Phase.SERVING) {
             return;
         }
         mPhase = Phase.LEAVING;
-        mBegan = mTimeSource.monotonicNanos();
-        sLogger.info("STOP  This instance leaves; {} requests are open.", mWork.requests());
+        mStartNanos = mTimeSource.monotonicNanos();
+        sLogger.info("STOP  This instance is leaving; {} requests are open.", mWork.requests());
         mActions.announceLeaving();
         mActions.withdrawRecord();
         mRunner.after(mSettings.acceptFor(), this::finish);
     }
 
     /**
-     * Tells how far the stop is.
+     * Returns the phase of the stop.
      *
      * @return the phase
      */
@@ -91,9 +92,10 @@
     }
 
     /**
-     * Tells whether a stop is wanted: not ready, and each answer ends its connection.
+     * Returns whether a stop was requested. The instance is then not ready, and each answer closes
+     * its connection.
      *
-     * @return whether it is
+     * @return whether a stop was requested
      */
     public boolean isStopping() {
         return mPhase != Phase.SERVING;
@@ -107,24 +109,25 @@
     }
 
     private void check() {
-        Duration elapsed = Duration.ofNanos(mTimeSource.monotonicNanos() - mBegan);
-        Duration left = mSettings.endBy().minus(elapsed);
+        Duration elapsed = Duration.ofNanos(mTimeSource.monotonicNanos() - mStartNanos);
+        Duration remaining = mSettings.endBy().minus(elapsed);
         if (mWork.requests() == 0 && mWork.connections() == 0 && !mWork.isWithdrawalPending()) {
             end(elapsed);
-        } else if (left.toNanos() <= 0) {
+        } else if (remaining.toNanos() <= 0) {
             mPhase = Phase.ENDING;
-            sLogger.warn("STOP  {} requests are answered unfinished.", mWork.requests());
+            sLogger.warn(
+                    "STOP  {} unfinished requests are answered at the deadline.", mWork.requests());
             mActions.answerUnfinished();
             mRunner.after(mSettings.flushFor(), () -> end(elapsed.plus(mSettings.flushFor())));
         } else {
-            Duration every = mSettings.checkEvery();
-            mRunner.after(left.compareTo(every) < 0 ? left : every, this::check);
+            Duration interval = mSettings.checkEvery();
+            mRunner.after(remaining.compareTo(interval) < 0 ? remaining : interval, this::check);
         }
     }
 
     private void end(Duration elapsed) {
         mPhase = Phase.ENDED;
-        sLogger.info("STOP  This instance ends after {} ms.", elapsed.toMillis());
+        sLogger.info("STOP  This instance ends {} ms after the stop began.", elapsed.toMillis());
         mActions.exit();
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/lifecycle/Readiness.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/lifecycle/Readiness.java
@@ -3,7 +3,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Tells whether this instance takes new clients. As safe for threads as what it asks.
+ * Determines whether this instance takes new clients. As thread-safe as the suppliers that it
+ * queries.
  *
  * @since 0.2
  */
@@ -14,7 +15,7 @@
     private final BooleanSupplier mStopping;
 
     /**
-     * Joins the reasons.
+     * Creates a readiness that combines the given conditions.
      *
      * @param snapshotUsable whether routes and backend servers are known well enough to serve
      * @param listening whether clients can connect
@@ -28,9 +29,9 @@
     }
 
     /**
-     * Tells whether this instance takes new clients now.
+     * Returns whether this instance takes new clients now.
      *
-     * @return whether it does
+     * @return whether it is ready
      */
     public boolean isReady() {
         return !mStopping.getAsBoolean()
--- a/masticpond-entry/src/main/java/io/masticpond/entry/lifecycle/StopActions.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/lifecycle/StopActions.java
@@ -1,27 +1,30 @@
 package io.masticpond.entry.lifecycle;
 
 /**
- * What a planned stop does to the rest of the instance. Nothing here may block.
+ * Strategy interface for the actions of a planned stop on the rest of the instance. Implementations
+ * must not block.
  *
  * @since 0.2
  */
 public interface StopActions {
 
-    /** Tells peers and those who ask for readiness that this instance leaves. */
+    /** Reports to peers and in readiness checks that this instance is leaving. */
     void announceLeaving();
 
-    /** Removes what lists this instance in the platform's store. */
+    /** Removes the record of this instance from the platform's store. */
     void withdrawRecord();
 
-    /** Takes no more connections. */
+    /** Stops accepting connections. */
     void stopAccepting();
 
-    /** Closes connections without a request, and from now on each after its last answer. */
+    /**
+     * Closes connections without a request, and from now on each connection after its last answer.
+     */
     void closeIdleConnections();
 
-    /** Answers the requests that are left, truthfully: whether they may have run or did not. */
+    /** Answers the remaining requests truthfully: whether they may have run or were not run. */
     void answerUnfinished();
 
-    /** Ends the process with success. */
+    /** Exits the process with the status of success. */
     void exit();
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/lifecycle/StopSettings.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/lifecycle/StopSettings.java
@@ -4,13 +4,13 @@
 import java.time.Duration;
 
 /**
- * How long the parts of a planned stop may take.
+ * Settings for the durations of a planned stop.
  *
- * @param acceptFor how long new connections and requests are taken, for clients that were told of
- *     this instance shortly before
- * @param endBy when those unfinished are answered at the latest
- * @param flushFor how long their answers may take to leave
- * @param checkEvery how often it is looked whether all is finished
+ * @param acceptFor how long new connections and requests are accepted, for clients that were given
+ *     the address of this instance shortly before
+ * @param endBy the time from the start of the stop after which unfinished requests are answered
+ * @param flushFor how long their answers may take to be sent
+ * @param checkEvery the interval of the checks whether all work is finished
  * @since 0.2
  */
 public record StopSettings(
@@ -25,36 +25,38 @@
     private static final int MARGIN_PART = 8;
     private static final int FLUSH_PART = 4;
 
-    /** Checks the order of the times. */
+    /** Validates the order of the durations. */
     public StopSettings {
         Assert.isTrue(
                 acceptFor.compareTo(endBy) < 0,
-                "New connections must end (%s) before all ends (%s).",
+                "acceptFor (%s) must be below endBy (%s).",
                 acceptFor,
                 endBy);
-        Assert.isTrue(checkEvery.toNanos() > 0, "Checks must be apart, not by %s.", checkEvery);
+        Assert.isTrue(
+                checkEvery.toNanos() > 0, "checkEvery must be positive, but was %s.", checkEvery);
     }
 
     /**
-     * Divides the time after which the process is killed: new connections for less than half of it,
-     * and the end an eighth of it before, 700 ms at most.
+     * Returns settings that divide the time after which the process is killed. New connections are
+     * accepted for less than half of it; the stop ends an eighth of it before it is over, but at
+     * most 700 ms before.
      *
-     * @param grace the time from the wish to stop until the process is killed
+     * @param grace the time from the request to stop until the process is killed
      * @param answersKeptFor how long clients may keep an answer of the directory
      * @return the settings
      */
     public static StopSettings within(Duration grace, Duration answersKeptFor) {
-        Duration margin = least(MAXIMUM_MARGIN, grace.dividedBy(MARGIN_PART));
-        Duration half = grace.multipliedBy(ACCEPT_NUMERATOR).dividedBy(ACCEPT_DENOMINATOR);
-        Duration told = answersKeptFor.plus(answersKeptFor.dividedBy(2));
+        Duration margin = shorter(MAXIMUM_MARGIN, grace.dividedBy(MARGIN_PART));
+        Duration maximumAccept = grace.multipliedBy(ACCEPT_NUMERATOR).dividedBy(ACCEPT_DENOMINATOR);
+        Duration knownFor = answersKeptFor.plus(answersKeptFor.dividedBy(2));
         return new StopSettings(
-                least(told, least(MAXIMUM_ACCEPT, half)),
+                shorter(knownFor, shorter(MAXIMUM_ACCEPT, maximumAccept)),
                 grace.minus(margin),
-                least(MAXIMUM_FLUSH, margin.dividedBy(FLUSH_PART)),
+                shorter(MAXIMUM_FLUSH, margin.dividedBy(FLUSH_PART)),
                 CHECK);
     }
 
-    private static Duration least(Duration one, Duration other) {
+    private static Duration shorter(Duration one, Duration other) {
         return one.compareTo(other) < 0 ? one : other;
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/lifecycle/package-info.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/lifecycle/package-info.java
@@ -1,2 +1,5 @@
-/** When an instance takes clients and how it ends; must know no sockets and no threads. */
+/**
+ * Readiness of an instance for clients, and its planned stop. Must not depend on sockets and
+ * threads.
+ */
 package io.masticpond.entry.lifecycle;
--- a/masticpond-entry/src/test/java/io/masticpond/entry/lifecycle/PlannedStopTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/lifecycle/PlannedStopTest.java
@@ -10,36 +10,37 @@
 import java.util.PriorityQueue;
 import net.jqwik.api.Example;
 
-/** A planned stop on a clock that moves when told to. */
+/** Tests of a planned stop on a manually advanced clock. */
 class PlannedStopTest implements StopActions, OpenWork {
 
     private static final Duration GRACE = Duration.ofSeconds(6);
-    private static final Duration KEPT = Duration.ofMillis(1500);
+    private static final Duration ANSWERS_KEPT_FOR = Duration.ofMillis(1500);
 
-    private record Later(long at, Runnable work) implements Comparable<Later> {
+    private record ScheduledWork(long at, Runnable work) implements Comparable<ScheduledWork> {
         @Override
-        public int compareTo(Later other) {
+        public int compareTo(ScheduledWork other) {
             return Long.compare(at, other.at);
         }
     }
 
     private final ManualTimeSource mTime = new ManualTimeSource(Instant.EPOCH);
-    private final PriorityQueue<Later> mLater = new PriorityQueue<>();
-    private final List<String> mDone = new ArrayList<>();
+    private final PriorityQueue<ScheduledWork> mScheduled = new PriorityQueue<>();
+    private final List<String> mActions = new ArrayList<>();
     private final PlannedStop mStop =
-            new PlannedStop(StopSettings.within(GRACE, KEPT), this, this, this::after, mTime);
+            new PlannedStop(
+                    StopSettings.within(GRACE, ANSWERS_KEPT_FOR), this, this, this::after, mTime);
     private int mRequests;
     private int mConnections;
     private boolean mWithdrawing;
 
     private void after(Duration delay, Runnable work) {
-        mLater.add(new Later(mTime.monotonicNanos() + delay.toNanos(), work));
+        mScheduled.add(new ScheduledWork(mTime.monotonicNanos() + delay.toNanos(), work));
     }
 
-    private void pass(Duration duration) {
+    private void advance(Duration duration) {
         long end = mTime.monotonicNanos() + duration.toNanos();
-        while (!mLater.isEmpty() && mLater.peek().at() <= end) {
-            Later next = mLater.poll();
+        while (!mScheduled.isEmpty() && mScheduled.peek().at() <= end) {
+            ScheduledWork next = mScheduled.poll();
             mTime.advance(Duration.ofNanos(next.at() - mTime.monotonicNanos()));
             next.work().run();
         }
@@ -50,40 +51,40 @@
         return Duration.ofNanos(mTime.monotonicNanos()).toMillis();
     }
 
-    private void note(String what) {
-        mDone.add(elapsed() + " " + what);
+    private void record(String what) {
+        mActions.add(elapsed() + " " + what);
     }
 
     @Override
     public void announceLeaving() {
-        note("announce");
+        record("announce");
     }
 
     @Override
     public void withdrawRecord() {
-        note("withdraw");
+        record("withdraw");
     }
 
     @Override
     public void stopAccepting() {
-        note("refuse");
+        record("refuse");
     }
 
     @Override
     public void closeIdleConnections() {
-        note("close");
+        record("close");
         mConnections = mRequests;
     }
 
     @Override
     public void answerUnfinished() {
-        note("answer");
+        record("answer");
         mRequests = 0;
     }
 
     @Override
     public void exit() {
-        note("exit");
+        record("exit");
     }
 
     @Override
@@ -102,61 +103,61 @@
     }
 
     @Example
-    void anIdleInstanceServesOnForThoseWhoWereToldOfItAndEnds() {
+    void idleInstanceServesClientsThatKnowItsAddressAndEnds() {
         mConnections = 5;
         mStop.begin();
         mStop.begin();
         assertThat(mStop.isStopping()).isTrue();
         assertThat(mStop.phase()).isEqualTo(PlannedStop.Phase.LEAVING);
-        pass(GRACE);
-        assertThat(mDone)
+        advance(GRACE);
+        assertThat(mActions)
                 .containsExactly(
                         "0 announce", "0 withdraw", "2250 refuse", "2250 close", "2250 exit");
         assertThat(mStop.phase()).isEqualTo(PlannedStop.Phase.ENDED);
     }
 
     @Example
-    void itEndsWhenTheLastRequestIsFinished() {
+    void endsWhenTheLastRequestIsFinished() {
         mRequests = 1;
         mStop.begin();
-        pass(Duration.ofSeconds(4));
+        advance(Duration.ofSeconds(4));
         assertThat(mStop.phase()).isEqualTo(PlannedStop.Phase.FINISHING);
         mRequests = 0;
-        pass(Duration.ofMillis(10));
+        advance(Duration.ofMillis(10));
         assertThat(mStop.phase()).isEqualTo(PlannedStop.Phase.FINISHING);
         mConnections = 0;
-        pass(Duration.ofMillis(50));
-        assertThat(mDone).contains("4050 exit").doesNotContain("5300 answer");
+        advance(Duration.ofMillis(50));
+        assertThat(mActions).contains("4050 exit").doesNotContain("5300 answer");
     }
 
     @Example
-    void whatIsUnfinishedIsAnsweredBeforeTheProcessIsKilled() {
+    void answersUnfinishedRequestsBeforeTheProcessIsKilled() {
         mRequests = 2;
         mStop.begin();
-        pass(GRACE);
-        assertThat(mDone).endsWith("5300 answer", "5475 exit");
+        advance(GRACE);
+        assertThat(mActions).endsWith("5300 answer", "5475 exit");
     }
 
     @Example
-    void itWaitsForTheRemovalFromTheStoreButNotForEver() {
+    void waitsForRemovalFromStoreUpToTheDeadline() {
         mWithdrawing = true;
         mStop.begin();
-        pass(Duration.ofSeconds(5));
+        advance(Duration.ofSeconds(5));
         assertThat(mStop.phase()).isEqualTo(PlannedStop.Phase.FINISHING);
-        pass(Duration.ofSeconds(1));
+        advance(Duration.ofSeconds(1));
         assertThat(mStop.phase()).isEqualTo(PlannedStop.Phase.ENDED);
     }
 
     @Example
-    void aShortTimeIsDividedLikewise() {
-        StopSettings settings = StopSettings.within(Duration.ofSeconds(2), KEPT);
+    void dividesShortGracePeriodInTheSameProportions() {
+        StopSettings settings = StopSettings.within(Duration.ofSeconds(2), ANSWERS_KEPT_FOR);
         assertThat(settings.acceptFor()).isEqualTo(Duration.ofMillis(900));
         assertThat(settings.endBy()).isEqualTo(Duration.ofMillis(1750));
         assertThat(settings.endBy().plus(settings.flushFor())).isLessThan(Duration.ofSeconds(2));
     }
 
     @Example
-    void anInstanceIsReadyWhenNothingSpeaksAgainstIt() {
+    void instanceIsReadyOnlyIfAllConditionsHold() {
         assertThat(new Readiness(() -> true, () -> true, mStop::isStopping).isReady()).isTrue();
         assertThat(new Readiness(() -> false, () -> true, () -> false).isReady()).isFalse();
         assertThat(new Readiness(() -> true, () -> false, () -> false).isReady()).isFalse();
