--- a/masticpond-entry/src/main/java/io/masticpond/entry/metrics/BoundedNames.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/metrics/BoundedNames.java
@@ -4,12 +4,13 @@
 import java.util.Map;
 
 /**
- * Gives the first names that appear a number each, and all later ones a common number, so that
- * labels stay few whatever the configuration holds. Safe for all threads.
+ * Assigns a number of its own to each of the first names that appear, and one common number to all
+ * later ones, so that the number of labels is bounded whatever the configuration holds. Safe for
+ * use by multiple threads.
  */
 final class BoundedNames {
 
-    /** What later names are called. */
+    /** Label of all names beyond the limit. */
     static final String OTHER = "other";
 
     private final int mLimit;
@@ -19,13 +20,13 @@
         mLimit = limit;
     }
 
-    /** Gives the number of a name: from 0 to the limit, which stands for all others. */
+    /** Returns the number of a name: from 0 up to the limit, which is the number of all others. */
     int numberOf(String name) {
         Integer number = mNumbers.get(name);
         return number != null ? number : admit(name);
     }
 
-    /** Gives the numbers by name, without the one of all others. */
+    /** Returns the numbers by name, without the common number of all others. */
     Map<String, Integer> known() {
         return mNumbers;
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/metrics/CountingConditionalStore.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/metrics/CountingConditionalStore.java
@@ -8,7 +8,10 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Counts the calls about ledgers as their results are heard. Control thread only. */
+/**
+ * {@link ConditionalStore} decorator that counts the calls about ledgers when their results are
+ * received. Control thread only.
+ */
 final class CountingConditionalStore implements ConditionalStore {
 
     private final ConditionalStore mNext;
@@ -19,7 +22,10 @@
         mCounts = counts;
     }
 
-    /** Made here, since a caller that makes it would load the role at each start. */
+    /**
+     * Creates the decorator. A factory method, since a caller that invoked the constructor would
+     * load the {@code ConditionalStore} type at each start.
+     */
     static ConditionalStore of(ConditionalStore next, StoreCallCounts counts) {
         return new CountingConditionalStore(next, counts);
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/metrics/CountingLog.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/metrics/CountingLog.java
@@ -5,7 +5,10 @@
 import io.masticpond.entry.log.RequestRecord;
 import io.masticpond.entry.log.ViewChange;
 
-/** Counts the requests that go into a log, so that figures and lines never disagree. */
+/**
+ * {@link DecisionLog} decorator that counts the requests that are logged, so that metrics and log
+ * lines always agree.
+ */
 final class CountingLog implements DecisionLog {
 
     private final DecisionLog mNext;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/metrics/CountingStoreFeed.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/metrics/CountingStoreFeed.java
@@ -10,7 +10,10 @@
 import java.time.Duration;
 import java.util.function.Consumer;
 
-/** Counts the calls to the platform's store as their results are heard. Control thread only. */
+/**
+ * {@link StoreFeed} decorator that counts the calls to the platform's store when their results are
+ * received. Control thread only.
+ */
 final class CountingStoreFeed implements StoreFeed {
 
     private final StoreFeed mNext;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/metrics/EntryMetrics.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/metrics/EntryMetrics.java
@@ -9,14 +9,14 @@
 import java.util.function.Consumer;
 
 /**
- * All metrics of an instance: counts by itself what goes through the log and the store's feed, and
- * asks the other parts when scraped. Safe for all threads.
+ * Metrics of an instance. Counts what passes through the log and the store's feed, and queries the
+ * other components when scraped. Safe for use by multiple threads.
  *
  * @since 0.2
  */
 public final class EntryMetrics {
 
-    /** The media type of a scrape. */
+    /** Media type of a scrape. */
     public static final String CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8";
 
     private final RequestCounts mRequests = new RequestCounts();
@@ -25,10 +25,10 @@
     private final Consumer<EntryValues> mSource;
 
     /**
-     * Makes metrics, all at zero.
+     * Creates metrics, all of which are zero.
      *
      * @param lines the counts of log lines
-     * @param source sets the figures of other parts; called on the thread that scrapes
+     * @param source sets the values of other components; called on the thread that scrapes
      */
     public EntryMetrics(LineCounts lines, Consumer<EntryValues> source) {
         mLines = Assert.notNull(lines, "Counts of lines");
@@ -36,38 +36,38 @@
     }
 
     /**
-     * Puts a count before a log.
+     * Decorates a log with counters.
      *
      * @param next the log
-     * @return a log that counts requests and passes all on
+     * @return a log that counts requests and delegates to the given one
      */
     public DecisionLog counting(DecisionLog next) {
         return new CountingLog(Assert.notNull(next, "A log"), mRequests);
     }
 
     /**
-     * Puts a count before the store's feed.
+     * Decorates the store's feed with counters.
      *
      * @param next the feed
-     * @return a feed that counts calls and passes all on
+     * @return a feed that counts calls and delegates to the given one
      */
     public StoreFeed counting(StoreFeed next) {
         return new CountingStoreFeed(Assert.notNull(next, "A feed"), mStoreCalls);
     }
 
     /**
-     * Puts a count before a store of conditional updates.
+     * Decorates a store of conditional updates with counters.
      *
      * @param next the store
-     * @return a store that counts calls and passes all on
+     * @return a store that counts calls and delegates to the given one
      */
     public ConditionalStore counting(ConditionalStore next) {
         return CountingConditionalStore.of(Assert.notNull(next, "A store"), mStoreCalls);
     }
 
     /**
-     * Spells all metrics for a scraper, as {@link #CONTENT_TYPE} says. The first call loads the
-     * library for it and takes tens of milliseconds.
+     * Formats all metrics for a scraper, in the format of {@link #CONTENT_TYPE}. The first call
+     * loads the metrics library and takes tens of milliseconds.
      *
      * @return the text
      */
@@ -76,7 +76,7 @@
     }
 
     /**
-     * Spells all metrics as {@link #scrape} does.
+     * Formats all metrics as {@link #scrape} does.
      *
      * @return the text in UTF-8
      */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/metrics/EntryValue.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/metrics/EntryValue.java
@@ -1,7 +1,7 @@
 package io.masticpond.entry.metrics;
 
 /**
- * A figure that another part keeps and a scrape asks it for.
+ * Metric whose value another component keeps and a scrape queries.
  *
  * @since 0.2
  */
@@ -12,23 +12,23 @@
     CLIENT_CONNECTIONS("client_connections", "Connections of clients that are open.", false),
     /** Connections to backend servers that are open or being opened. */
     BACKEND_CONNECTIONS("backend_connections", "Connections to backend servers.", false),
-    /** Connections to backend servers that wait for a request. */
+    /** Idle connections to backend servers. */
     IDLE_BACKEND_CONNECTIONS(
             "idle_backend_connections", "Connections to backend servers without a request.", false),
-    /** Connections to backend servers ever begun. */
+    /** Total number of connections to backend servers that were begun. */
     BACKEND_CONNECTIONS_OPENED(
             "backend_connections_opened", "Connections to backend servers ever begun.", true),
-    /** The version of the routes in force. */
+    /** Version of the routes in force. */
     ROUTING_VERSION("routing_version", "Version of the routes in force.", false),
-    /** The revision of the store that the snapshot rests on. */
+    /** Revision of the store that the snapshot is based on. */
     REGISTRY_REVISION("registry_revision", "Revision of the store that is known.", false),
-    /** How often the store has come back from an older copy, as it tells. */
+    /** Number of times that the store has come back from an older copy, as the store reports it. */
     STORE_ERA("store_era", "Era of the store; rises when it comes back from a copy.", false),
-    /** How long ago the routes were confirmed. */
+    /** Time since the routes were confirmed. */
     ROUTING_AGE("routing_age_seconds", "Time since the routes were confirmed.", false),
-    /** How long ago the list of backend servers was confirmed. */
+    /** Time since the list of backend servers was confirmed. */
     REGISTRY_AGE("registry_age_seconds", "Time since the backend servers were confirmed.", false),
-    /** Whether the store is lost. */
+    /** Whether the store is unavailable. */
     STORE_LOST("store_lost", "1 while no call to the store succeeds, else 0.", false),
     /** Registered backend servers. */
     SERVERS("backend_servers", "Backend servers that are registered.", false),
@@ -36,72 +36,74 @@
     LEAVING_SERVERS("leaving_backend_servers", "Backend servers that are leaving.", false),
     /** Backend servers that are cold. */
     COLD_SERVERS("cold_backend_servers", "Backend servers that are cold.", false),
-    /** Backend servers that are kept though their entries are gone. */
+    /** Backend servers that are kept although their entries were removed. */
     UNCONFIRMED_SERVERS(
             "unconfirmed_backend_servers", "Backend servers kept without an entry.", false),
-    /** Entries of backend servers that lie in the store and cannot be read. */
+    /** Entries of backend servers that are in the store and cannot be read. */
     UNREADABLE_ENTRIES(
             "unreadable_entries", "Entries of backend servers that cannot be read.", false),
     /** Changes of entries that could not be read. */
     UNREADABLE_SEEN("unreadable_entries_seen", "Changes of entries that could not be read.", true),
-    /** Zones whose backend servers get nothing. */
+    /** Zones whose backend servers receive no requests. */
     EVACUATED_ZONES("evacuated_zones", "Zones that are evacuated.", false),
-    /** Instances that are alive, this one included. */
+    /** Instances that are alive, including this one. */
     INSTANCES_ALIVE("instances_alive", "Instances alive, this one included.", false),
-    /** Among how many instances common limits are divided. */
+    /** Number of instances among which common limits are divided. */
     SHAREHOLDERS("shareholders", "Instances that share common limits.", false),
-    /** How old the oldest news of an instance that counts as alive is. */
+    /** Age of the oldest update among those of the live instances. */
     PEERS_AGE("peers_age_seconds", "Time since the most silent living instance was heard.", false),
-    /** How many retries the budgets of all services allow in the window that ends now. */
+    /** Retries that the budgets of all services allow in the window that ends now. */
     RETRY_BUDGET_BOUND("retry_budget_bound", "Retries that the budgets allow in a window.", false),
-    /** How many of them were made. */
+    /** Retries of that window that were made. */
     RETRY_BUDGET_USED("retry_budget_used", "Retries of the window that ends now.", false),
-    /** How many retries the budgets of all services allow now. */
+    /** Retries that the budgets of all services allow now. */
     RETRY_BUDGET("retry_budget_left", "Retries that the budgets allow now.", false),
     /** Heartbeats sent. */
     HEARTBEATS_SENT("heartbeats_sent", "Heartbeats sent to other instances.", true),
-    /** Heartbeats heard. */
+    /** Heartbeats received. */
     HEARTBEATS_RECEIVED("heartbeats_heard", "Heartbeats heard from other instances.", true),
-    /** Loads of full servers told to the zone. */
+    /** Loads of full servers that were reported to the zone. */
     LOADS_REPORTED("loads_told", "Loads of backend servers told to the zone.", true),
-    /** Loads of servers heard from the zone. */
+    /** Loads of servers that were received from the zone. */
     LOADS_RECEIVED("loads_heard", "Loads of backend servers heard from the zone.", true),
-    /** Ends of servers seen, once for each request that was there. */
+    /** Ends of servers that were observed, once for each request running there. */
     SERVER_ENDS("server_ends", "Ends of backend servers, once for each request there.", true),
-    /** Requests that were there when a server ended, and are followed for it. */
+    /**
+     * Requests that were running on a server when it ended, and that are tracked for this reason.
+     */
     FOLLOWED_REQUESTS(
             "followed_requests", "Requests followed since servers ended under them.", false),
-    /** Those of them that are rejected now. */
+    /** Tracked requests that are rejected now. */
     REJECTED_REQUESTS("rejected_requests", "Requests rejected as they end servers.", false),
-    /** Backend servers whose limit is kept. */
+    /** Backend servers for which a limit is kept. */
     LIMITED_SERVERS("limited_backend_servers", "Backend servers that name a limit.", false),
-    /** What this instance may send to them. */
+    /** Requests per second that this instance may send to these servers. */
     LIMITED_RATE("limited_rate", "Requests a second that this instance may send to them.", false),
-    /** Answers that named something which is no limit. */
+    /** Answers that stated a limit which is not valid. */
     MALFORMED_LIMITS("malformed_limits", "Answers with a limit that is no number.", true),
-    /** Backend servers that have said in an answer that they leave. */
+    /** Backend servers that have stated in an answer that they are leaving. */
     SERVERS_SAID_LEAVING(
             "backend_servers_said_leaving", "Backend servers that leave by their answers.", false),
-    /** Backend servers that have asked for a pause. */
+    /** Backend servers that have requested a pause. */
     PAUSED_SERVERS("paused_backend_servers", "Backend servers that have asked for a pause.", false),
-    /** Answers that stated something on a withdrawal which means nothing. */
+    /** Answers with a statement on a withdrawal that is not valid. */
     MALFORMED_WITHDRAWALS(
             "malformed_withdrawals", "Answers whose word on leaving or a pause is none.", true),
     /** Workspaces in force. */
     WORKSPACES("workspaces", "Workspaces in force.", false),
-    /** Their keys. */
+    /** Keys of these workspaces. */
     WORKSPACE_KEYS("workspace_keys", "Keys that open a workspace.", false),
-    /** How old the proof is that these keys are the newest. */
+    /** Age of the proof that these keys are the newest. */
     PROOF_AGE("key_proof_age_seconds", "Age of the proof that the keys are the newest.", false),
-    /** Whether requests with keys are let in. */
+    /** Whether requests with keys are accepted. */
     KEYS_PROVEN("keys_proven", "1 while that proof is young enough, else 0.", false),
-    /** The caps of the shifts that run now, in millionths. */
+    /** Caps of the current shifts, in millionths. */
     SPENDING_CAP("spending_cap_micros", "Caps of the shifts that run now.", false),
-    /** What all instances hold or have spent of them, as last read. */
+    /** Amount of these caps that all instances hold or have spent, as last read. */
     SPENDING_ALLOTTED("spending_allotted_micros", "What all hold or spent of these caps.", false),
-    /** What this instance holds of them and has not spent. */
+    /** Amount of these caps that this instance holds and has not spent. */
     SPENDING_HELD("spending_held_micros", "What this instance still holds of them.", false),
-    /** What this instance has spent of them. */
+    /** Amount of these caps that this instance has spent. */
     SPENDING_SPENT("spending_spent_micros", "What this instance has spent of them.", false);
 
     private final String mName;
@@ -114,17 +116,17 @@
         mTotal = total;
     }
 
-    /** Gives the name in lower case, without the prefix of all metrics. */
+    /** Returns the name in lower case, without the common prefix of all metrics. */
     String metricName() {
         return mName;
     }
 
-    /** Gives the sentence that explains it. */
+    /** Returns the description of the metric. */
     String help() {
         return mHelp;
     }
 
-    /** Tells whether it only ever grows. */
+    /** Returns whether the value only ever increases. */
     boolean isTotal() {
         return mTotal;
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/metrics/EntryValues.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/metrics/EntryValues.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * Collects the figures of one scrape from the parts that keep them.
+ * Collector of the values for one scrape, which the components that keep them set.
  *
  * @since 0.2
  */
@@ -15,26 +15,26 @@
     EntryValues() {}
 
     /**
-     * Sets a figure; one that is not set is not shown.
+     * Sets a value. A metric without a value is not shown.
      *
-     * @param value which
-     * @param number the figure
+     * @param value the metric
+     * @param number the value
      */
     public void set(EntryValue value, double number) {
         mValues.put(value, number);
     }
 
     /**
-     * Sets a whole figure; one that is not set is not shown.
+     * Sets an integral value. A metric without a value is not shown.
      *
-     * @param value which
-     * @param number the figure
+     * @param value the metric
+     * @param number the value
      */
     public void set(EntryValue value, long number) {
         mValues.put(value, (double) number);
     }
 
-    /** Gives what was set. */
+    /** Returns the values that were set. */
     Map<EntryValue, Double> all() {
         return mValues;
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/metrics/MetricPage.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/metrics/MetricPage.java
@@ -22,7 +22,7 @@
 import java.util.function.IntToLongFunction;
 import java.util.function.ToLongBiFunction;
 
-/** Spells the counts of one moment; the only type that loads the library of metrics. */
+/** Formatter of the metrics at one point in time. The only type that loads the metrics library. */
 final class MetricPage {
 
     private static final String PREFIX = "masticpond_entry_";
@@ -74,21 +74,21 @@
                 "workspace",
                 mRequests.workspaces(),
                 RequestCounts.WORKSPACES,
-                mRequests::ofWorkspace);
+                mRequests::workspaceRequests);
     }
 
     private void addByOutcome(
             CounterSnapshot.Builder counter,
             String label,
             BoundedNames names,
-            int others,
+            int othersNumber,
             ToLongBiFunction<Integer, RequestOutcome> count) {
         for (RequestOutcome outcome : RequestOutcome.values()) {
             addNamed(
                     counter,
                     label,
                     names,
-                    others,
+                    othersNumber,
                     Labels.of("outcome", text(outcome)),
                     number -> count.applyAsLong(number, outcome));
         }
@@ -105,7 +105,7 @@
                         "cause",
                         mRequests.causes(),
                         RequestCounts.CAUSES,
-                        ends(kind, outcome),
+                        outcomeLabels(kind, outcome),
                         number -> mRequests.failures(number, kind, outcome));
             }
         }
@@ -115,7 +115,7 @@
         mPage.metricSnapshot(retries.build());
     }
 
-    private static Labels ends(RouteKind kind, RequestOutcome outcome) {
+    private static Labels outcomeLabels(RouteKind kind, RequestOutcome outcome) {
         return Labels.of("kind", text(kind), "outcome", text(outcome));
     }
 
@@ -123,14 +123,19 @@
             CounterSnapshot.Builder counter,
             String label,
             BoundedNames names,
-            int others,
-            Labels further,
+            int othersNumber,
+            Labels additionalLabels,
             IntToLongFunction count) {
         for (Map.Entry<String, Integer> name : names.known().entrySet()) {
             addIfAny(
-                    counter, further.add(label, name.getKey()), count.applyAsLong(name.getValue()));
+                    counter,
+                    additionalLabels.add(label, name.getKey()),
+                    count.applyAsLong(name.getValue()));
         }
-        addIfAny(counter, further.add(label, BoundedNames.OTHER), count.applyAsLong(others));
+        addIfAny(
+                counter,
+                additionalLabels.add(label, BoundedNames.OTHER),
+                count.applyAsLong(othersNumber));
     }
 
     private static void addIfAny(CounterSnapshot.Builder counter, Labels labels, long count) {
@@ -148,7 +153,7 @@
             for (RequestOutcome outcome : RequestOutcome.values()) {
                 LatencyBuckets latency = mRequests.latency(kind, outcome);
                 if (outcome != RequestOutcome.OPEN && !latency.isEmpty()) {
-                    requests.dataPoint(point(ends(kind, outcome), latency));
+                    requests.dataPoint(point(outcomeLabels(kind, outcome), latency));
                 }
             }
         }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/metrics/RequestCounts.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/metrics/RequestCounts.java
@@ -9,16 +9,19 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.AtomicLongArray;
 
-/** Counts requests and their attempts by how they ended. Safe for all threads. */
+/** Counters of requests and their attempts by how they ended. Safe for use by multiple threads. */
 final class RequestCounts {
 
-    /** How many routes are told apart. */
+    /** Maximum number of routes with a label of their own. */
     static final int ROUTES = 24;
 
-    /** How many causes are told apart. */
+    /** Maximum number of causes with a label of their own. */
     static final int CAUSES = 24;
 
-    /** How many workspaces are told apart; with each outcome they make a figure of their own. */
+    /**
+     * Maximum number of workspaces with a label of their own. Each of them adds one time series per
+     * outcome.
+     */
     static final int WORKSPACES = 16;
 
     private static final String NO_ROUTE = "none";
@@ -47,7 +50,8 @@
         String route = request.route() == null ? NO_ROUTE : request.route().value();
         counts.mRequests.getAndIncrement(mRoutes.numberOf(route));
         if (request.workspace() != null) {
-            counts.mOfWorkspaces.getAndIncrement(mWorkspaces.numberOf(request.workspace().value()));
+            counts.mWorkspaceRequests.getAndIncrement(
+                    mWorkspaces.numberOf(request.workspace().value()));
         }
         if (request.cause() != null) {
             counts.of(request.kind()).mFailures.getAndIncrement(mCauses.numberOf(request.cause()));
@@ -62,7 +66,7 @@
         }
     }
 
-    /** Counts a further send of a request. */
+    /** Counts a retry of a request. */
     void retried() {
         mRetries.getAndIncrement();
     }
@@ -75,8 +79,8 @@
         return mWorkspaces;
     }
 
-    long ofWorkspace(int workspace, RequestOutcome outcome) {
-        return mOutcomes.get(outcome).mOfWorkspaces.get(workspace);
+    long workspaceRequests(int workspace, RequestOutcome outcome) {
+        return mOutcomes.get(outcome).mWorkspaceRequests.get(workspace);
     }
 
     BoundedNames causes() {
@@ -107,26 +111,26 @@
         return mAttemptLatency;
     }
 
-    /** What is counted of the requests with one outcome. */
+    /** Counters of the requests with one outcome. */
     private static final class OutcomeCounts {
 
         private final AtomicLongArray mRequests = new AtomicLongArray(ROUTES + 1);
-        private final AtomicLongArray mOfWorkspaces = new AtomicLongArray(WORKSPACES + 1);
-        private final Map<RouteKind, EndCounts> mEnds = new EnumMap<>(RouteKind.class);
+        private final AtomicLongArray mWorkspaceRequests = new AtomicLongArray(WORKSPACES + 1);
+        private final Map<RouteKind, RouteKindCounts> mRouteKinds = new EnumMap<>(RouteKind.class);
 
         OutcomeCounts() {
             for (RouteKind kind : RouteKind.values()) {
-                mEnds.put(kind, new EndCounts());
+                mRouteKinds.put(kind, new RouteKindCounts());
             }
         }
 
-        EndCounts of(RouteKind kind) {
-            return mEnds.get(kind);
+        RouteKindCounts of(RouteKind kind) {
+            return mRouteKinds.get(kind);
         }
     }
 
-    /** What is counted of the requests of one kind of route with one outcome. */
-    private static final class EndCounts {
+    /** Counters of the requests of one kind of route with one outcome. */
+    private static final class RouteKindCounts {
 
         private final AtomicLongArray mFailures = new AtomicLongArray(CAUSES + 1);
         private final LatencyBuckets mLatency = new LatencyBuckets();
--- a/masticpond-entry/src/main/java/io/masticpond/entry/metrics/StoreCallCounts.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/metrics/StoreCallCounts.java
@@ -7,15 +7,17 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 
-/** Counts calls to the platform's store by kind and result. Safe for all threads. */
+/**
+ * Counters of calls to the platform's store by kind and result. Safe for use by multiple threads.
+ */
 final class StoreCallCounts {
 
-    /** The result of a call that did what it was for. */
+    /** Result label of a successful call. */
     static final String DONE = "done";
 
     private final Map<Kind, ResultCounts> mCounts = new EnumMap<>(Kind.class);
 
-    /** What a call is for. */
+    /** Kind of a call. */
     enum Kind {
         LIST,
         WATCH,
@@ -36,7 +38,7 @@
         (result.isRight() ? counts.mDone : counts.mFailed.get(result.getLeft())).getAndIncrement();
     }
 
-    /** Puts the count of a call before who hears its result. */
+    /** Decorates the consumer of a result such that the call is counted first. */
     <T> Consumer<Either<FeedError, T>> counting(Kind kind, Consumer<Either<FeedError, T>> result) {
         return outcome -> {
             ended(kind, outcome);
@@ -52,7 +54,7 @@
         return mCounts.get(kind).mFailed.get(error).get();
     }
 
-    /** What is counted of the calls of one kind. */
+    /** Counters of the calls of one kind. */
     private static final class ResultCounts {
 
         private final AtomicLong mDone = new AtomicLong();
--- a/masticpond-entry/src/test/java/io/masticpond/entry/metrics/EntryMetricsTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/metrics/EntryMetricsTest.java
@@ -35,7 +35,7 @@
 import java.util.regex.Pattern;
 import net.jqwik.api.Example;
 
-/** Tests what a scrape shows. */
+/** Tests of the text of a scrape. */
 final class EntryMetricsTest {
 
     private static final Pattern SHOWN = Pattern.compile("(?m)^(masticpond_\\w+)(?:\\{(.*)\\})? ");
@@ -97,7 +97,7 @@
     }
 
     @Example
-    void labelsStayFewWhateverTheNames() {
+    void numberOfLabelsIsBoundedWhateverTheNames() {
         for (int index = 0; index < 1_000; index++) {
             RequestRecord request = routed("route" + index);
             request.refused("cause" + index, 503, 100, 0);
@@ -114,7 +114,7 @@
     }
 
     @Example
-    void figuresOfOtherPartsAreShownWhenSet() {
+    void valuesOfOtherComponentsAreShownOnlyIfSet() {
         assertThat(mMetrics.scrape().lines())
                 .contains(
                         "masticpond_entry_routing_version 7.0",
@@ -123,14 +123,14 @@
     }
 
     @Example
-    void storeCallsAreCountedAndPassedOn() {
+    void storeCallsAreCountedAndDelegated() {
         StoreFeed feed = mMetrics.counting(new FailingFeed());
-        List<Object> heard = new ArrayList<>();
-        feed.list(Category.ROUTING, Duration.ofSeconds(1), heard::add);
-        feed.watch(Category.ROUTING, 1, Duration.ofSeconds(1), heard::add).run();
-        feed.put(Category.INSTANCES, "i1", null, heard::add);
-        feed.delete(Category.INSTANCES, "i1", heard::add);
-        assertThat(heard).hasSize(3);
+        List<Object> results = new ArrayList<>();
+        feed.list(Category.ROUTING, Duration.ofSeconds(1), results::add);
+        feed.watch(Category.ROUTING, 1, Duration.ofSeconds(1), results::add).run();
+        feed.put(Category.INSTANCES, "i1", null, results::add);
+        feed.delete(Category.INSTANCES, "i1", results::add);
+        assertThat(results).hasSize(3);
         assertThat(mMetrics.scrape().lines())
                 .contains(
                         "masticpond_entry_store_calls_total{kind=\"list\",result=\"unreachable\"}"
@@ -141,7 +141,7 @@
     }
 
     @Example
-    void thePageForOperatorsListsEachMetricAndItsLabels() throws IOException {
+    void operationsPageListsEachMetricAndItsLabels() throws IOException {
         EntryMetrics all =
                 new EntryMetrics(
                         new LineCounts(),
@@ -170,7 +170,10 @@
         assertThat(listed()).isEqualTo(shown);
     }
 
-    /** Reads the table of the page: names, and labels that several names of a row share. */
+    /**
+     * Reads the table of the operations page: the metric names, and the labels that the names of
+     * one row share.
+     */
     private static Map<String, Set<String>> listed() throws IOException {
         Path folder = Path.of("").toAbsolutePath();
         while (!Files.exists(folder.resolve("docs/operations/metrics.md"))) {
@@ -212,7 +215,7 @@
         return TimeUnit.MILLISECONDS.toNanos(millis);
     }
 
-    /** A store of which only deletions succeed. */
+    /** Store of which only deletions succeed. */
     private static final class FailingFeed implements StoreFeed {
 
         @Override
