--- a/masticpond-entry/src/main/java/io/masticpond/entry/settings/Bounds.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/settings/Bounds.java
@@ -5,27 +5,27 @@
 import java.util.List;
 
 /**
- * The times and shares that the system promises to keep.
+ * Times and shares that the system guarantees.
  *
- * @param addressReuse how long the address of a backend server that has ended stays free
- * @param stability how long all must have been calm for the other bounds to hold
- * @param acknowledgement how soon a change is acknowledged
- * @param catchUp how soon an instance that was cut off has the newest state
- * @param leave how soon a leaving backend server gets nothing more
- * @param stop how long a stopping instance may finish what it has
- * @param lossSlack how late in a connection's end a request may cross it
- * @param configurationApply how soon a routing configuration is in force
- * @param downgradeSlack for how long an older configuration may still be seen after a newer one
- * @param outage by how much an outage of the store may stretch the other bounds
- * @param retryRatio how many requests may be sent once more, as a share of all requests
- * @param retryWindow the window over which they are counted
- * @param retrySlack how many may be sent once more besides
- * @param warmUpFactor by how much a cold server's rate may be exceeded
- * @param coldSlack how many requests a cold server may get besides
- * @param evacuation how soon an evacuated zone gets nothing more
- * @param recovery how soon the system serves again after all instances were lost
- * @param directoryLifetime the longest time for which an answer of the directory holds
- * @param regionShift the greatest share of a region's requests that may change the region in which
+ * @param addressReuse how long the address of a backend server that has ended stays unused
+ * @param stability how long the system must have been stable for the other bounds to hold
+ * @param acknowledgement the time in which a change is acknowledged
+ * @param catchUp the time in which an instance that was cut off has the newest state
+ * @param leave the time after which a leaving backend server receives no more requests
+ * @param stop how long a stopping instance may finish its open requests
+ * @param lossSlack the tolerance in time for a request that crosses the end of its connection
+ * @param configurationApply the time in which a routing configuration is in force
+ * @param downgradeSlack how long an older configuration may still be seen after a newer one
+ * @param outage by how much an outage of the store may extend the other bounds
+ * @param retryRatio the maximum number of retries, as a share of all requests
+ * @param retryWindow the window over which retries are counted
+ * @param retrySlack the number of retries allowed in addition to that share
+ * @param warmUpFactor the factor by which the rate of a cold server may be exceeded
+ * @param coldSlack the number of requests that a cold server may receive in addition
+ * @param evacuation the time after which an evacuated zone receives no more requests
+ * @param recovery the time in which the system serves again after all instances were lost
+ * @param directoryLifetime the maximum time for which an answer of the directory is valid
+ * @param regionShift the maximum share of a region's requests that may change the region in which
  *     they run from one short window to the next
  * @since 0.2
  */
@@ -51,7 +51,7 @@
         double regionShift) {
 
     /**
-     * Gives these bounds with another window of further sends.
+     * Returns these bounds with another window of retries.
      *
      * @param window the window
      * @return the bounds
@@ -80,15 +80,15 @@
     }
 
     /**
-     * Gives the shortest time in which a change that the store knows must be in force.
+     * Returns the shortest time in which a change that the store knows must be in force.
      *
-     * @return the least of the bounds of leaving servers, configurations and evacuations
+     * @return the minimum of the bounds of leaving servers, configurations and evacuations
      */
     public Duration shortest() {
         return Collections.min(List.of(leave, configurationApply, evacuation));
     }
 
-    /** What holds where a platform states nothing. */
+    /** Default bounds, which apply if a platform specifies none. */
     public static final Bounds DEFAULT =
             new Bounds(
                     Duration.ofSeconds(2),
--- a/masticpond-entry/src/main/java/io/masticpond/entry/settings/Durations.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/settings/Durations.java
@@ -5,13 +5,13 @@
 import java.time.Duration;
 
 /**
- * Reads times as people write them: "1500ms", "2.5s".
+ * Parser of durations in their textual form, such as "1500ms" and "2.5s".
  *
  * @since 0.2
  */
 public final class Durations {
 
-    /** What an error calls such a text. */
+    /** Description of a valid text, for error messages. */
     public static final String KIND = "a time such as 1500ms or 2.5s";
 
     private static final String MILLIS = "ms";
@@ -23,11 +23,11 @@
     private Durations() {}
 
     /**
-     * Reads one time.
+     * Parses one duration.
      *
-     * @param text a number that is not negative, and its unit, ms or s
-     * @return the time
-     * @throws IllegalArgumentException if the text is not a time
+     * @param text a number that is not negative, followed by its unit, ms or s
+     * @return the duration
+     * @throws IllegalArgumentException if the text is not a valid duration
      */
     public static Duration parse(String text) {
         Assert.isTrue(text.length() <= MAXIMUM_LENGTH, "'%s' is too long for a time.", text);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/settings/EntrySettings.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/settings/EntrySettings.java
@@ -15,27 +15,27 @@
 import java.util.Optional;
 
 /**
- * All that one instance is told when it starts, and again when its settings change.
+ * Settings of one instance, read when it starts and again when they change.
  *
  * @param instance its name, which a restart keeps
  * @param zone its availability zone
  * @param region its region
- * @param zones the region of each availability zone, its own included
- * @param listeners where it listens
- * @param seeds instances that may be asked first; they may be down, and only their IP address
- *     counts, since the internal port is the same on all instances
+ * @param zones the region of each availability zone, including its own
+ * @param listeners the addresses at which it listens
+ * @param seeds instances to contact first; they may be down, and only their IP address is used,
+ *     since the internal port is the same on all instances
  * @param store the platform's store
- * @param reportInterval how often a backend server renews its entry in the registry
- * @param bounds the times and shares that the system promises to keep
- * @param tolerance how much may be lost at one time
- * @param resources what the process may use
- * @param placement how much each thing counts in the choice of a backend server
+ * @param reportInterval the interval in which a backend server renews its entry in the registry
+ * @param bounds the times and shares that the system guarantees
+ * @param tolerance how much may be lost at the same time
+ * @param resources the resources that the process may use
+ * @param placement the weights in the choice of a backend server
  * @param log how much is logged
  * @param crashes when a request counts as one that ends backend servers
- * @param serverLimits how far the limits that backend servers name may be exceeded
- * @param withdrawals for how long it counts that backend servers have withdrawn
- * @param workspaces how strictly keys and rates of workspaces are kept
- * @param spending what may be spent; without it spending has no cap
+ * @param serverLimits how far the limits that backend servers state may be exceeded
+ * @param withdrawals how long the withdrawal of a backend server remains in effect
+ * @param workspaces how strictly keys and rates of workspaces are enforced
+ * @param spending the spending caps; if absent, spending is not capped
  * @since 0.2
  */
 public record EntrySettings(
@@ -58,7 +58,7 @@
         WorkspaceSettings workspaces,
         Optional<SpendingSettings> spending) {
 
-    /** Checks that the zone is one of the zones and lies in the region; copies the collections. */
+    /** Validates that the zone is listed and belongs to the region; copies the collections. */
     public EntrySettings {
         zones = Map.copyOf(zones);
         seeds = List.copyOf(seeds);
@@ -70,13 +70,13 @@
     }
 
     /**
-     * Where an instance listens.
+     * Addresses at which an instance listens.
      *
-     * @param entry for requests of clients
-     * @param readiness for questions whether it is ready
-     * @param directory for clients that ask where to connect
-     * @param internal for other instances, over TCP and UDP
-     * @param metrics for its metrics, if anybody reads them
+     * @param entry the address for requests of clients
+     * @param readiness the address for readiness checks
+     * @param directory the address for clients that query where to connect
+     * @param internal the address for other instances, over TCP and UDP
+     * @param metrics the address for scrapes of its metrics, if they are exposed
      * @since 0.2
      */
     public record Listeners(
@@ -87,15 +87,15 @@
             Optional<ServerAddress> metrics) {}
 
     /**
-     * The platform's store.
+     * Settings of the platform's store.
      *
-     * @param address where it listens
-     * @param readsPerSecond how many reads all instances together may make a second
-     * @param writesPerSecond how many writes all instances together may make a second
-     * @param history for how long it remembers changes
-     * @param objectBytes the greatest length of an object
-     * @param watchersInZone how many ready instances of an availability zone watch it while the
-     *     others hear from them; 0 if all watch it
+     * @param address the address at which it listens
+     * @param readsPerSecond the maximum number of reads per second of all instances together
+     * @param writesPerSecond the maximum number of writes per second of all instances together
+     * @param history the time for which it remembers changes
+     * @param objectBytes the maximum size of an object
+     * @param watchersInZone the number of ready instances of an availability zone that watch it and
+     *     relay its changes to the others; 0 if all watch it
      * @since 0.2
      */
     public record Store(
@@ -107,35 +107,36 @@
             int watchersInZone) {}
 
     /**
-     * How much may be lost at one time while the system keeps all that it promises.
+     * Number of failures at the same time during which the system keeps all its guarantees.
      *
-     * @param instances how many instances
-     * @param zones how many availability zones
-     * @param regions how many regions
+     * @param instances the number of instances
+     * @param zones the number of availability zones
+     * @param regions the number of regions
      * @since 0.2
      */
     public record Tolerance(int instances, int zones, int regions) {}
 
     /**
-     * How much is logged.
+     * Settings of the log.
      *
-     * @param linesPerSecond the greatest number of lines a second, over more than a second
+     * @param linesPerSecond the maximum number of lines per second, averaged over more than one
+     *     second
      * @since 0.2
      */
     public record Log(int linesPerSecond) {
 
-        /** Checks that it is positive. */
+        /** Validates that the number is positive. */
         public Log {
             Assert.positive(linesPerSecond, "A number of lines per second");
         }
     }
 
     /**
-     * What the process may use.
+     * Resources that the process may use.
      *
-     * @param processorShare the share of a core
-     * @param memoryMegabytes the memory, above which the process is killed
-     * @param descriptors the file descriptors, sockets included
+     * @param processorShare the share of a processor core
+     * @param memoryMegabytes the memory in megabytes, above which the process is killed
+     * @param descriptors the number of file descriptors, including sockets
      * @since 0.2
      */
     public record Resources(double processorShare, int memoryMegabytes, int descriptors) {}
--- a/masticpond-entry/src/main/java/io/masticpond/entry/settings/EntrySettingsReader.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/settings/EntrySettingsReader.java
@@ -25,8 +25,8 @@
 import java.util.Optional;
 
 /**
- * Reads the settings of an instance: JSON, in which comments are allowed. Fields that it does not
- * know are ignored; all that is wrong is told at once.
+ * Reader of the settings of an instance in JSON, in which comments are allowed. Unknown fields are
+ * ignored; all errors are reported at once.
  *
  * @since 0.2
  */
@@ -46,18 +46,19 @@
      * Reads a settings file.
      *
      * @param file the file
-     * @return the settings, or a sentence for each thing that is wrong
+     * @return the settings, or one sentence per error
      */
     public Either<List<String>, EntrySettings> read(Path file) {
         return read(file, false);
     }
 
     /**
-     * Reads a settings file as a start does, and takes each field that nothing reads for wrong: an
-     * instance starts with one, since its template may be newer, but it may be a slip.
+     * Reads a settings file as at a start, but also reports each unknown field as an error. An
+     * instance does start with unknown fields, since its template may be newer, but they may be
+     * misspelled.
      *
      * @param file the file
-     * @return the settings, or a sentence for each thing that is wrong
+     * @return the settings, or one sentence per error
      */
     public Either<List<String>, EntrySettings> check(Path file) {
         return read(file, true);
@@ -76,7 +77,7 @@
      * Reads the text of a settings file.
      *
      * @param text the text
-     * @return the settings, or a sentence for each thing that is wrong
+     * @return the settings, or one sentence per error
      */
     public Either<List<String>, EntrySettings> read(String text) {
         return read(text, false);
@@ -148,10 +149,10 @@
                 spending(root, zones));
     }
 
-    /** What reads the part is loaded only where the part is given. */
+    /** Reads the spending settings. Their reader is loaded only if they are given. */
     private static Optional<SpendingSettings> spending(
             SettingsFields root, Map<ZoneId, RegionId> zones) {
-        JsonNode given = root.known("spending");
+        JsonNode given = root.get("spending");
         if (given.isMissingNode() || given.isNull()) {
             return Optional.empty();
         }
@@ -185,7 +186,7 @@
 
     private static List<ServerAddress> seeds(SettingsFields root) {
         List<ServerAddress> seeds = new ArrayList<>();
-        for (JsonNode seed : root.known("seeds")) {
+        for (JsonNode seed : root.get("seeds")) {
             String path = root.path("seeds") + "[" + seeds.size() + "]";
             seeds.add(
                     root.read(
--- a/masticpond-entry/src/main/java/io/masticpond/entry/settings/HeaderNames.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/settings/HeaderNames.java
@@ -3,21 +3,23 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * The names of the headers that carry the system's own news, as the platform spells them.
+ * Names of the headers that carry the system's own information, as the platform spells them.
  *
- * @param requestId names one attempt of a client; the answer echoes it
- * @param deadlineMillis how many milliseconds the client will wait
- * @param affinityKey names the object that a request is about
+ * @param requestId identifies one attempt of a client; the answer echoes it
+ * @param deadlineMillis the number of milliseconds that the client will wait
+ * @param affinityKey identifies the object that a request is about
  * @param seal the backend server's proof that an answer is its own
  * @param expectedServer the id of the only backend server that may run a request
- * @param serverLoad running requests, waiting requests and slots of a backend server
- * @param serverLimit how many requests a second a backend server takes from all instances
- * @param serverLeaving says that a backend server leaves
- * @param notExecuted says that the backend server did not run the request
- * @param retryAfter after how many seconds a client may come back, or an instance may send to a
- *     backend server again
+ * @param serverLoad the running requests, waiting requests and slots of a backend server
+ * @param serverLimit the number of requests per second that a backend server accepts from all
+ *     instances
+ * @param serverLeaving states that a backend server is leaving
+ * @param notExecuted states that the backend server did not run the request
+ * @param retryAfter the number of seconds after which a client may return, or an instance may send
+ *     to a backend server again
  * @param credential carries a client's key and nothing else; never leaves the instance
- * @param workspace tells a backend server whose request it is; never taken from a client
+ * @param workspace identifies to a backend server the workspace of a request; never accepted from a
+ *     client
  * @since 0.2
  */
 public record HeaderNames(
@@ -34,7 +36,7 @@
         String credential,
         String workspace) {
 
-    /** Checks that all names are given. */
+    /** Validates that all names are given. */
     public HeaderNames {
         Assert.hasText(requestId, "The header of the request id");
         Assert.hasText(deadlineMillis, "The header of the deadline");
--- a/masticpond-entry/src/main/java/io/masticpond/entry/settings/ProcessSignals.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/settings/ProcessSignals.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Hears the signals to stop and to read the settings again, in place of the JVM, which would end at
- * both.
+ * Handler of the signals to stop and to reload the settings. It replaces the handlers of the JVM,
+ * which would exit at both.
  *
  * @since 0.2
  */
@@ -17,11 +17,11 @@
     private ProcessSignals() {}
 
     /**
-     * Takes the signals over for the rest of the process. The actions run on threads of the JVM and
-     * should hand over to a thread of the instance.
+     * Installs handlers for the signals for the rest of the process. The actions run on threads of
+     * the JVM and should hand over to a thread of the instance.
      *
-     * @param onStop what to do at SIGTERM and SIGINT; the process goes on until it ends itself
-     * @param onReload what to do at SIGHUP
+     * @param onStop the action at SIGTERM and SIGINT; the process continues until it exits itself
+     * @param onReload the action at SIGHUP
      */
     public static void handle(Runnable onStop, Runnable onReload) {
         Assert.notNull(onStop, "An action at a stop");
--- a/masticpond-entry/src/main/java/io/masticpond/entry/settings/SettingsFields.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/settings/SettingsFields.java
@@ -10,8 +10,8 @@
 import java.util.function.Function;
 
 /**
- * Reads the fields of one object of the settings and notes each that is missing or wrong. After an
- * error it gives a value that only serves to read on.
+ * Reader of the fields of one object of the settings. It records each field that is missing or
+ * invalid; after an error it returns a placeholder, which only allows reading to continue.
  */
 final class SettingsFields {
 
@@ -38,15 +38,15 @@
     }
 
     SettingsFields optionalObject(String field) {
-        SettingsFields fields = new SettingsFields(known(field), path(field) + ".", mErrors);
+        SettingsFields fields = new SettingsFields(get(field), path(field) + ".", mErrors);
         mObjects.add(fields);
         return fields;
     }
 
-    /** Gives the objects of a list, which must be given and hold some. */
+    /** Returns the objects of a list, which must be given and not be empty. */
     List<SettingsFields> objects(String field) {
         List<SettingsFields> objects = new ArrayList<>();
-        JsonNode list = known(field);
+        JsonNode list = get(field);
         for (JsonNode element : list) {
             String path = path(field) + "[" + objects.size() + "]";
             if (!element.isObject()) {
@@ -61,18 +61,18 @@
         return objects;
     }
 
-    /** Notes that a field is wrong; the sentence goes on after its name. */
+    /** Records that a field is invalid. The sentence continues after the field's name. */
     void refuse(String field, String sentence, Object value) {
         mErrors.add(path(field) + " " + String.format(sentence, value) + ".");
     }
 
-    /** Gives a field as it is. */
-    JsonNode known(String field) {
+    /** Returns a field as it is, and records it as known. */
+    JsonNode get(String field) {
         mKnown.add(field);
         return mNode.path(field);
     }
 
-    /** Notes each field, here and in the objects below, that nothing has asked for. */
+    /** Records as an error each field, in this object and those below, that was never read. */
     void refuseUnknown() {
         mNode.fieldNames()
                 .forEachRemaining(
@@ -139,7 +139,10 @@
         return optional(field, "a whole number from 0", fallback, SettingsFields::parseWhole);
     }
 
-    /** Reads a bound that a platform states; what is beyond a whole number is not made use of. */
+    /**
+     * Reads a limit that a platform specifies. Values above the range of an {@code int} are reduced
+     * to its maximum.
+     */
     int limit(String field, int fallback) {
         return optional(
                 field,
@@ -158,7 +161,7 @@
 
     private static boolean parseFlag(String text) {
         if (!text.equals("true") && !text.equals("false")) {
-            throw new IllegalArgumentException("The text is no truth value.");
+            throw new IllegalArgumentException("The text is neither true nor false.");
         }
         return text.equals("true");
     }
@@ -174,12 +177,12 @@
     private static double parseFraction(String text) {
         double value = Double.parseDouble(text);
         if (!(value >= 0) || Double.isInfinite(value)) {
-            throw new IllegalArgumentException("The number is negative or none.");
+            throw new IllegalArgumentException("The number is negative or not finite.");
         }
         return value;
     }
 
     private String text(String field) {
-        return known(field).asText("").trim();
+        return get(field).asText("").trim();
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/settings/SettingsPart.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/settings/SettingsPart.java
@@ -7,66 +7,67 @@
 import java.util.function.Function;
 
 /**
- * The parts of the settings, and which of them come into force without a restart.
+ * Parts of the settings, each with whether its changes take effect without a restart.
  *
  * @since 0.2
  */
 public enum SettingsPart {
-    /** The name of the instance. */
+    /** Name of the instance. */
     INSTANCE("instance.id", false, EntrySettings::instance),
-    /** Its availability zone. */
+    /** Availability zone of the instance. */
     ZONE("instance.zone", false, EntrySettings::zone),
-    /** Its region. */
+    /** Region of the instance. */
     REGION("instance.region", false, EntrySettings::region),
-    /** The regions of the zones. */
+    /** Regions of the availability zones. */
     ZONES("zones", false, EntrySettings::zones),
-    /** Where it listens. */
+    /** Addresses at which the instance listens. */
     LISTENERS("listen", false, EntrySettings::listeners),
     /** The platform's store. */
     STORE("store", false, EntrySettings::store),
-    /** How often backend servers report. */
+    /** Interval in which backend servers report. */
     REPORT_INTERVAL("reportInterval", false, EntrySettings::reportInterval),
-    /** The window over which further sends are counted, which sizes their counts. */
+    /** Window over which retries are counted, which determines the size of their counters. */
     RETRY_WINDOW("bounds.retryWindow", false, settings -> settings.bounds().retryWindow()),
     /** The other bounds. */
     BOUNDS("bounds", true, settings -> settings.bounds().withRetryWindow(Duration.ZERO)),
-    /** What may be spent. */
+    /** Spending caps. */
     SPENDING("spending", false, EntrySettings::spending),
-    /** Instances that may be asked first. */
+    /** Instances to contact first. */
     SEEDS("seeds", true, EntrySettings::seeds),
-    /** How much may be lost at one time. */
+    /** How much may be lost at the same time. */
     TOLERANCE("tolerance", true, EntrySettings::tolerance),
-    /** What the process may use. */
+    /** Resources that the process may use. */
     RESOURCES("resources", true, EntrySettings::resources),
-    /** How a backend server is chosen. */
+    /** Weights in the choice of a backend server. */
     PLACEMENT("placement", true, EntrySettings::placement),
     /** When a request counts as one that ends backend servers. */
     CRASHES("crashes", true, EntrySettings::crashes),
-    /** How far the limits that backend servers name may be exceeded. */
+    /** How far the limits that backend servers state may be exceeded. */
     SERVER_LIMITS("serverLimits", true, EntrySettings::serverLimits),
-    /** For how long it counts that backend servers have withdrawn. */
+    /** How long the withdrawal of a backend server remains in effect. */
     WITHDRAWALS("withdrawals", true, EntrySettings::withdrawals),
-    /** How strictly keys and rates of workspaces are kept. */
+    /** How strictly keys and rates of workspaces are enforced. */
     WORKSPACES("workspaces", true, EntrySettings::workspaces),
     /** How much is logged. */
     LOG("log", true, EntrySettings::log);
 
     private final String mField;
-    private final boolean mTakesForce;
+    private final boolean mAppliesAtOnce;
     private final Function<EntrySettings, Object> mValue;
 
-    SettingsPart(String field, boolean takesForce, Function<EntrySettings, Object> value) {
+    SettingsPart(String field, boolean appliesAtOnce, Function<EntrySettings, Object> value) {
         mField = field;
-        mTakesForce = takesForce;
+        mAppliesAtOnce = appliesAtOnce;
         mValue = value;
     }
 
     /**
-     * Tells in one sentence what changed and what of it waits for a restart.
+     * Describes in one line which parts changed, and which of them take effect only after a
+     * restart.
      *
-     * @param before the settings before
-     * @param after the settings now
-     * @return the sentence
+     * @param before the previous settings
+     * @param after the current settings
+     * @return the description
      */
     public static String describeChanges(EntrySettings before, EntrySettings after) {
         Assert.notNull(before, "Settings before");
@@ -76,11 +77,12 @@
                 changed(before, after, true), changed(before, after, false));
     }
 
-    private static String changed(EntrySettings before, EntrySettings after, boolean takesForce) {
+    private static String changed(
+            EntrySettings before, EntrySettings after, boolean appliesAtOnce) {
         List<String> fields = new ArrayList<>();
         for (SettingsPart part : values()) {
             boolean same = part.mValue.apply(before).equals(part.mValue.apply(after));
-            if (part.mTakesForce == takesForce && !same) {
+            if (part.mAppliesAtOnce == appliesAtOnce && !same) {
                 fields.add(part.mField);
             }
         }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/settings/SettingsWatch.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/settings/SettingsWatch.java
@@ -15,8 +15,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads the settings file again when told to, and when the file has changed on its own. Wrong
- * settings are logged and leave the old ones in force.
+ * Watcher that reloads the settings file on request, and when the file has changed. Invalid
+ * settings are logged and leave the previous ones in force.
  *
  * @since 0.2
  */
@@ -25,11 +25,14 @@
     private static final Logger sLogger = LoggerFactory.getLogger(SettingsWatch.class);
     private static final long POLL_SECONDS = 1;
 
-    /** What tells two states of the file apart without reading it. */
+    /** File attributes that identify a state of the file without reading it. */
     private record Stamp(FileTime modified, long length) {
         static final Stamp NONE = new Stamp(FileTime.fromMillis(0), -1);
 
-        /** Written out, since the equality that records get is linked at its first use. */
+        /**
+         * Compares two stamps. Implemented explicitly, since the {@code equals} method of records
+         * is linked at its first use.
+         */
         boolean isSameAs(Stamp other) {
             return length == other.length && modified.equals(other.modified);
         }
@@ -42,12 +45,13 @@
     private Stamp mStamp;
 
     /**
-     * Starts from settings that have been read.
+     * Creates a watcher that starts from settings that have been read.
      *
      * @param file the settings file
-     * @param reader reads it
+     * @param reader reads the file
      * @param current the settings in force
-     * @param listener hears of settings that differ from those before, on the thread of the watch
+     * @param listener notified of settings that differ from the previous ones, on the thread of the
+     *     watcher
      */
     public SettingsWatch(
             Path file,
@@ -62,22 +66,22 @@
     }
 
     /**
-     * Looks at the file once a second from now on.
+     * Starts to poll the file once per second.
      *
-     * @param executor runs it; {@link #reload} must then be called on the same thread
+     * @param executor runs the polls; {@link #reload} must then be called on the same thread
      */
     public void start(ScheduledExecutorService executor) {
         executor.scheduleWithFixedDelay(this::poll, POLL_SECONDS, POLL_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** Reads the file if it has changed since it was read last. */
+    /** Reloads the file if it has changed since it was last read. */
     public void poll() {
         if (!stamp().isSameAs(mStamp)) {
             reload();
         }
     }
 
-    /** Reads the file now. */
+    /** Reloads the file. */
     public void reload() {
         mStamp = stamp();
         Either<List<String>, EntrySettings> read = mReader.read(mFile);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/settings/SpendingSettings.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/settings/SpendingSettings.java
@@ -9,13 +9,13 @@
 import java.util.Map;
 
 /**
- * What may be spent in a shift, and what an attempt costs.
+ * Settings of what may be spent in a shift, and of the cost of an attempt.
  *
- * @param version the number of these caps; of two instances whose caps differ, those of the higher
- *     version count
- * @param ledgers what the names of the ledgers in the store begin with
- * @param clockError by how much the clocks of instances may be wrong
- * @param cover for how long an instance can go on without the store
+ * @param version the version of these caps; if the caps of two instances differ, those of the
+ *     higher version apply
+ * @param ledgers the prefix of the names of the ledgers in the store
+ * @param clockError the maximum error of the clocks of instances
+ * @param cover how long an instance can continue without the store
  * @param services the services that have caps
  * @since 0.3
  */
@@ -26,7 +26,7 @@
         Duration cover,
         List<ServiceSpending> services) {
 
-    /** Checks the parts and copies the list. */
+    /** Validates the components and copies the list. */
     public SpendingSettings {
         Assert.positive(version, "The version of spending caps");
         Assert.hasText(ledgers, "The name of ledgers");
@@ -36,18 +36,18 @@
     }
 
     /**
-     * The caps of one service.
+     * Spending caps of one service.
      *
      * @param service the service
      * @param shifts its shifts with their caps
-     * @param prices what an attempt costs in each region, in millionths of the operators' unit of
+     * @param prices the cost of an attempt in each region, in millionths of the operators' unit of
      *     money
      * @since 0.3
      */
     public record ServiceSpending(
             ServiceId service, SpendingSpecification shifts, Map<RegionId, Long> prices) {
 
-        /** Checks the parts and copies the prices. */
+        /** Validates the components and copies the prices. */
         public ServiceSpending {
             Assert.notNull(service, "A service id");
             Assert.notNull(shifts, "The shifts of a service");
--- a/masticpond-entry/src/main/java/io/masticpond/entry/settings/SpendingSettingsReader.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/settings/SpendingSettingsReader.java
@@ -19,7 +19,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Reads the part of the settings about spending, where it is given. */
+/** Reader of the part of the settings about spending, if it is given. */
 final class SpendingSettingsReader {
 
     private static final String NAME = "a name";
@@ -27,7 +27,7 @@
     private static final Duration DEFAULT_CLOCK_ERROR = Duration.ofMillis(500);
     private static final Duration DEFAULT_COVER = Duration.ofMinutes(15);
 
-    /** Up to here every reader of JSON takes a whole number as it is written. */
+    /** Largest number up to which every JSON reader reads integers exactly. */
     private static final long MAXIMUM_MICROS = 1L << 53;
 
     private static final String MICROS = "a whole number from 0 to " + MAXIMUM_MICROS;
@@ -40,7 +40,10 @@
         mRegions = new HashSet<>(regions);
     }
 
-    /** Reads the part; what it gives after an error only serves to read on. */
+    /**
+     * Reads the part. After an error the result is only a placeholder, which allows reading to
+     * continue.
+     */
     Optional<SpendingSettings> read() {
         List<ServiceSpending> services = new ArrayList<>();
         Set<ServiceId> known = new HashSet<>();
@@ -115,28 +118,28 @@
 
     private static LocalTime time(SettingsFields fields, String field) {
         return fields.required(
-                field, "a time of day such as 06:00", LocalTime.MIDNIGHT, text -> timeOf(text));
+                field, "a time of day such as 06:00", LocalTime.MIDNIGHT, text -> parseTime(text));
     }
 
-    private static LocalTime timeOf(String text) {
+    private static LocalTime parseTime(String text) {
         try {
             return LocalTime.parse(text);
         } catch (DateTimeException e) {
-            throw new IllegalArgumentException("The text is no time of day.", e);
+            throw new IllegalArgumentException("The text is not a time of day.", e);
         }
     }
 
     private static long micros(SettingsFields fields, String field) {
-        return fields.required(field, MICROS, 0L, text -> whole(text, 0));
+        return fields.required(field, MICROS, 0L, text -> parseWhole(text, 0));
     }
 
     private long version(String text) {
-        return whole(text, 1);
+        return parseWhole(text, 1);
     }
 
-    private static long whole(String text, long least) {
+    private static long parseWhole(String text, long minimum) {
         long value = Long.parseLong(text);
-        if (value < least || value > MAXIMUM_MICROS) {
+        if (value < minimum || value > MAXIMUM_MICROS) {
             throw new IllegalArgumentException("The number is out of bounds.");
         }
         return value;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/settings/WorkspaceSettings.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/settings/WorkspaceSettings.java
@@ -5,13 +5,13 @@
 import java.time.Duration;
 
 /**
- * How strictly the keys and rates of workspaces are kept.
+ * Settings of how strictly the keys and rates of workspaces are enforced.
  *
- * @param strictRevocation whether a key that was taken away must work nowhere past the bound, also
- *     at instances that have lost the store; these then take no requests with keys
- * @param revocation the bound, from the acknowledgement on
- * @param proofMargin how much sooner a proof that the keys are current runs out, for clocks that
- *     differ in speed
+ * @param strictRevocation whether a revoked key must not work anywhere once the bound has passed,
+ *     including at instances that have lost the store; these then accept no requests with keys
+ * @param revocation the bound, counted from the acknowledgement
+ * @param proofMargin how much earlier a proof that the keys are current expires, to allow for
+ *     clocks that run at different speeds
  * @param rates the bound of the rates
  * @since 0.2
  */
@@ -21,7 +21,7 @@
         Duration proofMargin,
         SharedRateSettings rates) {
 
-    /** What holds where a platform states nothing. */
+    /** Default settings, which apply if a platform specifies none. */
     public static final WorkspaceSettings DEFAULT =
             new WorkspaceSettings(
                     false,
@@ -29,7 +29,7 @@
                     Duration.ofMillis(250),
                     SharedRateSettings.DEFAULT);
 
-    /** Checks that the margin leaves time for a proof. */
+    /** Validates that the margin leaves time for a proof. */
     public WorkspaceSettings {
         Assert.notNegative(proofMargin.toNanos(), "The margin of a proof");
         Assert.isTrue(
@@ -39,9 +39,9 @@
     }
 
     /**
-     * Gives for how long a proof holds.
+     * Returns how long a proof is valid.
      *
-     * @return the bound less the margin
+     * @return the bound minus the margin
      */
     public Duration proofLimit() {
         return revocation.minus(proofMargin);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/settings/package-info.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/settings/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The settings of one instance, the words that it puts on the wire, and the signals that it hears;
- * must know nothing of the platform that renders them.
+ * Settings of one instance, names of the headers that it uses on the wire, and handling of the
+ * signals that it receives. Must not depend on the platform that renders the settings.
  */
 package io.masticpond.entry.settings;
--- a/masticpond-entry/src/test/java/io/masticpond/entry/settings/EntrySettingsReaderTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/settings/EntrySettingsReaderTest.java
@@ -35,7 +35,7 @@
     private final EntrySettingsReader mReader = new EntrySettingsReader();
 
     @Example
-    void readsWhatIsGivenAndHasDefaultsForTheRest() {
+    void readsGivenFieldsAndUsesDefaultsForOthers() {
         EntrySettings settings = mReader.read(SETTINGS).get();
         assertThat(settings.zones()).containsEntry(new ZoneId("b-1"), new RegionId("b"));
         assertThat(settings.listeners().internal().port()).isEqualTo(1003);
@@ -61,7 +61,7 @@
     }
 
     @Example
-    void tellsAllErrorsAtOnceWithTheirFields() {
+    void reportsAllErrorsAtOnceWithTheirFields() {
         String wrong =
                 SETTINGS.replace("10.0.0.1:1001", "10.0.0.1")
                         .replace("2500ms", "2500")
@@ -92,7 +92,7 @@
             """;
 
     @Example
-    void spendingWithoutPartHasNoCapAndWithOneIsReadWhole() {
+    void spendingIsUncappedIfAbsentAndReadCompletelyIfGiven() {
         assertThat(mReader.read(SETTINGS).get().spending()).isEmpty();
         SpendingSettings spending = read(SPENDING).get().spending().orElseThrow();
         assertThat(spending.version()).isEqualTo(4);
@@ -108,7 +108,7 @@
     }
 
     @Example
-    void allThatIsWrongWithSpendingIsToldAtOnce() {
+    void reportsAllErrorsOfSpendingAtOnce() {
         String wrong =
                 SPENDING.replace("\"version\": 4", "\"version\": 0")
                         .replace("Africa/Casablanca", "Nowhere")
@@ -139,7 +139,7 @@
     }
 
     @Example
-    void checkTellsOfEachFieldThatNothingReadsBesideWhatIsWrong() throws IOException {
+    void checkReportsUnknownFieldsBesideErrors() throws IOException {
         String text =
                 SETTINGS.replace("\"seeds\"", "\"sedes\": 1, \"seeds\"")
                         .replace("2500ms", "2500")
@@ -157,14 +157,14 @@
     }
 
     @Example
-    void tellsOfZonesThatAreNotListed() {
+    void reportsZonesThatAreNotListed() {
         assertThat(mReader.read(SETTINGS.replace("\"a-1\": \"a\", ", "")).getLeft())
                 .containsExactly(
                         "The availability zone a-1 of the instance must be listed in region a.");
     }
 
     @Example
-    void tellsWhereTheTextIsNotJson() {
+    void reportsPositionOfJsonSyntaxErrors() {
         assertThat(mReader.read("{\"instance\":\n oops}").getLeft().get(0)).contains("line 2");
         assertThat(mReader.read("[]").getLeft())
                 .containsExactly("The settings must be one object.");
@@ -184,34 +184,33 @@
     }
 
     @Example
-    void watchTellsOnlyOfSettingsThatDifferAndKeepsTheOldOnesInPlaceOfWrongOnes()
-            throws IOException {
+    void watchNotifiesOnlyOfChangedSettingsAndKeepsPreviousOnesIfInvalid() throws IOException {
         Path file = Files.createTempFile("settings", ".json");
         Files.writeString(file, SETTINGS);
-        List<EntrySettings> heard = new ArrayList<>();
+        List<EntrySettings> notified = new ArrayList<>();
         SettingsWatch watch =
-                new SettingsWatch(file, mReader, mReader.read(file).get(), heard::add);
+                new SettingsWatch(file, mReader, mReader.read(file).get(), notified::add);
 
         watch.poll();
         watch.reload();
-        assertThat(heard).isEmpty();
+        assertThat(notified).isEmpty();
 
         Files.writeString(file, "{\"half");
         watch.poll();
-        assertThat(heard).isEmpty();
+        assertThat(notified).isEmpty();
 
         Files.writeString(file, SETTINGS.replace("2500ms", "12500ms"));
         watch.poll();
-        assertThat(heard)
+        assertThat(notified)
                 .extracting(settings -> settings.bounds().leave())
                 .containsExactly(Duration.ofMillis(12_500));
         Files.delete(file);
         watch.poll();
-        assertThat(heard).hasSize(1);
+        assertThat(notified).hasSize(1);
     }
 
     @Example
-    void brokenFileIsToldInOneLineWithItsReasons() throws IOException {
+    void invalidFileIsLoggedInOneLineWithItsErrors() throws IOException {
         Path file = Files.createTempFile("settings", ".json");
         Files.writeString(file, SETTINGS);
         SettingsWatch watch =
@@ -235,7 +234,7 @@
     }
 
     @Example
-    void changeTellsWhatIsInForceAndWhatWaits() {
+    void describesWhichChangesAreInForceAndWhichAwaitRestart() {
         EntrySettings before = mReader.read(SETTINGS).get();
         assertThat(SettingsPart.describeChanges(before, before))
                 .isEqualTo("In force: nothing. Waiting for a restart: nothing.");
@@ -248,7 +247,7 @@
     }
 
     @Example
-    void signalToReloadDoesNotEndTheProcess() throws InterruptedException {
+    void reloadSignalDoesNotEndTheProcess() throws InterruptedException {
         java.util.concurrent.CountDownLatch reloaded = new java.util.concurrent.CountDownLatch(1);
         ProcessSignals.handle(() -> {}, reloaded::countDown);
         sun.misc.Signal.raise(new sun.misc.Signal("HUP"));
