--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/Attempt.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/Attempt.java
@@ -4,7 +4,7 @@
 import io.masticpond.core.id.ZoneId;
 import io.masticpond.core.statement.ServerStatement;
 
-/** One send to a backend server. */
+/** Single attempt to send a request to a backend server, with its result. */
 final class Attempt {
 
     final BackendServerId mServer;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/AttemptList.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/AttemptList.java
@@ -4,17 +4,17 @@
 import io.masticpond.core.id.ZoneId;
 import java.util.Arrays;
 
-/** The sends of one request, in order; takes no memory before the first. */
+/** Ordered list of the attempts of one request; allocates no array before the first attempt. */
 final class AttemptList {
 
-    private static final int USUAL = 2;
+    private static final int INITIAL_CAPACITY = 2;
 
     private Attempt[] mAttempts;
     private int mCount;
 
     void add(BackendServerId server, ZoneId zone, boolean cold, long sentNanos) {
         if (mAttempts == null) {
-            mAttempts = new Attempt[USUAL];
+            mAttempts = new Attempt[INITIAL_CAPACITY];
         } else if (mCount == mAttempts.length) {
             mAttempts = Arrays.copyOf(mAttempts, 2 * mCount);
         }
@@ -29,7 +29,7 @@
         return mAttempts[index];
     }
 
-    /** Gives the newest, or null if there is none. */
+    /** Returns the newest attempt, or null if there is none. */
     Attempt last() {
         return mCount == 0 ? null : mAttempts[mCount - 1];
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/AttemptResult.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/AttemptResult.java
@@ -3,34 +3,34 @@
 import io.masticpond.entry.backend.CallFailure;
 
 /**
- * How a call to a backend server ended.
+ * Result of a call to a backend server.
  *
  * @since 0.2
  */
 public enum AttemptResult {
-    /** It has not ended. */
+    /** The call has not ended. */
     OPEN,
     /** The server answered. */
     ANSWERED,
     /** The server declared that it did not run the request. */
     TURNED_AWAY,
-    /** There was no connection. */
+    /** No connection could be established. */
     NOT_CONNECTED,
-    /** All connections that this instance may hold to the server were in use. */
+    /** All connections that this instance may open to the server were in use. */
     NO_CONNECTION_FREE,
-    /** The server came to take no requests while a connection to it was waited for. */
+    /** The server withdrew while the call was waiting for a connection to it. */
     WITHDRAWN,
-    /** The connection ended before a whole answer. */
+    /** The connection closed before the answer was complete. */
     BROKEN_OFF,
-    /** The answer was none to this request. */
+    /** The answer did not belong to this request. */
     BAD_ANSWER,
-    /** There was no whole answer in time. */
+    /** No complete answer arrived before the timeout. */
     TIMED_OUT,
-    /** This instance ended the call, as the client had gone or time was up. */
+    /** This instance ended the call: the client had disconnected or its deadline had passed. */
     CANCELLED;
 
     /**
-     * Gives the result of a call that failed.
+     * Returns the result of a call that failed.
      *
      * @param failure the failure
      * @return the result
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/BareLogbackProvider.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/BareLogbackProvider.java
@@ -11,10 +11,10 @@
 import org.slf4j.spi.SLF4JServiceProvider;
 
 /**
- * Gives SLF4J a Logback that looks for no configuration: the search for files, configurators and
- * their ranks costs a tenth of a start, and {@link LogbackBridge} sets all up in code. A process
- * names this type by the property {@code slf4j.provider}. Until the log is installed nothing is
- * written.
+ * SLF4J provider for a Logback context that skips the search for a configuration. Searching for
+ * files and configurators and ranking them takes a tenth of the startup time, and {@link
+ * LogbackBridge} configures Logback in code. A process selects this type by the property {@code
+ * slf4j.provider}. Nothing is written until the log is installed.
  *
  * @since 0.2
  */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/CallerFacts.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/CallerFacts.java
@@ -3,14 +3,16 @@
 import io.masticpond.core.id.WorkspaceId;
 
 /**
- * Whose request it is, and what let it in or kept it out.
+ * Workspace that sent a request, and the inputs of the decision to admit or refuse it.
  *
  * @param workspace the workspace that the key opens, or null if the key opens none
- * @param proofAgeNanos how old the proof was that the keys are current, or {@link
+ * @param proofAgeNanos age of the newest proof that the keys are current, in nanoseconds, or {@link
  *     RequestRecord#UNKNOWN}
- * @param isLimited whether the workspace has a rate
- * @param rateCredit the requests that the whole fleet could send at once, as believed here
- * @param rateDemand the requests a second that come to the whole fleet, as known here
+ * @param isLimited whether the workspace has a rate limit
+ * @param rateCredit the number of requests that the whole fleet may admit at once, as this instance
+ *     estimates it
+ * @param rateDemand the requests per second that arrive at the whole fleet, as far as this instance
+ *     knows
  * @since 0.2
  */
 public record CallerFacts(
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/CandidateServers.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/CandidateServers.java
@@ -2,7 +2,10 @@
 
 import io.masticpond.core.id.BackendServerId;
 
-/** The candidates of the last choice of a backend server, the first few of them kept. */
+/**
+ * Candidates of the most recent selection of a backend server; keeps the first {@link
+ * RequestRecord#MAXIMUM_CANDIDATES} and counts the others.
+ */
 final class CandidateServers {
 
     private BackendServerId[] mServers;
@@ -10,15 +13,15 @@
     private int[] mSlots;
     private double[] mScores;
     private int mKept;
-    private int mWeighed;
+    private int mTotal;
 
     void clear() {
-        mWeighed = 0;
+        mTotal = 0;
         mKept = 0;
     }
 
     void add(BackendServerId server, int inFlight, int slots, double score) {
-        mWeighed++;
+        mTotal++;
         if (mKept == RequestRecord.MAXIMUM_CANDIDATES) {
             return;
         }
@@ -34,9 +37,9 @@
         mScores[mKept++] = score;
     }
 
-    /** Counts the servers that were weighed, kept or not. */
+    /** Returns the number of servers that were scored, kept or not. */
     int total() {
-        return mWeighed;
+        return mTotal;
     }
 
     int kept() {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/DecisionLog.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/DecisionLog.java
@@ -1,14 +1,15 @@
 package io.masticpond.entry.log;
 
 /**
- * Takes what an instance decides and believes, for people who look into a fault later. Safe for all
- * threads; no method blocks or fails.
+ * Strategy interface for recording the decisions and view changes of an instance, so that operators
+ * can investigate a fault afterwards. Implementations are thread-safe, and no method blocks or
+ * throws an exception.
  *
  * @since 0.2
  */
 public interface DecisionLog {
 
-    /** Takes everything and keeps nothing. */
+    /** Implementation that discards all records. */
     DecisionLog NONE =
             new DecisionLog() {
                 @Override
@@ -25,31 +26,31 @@
             };
 
     /**
-     * Logs a request at its end: one line with all that it rested on.
+     * Logs a completed request as one line with all inputs of its decisions.
      *
-     * @param request the request, ended; it must not be changed any more
+     * @param request the completed request, which must not be changed any more
      */
     void requestEnded(RequestRecord request);
 
     /**
-     * Logs at once that an attempt failed and the request goes to another backend server. Call it
-     * after {@link RequestRecord#attemptEnded} and before the next attempt.
+     * Logs immediately that an attempt failed and that the request is retried on another backend
+     * server. To be called after {@link RequestRecord#attemptEnded} and before the next attempt.
      *
-     * @param request the request, which goes on and is not kept
+     * @param request the request, which is still in progress and is not retained
      */
     void requestRetried(RequestRecord request);
 
     /**
-     * Logs a change of what this instance believes.
+     * Logs a change in what this instance knows of the fleet.
      *
      * @param change the change
      */
     void viewChanged(ViewChange change);
 
     /**
-     * Logs a start, stop or reload.
+     * Logs a start, stop or reload of this process.
      *
-     * @param change what happened
+     * @param change the change of the process
      */
     void processChanged(ProcessChange change);
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/DropSummaryLine.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/DropSummaryLine.java
@@ -4,17 +4,17 @@
 import java.io.IOException;
 
 /**
- * Says how many lines are missing above.
+ * Line that reports how many of the preceding lines are missing.
  *
- * @param noteworthy refusals, failures, retries and changes of belief
- * @param sentences lines of libraries and parts
- * @param plain requests that went as hoped
- * @param lost lines that the output did not take
+ * @param noteworthy the dropped lines of refusals, failures, retries and view changes
+ * @param sentences the dropped log messages of libraries and of the system's components
+ * @param plain the dropped lines of requests that succeeded at the first attempt
+ * @param lost the lines that the output did not accept
  */
 record DropSummaryLine(long noteworthy, long sentences, long plain, long lost)
         implements LineContent {
 
-    /** Gives what is missing so far. */
+    /** Returns the number of lines missing since the start. */
     static DropSummaryLine total(LineCounts counts) {
         return new DropSummaryLine(
                 counts.dropped(LinePriority.NOTEWORTHY),
@@ -23,7 +23,7 @@
                 counts.lost());
     }
 
-    /** Gives what is missing since an earlier total. */
+    /** Returns the number of lines missing since an earlier total. */
     DropSummaryLine since(DropSummaryLine earlier) {
         return new DropSummaryLine(
                 noteworthy - earlier.noteworthy,
@@ -33,7 +33,8 @@
     }
 
     /**
-     * Tells whether no line is missing; by hand, as a record's own equality is linked in a start.
+     * Determines whether no line is missing. Compares each component explicitly, because the
+     * generated {@code equals} method of a record would be linked during startup.
      */
     boolean isNone() {
         return noteworthy == 0 && sentences == 0 && plain == 0 && lost == 0;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/EnumNames.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/EnumNames.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Spells constants in lines, without making a new text each time. */
+/** Names of enum constants as written in log lines, cached to avoid a new string per line. */
 final class EnumNames {
 
     private static final Map<Exclusion, String> EXCLUSIONS = toName(Exclusion.class);
@@ -16,31 +16,31 @@
     private EnumNames() {}
 
     static String of(Exclusion value) {
-        return EXCLUSIONS.get(Assert.notNull(value, "A constant to spell"));
+        return EXCLUSIONS.get(Assert.notNull(value, "An enum constant"));
     }
 
     static String of(RequestOutcome value) {
-        return OUTCOMES.get(Assert.notNull(value, "A constant to spell"));
+        return OUTCOMES.get(Assert.notNull(value, "An enum constant"));
     }
 
     static String of(AttemptResult value) {
-        return RESULTS.get(Assert.notNull(value, "A constant to spell"));
+        return RESULTS.get(Assert.notNull(value, "An enum constant"));
     }
 
     static String of(UpdateSource value) {
-        return SOURCES.get(Assert.notNull(value, "A constant to spell"));
+        return SOURCES.get(Assert.notNull(value, "An enum constant"));
     }
 
-    /** Spells a constant that is seldom needed. */
+    /** Returns the name of a constant as written in a line; not cached. */
     static String toName(Enum<?> value) {
         return value.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
     private static <E extends Enum<E>> Map<E, String> toName(Class<E> type) {
-        Map<E, String> words = new EnumMap<>(type);
+        Map<E, String> names = new EnumMap<>(type);
         for (E value : type.getEnumConstants()) {
-            words.put(value, toName(value));
+            names.put(value, toName(value));
         }
-        return words;
+        return names;
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/Exclusion.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/Exclusion.java
@@ -1,34 +1,34 @@
 package io.masticpond.entry.log;
 
 /**
- * Why a backend server was no candidate for a request.
+ * Reason for which a backend server was not a candidate for a request.
  *
  * @since 0.2
  */
 public enum Exclusion {
-    /** It wants no new requests. */
+    /** The server accepts no new requests. */
     LEAVING,
-    /** It has asked for a pause. */
+    /** The server has requested a pause. */
     PAUSED,
-    /** Its zone is evacuated. */
+    /** The server's availability zone is evacuated. */
     EVACUATED,
-    /** It is cold and has had what a cold server may get. */
+    /** The server is cold and has already received the requests that a cold server may get. */
     COLD,
-    /** It is as full as this instance lets it become. */
+    /** The server has as many requests as this instance may have in flight there. */
     FULL,
-    /** It has named a limit, and this instance may send it nothing now. */
+    /** The server has stated a limit that allows this instance no request at present. */
     LIMITED,
-    /** The route may not be served in its region. */
+    /** The route must not be served in the server's region. */
     NOT_HOME,
-    /** It failed lately. */
+    /** The server failed recently. */
     FAILING,
-    /** The request was tried there before. */
+    /** The request has already been attempted on the server. */
     TRIED;
 
     /**
-     * Tells whether the server may well be a candidate in a moment, or for the next request.
+     * Determines whether the server may become a candidate shortly, or for the next request.
      *
-     * @return whether it may
+     * @return whether the reason is transient
      */
     public boolean isTransient() {
         return switch (this) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/FleetSnapshotLog.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/FleetSnapshotLog.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 
 /**
- * Logs how one snapshot of routes and backend servers differs from the one before. One thread at a
- * time.
+ * Logs the differences between consecutive snapshots of the routes and backend servers. Not
+ * thread-safe: to be used by one thread at a time.
  *
  * @since 0.2
  */
@@ -23,36 +23,38 @@
     private FleetSnapshot mSnapshot = FleetSnapshot.EMPTY;
 
     /**
-     * Starts from knowing nothing.
+     * Creates a log whose previous snapshot is empty.
      *
-     * @param log where changes go
+     * @param log the log that receives the changes
      */
     public FleetSnapshotLog(DecisionLog log) {
         mLog = Assert.notNull(log, "A log");
     }
 
     /**
-     * Logs what another snapshot changes. The first backend servers together are one line.
+     * Logs the changes that a new snapshot brings. The initial backend servers are logged together
+     * as one line.
      *
      * @param snapshot the snapshot in force from now on
-     * @param source where the news came from
+     * @param source the source of the update
      * @param nowNanos the monotonic time
      */
     public void changed(FleetSnapshot snapshot, UpdateSource source, long nowNanos) {
-        FleetSnapshot before = mSnapshot;
+        FleetSnapshot previous = mSnapshot;
         mSnapshot = snapshot;
-        logRouting(before, source);
-        logZones(before, source);
-        if (before.servers().isEmpty() && snapshot.servers().size() > 1) {
-            logFirst(source, nowNanos);
-        } else if (!before.servers().equals(snapshot.servers())) {
-            logServers(before, source, nowNanos);
+        logRouting(previous, source);
+        logZones(previous, source);
+        if (previous.servers().isEmpty() && snapshot.servers().size() > 1) {
+            logInitialServers(source, nowNanos);
+        } else if (!previous.servers().equals(snapshot.servers())) {
+            logServers(previous, source, nowNanos);
         }
         logWarmed(nowNanos);
     }
 
     /**
-     * Logs the backend servers that are cold no longer; call it when convenient.
+     * Logs the backend servers that are no longer cold. The delay between calls only delays the
+     * lines.
      *
      * @param nowNanos the monotonic time
      */
@@ -73,11 +75,12 @@
                 });
     }
 
-    private void logRouting(FleetSnapshot before, UpdateSource source) {
-        long former = version(before);
+    private void logRouting(FleetSnapshot previous, UpdateSource source) {
+        long previousVersion = version(previous);
         long version = version(mSnapshot);
-        if (version != former) {
-            mLog.viewChanged(new ViewChange.Routing(former, version, mSnapshot.revision(), source));
+        if (version != previousVersion) {
+            mLog.viewChanged(
+                    new ViewChange.Routing(previousVersion, version, mSnapshot.revision(), source));
         }
     }
 
@@ -85,13 +88,13 @@
         return snapshot.routing().map(RoutingConfiguration::version).orElse(RequestRecord.UNKNOWN);
     }
 
-    private void logZones(FleetSnapshot before, UpdateSource source) {
+    private void logZones(FleetSnapshot previous, UpdateSource source) {
         for (ZoneId zone : mSnapshot.evacuatedZones()) {
-            if (!before.evacuatedZones().contains(zone)) {
+            if (!previous.evacuatedZones().contains(zone)) {
                 logZone(zone, true, source);
             }
         }
-        for (ZoneId zone : before.evacuatedZones()) {
+        for (ZoneId zone : previous.evacuatedZones()) {
             if (!mSnapshot.evacuatedZones().contains(zone)) {
                 logZone(zone, false, source);
             }
@@ -102,7 +105,7 @@
         mLog.viewChanged(new ViewChange.Zone(zone, evacuated, mSnapshot.revision(), source));
     }
 
-    private void logFirst(UpdateSource source, long nowNanos) {
+    private void logInitialServers(UpdateSource source, long nowNanos) {
         int leaving = 0;
         for (RegisteredServer server : mSnapshot.servers().values()) {
             if (server.leaving()) {
@@ -121,24 +124,24 @@
                         source));
     }
 
-    private void logServers(FleetSnapshot before, UpdateSource source, long nowNanos) {
+    private void logServers(FleetSnapshot previous, UpdateSource source, long nowNanos) {
         for (RegisteredServer server : mSnapshot.servers().values()) {
-            RegisteredServer former = before.servers().get(server.id());
-            if (former == null) {
+            RegisteredServer previousServer = previous.servers().get(server.id());
+            if (previousServer == null) {
                 logServer(server, ServerState.SEEN, source);
-            } else if (!former.isSameRun(server)) {
+            } else if (!previousServer.isSameRun(server)) {
                 logServer(server, ServerState.RESTARTED, source);
             }
-            if (server.leaving() && (former == null || !former.leaving())) {
+            if (server.leaving() && (previousServer == null || !previousServer.leaving())) {
                 logServer(server, ServerState.LEAVING, source);
             }
             if (server.isCold(nowNanos) && mCold.add(server.id())) {
                 logServer(server, ServerState.COLD, source);
             }
         }
-        for (RegisteredServer former : before.servers().values()) {
-            if (!mSnapshot.servers().containsKey(former.id())) {
-                logServer(former, ServerState.GONE, source);
+        for (RegisteredServer previousServer : previous.servers().values()) {
+            if (!mSnapshot.servers().containsKey(previousServer.id())) {
+                logServer(previousServer, ServerState.GONE, source);
             }
         }
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/LineBatch.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/LineBatch.java
@@ -10,15 +10,15 @@
 import java.io.UncheckedIOException;
 
 /**
- * Encodes lines into one reused buffer, of which a batch is written with one call, or one for each
- * {@value #WRITE_BYTES} bytes if it is longer: more is neither copied by the stream without
- * allocating nor taken by every pipe at once, and a piece always ends with a line. All that is not
- * ASCII is escaped, so that no value can break a line or reach a terminal as a control character.
- * Logging thread only, but for the counts.
+ * Batch of lines, encoded into one reused buffer. A batch is written with one call, or with one
+ * call per {@value #WRITE_BYTES} bytes if it is longer, because the stream allocates memory to copy
+ * a longer piece and not every pipe accepts one at once. Each piece ends at the end of a line. All
+ * non-ASCII characters are escaped, so that no value can break a line or reach a terminal as a
+ * control character. To be used by the logging thread only, except for the counts.
  */
 final class LineBatch {
 
-    /** The longest piece that is written with one call, but for a single longer line. */
+    /** The maximum number of bytes written with one call, unless a single line is longer. */
     static final int WRITE_BYTES = 8 * 1024;
 
     private static final int FIRST_CAPACITY = 2 * WRITE_BYTES;
@@ -32,23 +32,23 @@
                     .build();
     private final LineBuffer mBytes = new LineBuffer();
     private final WallTimeText mTime = new WallTimeText();
-    private JsonGenerator mLine = generator();
+    private JsonGenerator mLine = createGenerator();
     private int mLines;
-    private boolean mWroteSinceAsked;
+    private boolean mWroteSinceLastCall;
 
     LineBatch(OutputStream output, LineCounts counts) {
         mOutput = output;
         mCounts = counts;
     }
 
-    /** Adds a line; one that can't be encoded is left out whole and counted as lost. */
+    /** Adds a line; a line that cannot be encoded is omitted as a whole and counted as lost. */
     void add(long wallMillis, LineContent content) {
         int begin = mBytes.size();
         try {
             encode(wallMillis, content);
         } catch (IOException | RuntimeException e) {
-            mBytes.cut(begin);
-            mLine = generator();
+            mBytes.truncate(begin);
+            mLine = createGenerator();
             mCounts.lost(1);
             return;
         }
@@ -58,15 +58,15 @@
         mLines++;
     }
 
-    /** Writes what was added, and tells whether that was anything since the last call. */
+    /** Writes the added lines, and returns whether any were written since the last call. */
     boolean write() {
         write(mBytes.size());
-        boolean any = mWroteSinceAsked;
-        mWroteSinceAsked = false;
+        boolean any = mWroteSinceLastCall;
+        mWroteSinceLastCall = false;
         return any;
     }
 
-    /** Writes the first bytes, which are whole lines; those that the output refuses are lost. */
+    /** Writes the first bytes, which are complete lines; lines the output rejects are lost. */
     private void write(int length) {
         if (length == 0) {
             return;
@@ -80,7 +80,7 @@
         }
         mBytes.dropFirst(length);
         mLines = 0;
-        mWroteSinceAsked = true;
+        mWroteSinceLastCall = true;
     }
 
     private void encode(long wallMillis, LineContent content) throws IOException {
@@ -95,7 +95,7 @@
         mLine.flush();
     }
 
-    private JsonGenerator generator() {
+    private JsonGenerator createGenerator() {
         try {
             return mFactory.createGenerator(mBytes);
         } catch (IOException e) {
@@ -103,14 +103,14 @@
         }
     }
 
-    /** Bytes of whole lines, of which a spoilt end can be cut off. */
+    /** Buffer of complete lines; an incomplete line at the end can be truncated. */
     private static final class LineBuffer extends ByteArrayOutputStream {
 
         LineBuffer() {
             super(FIRST_CAPACITY);
         }
 
-        void cut(int size) {
+        void truncate(int size) {
             count = size;
         }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/LineBudget.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/LineBudget.java
@@ -2,40 +2,41 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Lines that may be written now: so many a second, and one second's worth at once. */
+/** Token bucket for lines: refills at the rate per second and holds at most one second's lines. */
 final class LineBudget {
 
     private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
     private volatile int mLinesPerSecond;
-    private double mLeft;
+    private double mRemaining;
     private long mFilledNanos;
 
     LineBudget(int linesPerSecond, long nowNanos) {
         mLinesPerSecond = linesPerSecond;
-        mLeft = linesPerSecond;
+        mRemaining = linesPerSecond;
         mFilledNanos = nowNanos;
     }
 
-    /** Takes another number of lines a second, on any thread. */
+    /** Sets the number of lines per second; may be called on any thread. */
     void setLinesPerSecond(int linesPerSecond) {
         mLinesPerSecond = linesPerSecond;
     }
 
-    /** Adds what the time since the last call allows. */
+    /** Refills the budget for the time since the last call. */
     void refill(long nowNanos) {
-        double grown = mLeft + (nowNanos - mFilledNanos) * mLinesPerSecond / NANOS_PER_SECOND;
-        mLeft = Math.min(mLinesPerSecond, grown);
+        double refilled =
+                mRemaining + (nowNanos - mFilledNanos) * mLinesPerSecond / NANOS_PER_SECOND;
+        mRemaining = Math.min(mLinesPerSecond, refilled);
         mFilledNanos = nowNanos;
     }
 
-    /** Counts the lines that a class may still write. */
-    int allowed(LinePriority lineClass) {
-        return (int) Math.max(0, mLeft - lineClass.reserve() * mLinesPerSecond);
+    /** Returns the number of lines of a priority that may still be written. */
+    int allowed(LinePriority priority) {
+        return (int) Math.max(0, mRemaining - priority.reserve() * mLinesPerSecond);
     }
 
-    /** Takes lines that were written. */
+    /** Charges lines that were written. */
     void take(int lines) {
-        mLeft -= lines;
+        mRemaining -= lines;
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/LineContent.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/LineContent.java
@@ -4,24 +4,24 @@
 import java.io.IOException;
 
 /**
- * What a line says, written by the logging thread.
+ * Content of a line, written by the logging thread.
  *
  * @since 0.2
  */
 interface LineContent {
 
     /**
-     * Names the kind of line.
+     * Returns the name of the event that the line describes.
      *
-     * @return lower case words joined by hyphens
+     * @return the name, in lower case words joined by hyphens
      */
     String event();
 
     /**
-     * Writes the fields into the object that is open.
+     * Writes the fields of the line into the JSON object that is open.
      *
-     * @param line the generator
-     * @throws IOException never in practice, since the target is memory
+     * @param line the generator of the JSON object
+     * @throws IOException never in practice, as the output is in memory
      */
     void write(JsonGenerator line) throws IOException;
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/LineCounts.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/LineCounts.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Counts what became of lines since the start. Safe for all threads.
+ * Counters of the lines written, dropped and lost since the start. Thread-safe.
  *
  * @since 0.2
  */
@@ -13,17 +13,17 @@
 
     private final AtomicLong mWritten = new AtomicLong();
     private final AtomicLong mLost = new AtomicLong();
-    private final Map<LinePriority, AtomicLong> mLeftOut = new EnumMap<>(LinePriority.class);
+    private final Map<LinePriority, AtomicLong> mDropped = new EnumMap<>(LinePriority.class);
 
-    /** Starts with none. */
+    /** Creates counters that are all zero. */
     public LineCounts() {
-        for (LinePriority lineClass : LinePriority.values()) {
-            mLeftOut.put(lineClass, new AtomicLong());
+        for (LinePriority priority : LinePriority.values()) {
+            mDropped.put(priority, new AtomicLong());
         }
     }
 
     /**
-     * Counts the lines that the output took.
+     * Returns the number of lines that the output accepted.
      *
      * @return the count
      */
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Counts the lines that the output did not take, or that could not be encoded.
+     * Returns the number of lines that the output did not accept or that could not be encoded.
      *
      * @return the count
      */
@@ -41,13 +41,13 @@
     }
 
     /**
-     * Counts the lines that were left out, for the budget or since too many waited.
+     * Returns the number of lines dropped because the budget was spent or a ring was full.
      *
-     * @param lineClass their class
+     * @param priority the priority of the lines
      * @return the count
      */
-    public long dropped(LinePriority lineClass) {
-        return mLeftOut.get(lineClass).get();
+    public long dropped(LinePriority priority) {
+        return mDropped.get(priority).get();
     }
 
     void written(int lines) {
@@ -58,7 +58,7 @@
         mLost.addAndGet(lines);
     }
 
-    void dropped(LinePriority lineClass, int lines) {
-        mLeftOut.get(lineClass).addAndGet(lines);
+    void dropped(LinePriority priority, int lines) {
+        mDropped.get(priority).addAndGet(lines);
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/LinePriority.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/LinePriority.java
@@ -1,17 +1,17 @@
 package io.masticpond.entry.log;
 
 /**
- * The rank of a line, the first being the last to be left out. A class may use the budget only down
- * to its reserve, which is for those before it.
+ * Priority of a line, from the highest to the lowest: lines of the highest are dropped last. Lines
+ * of a priority may use the budget only down to its reserve, which is kept for higher priorities.
  *
  * @since 0.2
  */
 public enum LinePriority {
-    /** Refusals, failures, retries and changes of belief. */
+    /** Refusals, failures, retries and view changes. */
     NOTEWORTHY(2_048, 0),
-    /** Lines of libraries and sentences of the system's own parts. */
+    /** Log messages of libraries and of the system's own components. */
     SENTENCE(512, 0.25),
-    /** Requests that went as hoped. */
+    /** Requests that succeeded at the first attempt. */
     PLAIN(1_024, 0.5);
 
     private final int mCapacity;
@@ -22,12 +22,12 @@
         mReserve = reserve;
     }
 
-    /** Gives how many lines may wait. */
+    /** Returns the maximum number of queued lines. */
     int capacity() {
         return mCapacity;
     }
 
-    /** Gives the share of the budget that is kept for the classes before. */
+    /** Returns the fraction of the budget that is reserved for higher priorities. */
     double reserve() {
         return mReserve;
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/LineRings.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/LineRings.java
@@ -4,52 +4,52 @@
 import java.util.Map;
 import org.jctools.queues.MpscArrayQueue;
 
-/** The lines that wait, in one bounded ring for each class. Any thread offers, one takes. */
+/** Queued lines, in one bounded ring per priority, with many producers and one consumer. */
 final class LineRings {
 
-    private static final LinePriority[] CLASSES = LinePriority.values();
+    private static final LinePriority[] PRIORITIES = LinePriority.values();
 
     private final Map<LinePriority, MpscArrayQueue<TimedLine>> mRings =
             new EnumMap<>(LinePriority.class);
 
     LineRings() {
-        for (LinePriority lineClass : CLASSES) {
-            mRings.put(lineClass, new MpscArrayQueue<>(lineClass.capacity()));
+        for (LinePriority priority : PRIORITIES) {
+            mRings.put(priority, new MpscArrayQueue<>(priority.capacity()));
         }
     }
 
-    /** Adds a line unless its ring is full. */
-    boolean offer(LinePriority lineClass, TimedLine line) {
-        return mRings.get(lineClass).offer(line);
+    /** Adds a line unless its ring is full, and returns whether it was added. */
+    boolean offer(LinePriority priority, TimedLine line) {
+        return mRings.get(priority).offer(line);
     }
 
-    /** Takes the oldest line of a class, or null. */
-    TimedLine poll(LinePriority lineClass) {
-        return mRings.get(lineClass).poll();
+    /** Removes and returns the oldest line of a priority, or returns null if there is none. */
+    TimedLine poll(LinePriority priority) {
+        return mRings.get(priority).poll();
     }
 
-    int waiting(LinePriority lineClass) {
-        return mRings.get(lineClass).size();
+    int size(LinePriority priority) {
+        return mRings.get(priority).size();
     }
 
     boolean isEmpty() {
-        for (LinePriority lineClass : CLASSES) {
-            if (!mRings.get(lineClass).isEmpty()) {
+        for (LinePriority priority : PRIORITIES) {
+            if (!mRings.get(priority).isEmpty()) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Tells whether a ring should be emptied soon. */
-    boolean isHalfFull(LinePriority lineClass) {
-        return 2 * waiting(lineClass) >= lineClass.capacity();
+    /** Determines whether a ring is at least half full, so that it should be emptied soon. */
+    boolean isHalfFull(LinePriority priority) {
+        return 2 * size(priority) >= priority.capacity();
     }
 
-    /** Tells whether any ring should be emptied soon. */
+    /** Determines whether any ring is at least half full. */
     boolean isAnyHalfFull() {
-        for (LinePriority lineClass : CLASSES) {
-            if (isHalfFull(lineClass)) {
+        for (LinePriority priority : PRIORITIES) {
+            if (isHalfFull(priority)) {
                 return true;
             }
         }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/LineText.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/LineText.java
@@ -1,23 +1,23 @@
 package io.masticpond.entry.log;
 
-/** Cuts text that others chose, so that no line grows without bound. */
+/** Truncates text from outside the process, so that the length of a line is bounded. */
 final class LineText {
 
-    private static final int LONGEST_NAME = 128;
-    private static final String CUT = "...";
+    private static final int MAXIMUM_NAME_LENGTH = 128;
+    private static final String ELLIPSIS = "...";
 
     private LineText() {}
 
-    /** Gives a name at its greatest length; escaping is left to the generator. */
+    /** Truncates a name to the maximum length of names; the JSON generator escapes it. */
     static String of(String text) {
-        return cut(text, LONGEST_NAME);
+        return truncate(text, MAXIMUM_NAME_LENGTH);
     }
 
-    /** Gives a text at a greatest length. */
-    static String cut(String text, int longest) {
+    /** Truncates a text to a maximum length; returns an empty text for null. */
+    static String truncate(String text, int maximumLength) {
         if (text == null) {
             return "";
         }
-        return text.length() <= longest ? text : text.substring(0, longest) + CUT;
+        return text.length() <= maximumLength ? text : text.substring(0, maximumLength) + ELLIPSIS;
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/LineWriter.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/LineWriter.java
@@ -5,13 +5,13 @@
 import java.time.Duration;
 
 /**
- * Empties the rings within the budget. What waits of a class is written before any line of a class
- * behind it; plain lines that find no budget are left out evenly, the others wait. Logging thread
- * only.
+ * Writer that drains the rings within the budget. Queued lines are written in the order of their
+ * priorities. Plain lines above the budget are dropped at even intervals, lines of other priorities
+ * stay queued. To be used by the logging thread only.
  */
 final class LineWriter {
 
-    /** How often missing lines are told of. */
+    /** The interval at which dropped lines are reported. */
     static final Duration DROP_SUMMARY_INTERVAL = Duration.ofSeconds(10);
 
     private final LineRings mRings;
@@ -19,8 +19,8 @@
     private final TimeSource mTimeSource;
     private final LineBatch mBatch;
     private final LineBudget mBudget;
-    private DropSummaryLine mTold;
-    private long mToldNanos;
+    private DropSummaryLine mReported;
+    private long mReportedNanos;
 
     LineWriter(
             LineRings rings,
@@ -32,84 +32,83 @@
         mCounts = counts;
         mTimeSource = timeSource;
         mBatch = new LineBatch(output, counts);
-        mToldNanos = timeSource.monotonicNanos();
-        mBudget = new LineBudget(options.linesPerSecond(), mToldNanos);
-        mTold = DropSummaryLine.total(counts);
+        mReportedNanos = timeSource.monotonicNanos();
+        mBudget = new LineBudget(options.linesPerSecond(), mReportedNanos);
+        mReported = DropSummaryLine.total(counts);
     }
 
     LineBudget budget() {
         return mBudget;
     }
 
-    /** Writes what the budget allows now, and tells whether that was anything. */
+    /** Writes the lines that the budget allows, and returns whether any were written. */
     boolean writeBatch() {
         long nowNanos = mTimeSource.monotonicNanos();
         mBudget.refill(nowNanos);
         write(LinePriority.NOTEWORTHY);
-        if (mRings.waiting(LinePriority.NOTEWORTHY) == 0) {
+        if (mRings.size(LinePriority.NOTEWORTHY) == 0) {
             write(LinePriority.SENTENCE);
         }
         samplePlain();
-        if (nowNanos - mToldNanos >= DROP_SUMMARY_INTERVAL.toNanos()) {
+        if (nowNanos - mReportedNanos >= DROP_SUMMARY_INTERVAL.toNanos()) {
             reportDrops(nowNanos);
         }
         return mBatch.write();
     }
 
-    /** Writes all that waits, whatever the budget, and what is missing. */
+    /** Writes all queued lines regardless of the budget, then the summary of dropped lines. */
     void writeRest() {
-        for (LinePriority lineClass : LinePriority.values()) {
-            int waiting = mRings.waiting(lineClass);
-            for (int index = 0; index < waiting; index++) {
-                add(mRings.poll(lineClass));
+        for (LinePriority priority : LinePriority.values()) {
+            int queued = mRings.size(priority);
+            for (int index = 0; index < queued; index++) {
+                add(mRings.poll(priority));
             }
         }
         reportDrops(mTimeSource.monotonicNanos());
         mBatch.write();
     }
 
-    /** Tells whether lines are missing that were not told of. */
+    /** Determines whether lines are missing that have not been reported. */
     boolean hasUnreportedDrops() {
-        return !DropSummaryLine.total(mCounts).since(mTold).isNone();
+        return !DropSummaryLine.total(mCounts).since(mReported).isNone();
     }
 
-    private void write(LinePriority lineClass) {
-        int count = Math.min(mBudget.allowed(lineClass), mRings.waiting(lineClass));
+    private void write(LinePriority priority) {
+        int count = Math.min(mBudget.allowed(priority), mRings.size(priority));
         for (int index = 0; index < count; index++) {
-            add(mRings.poll(lineClass));
+            add(mRings.poll(priority));
         }
         mBudget.take(count);
     }
 
     private void samplePlain() {
-        int waiting = mRings.waiting(LinePriority.PLAIN);
-        int allowed = Math.min(waiting, mBudget.allowed(LinePriority.PLAIN));
-        if (mRings.waiting(LinePriority.NOTEWORTHY) > 0) {
+        int queued = mRings.size(LinePriority.PLAIN);
+        int allowed = Math.min(queued, mBudget.allowed(LinePriority.PLAIN));
+        if (mRings.size(LinePriority.NOTEWORTHY) > 0) {
             allowed = 0;
         }
-        for (int index = 0; index < waiting; index++) {
+        for (int index = 0; index < queued; index++) {
             TimedLine line = mRings.poll(LinePriority.PLAIN);
-            // Spreads the allowed ones evenly over those that wait.
-            boolean kept =
-                    (long) (index + 1) * allowed / waiting > (long) index * allowed / waiting;
+            // Spreads the allowed lines evenly over the queued ones.
+            boolean kept = (long) (index + 1) * allowed / queued > (long) index * allowed / queued;
             if (kept) {
                 add(line);
             }
         }
         mBudget.take(allowed);
-        if (waiting > allowed) {
-            mCounts.dropped(LinePriority.PLAIN, waiting - allowed);
+        if (queued > allowed) {
+            mCounts.dropped(LinePriority.PLAIN, queued - allowed);
         }
     }
 
     private void reportDrops(long nowNanos) {
         DropSummaryLine total = DropSummaryLine.total(mCounts);
-        DropSummaryLine untold = total.since(mTold);
-        if (!untold.isNone()) {
-            mBatch.add(mTimeSource.instant().toEpochMilli(), untold);
-            mTold = total;
+        DropSummaryLine unreported = total.since(mReported);
+        if (!unreported.isNone()) {
+            mBatch.add(mTimeSource.instant().toEpochMilli(), unreported);
+            mReported = total;
         }
-        mToldNanos = nowNanos;
+        mReportedNanos = nowNanos;
     }
 
     private void add(TimedLine line) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/LogEventLine.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/LogEventLine.java
@@ -8,23 +8,23 @@
 import java.util.regex.Pattern;
 
 /**
- * A sentence of a library or of one of the system's parts.
+ * Line for a log message of a library or of one of the system's own components.
  *
- * @param level how bad it is
- * @param logger who says it
- * @param thread on which thread
- * @param message the sentence, with values filled in since they may change later
- * @param fault what was thrown, or null
+ * @param level the level of the message
+ * @param logger the name of the logger
+ * @param thread the name of the thread that logged it
+ * @param message the formatted message; formatted early because its arguments may change later
+ * @param fault the logged exception, or null
  */
 record LogEventLine(
         String level, String logger, String thread, String message, IThrowableProxy fault)
         implements LineContent {
 
-    private static final int LONGEST_MESSAGE = 1_024;
-    private static final int MOST_FRAMES = 12;
+    private static final int MAXIMUM_MESSAGE_LENGTH = 1_024;
+    private static final int MAXIMUM_FRAMES = 12;
     private static final String MASK = "***";
 
-    /** Gives the line of an event. */
+    /** Creates the line for a Logback event. */
     static LogEventLine of(ILoggingEvent event) {
         return new LogEventLine(
                 event.getLevel().toString(),
@@ -44,7 +44,7 @@
         line.writeStringField("level", level);
         line.writeStringField("logger", logger);
         line.writeStringField("thread", thread);
-        line.writeStringField("message", clean(message));
+        line.writeStringField("message", redact(message));
         if (fault != null) {
             writeFault(line);
         }
@@ -52,23 +52,25 @@
 
     private void writeFault(JsonGenerator line) throws IOException {
         line.writeStringField("fault", fault.getClassName());
-        line.writeStringField("faultMessage", clean(fault.getMessage()));
+        line.writeStringField("faultMessage", redact(fault.getMessage()));
         line.writeArrayFieldStart("frames");
         StackTraceElementProxy[] frames = fault.getStackTraceElementProxyArray();
-        for (int index = 0; index < Math.min(frames.length, MOST_FRAMES); index++) {
+        for (int index = 0; index < Math.min(frames.length, MAXIMUM_FRAMES); index++) {
             line.writeString(frames[index].getStackTraceElement().toString());
         }
         line.writeEndArray();
     }
 
-    private static String clean(String text) {
-        return Secrets.VALUE.matcher(LineText.cut(text, LONGEST_MESSAGE)).replaceAll(MASK);
+    private static String redact(String text) {
+        return Secrets.VALUE
+                .matcher(LineText.truncate(text, MAXIMUM_MESSAGE_LENGTH))
+                .replaceAll(MASK);
     }
 
-    /** Compiled when the first sentence is written, on the logging thread. */
+    /** Holder that compiles the pattern on the logging thread when the first message is written. */
     private static final class Secrets {
 
-        /** The value of a bearer token or of a field that is called a token, secret or password. */
+        /** Matches the value of a bearer token, or of a field named token, secret or password. */
         static final Pattern VALUE =
                 Pattern.compile(
                         "(?i)(?<=bearer\\s)\\s*[^\\s\"',;]+"
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/LogOptions.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/LogOptions.java
@@ -4,33 +4,34 @@
 import java.time.Duration;
 
 /**
- * How much is logged.
+ * Options that bound the volume and delay of the log.
  *
- * @param linesPerSecond the greatest number of lines a second, over more than a second
- * @param batchInterval how long lines may wait to be written together
- * @param longestFlush how long a stop waits for the output to take the last lines
+ * @param linesPerSecond the maximum number of lines per second, averaged over more than a second
+ * @param batchInterval the time for which lines are collected to be written together
+ * @param maximumFlushTime the maximum time for which a stop waits for the output to accept the last
+ *     lines
  * @since 0.2
  */
-public record LogOptions(int linesPerSecond, Duration batchInterval, Duration longestFlush) {
+public record LogOptions(int linesPerSecond, Duration batchInterval, Duration maximumFlushTime) {
 
-    /** What fits an instance with a few dozen requests a second. */
+    /** The default options, for an instance with a few dozen requests per second. */
     public static final LogOptions DEFAULT =
             new LogOptions(200, Duration.ofMillis(200), Duration.ofSeconds(1));
 
     /**
-     * Gives these options with another budget.
+     * Returns a copy of these options with another budget.
      *
-     * @param lines the greatest number of lines a second
+     * @param lines the maximum number of lines per second
      * @return the options
      */
     public LogOptions withLinesPerSecond(int lines) {
-        return new LogOptions(lines, batchInterval, longestFlush);
+        return new LogOptions(lines, batchInterval, maximumFlushTime);
     }
 
-    /** Checks that all are positive. */
+    /** Checks that all options are positive. */
     public LogOptions {
         Assert.positive(linesPerSecond, "A number of lines per second");
         Assert.positive(batchInterval.toNanos(), "A batch interval");
-        Assert.positive(longestFlush.toNanos(), "A longest flush");
+        Assert.positive(maximumFlushTime.toNanos(), "A maximum flush time");
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/LogbackBridge.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/LogbackBridge.java
@@ -9,34 +9,35 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Lets Logback write through a {@link StandardOutputLog}: set up in code, without a file to read, a
- * thread or a queue of its own. Libraries log from WARN on. Safe for all threads.
+ * Bridge that makes Logback write through a {@link StandardOutputLog}. It is configured in code and
+ * needs no configuration file, thread or queue of its own. Libraries log at level WARN and above.
+ * Thread-safe.
  *
  * @since 0.2
  */
 public final class LogbackBridge {
 
-    /** The logger above all of the system's own. */
+    /** The name of the parent of all loggers of the system's own components. */
     public static final String OWN_LOGGER = "io.masticpond";
 
     private LogbackBridge() {}
 
     /**
-     * Sends all that is logged through SLF4J to a log from now on.
+     * Redirects all messages logged through SLF4J to a log.
      *
      * @param log the log
-     * @param debug whether the system's own parts log their decisions too
+     * @param debug whether the system's own components log at level DEBUG, which includes decisions
      */
     public static void install(StandardOutputLog log, boolean debug) {
         install((LoggerContext) LoggerFactory.getILoggerFactory(), log, debug);
     }
 
     /**
-     * Sets up a given context.
+     * Configures a given context.
      *
      * @param context the context, which is reset first
      * @param log the log
-     * @param debug whether the system's own parts log their decisions too
+     * @param debug whether the system's own components log at level DEBUG, which includes decisions
      */
     static void install(LoggerContext context, StandardOutputLog log, boolean debug) {
         context.reset();
@@ -50,7 +51,7 @@
         context.getLogger(OWN_LOGGER).setLevel(debug ? Level.DEBUG : Level.INFO);
     }
 
-    /** Turns an event of Logback into a line; the ring needs no lock around it. */
+    /** Appender that converts Logback events into lines; the ring is safe without a lock. */
     private static final class RingAppender extends UnsynchronizedAppenderBase<ILoggingEvent> {
 
         private final StandardOutputLog mLog;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/ProcessChange.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/ProcessChange.java
@@ -6,38 +6,38 @@
 import java.io.IOException;
 
 /**
- * A start, stop or reload of this process.
+ * Start, stop or reload of this process.
  *
  * @param instance this instance
- * @param incarnation the run
- * @param kind what happened
- * @param millis how long it took, or {@link RequestRecord#UNKNOWN}
- * @param detail what else there is to say, in one sentence; may be null
+ * @param incarnation the incarnation of this process
+ * @param kind the kind of change
+ * @param millis how long the change took, in milliseconds, or {@link RequestRecord#UNKNOWN}
+ * @param detail further details in one sentence; may be null
  * @since 0.2
  */
 public record ProcessChange(
         InstanceId instance, long incarnation, Kind kind, long millis, String detail)
         implements LineContent {
 
-    private static final int LONGEST_DETAIL = 512;
+    private static final int MAXIMUM_DETAIL_LENGTH = 512;
 
-    /** Checks that the parts are given. */
+    /** Checks that the instance and the kind are given. */
     public ProcessChange {
         Assert.notNull(instance, "An instance");
         Assert.notNull(kind, "A kind");
     }
 
-    /** What happened. */
+    /** Kinds of changes of a process. */
     public enum Kind {
-        /** The process runs. */
+        /** The process has started. */
         STARTED,
-        /** It takes clients. */
+        /** The process accepts clients. */
         READY,
-        /** It read its settings again. */
+        /** The process has reloaded its settings. */
         RELOADED,
-        /** It takes no new clients and finishes what it has. */
+        /** The process accepts no new clients and completes the open requests. */
         STOPPING,
-        /** It ends. */
+        /** The process terminates. */
         STOPPED
     }
 
@@ -53,7 +53,7 @@
         line.writeStringField("state", EnumNames.toName(kind));
         RequestLine.writeKnown(line, "millis", millis);
         if (detail != null) {
-            line.writeStringField("detail", LineText.cut(detail, LONGEST_DETAIL));
+            line.writeStringField("detail", LineText.truncate(detail, MAXIMUM_DETAIL_LENGTH));
         }
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/RecentDecisions.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/RecentDecisions.java
@@ -16,32 +16,33 @@
 import java.util.stream.Stream;
 
 /**
- * Keeps the newest decisions in memory, in the words of their log lines, and passes all on.
+ * {@link DecisionLog} that retains the newest decisions in memory, with the contents of their log
+ * lines, and forwards all of them to another log.
  *
- * <p>Plain requests have a ring of their own, so that they push out no refusal, failure or retry;
- * so have changes of what the instance believes. Keeping one is two writes to memory and never
- * blocks. Safe for all threads.
+ * <p>Plain requests have a ring buffer of their own, so that they evict no refusal, failure or
+ * retry; view changes have one too. Retaining a decision takes two writes to memory and never
+ * blocks. Thread-safe.
  *
  * @since 0.2
  */
 public final class RecentDecisions implements DecisionLog {
 
-    /** How many changes of belief, with starts and stops, are kept. */
+    /** The maximum number of retained view changes, including starts and stops. */
     public static final int MAXIMUM_VIEW_CHANGES = 512;
 
-    private static final int KEPT_REQUESTS = 2_048;
+    private static final int MAXIMUM_REQUESTS = 2_048;
 
     private final DecisionLog mNext;
     private final TimeSource mTimeSource;
-    private final LineRingBuffer mPlain = new LineRingBuffer(KEPT_REQUESTS);
-    private final LineRingBuffer mNoteworthy = new LineRingBuffer(KEPT_REQUESTS);
+    private final LineRingBuffer mPlain = new LineRingBuffer(MAXIMUM_REQUESTS);
+    private final LineRingBuffer mNoteworthy = new LineRingBuffer(MAXIMUM_REQUESTS);
     private final LineRingBuffer mViewChanges = new LineRingBuffer(MAXIMUM_VIEW_CHANGES);
 
     /**
-     * Starts with nothing kept.
+     * Creates a log that has retained no decisions.
      *
-     * @param next takes all decisions too
-     * @param timeSource the clocks
+     * @param next the log to which all decisions are forwarded
+     * @param timeSource the source of the wall time
      */
     public RecentDecisions(DecisionLog next, TimeSource timeSource) {
         mNext = Assert.notNull(next, "A log");
@@ -50,67 +51,67 @@
 
     @Override
     public void requestEnded(RequestRecord request) {
-        keep(request.isPlain() ? mPlain : mNoteworthy, new RequestLine(request));
+        add(request.isPlain() ? mPlain : mNoteworthy, new RequestLine(request));
         mNext.requestEnded(request);
     }
 
     @Override
     public void requestRetried(RequestRecord request) {
-        keep(mNoteworthy, new RetryLine(request));
+        add(mNoteworthy, new RetryLine(request));
         mNext.requestRetried(request);
     }
 
     @Override
     public void viewChanged(ViewChange change) {
-        keep(mViewChanges, change);
+        add(mViewChanges, change);
         mNext.viewChanged(change);
     }
 
     @Override
     public void processChanged(ProcessChange change) {
-        keep(mViewChanges, change);
+        add(mViewChanges, change);
         mNext.processChanged(change);
     }
 
     /**
-     * Gives what is kept of a request.
+     * Returns the retained lines of a request.
      *
-     * @param requestId the id as the client gave it
-     * @return its lines as in the log, oldest first
+     * @param requestId the id as given by the client
+     * @return the lines as written to the log, oldest first
      */
     public List<JsonNode> ofRequest(String requestId) {
-        Predicate<LineContent> meant = content -> requestId.equals(requestId(content));
+        Predicate<LineContent> matches = content -> requestId.equals(requestId(content));
         return Stream.concat(mPlain.lines().stream(), mNoteworthy.lines().stream())
-                .filter(line -> meant.test(line.content()))
+                .filter(line -> matches.test(line.content()))
                 .sorted(Comparator.comparingLong(TimedLine::wallMillis))
                 .map(RecentDecisions::document)
                 .toList();
     }
 
     /**
-     * Gives the newest changes of what the instance believes, with its starts and stops.
+     * Returns the newest view changes, including starts and stops of the process.
      *
-     * @param most how many at most
-     * @return their lines as in the log, oldest first
+     * @param maximum the maximum number of changes
+     * @return the lines as written to the log, oldest first
      */
-    public List<JsonNode> recentViewChanges(int most) {
+    public List<JsonNode> recentViewChanges(int maximum) {
         List<TimedLine> lines = mViewChanges.lines();
-        return lines.subList(Math.max(0, lines.size() - most), lines.size()).stream()
+        return lines.subList(Math.max(0, lines.size() - maximum), lines.size()).stream()
                 .map(RecentDecisions::document)
                 .toList();
     }
 
     /**
-     * Counts the lines of requests that newer ones have pushed out.
+     * Returns the number of request lines that newer ones have evicted.
      *
      * @return the count since the start
      */
     public long evicted() {
-        return mPlain.forgotten() + mNoteworthy.forgotten();
+        return mPlain.evicted() + mNoteworthy.evicted();
     }
 
-    private void keep(LineRingBuffer keeper, LineContent content) {
-        keeper.keep(new TimedLine(mTimeSource.instant().toEpochMilli(), content));
+    private void add(LineRingBuffer buffer, LineContent content) {
+        buffer.add(new TimedLine(mTimeSource.instant().toEpochMilli(), content));
     }
 
     private static String requestId(LineContent content) {
@@ -129,17 +130,17 @@
             buffer.writeEndObject();
             return Mapping.MAPPER.readTree(buffer.asParser());
         } catch (IOException e) {
-            throw new UncheckedIOException("A line can't be told.", e);
+            throw new UncheckedIOException("A retained line cannot be converted to JSON.", e);
         }
     }
 
-    /** Made with the first question, since a start must not wait for a mapper. */
+    /** Holder that creates the mapper on the first query, as startup must not wait for it. */
     private static final class Mapping {
 
         private static final ObjectMapper MAPPER = new ObjectMapper();
     }
 
-    /** A ring that the newest lines stay in. */
+    /** Ring buffer that retains the newest lines. */
     private static final class LineRingBuffer {
 
         private final AtomicReferenceArray<TimedLine> mLines;
@@ -149,12 +150,12 @@
             mLines = new AtomicReferenceArray<>(capacity);
         }
 
-        void keep(TimedLine line) {
+        void add(TimedLine line) {
             int slot = (int) (mNext.getAndIncrement() % mLines.length());
             mLines.setRelease(slot, line);
         }
 
-        /** Gives the lines, oldest first; those written meanwhile may be among them. */
+        /** Returns the lines, oldest first; may include lines added during the call. */
         List<TimedLine> lines() {
             long next = mNext.get();
             List<TimedLine> lines = new ArrayList<>();
@@ -167,7 +168,7 @@
             return lines;
         }
 
-        long forgotten() {
+        long evicted() {
             return Math.max(0, mNext.get() - mLines.length());
         }
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/RequestLine.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/RequestLine.java
@@ -7,7 +7,7 @@
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
 
-/** The line at the end of a request. */
+/** Line that is written when a request completes. */
 record RequestLine(RequestRecord request) implements LineContent {
 
     private static final double SCORE_STEPS = 1_000;
@@ -34,7 +34,7 @@
         line.writeNumberField("leftMillis", millis(request.mDeadlineNanos - request.mEndNanos));
         if (request.mWaitNanos != RequestRecord.UNKNOWN) {
             line.writeNumberField("waitMillis", millis(request.mWaitNanos));
-            line.writeNumberField("longestWaitMillis", millis(request.mLongestWaitNanos));
+            line.writeNumberField("longestWaitMillis", millis(request.mMaximumWaitNanos));
         }
         if (request.mSpending != null) {
             writeSpending(line, request.mSpending);
@@ -47,7 +47,7 @@
         writeInputs(line);
     }
 
-    /** Writes what tells the request apart. */
+    /** Writes the fields that identify the request. */
     static void writeHead(JsonGenerator line, RequestRecord request) throws IOException {
         line.writeStringField("id", LineText.of(request.mRequestId));
         if (request.mKey != null) {
@@ -64,17 +64,18 @@
         }
     }
 
-    /** Writes a number unless it is not known. */
+    /** Writes a number unless it is unknown. */
     static void writeKnown(JsonGenerator line, String name, long value) throws IOException {
         if (value != RequestRecord.UNKNOWN) {
             line.writeNumberField(name, value);
         }
     }
 
-    /** Writes a revision as the store knows it, unless it is not known. */
-    static void writeRevision(JsonGenerator line, String name, long joined) throws IOException {
-        if (joined != RequestRecord.UNKNOWN) {
-            line.writeNumberField(name, StoreRevision.revision(joined));
+    /** Writes a revision as numbered by the store, without its era, unless it is unknown. */
+    static void writeRevision(JsonGenerator line, String name, long storeRevision)
+            throws IOException {
+        if (storeRevision != RequestRecord.UNKNOWN) {
+            line.writeNumberField(name, StoreRevision.revision(storeRevision));
         }
     }
 
@@ -128,7 +129,7 @@
             case LEAVING -> line.writeBooleanField("leaving", true);
             case MALFORMED -> line.writeStringField("leaving", "malformed");
             case ABSENT -> {}
-            default -> throw new IllegalStateException("The word is unknown.");
+            default -> throw new IllegalStateException("The leaving header is of an unknown kind.");
         }
         switch (statement.pause().kind()) {
             case PAUSE ->
@@ -149,15 +150,15 @@
     }
 
     private void writeChoice(JsonGenerator line) throws IOException {
-        line.writeNumberField("weighed", request.mWeighed.total());
+        line.writeNumberField("weighed", request.mCandidates.total());
         line.writeArrayFieldStart("candidates");
-        CandidateServers weighed = request.mWeighed;
-        for (int index = 0; index < weighed.kept(); index++) {
+        CandidateServers candidates = request.mCandidates;
+        for (int index = 0; index < candidates.kept(); index++) {
             line.writeStartObject();
-            line.writeStringField("server", weighed.server(index).value());
-            line.writeNumberField("inFlight", weighed.inFlight(index));
-            line.writeNumberField("slots", weighed.slots(index));
-            line.writeNumberField("score", rounded(weighed.score(index)));
+            line.writeStringField("server", candidates.server(index).value());
+            line.writeNumberField("inFlight", candidates.inFlight(index));
+            line.writeNumberField("slots", candidates.slots(index));
+            line.writeNumberField("score", rounded(candidates.score(index)));
             line.writeEndObject();
         }
         line.writeEndArray();
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/RequestOutcome.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/RequestOutcome.java
@@ -1,18 +1,18 @@
 package io.masticpond.entry.log;
 
 /**
- * How a request ended for the client.
+ * Outcome of a request for the client.
  *
  * @since 0.2
  */
 public enum RequestOutcome {
-    /** It is still open. */
+    /** The request is still open. */
     OPEN,
-    /** A backend server's answer was passed on. */
+    /** The answer of a backend server was forwarded to the client. */
     ANSWERED,
-    /** It has not run, never will, and the client was told so. */
+    /** The request has not run and will not run, and the client received a refusal. */
     REFUSED,
-    /** It was sent on, and may have run, but there is no answer to pass on. */
+    /** The request was sent to a server and may have run, but there is no answer to forward. */
     GAVE_UP,
     /** The client closed its connection first. */
     CLIENT_GONE
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/RetryLine.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/RetryLine.java
@@ -3,7 +3,10 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 
-/** The line of a request that goes to another backend server; copies what may change later. */
+/**
+ * Line for a request that is retried on another backend server. Copies the values that may change
+ * before the line is written.
+ */
 final class RetryLine implements LineContent {
 
     private final RequestRecord mRequest;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/RouteKind.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/RouteKind.java
@@ -1,15 +1,15 @@
 package io.masticpond.entry.log;
 
 /**
- * What the route of a request says about repeating it.
+ * Whether the route of a request allows the request to run more than once.
  *
  * @since 0.2
  */
 public enum RouteKind {
     /** No route was found. */
     NONE,
-    /** It may run more than once. */
+    /** The request may run more than once. */
     IDEMPOTENT,
-    /** It must not run twice. */
+    /** The request must not run more than once. */
     ONCE_ONLY
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/SpendingInputs.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/SpendingInputs.java
@@ -1,15 +1,16 @@
 package io.masticpond.entry.log;
 
 /**
- * What a refusal to spend rests on; amounts are in millionths of the operators' unit of money.
+ * Inputs of the decision to refuse spending. All amounts are in millionths of the operators' unit
+ * of money.
  *
- * @param shift the shift that runs, or "none" between shifts
- * @param state what keeps this instance from paying
+ * @param shift the current shift, or "none" between shifts
+ * @param state the reason for which this instance cannot charge the attempt
  * @param priceMicros the price of the attempt
  * @param capMicros the cap of the shift
- * @param allottedMicros what all instances hold or have spent, as last read
- * @param heldMicros what this instance holds and has not spent
- * @param spentMicros what this instance has spent
+ * @param allottedMicros the sum that all instances hold or have spent, as last read
+ * @param heldMicros the amount that this instance holds and has not spent
+ * @param spentMicros the amount that this instance has spent
  * @since 0.3
  */
 public record SpendingInputs(
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/StandardOutputLog.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/StandardOutputLog.java
@@ -8,11 +8,13 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Hands lines over bounded rings to one thread that encodes and writes them in batches.
+ * {@link DecisionLog} that passes lines through bounded rings to a thread of its own, which encodes
+ * and writes them in batches.
  *
- * <p>A thread that logs pays for one offer; it wakes the logging thread only if that sleeps for
- * want of lines, or once when a ring is half full. An output that blocks blocks the logging thread
- * alone: lines that find a ring full are left out and counted. Safe for all threads.
+ * <p>A calling thread only adds a line to a ring. It wakes the logging thread only if that thread
+ * sleeps because there are no lines, or once when a ring is half full. An output that blocks blocks
+ * the logging thread only: lines for which the ring has no room are dropped and counted.
+ * Thread-safe.
  *
  * @since 0.2
  */
@@ -27,7 +29,7 @@
     private final LineWriter mWriter;
     private final Thread mThread;
     private volatile boolean mAsleep;
-    private volatile boolean mHurried;
+    private volatile boolean mWokenEarly;
     private volatile boolean mClosed;
 
     private StandardOutputLog(LogOptions options, TimeSource timeSource, OutputStream output) {
@@ -39,23 +41,23 @@
     }
 
     /**
-     * Starts to log to the standard output of this process.
+     * Starts a log that writes to the standard output of this process.
      *
-     * @param options how much
-     * @param timeSource the clocks
-     * @return the log, to be closed last so that waiting lines are written
+     * @param options the options of the log
+     * @param timeSource the source of the wall and the monotonic time
+     * @return the log, to be closed last so that the queued lines are written
      */
     public static StandardOutputLog start(LogOptions options, TimeSource timeSource) {
         return start(options, timeSource, new FileOutputStream(FileDescriptor.out));
     }
 
     /**
-     * Starts to log to a given stream.
+     * Starts a log that writes to a given stream.
      *
-     * @param options how much
-     * @param timeSource the clocks
-     * @param output gets each batch with one call, and is not closed
-     * @return the log, to be closed last so that waiting lines are written
+     * @param options the options of the log
+     * @param timeSource the source of the wall and the monotonic time
+     * @param output the stream, which receives each batch with one call and is not closed
+     * @return the log, to be closed last so that the queued lines are written
      */
     public static StandardOutputLog start(
             LogOptions options, TimeSource timeSource, OutputStream output) {
@@ -66,8 +68,8 @@
 
     @Override
     public void requestEnded(RequestRecord request) {
-        LinePriority lineClass = request.isPlain() ? LinePriority.PLAIN : LinePriority.NOTEWORTHY;
-        offer(lineClass, new RequestLine(request));
+        LinePriority priority = request.isPlain() ? LinePriority.PLAIN : LinePriority.NOTEWORTHY;
+        offer(priority, new RequestLine(request));
     }
 
     @Override
@@ -86,51 +88,52 @@
     }
 
     /**
-     * Takes another budget, from the next batch on.
+     * Sets the budget of lines, effective from the next batch on.
      *
-     * @param linesPerSecond the greatest number of lines a second, over more than a second
+     * @param linesPerSecond the maximum number of lines per second, averaged over more than a
+     *     second
      */
-    public void limit(int linesPerSecond) {
+    public void setLinesPerSecond(int linesPerSecond) {
         Assert.positive(linesPerSecond, "A number of lines per second");
         mWriter.budget().setLinesPerSecond(linesPerSecond);
     }
 
     /**
-     * Gives the counts of lines.
+     * Returns the counters of the lines.
      *
-     * @return the counts, which go on changing
+     * @return the live counters
      */
     public LineCounts counts() {
         return mCounts;
     }
 
     /**
-     * Writes the lines that wait and ends the logging thread; gives up when the output does not
-     * take them in time. Later lines are left out.
+     * Writes the queued lines and ends the logging thread. Stops waiting if the output does not
+     * accept the lines within the maximum flush time. Later lines are dropped.
      */
     @Override
     public void close() {
         mClosed = true;
         LockSupport.unpark(mThread);
         try {
-            mThread.join(mOptions.longestFlush().toMillis());
+            mThread.join(mOptions.maximumFlushTime().toMillis());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Adds a line to its ring, at the wall time of now. */
-    void offer(LinePriority lineClass, LineContent content) {
+    /** Adds a line with the current wall time to its ring. */
+    void offer(LinePriority priority, LineContent content) {
         TimedLine line = new TimedLine(mTimeSource.instant().toEpochMilli(), content);
-        if (mClosed || !mRings.offer(lineClass, line)) {
-            mCounts.dropped(lineClass, 1);
+        if (mClosed || !mRings.offer(priority, line)) {
+            mCounts.dropped(priority, 1);
             return;
         }
         if (mAsleep) {
             mAsleep = false;
             LockSupport.unpark(mThread);
-        } else if (!mHurried && mRings.isHalfFull(lineClass)) {
-            mHurried = true;
+        } else if (!mWokenEarly && mRings.isHalfFull(priority)) {
+            mWokenEarly = true;
             LockSupport.unpark(mThread);
         }
     }
@@ -138,7 +141,7 @@
     private void run() {
         while (!mClosed) {
             boolean wrote = mWriter.writeBatch();
-            mHurried = mRings.isAnyHalfFull();
+            mWokenEarly = mRings.isAnyHalfFull();
             if (!wrote && mRings.isEmpty()) {
                 sleepUntilLine();
             }
@@ -149,7 +152,7 @@
         mWriter.writeRest();
     }
 
-    /** Sleeps until there is a line, without a timer unless something is to be told later. */
+    /** Sleeps until there is a line; uses a timer only if dropped lines are still unreported. */
     private void sleepUntilLine() {
         mAsleep = true;
         if (!mClosed && mRings.isEmpty()) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/TimedLine.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/TimedLine.java
@@ -1,9 +1,9 @@
 package io.masticpond.entry.log;
 
 /**
- * A line that waits to be written.
+ * Line that is queued for writing.
  *
- * @param wallMillis the wall time of what it tells, in milliseconds since 1970
- * @param content what it says
+ * @param wallMillis the wall time of the logged event, in milliseconds since 1970
+ * @param content the content of the line
  */
 record TimedLine(long wallMillis, LineContent content) {}
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/UpdateSource.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/UpdateSource.java
@@ -1,7 +1,7 @@
 package io.masticpond.entry.log;
 
 /**
- * Where news came from.
+ * Source of an update.
  *
  * @since 0.2
  */
@@ -10,6 +10,6 @@
     STORE,
     /** Another instance. */
     PEER,
-    /** This instance's own clock or experience. */
+    /** This instance's own clock or observations. */
     SELF
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/ViewChange.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/ViewChange.java
@@ -12,35 +12,35 @@
 import java.io.IOException;
 
 /**
- * A change of what an instance believes.
+ * Change in what an instance knows of the fleet.
  *
  * @since 0.2
  */
 public sealed interface ViewChange extends LineContent {
 
-    /** How a backend server changed. */
+    /** States into which a backend server changes. */
     enum ServerState {
-        /** It is new. */
+        /** The server is new. */
         SEEN,
-        /** It has started again under its id. */
+        /** The server has restarted under the same id. */
         RESTARTED,
-        /** It wants no new requests. */
+        /** The server accepts no new requests. */
         LEAVING,
-        /** It is no longer registered. */
+        /** The server is no longer registered. */
         GONE,
-        /** It is cold. */
+        /** The server is cold. */
         COLD,
-        /** It is cold no longer. */
+        /** The server is no longer cold. */
         WARM
     }
 
     /**
-     * Another version of the routes is in force.
+     * Change to another version of the routes.
      *
-     * @param formerVersion the version before, or {@link RequestRecord#UNKNOWN}
-     * @param version the version
+     * @param formerVersion the previous version, or {@link RequestRecord#UNKNOWN}
+     * @param version the version now in force
      * @param revision the revision of the store
-     * @param source where the news came from
+     * @param source the source of the update
      */
     record Routing(long formerVersion, long version, long revision, UpdateSource source)
             implements ViewChange {
@@ -59,13 +59,13 @@
     }
 
     /**
-     * The first snapshot of the backend servers, in place of a line for each.
+     * Initial snapshot of the backend servers, logged instead of a line for each server.
      *
-     * @param servers how many are registered
-     * @param leaving how many of them are leaving
-     * @param cold how many of them are cold
+     * @param servers the number of registered servers
+     * @param leaving the number of servers that are leaving
+     * @param cold the number of cold servers
      * @param revision the revision of the store
-     * @param source where the news came from
+     * @param source the source of the update
      */
     record Registry(int servers, int leaving, int cold, long revision, UpdateSource source)
             implements ViewChange {
@@ -85,14 +85,14 @@
     }
 
     /**
-     * A backend server changed.
+     * Change of a backend server.
      *
      * @param server the server
-     * @param service its service
-     * @param zone its zone
-     * @param state what it is now
+     * @param service the service of the server
+     * @param zone the availability zone of the server
+     * @param state the new state
      * @param revision the revision of the store
-     * @param source where the news came from
+     * @param source the source of the update
      */
     record Server(
             BackendServerId server,
@@ -119,12 +119,13 @@
     }
 
     /**
-     * Requests broke off at a backend server, and a new connection was tried.
+     * Result of the connection attempt that checks a backend server after requests broke off there.
      *
      * @param server the server
-     * @param ended whether the connection was refused, so that the server has ended
-     * @param requests how many requests broke off there
-     * @param millis how long before the result the first of them did
+     * @param ended whether the connection was refused, which shows that the server has terminated
+     * @param requests the number of requests that broke off
+     * @param millis the time from the first of these requests breaking off to the result, in
+     *     milliseconds
      */
     record ServerCheck(BackendServerId server, boolean ended, int requests, long millis)
             implements ViewChange {
@@ -144,9 +145,9 @@
     }
 
     /**
-     * Something else is believed of a request under which servers ended.
+     * Change of the view of a request during which servers terminated.
      *
-     * @param view what is believed, and on what grounds
+     * @param view the new view, with the observations on which it is based
      */
     record CrashingRequest(CrashView view) implements ViewChange {
 
@@ -173,9 +174,9 @@
     }
 
     /**
-     * Something else is believed of the limit that a backend server names.
+     * Change of the view of the limit that a backend server states.
      *
-     * @param view what is believed, and on what grounds
+     * @param view the new view, with the observations on which it is based
      */
     record ServerLimit(LimitView view) implements ViewChange {
 
@@ -200,7 +201,7 @@
     }
 
     /**
-     * A backend server names something that is no limit.
+     * Malformed limit stated by a backend server.
      *
      * @param server the server
      */
@@ -219,9 +220,9 @@
     }
 
     /**
-     * A backend server has withdrawn by its own word, or that holds no more.
+     * Withdrawal of a backend server by its own statement, or the end of such a withdrawal.
      *
-     * @param view what is believed, and on what grounds
+     * @param view the new view, with the observations on which it is based
      */
     record Withdrawal(WithdrawalView view) implements ViewChange {
 
@@ -244,10 +245,10 @@
     }
 
     /**
-     * A backend server states something of itself that means nothing.
+     * Malformed statement of a backend server.
      *
      * @param server the server
-     * @param part what it is about
+     * @param part the malformed part of the statement
      */
     record MalformedStatement(BackendServerId server, StatementPart part) implements ViewChange {
 
@@ -265,12 +266,12 @@
     }
 
     /**
-     * A zone was evacuated or returned.
+     * Evacuation of an availability zone, or its return to service.
      *
      * @param zone the zone
-     * @param evacuated whether it is evacuated now
+     * @param evacuated whether the zone is evacuated now
      * @param revision the revision of the store
-     * @param source where the news came from
+     * @param source the source of the update
      */
     record Zone(ZoneId zone, boolean evacuated, long revision, UpdateSource source)
             implements ViewChange {
@@ -289,12 +290,12 @@
     }
 
     /**
-     * Another instance is lost or heard again.
+     * Loss of another instance, or its return.
      *
      * @param peer the instance
-     * @param incarnation its run, or {@link RequestRecord#UNKNOWN}
-     * @param alive whether it is heard
-     * @param inactiveMillis how long it had been silent
+     * @param incarnation the incarnation of the instance, or {@link RequestRecord#UNKNOWN}
+     * @param alive whether messages from the instance are received again
+     * @param inactiveMillis for how long no message was received, in milliseconds
      */
     record Peer(InstanceId peer, long incarnation, boolean alive, long inactiveMillis)
             implements ViewChange {
@@ -314,11 +315,11 @@
     }
 
     /**
-     * The platform's store is lost or answers again.
+     * Loss of the platform's store, or its return.
      *
-     * @param reachable whether it answers
-     * @param unresponsiveMillis how long it had not answered
-     * @param cause what failed last, from a fixed set of words; null if nothing did
+     * @param reachable whether the store answers
+     * @param unresponsiveMillis for how long the store had not answered, in milliseconds
+     * @param cause the cause of the last failure, from a fixed set of words; null if there was none
      */
     record Store(boolean reachable, long unresponsiveMillis, String cause) implements ViewChange {
 
@@ -338,10 +339,10 @@
     }
 
     /**
-     * Whether this instance can prove that the keys of workspaces are the newest.
+     * Change in whether this instance can prove that its workspace keys are the newest.
      *
-     * @param proven whether it can
-     * @param ageNanos how old the youngest proof is, or {@link RequestRecord#UNKNOWN}
+     * @param proven whether the instance can prove it
+     * @param ageNanos the age of the newest proof, or {@link RequestRecord#UNKNOWN}
      * @param revision the revision of the configuration in force
      */
     record Proof(boolean proven, long ageNanos, long revision) implements ViewChange {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/WallTimeText.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/WallTimeText.java
@@ -4,53 +4,53 @@
 import java.time.ZoneOffset;
 
 /**
- * Spells wall times as 2026-12-02T06:00:01.250Z in a reused buffer; the calendar is asked once a
- * second only.
+ * Formatter of wall times such as 2026-12-02T06:00:01.250Z with a reused buffer. Date and time are
+ * computed at most once per second of wall time. Not thread-safe.
  */
 final class WallTimeText {
 
     private static final int LENGTH = "2026-12-02T06:00:01.250Z".length();
     private static final int MILLIS_PER_SECOND = 1_000;
-    private static final int TEN = 10;
-    private static final int MILLIS_AT = 20;
+    private static final int DECIMAL_BASE = 10;
+    private static final int MILLIS_OFFSET = 20;
     private static final int YEAR_DIGITS = 4;
 
     private final char[] mText = new char[LENGTH];
     private long mSecond = Long.MIN_VALUE;
 
-    /** Gives the text of a time; it holds until the next call. */
+    /** Returns the text of a time, which is valid until the next call. */
     char[] of(long wallMillis) {
         long second = Math.floorDiv(wallMillis, (long) MILLIS_PER_SECOND);
         if (second != mSecond) {
-            spell(LocalDateTime.ofEpochSecond(second, 0, ZoneOffset.UTC));
+            writeDateTime(LocalDateTime.ofEpochSecond(second, 0, ZoneOffset.UTC));
             mSecond = second;
         }
-        digits(MILLIS_AT, 3, (int) Math.floorMod(wallMillis, (long) MILLIS_PER_SECOND));
+        writeDigits(MILLIS_OFFSET, 3, (int) Math.floorMod(wallMillis, (long) MILLIS_PER_SECOND));
         return mText;
     }
 
-    private void spell(LocalDateTime time) {
-        int at = digits(0, YEAR_DIGITS, time.getYear());
-        mText[at++] = '-';
-        at = digits(at, 2, time.getMonthValue());
-        mText[at++] = '-';
-        at = digits(at, 2, time.getDayOfMonth());
-        mText[at++] = 'T';
-        at = digits(at, 2, time.getHour());
-        mText[at++] = ':';
-        at = digits(at, 2, time.getMinute());
-        mText[at++] = ':';
-        at = digits(at, 2, time.getSecond());
-        mText[at] = '.';
+    private void writeDateTime(LocalDateTime time) {
+        int offset = writeDigits(0, YEAR_DIGITS, time.getYear());
+        mText[offset++] = '-';
+        offset = writeDigits(offset, 2, time.getMonthValue());
+        mText[offset++] = '-';
+        offset = writeDigits(offset, 2, time.getDayOfMonth());
+        mText[offset++] = 'T';
+        offset = writeDigits(offset, 2, time.getHour());
+        mText[offset++] = ':';
+        offset = writeDigits(offset, 2, time.getMinute());
+        mText[offset++] = ':';
+        offset = writeDigits(offset, 2, time.getSecond());
+        mText[offset] = '.';
         mText[LENGTH - 1] = 'Z';
     }
 
-    private int digits(int from, int count, int value) {
-        int rest = value;
-        for (int at = from + count - 1; at >= from; at--) {
-            mText[at] = (char) ('0' + rest % TEN);
-            rest /= TEN;
+    private int writeDigits(int start, int count, int value) {
+        int remaining = value;
+        for (int offset = start + count - 1; offset >= start; offset--) {
+            mText[offset] = (char) ('0' + remaining % DECIMAL_BASE);
+            remaining /= DECIMAL_BASE;
         }
-        return from + count;
+        return start + count;
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/package-info.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/package-info.java
@@ -1,5 +1,5 @@
 /**
- * One JSON object a line on standard output for each decision and change of belief, without ever
- * blocking a thread that decides; must know nothing of how decisions are made.
+ * Log of decisions and view changes on standard output, as one JSON object per line. Logging never
+ * blocks the calling thread. This package must not depend on how decisions are made.
  */
 package io.masticpond.entry.log;
--- a/masticpond-entry/src/test/java/io/masticpond/entry/log/FleetSnapshotLogTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/log/FleetSnapshotLogTest.java
@@ -20,7 +20,7 @@
 import java.util.stream.Stream;
 import net.jqwik.api.Example;
 
-/** Tests which changes of belief are told. */
+/** Tests for the view changes that {@link FleetSnapshotLog} logs. */
 final class FleetSnapshotLogTest {
 
     private static final ZoneId ZONE = new ZoneId("z1");
@@ -45,7 +45,7 @@
                     });
 
     @Example
-    void theFirstServersAreOneLine() {
+    void logsInitialServersAsOneLine() {
         mLog.changed(
                 snapshot(3, 1, Set.of(), server("b1", true, 0), server("b2", false, 500)),
                 UpdateSource.PEER,
@@ -57,22 +57,22 @@
     }
 
     @Example
-    void eachLaterChangeIsOneLineAndNothingIsToldTwice() {
-        RegisteredServer stays = server("b1", false, 0);
+    void logsEachLaterChangeOnce() {
+        RegisteredServer unchanged = server("b1", false, 0);
         mLog.changed(
-                snapshot(3, 1, Set.of(), stays, server("b2", false, 0)), UpdateSource.STORE, 0);
+                snapshot(3, 1, Set.of(), unchanged, server("b2", false, 0)), UpdateSource.STORE, 0);
         mChanges.clear();
         FleetSnapshot next =
                 snapshot(4, 2, Set.of(ZONE), server("b1", true, 0), server("b3", false, 500));
         mLog.changed(next, UpdateSource.STORE, 0);
         mLog.changed(next, UpdateSource.STORE, 10);
-        assertThat(mChanges.stream().map(FleetSnapshotLogTest::brief))
+        assertThat(mChanges.stream().map(FleetSnapshotLogTest::describe))
                 .containsExactlyInAnyOrder(
                         "1 to 2", "evacuated true", "b1 LEAVING", "b3 SEEN", "b3 COLD", "b2 GONE");
     }
 
     @Example
-    void serversThatWarmUpAndZonesThatReturnAreTold() {
+    void logsWarmedServersAndReturnedZones() {
         RegisteredServer cold = server("b1", false, 500);
         mLog.changed(snapshot(3, 1, Set.of(ZONE), cold), UpdateSource.STORE, 0);
         mChanges.clear();
@@ -81,11 +81,11 @@
         mLog.logWarmed(500);
         mLog.logWarmed(501);
         mLog.changed(snapshot(5, 1, Set.of(), cold), UpdateSource.STORE, 600);
-        assertThat(mChanges.stream().map(FleetSnapshotLogTest::brief))
+        assertThat(mChanges.stream().map(FleetSnapshotLogTest::describe))
                 .containsExactly("b1 WARM", "evacuated false");
     }
 
-    private static String brief(ViewChange change) {
+    private static String describe(ViewChange change) {
         if (change instanceof ViewChange.Server server) {
             return server.server() + " " + server.state();
         }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/log/LineWriterTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/log/LineWriterTest.java
@@ -8,7 +8,7 @@
 import java.time.Instant;
 import net.jqwik.api.Example;
 
-/** Tests the budget and which lines go first. */
+/** Tests for the line budget and the order of priorities of {@link LineWriter}. */
 final class LineWriterTest {
 
     private static final int LINES_PER_SECOND = 200;
@@ -22,7 +22,7 @@
     private final LineWriter mWriter = new LineWriter(mRings, mCounts, OPTIONS, mTime, mOutput);
 
     @Example
-    void failuresGoBeforePlainRequestsThatCameFirst() {
+    void writesFailuresBeforeEarlierPlainRequests() {
         offer(LinePriority.PLAIN, 600);
         offer(LinePriority.NOTEWORTHY, 150);
         mWriter.writeBatch();
@@ -34,7 +34,7 @@
     }
 
     @Example
-    void failuresAboveTheBudgetWaitAndNoPlainRequestIsWrittenMeanwhile() {
+    void queuesFailuresAboveBudgetAndWritesNoPlainRequestMeanwhile() {
         offer(LinePriority.NOTEWORTHY, 500);
         for (int step = 0; step < 10; step++) {
             offer(LinePriority.PLAIN, 10);
@@ -48,24 +48,24 @@
     }
 
     @Example
-    void aStormOfAllClassesStaysWithinTheBudget() {
+    void staysWithinBudgetUnderOverloadOfAllPriorities() {
         int seconds = 12;
         for (int step = 0; step < 5 * seconds; step++) {
-            for (LinePriority lineClass : LinePriority.values()) {
-                offer(lineClass, 400);
+            for (LinePriority priority : LinePriority.values()) {
+                offer(priority, 400);
             }
             mWriter.writeBatch();
             mTime.advance(OPTIONS.batchInterval());
         }
-        int told = (int) mOutput.count("left-out");
-        assertThat(mOutput.lines().size() - told)
+        int reported = (int) mOutput.count("left-out");
+        assertThat(mOutput.lines().size() - reported)
                 .isGreaterThan((seconds - 1) * LINES_PER_SECOND)
                 .isLessThanOrEqualTo((seconds + 1) * LINES_PER_SECOND);
-        assertThat(told).isEqualTo(1);
+        assertThat(reported).isEqualTo(1);
     }
 
     @Example
-    void plainRequestsAreSampledEvenly() {
+    void samplesPlainRequestsEvenly() {
         for (int index = 0; index < 1_000; index++) {
             RequestRecord request = new RequestRecord("r" + index, 0);
             request.answered(200, 0);
@@ -78,7 +78,7 @@
     }
 
     @Example
-    void oneCallWritesTheWholeBatch() {
+    void writesBatchWithOneCall() {
         offer(LinePriority.NOTEWORTHY, 30);
         assertThat(mWriter.writeBatch()).isTrue();
         assertThat(mWriter.writeBatch()).isFalse();
@@ -86,19 +86,19 @@
     }
 
     @Example
-    void aLongBatchIsWrittenInPiecesOfWholeLines() {
+    void writesLongBatchInPiecesOfCompleteLines() {
         offer(LinePriority.NOTEWORTHY, 180);
         assertThat(mWriter.writeBatch()).isTrue();
         assertThat(mOutput.lines()).hasSize(180);
         assertThat(mOutput.calls()).isBetween(2, 10);
         assertThat(mOutput.longestCall()).isLessThanOrEqualTo(LineBatch.WRITE_BYTES);
-        assertThat(mOutput.hasCutLines()).isFalse();
+        assertThat(mOutput.hasIncompleteLines()).isFalse();
         assertThat(mCounts.written()).isEqualTo(180);
         assertThat(mWriter.writeBatch()).isFalse();
     }
 
     @Example
-    void whatWasLeftOutIsToldOnceEveryTenSeconds() {
+    void reportsDroppedLinesOnceEveryTenSeconds() {
         offer(LinePriority.PLAIN, 500);
         mWriter.writeBatch();
         assertThat(mOutput.count("left-out")).isZero();
@@ -108,14 +108,14 @@
         mTime.advance(LineWriter.DROP_SUMMARY_INTERVAL);
         mWriter.writeBatch();
         assertThat(mOutput.count("left-out")).isEqualTo(1);
-        JsonNode told = mOutput.lines().get(mOutput.lines().size() - 1);
-        assertThat(told.path("plain").asInt()).isEqualTo(400);
-        assertThat(told.path("noteworthy").asInt(1)).isZero();
+        JsonNode reported = mOutput.lines().get(mOutput.lines().size() - 1);
+        assertThat(reported.path("plain").asInt()).isEqualTo(400);
+        assertThat(reported.path("noteworthy").asInt(1)).isZero();
         assertThat(mWriter.hasUnreportedDrops()).isFalse();
     }
 
     @Example
-    void theRestIsWrittenWhateverTheBudget() {
+    void writesRemainingLinesRegardlessOfBudget() {
         offer(LinePriority.NOTEWORTHY, 1_000);
         offer(LinePriority.PLAIN, 1_000);
         mWriter.writeRest();
@@ -129,22 +129,22 @@
                 .count();
     }
 
-    private void offer(LinePriority lineClass, int count) {
+    private void offer(LinePriority priority, int count) {
         for (int index = 0; index < count; index++) {
             RequestRecord request = new RequestRecord("r" + index, 0);
-            if (lineClass == LinePriority.NOTEWORTHY) {
+            if (priority == LinePriority.NOTEWORTHY) {
                 request.refused("no-room", 503, 500, 0);
             } else {
                 request.answered(200, 0);
             }
-            offer(lineClass, request);
+            offer(priority, request);
         }
     }
 
-    private void offer(LinePriority lineClass, RequestRecord request) {
-        boolean taken = mRings.offer(lineClass, new TimedLine(0, new RequestLine(request)));
-        if (!taken) {
-            mCounts.dropped(lineClass, 1);
+    private void offer(LinePriority priority, RequestRecord request) {
+        boolean added = mRings.offer(priority, new TimedLine(0, new RequestLine(request)));
+        if (!added) {
+            mCounts.dropped(priority, 1);
         }
     }
 }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/log/LogLines.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/log/LogLines.java
@@ -8,20 +8,20 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** An output that reads back what was written, and counts the calls. */
+/** Output stream that parses the written lines and counts the calls. */
 final class LogLines extends ByteArrayOutputStream {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private int mCalls;
     private int mLongestCall;
-    private boolean mCutLines;
+    private boolean mHasIncompleteLines;
 
     @Override
     public synchronized void write(byte[] bytes, int from, int length) {
         mCalls++;
         mLongestCall = Math.max(mLongestCall, length);
-        mCutLines |= bytes[from + length - 1] != '\n';
+        mHasIncompleteLines |= bytes[from + length - 1] != '\n';
         super.write(bytes, from, length);
         notifyAll();
     }
@@ -34,12 +34,12 @@
         return mLongestCall;
     }
 
-    /** Tells whether a call ended within a line. */
-    synchronized boolean hasCutLines() {
-        return mCutLines;
+    /** Determines whether any call ended in the middle of a line. */
+    synchronized boolean hasIncompleteLines() {
+        return mHasIncompleteLines;
     }
 
-    /** Waits until something was written. */
+    /** Waits until the first write. */
     synchronized void awaitWrite() throws InterruptedException {
         while (mCalls == 0) {
             wait();
--- a/masticpond-entry/src/test/java/io/masticpond/entry/log/RecentDecisionsTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/log/RecentDecisionsTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** What was decided lately can be asked for, and much that went well hides nothing that did not. */
+/** Tests for the queries of {@link RecentDecisions} and for what plain requests evict. */
 class RecentDecisionsTest {
 
     private static final int MANY = 10_000;
@@ -20,7 +20,7 @@
     private final RecentDecisions mDecisions = new RecentDecisions(DecisionLog.NONE, mTime);
 
     @Example
-    void retryAndEndOfRequestStandInTheirOrder() {
+    void returnsRetryAndEndOfRequestInOrder() {
         RequestRecord request = new RequestRecord("one", 0);
         request.sent(new BackendServerId("s"), new ZoneId("z"), false, 0);
         request.attemptEnded(AttemptResult.TURNED_AWAY, 503, 1);
@@ -39,7 +39,7 @@
     }
 
     @Example
-    void plainRequestsPushOutNoRefusalAndNoChangeOfBelief() {
+    void plainRequestsEvictNoRefusalAndNoViewChange() {
         RequestRecord refused = new RequestRecord("refused", 0);
         refused.refused("overload", 503, 100, 0);
         mDecisions.requestEnded(refused);
@@ -59,7 +59,7 @@
     }
 
     @Example
-    void theNewestBeliefsAreGiven() {
+    void returnsNewestViewChanges() {
         for (int index = 0; index < 3; index++) {
             mDecisions.viewChanged(
                     new ViewChange.Zone(new ZoneId("z" + index), true, 1, UpdateSource.STORE));
--- a/masticpond-entry/src/test/java/io/masticpond/entry/log/RequestLineTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/log/RequestLineTest.java
@@ -19,7 +19,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.StringLength;
 
-/** Tests what the line of a request says, and that no value can spoil it. */
+/** Tests for the contents of a request's line, and that no value can corrupt it. */
 final class RequestLineTest {
 
     private static final BackendServerId FIRST = new BackendServerId("b1");
@@ -30,7 +30,7 @@
     private final LineBatch mBatch = new LineBatch(mOutput, new LineCounts());
 
     @Property(seed = "71", tries = 500)
-    void anyIdIsOneAsciiLineThatReadsBack(@ForAll @StringLength(max = 128) String id) {
+    void writesAnyIdAsOneAsciiLineThatParsesBack(@ForAll @StringLength(max = 128) String id) {
         LogLines output = new LogLines();
         LineBatch batch = new LineBatch(output, new LineCounts());
         RequestRecord request = new RequestRecord(id, 0);
@@ -44,7 +44,7 @@
     }
 
     @Example
-    void idsThatAttackTheLineAreEscaped() {
+    void escapesIdsThatInjectLinesOrControlCharacters() {
         String id = "a\"},\n{\"event\":\"forged\"}\r\u0085\u009b31m\u2028\ud800\u0000";
         write(answered(id));
         assertThat(mOutput.lines()).hasSize(1);
@@ -53,13 +53,13 @@
     }
 
     @Example
-    void anEndlessIdIsCut() {
+    void truncatesLongId() {
         write(answered("x".repeat(100_000)));
         assertThat(mOutput.text().length()).isLessThan(400);
     }
 
     @Example
-    void theLineTellsWhatTheDecisionRestedOn() {
+    void writesInputsOfDecision() {
         RequestRecord request = retried();
         request.answered(200, millis(130));
         write(request);
@@ -84,12 +84,12 @@
     }
 
     @Example
-    void limitsThatServersNameAreTold() {
+    void writesLimitsStatedByServers() {
         RequestRecord request = new RequestRecord("r1", 0);
         request.sent(FIRST, ZONE, false, 0);
-        request.stated(named(LimitHeader.parse(List.of("0.25"))));
+        request.stated(limited(LimitHeader.parse(List.of("0.25"))));
         request.sent(SECOND, ZONE, false, 0);
-        request.stated(named(LimitHeader.parse(List.of("soon"))));
+        request.stated(limited(LimitHeader.parse(List.of("soon"))));
         request.sent(SECOND, ZONE, false, 0);
         request.stated(ServerStatement.NONE);
         request.answered(200, 0);
@@ -100,13 +100,13 @@
         assertThat(attempts.get(2).has("limit")).isFalse();
     }
 
-    private static ServerStatement named(LimitHeader limit) {
+    private static ServerStatement limited(LimitHeader limit) {
         return new ServerStatement(
                 limit, Optional.empty(), LeavingHeader.ABSENT, PauseHeader.ABSENT);
     }
 
     @Example
-    void leavingAndPausesThatServersStateAreTold() {
+    void writesLeavingAndPausesStatedByServers() {
         RequestRecord request = new RequestRecord("r1", 0);
         request.sent(FIRST, ZONE, false, 0);
         request.stated(withdrawing("1", "2.5"));
@@ -130,7 +130,7 @@
     }
 
     @Example
-    void aRetryLineKeepsWhatWasTrueWhenItWasLogged() {
+    void retryLineKeepsStateAtTimeOfLogging() {
         RequestRecord request = new RequestRecord("r1", 0);
         request.sent(FIRST, ZONE, false, 0);
         request.attemptEnded(AttemptResult.NOT_CONNECTED, 0, millis(300));
@@ -147,21 +147,21 @@
     }
 
     @Example
-    void onlyAnAnswerAtTheFirstAttemptIsPlain() {
+    void treatsOnlyAnswerAtFirstAttemptAsPlain() {
         RequestRecord failed = new RequestRecord("r1", 0);
         failed.answered(502, 0);
         RequestRecord retried = retried();
         retried.answered(200, 0);
-        RequestRecord gone = new RequestRecord("r1", 0);
-        gone.clientDisconnected(0);
+        RequestRecord disconnected = new RequestRecord("r1", 0);
+        disconnected.clientDisconnected(0);
         assertThat(answered("r1").isPlain()).isTrue();
         assertThat(failed.isPlain()).isFalse();
         assertThat(retried.isPlain()).isFalse();
-        assertThat(gone.isPlain()).isFalse();
+        assertThat(disconnected.isPlain()).isFalse();
     }
 
     @Example
-    void aLineThatCannotBeEncodedLeavesTheOthersWhole() {
+    void omitsOnlyLineThatCannotBeEncoded() {
         write(answered("r1"));
         mBatch.add(0, new ViewChange.Routing(1, 2, 3, null));
         write(answered("r2"));
--- a/masticpond-entry/src/test/java/io/masticpond/entry/log/StandardOutputLogTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/log/StandardOutputLogTest.java
@@ -11,37 +11,38 @@
 import net.jqwik.api.Example;
 import org.slf4j.Logger;
 
-/** Tests the rings, the logging thread and the stop. */
+/** Tests for the rings, the logging thread and the close of {@link StandardOutputLog}. */
 final class StandardOutputLogTest {
 
     private static final LogOptions OPTIONS =
             new LogOptions(200, Duration.ofMillis(20), Duration.ofSeconds(60));
 
-    /** For an output that never takes anything. */
-    private static final LogOptions HASTY =
+    /** Options for an output that accepts nothing. */
+    private static final LogOptions SHORT_FLUSH =
             new LogOptions(200, Duration.ofMillis(20), Duration.ofMillis(300));
 
     private final LogLines mOutput = new LogLines();
 
     @Example
-    void anOutputThatBlocksBlocksNobodyAndIsCounted() {
-        StuckOutput stuck = new StuckOutput();
-        StandardOutputLog log = StandardOutputLog.start(HASTY, new SystemTimeSource(), stuck);
+    void countsDroppedLinesWithoutBlockingCallersWhenOutputBlocks() {
+        BlockedOutput blocked = new BlockedOutput();
+        StandardOutputLog log =
+                StandardOutputLog.start(SHORT_FLUSH, new SystemTimeSource(), blocked);
         int offered = 3 * LinePriority.NOTEWORTHY.capacity();
         for (int index = 0; index < offered; index++) {
             log.requestEnded(refused());
         }
-        long leftOut = log.counts().dropped(LinePriority.NOTEWORTHY);
-        assertThat(leftOut).isGreaterThan(0).isLessThan(offered);
+        long dropped = log.counts().dropped(LinePriority.NOTEWORTHY);
+        assertThat(dropped).isGreaterThan(0).isLessThan(offered);
         assertThat(log.counts().written()).isZero();
         log.close();
-        stuck.release();
+        blocked.release();
         log.requestEnded(refused());
-        assertThat(log.counts().dropped(LinePriority.NOTEWORTHY)).isEqualTo(leftOut + 1);
+        assertThat(log.counts().dropped(LinePriority.NOTEWORTHY)).isEqualTo(dropped + 1);
     }
 
     @Example
-    void aStopWritesWhatWaits() {
+    void closeWritesQueuedLines() {
         StandardOutputLog log = StandardOutputLog.start(OPTIONS, new SystemTimeSource(), mOutput);
         for (int index = 0; index < 900; index++) {
             log.requestEnded(refused());
@@ -52,7 +53,7 @@
     }
 
     @Example
-    void aLineWakesTheThreadThatSleeps() throws InterruptedException {
+    void newLineWakesSleepingThread() throws InterruptedException {
         try (StandardOutputLog log =
                 StandardOutputLog.start(OPTIONS, new SystemTimeSource(), mOutput)) {
             log.requestEnded(refused());
@@ -62,7 +63,7 @@
     }
 
     @Example
-    void libraryLinesAreLinesOfTheSameLogWithoutSecrets() {
+    void writesLibraryLinesToSameLogWithoutSecrets() {
         LoggerContext context = new LoggerContext();
         try (StandardOutputLog log =
                 StandardOutputLog.start(OPTIONS, new SystemTimeSource(), mOutput)) {
@@ -90,8 +91,8 @@
         return request;
     }
 
-    /** An output whose reader has stopped. */
-    private static final class StuckOutput extends OutputStream {
+    /** Output whose reader has stopped. */
+    private static final class BlockedOutput extends OutputStream {
 
         private final CountDownLatch mReader = new CountDownLatch(1);
 
