--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/eventloop/EventLoop.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/eventloop/EventLoop.java
@@ -13,11 +13,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One named thread that runs tasks from one bounded ring, and periodic tasks between them.
+ * Event loop: a single named thread that runs tasks from a bounded queue, and periodic tasks
+ * between them.
  *
- * <p>State that belongs to a duty is touched by its thread only, so it needs no locks. When the
- * ring is full, {@link #offer} returns false and the giver must refuse or drop the work; nothing
- * blocks. A task that throws is logged and the duty goes on.
+ * <p>State that is confined to an event loop is accessed by its thread only and needs no locks.
+ * When the queue is full, {@link #offer} returns {@code false} without blocking, and the caller
+ * must refuse or drop the work. A task that throws is logged, and the event loop continues with the
+ * next one.
  *
  * @since 0.1
  */
@@ -25,42 +27,43 @@
 
     private static final Logger sLogger = LoggerFactory.getLogger(EventLoop.class);
     private static final long STOP_TIMEOUT_MILLIS = 5_000;
-    private static final long LONGEST_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+    private static final long MAXIMUM_POLL_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-    private static final long ROOM_WAIT_NANOS = TimeUnit.MICROSECONDS.toNanos(100);
+    private static final long FULL_QUEUE_RETRY_NANOS = TimeUnit.MICROSECONDS.toNanos(100);
 
     private final String mName;
     private final TimeSource mTimeSource;
-    private final MpscBlockingConsumerArrayQueue<Runnable> mRing;
+    private final MpscBlockingConsumerArrayQueue<Runnable> mQueue;
     private final List<PeriodicTask> mPeriodicTasks = new ArrayList<>();
-    private final LongAdder mRefused = new LongAdder();
+    private final LongAdder mRejected = new LongAdder();
     private final Thread mThread;
     private volatile boolean mRunning = true;
 
     /**
-     * Makes a duty whose thread is not started yet.
+     * Creates an event loop whose thread is not started yet.
      *
      * @param name the name of the thread
-     * @param ringCapacity how many tasks may wait, positive
-     * @param timeSource the clock of the periodic tasks
+     * @param queueCapacity the maximum number of queued tasks, positive
+     * @param timeSource the clock for the periodic tasks
      */
-    public EventLoop(String name, int ringCapacity, TimeSource timeSource) {
-        mName = Assert.hasText(name, "The name of a duty");
-        Assert.positive(ringCapacity, "The capacity of a ring");
+    public EventLoop(String name, int queueCapacity, TimeSource timeSource) {
+        mName = Assert.hasText(name, "The name of an event loop");
+        Assert.positive(queueCapacity, "The capacity of a queue");
         mTimeSource = Assert.notNull(timeSource, "A time source");
-        mRing = new MpscBlockingConsumerArrayQueue<>(ringCapacity);
+        mQueue = new MpscBlockingConsumerArrayQueue<>(queueCapacity);
         mThread = new Thread(this::run, name);
         mThread.setDaemon(true);
     }
 
     /**
-     * Adds a task that runs again and again; must be called before {@link #start}.
+     * Adds a periodic task, which first runs as soon as the thread starts. Must be called before
+     * {@link #start}.
      *
-     * @param period the time from one run to the next
+     * @param period the minimum time from the start of one run to that of the next
      * @param task the task
      */
     public void every(Duration period, Runnable task) {
-        Assert.isTrue(!mThread.isAlive(), "The duty %s is started already.", mName);
+        Assert.isTrue(!mThread.isAlive(), "The event loop %s has already been started.", mName);
         mPeriodicTasks.add(new PeriodicTask(period.toNanos(), task, mTimeSource.monotonicNanos()));
     }
 
@@ -70,69 +73,75 @@
     }
 
     /**
-     * Hands over a task.
+     * Queues a task without blocking.
      *
      * @param task the task
-     * @return whether the ring had room; if not, the task will not run
+     * @return {@code true} if the task was queued; {@code false} if the queue is full or the event
+     *     loop is closed, in which case the task will not run
      */
     public boolean offer(Runnable task) {
-        boolean taken = mRunning && mRing.offer(task);
-        if (!taken) {
-            mRefused.increment();
+        boolean queued = mRunning && mQueue.offer(task);
+        if (!queued) {
+            mRejected.increment();
         }
-        return taken;
+        return queued;
     }
 
     /**
-     * Hands over a task that must not be lost, and waits for room if the ring is full. Must not be
-     * called by the thread of a duty that this duty waits for. The duty's own thread, which alone
-     * makes room, does not wait: it runs the task at once if the ring is full.
+     * Queues a task that must not be lost, and blocks while the queue is full. Must not be called
+     * from the thread of another event loop that this one waits for, since the two could block each
+     * other for good. The own thread, which is the only consumer of the queue, never blocks: if the
+     * queue is full, it runs the task immediately.
      *
      * @param task the task
-     * @return whether the task was taken; false only after {@link #close}
+     * @return {@code true} if the task was queued or run; {@code false} only after {@link #close}
      */
     public boolean put(Runnable task) {
         while (mRunning) {
-            if (mRing.offer(task)) {
+            if (mQueue.offer(task)) {
                 return true;
             }
             if (isCurrentThread()) {
                 runSafely(task);
                 return true;
             }
-            LockSupport.parkNanos(ROOM_WAIT_NANOS);
+            LockSupport.parkNanos(FULL_QUEUE_RETRY_NANOS);
         }
         return false;
     }
 
     /**
-     * Counts the tasks that found the ring full.
+     * Returns the number of tasks that {@link #offer} rejected because the queue was full or the
+     * event loop was closed.
      *
      * @return the count since the start
      */
     public long refused() {
-        return mRefused.sum();
+        return mRejected.sum();
     }
 
     /**
-     * Counts the tasks that wait.
+     * Returns the number of queued tasks.
      *
      * @return the count
      */
     public int waiting() {
-        return mRing.size();
+        return mQueue.size();
     }
 
     /**
-     * Tells whether the calling thread is the thread of this duty.
+     * Determines whether the calling thread is the thread of this event loop.
      *
-     * @return whether it is
+     * @return {@code true} on the event loop's own thread
      */
     public boolean isCurrentThread() {
         return Thread.currentThread() == mThread;
     }
 
-    /** Stops the thread after the tasks that wait now. */
+    /**
+     * Rejects further tasks and stops the thread once it has run the queued ones. Waits up to 5
+     * seconds for the thread to end, unless this is called from the thread itself.
+     */
     @Override
     public void close() {
         mRunning = false;
@@ -147,7 +156,7 @@
     }
 
     private void run() {
-        while (mRunning || !mRing.isEmpty()) {
+        while (mRunning || !mQueue.isEmpty()) {
             Runnable task = poll();
             if (task != null) {
                 runSafely(task);
@@ -158,7 +167,7 @@
 
     private Runnable poll() {
         try {
-            return mRing.poll(nanosToNextTask(), TimeUnit.NANOSECONDS);
+            return mQueue.poll(nanosToNextTask(), TimeUnit.NANOSECONDS);
         } catch (InterruptedException e) {
             mRunning = false;
             return null;
@@ -167,9 +176,9 @@
 
     private long nanosToNextTask() {
         long now = mTimeSource.monotonicNanos();
-        long wait = LONGEST_WAIT_NANOS;
+        long wait = MAXIMUM_POLL_NANOS;
         for (PeriodicTask task : mPeriodicTasks) {
-            wait = Math.min(wait, task.mNextNanos - now);
+            wait = Math.min(wait, task.mNextRunNanos - now);
         }
         return Math.max(0, wait);
     }
@@ -177,10 +186,10 @@
     private void runPeriodicTasks() {
         for (PeriodicTask task : mPeriodicTasks) {
             long now = mTimeSource.monotonicNanos();
-            if (task.mNextNanos - now > 0) {
+            if (task.mNextRunNanos - now > 0) {
                 continue;
             }
-            task.mNextNanos = now + task.mPeriodNanos;
+            task.mNextRunNanos = now + task.mPeriodNanos;
             runSafely(task.mTask);
         }
     }
@@ -189,21 +198,21 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            sLogger.error("PROCESS  A task of the duty {} failed.", mName, e);
+            sLogger.error("PROCESS  A task of the event loop {} failed.", mName, e);
         }
     }
 
-    /** A task with the time of its next run. */
+    /** A periodic task with the time of its next run. */
     private static final class PeriodicTask {
 
         private final long mPeriodNanos;
         private final Runnable mTask;
-        private long mNextNanos;
+        private long mNextRunNanos;
 
-        PeriodicTask(long periodNanos, Runnable task, long firstNanos) {
+        PeriodicTask(long periodNanos, Runnable task, long firstRunNanos) {
             mPeriodNanos = periodNanos;
             mTask = task;
-            mNextNanos = firstNanos;
+            mNextRunNanos = firstRunNanos;
         }
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/eventloop/package-info.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/eventloop/package-info.java
@@ -1,2 +1,2 @@
-/** Threads with one duty each, fed by one bounded ring each; they must not know what they run. */
+/** Single-threaded event loops with bounded queues; independent of the tasks that they run. */
 package io.masticpond.daemon.eventloop;
