--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/timeline/TimelineAnswer.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/timeline/TimelineAnswer.java
@@ -6,12 +6,12 @@
 import java.util.List;
 
 /**
- * The answer to a query of the time line.
+ * Response to a query of the timeline.
  *
- * @param instance the instance that answers
+ * @param instance the responding instance
  * @param incarnation the number of its incarnation
  * @param wallMillis its wall clock in milliseconds since the epoch
- * @param overwritten how many events newer ones have overwritten since its start
+ * @param overwritten the number of events that newer ones have overwritten since its start
  * @param events the events in the order of their times
  * @since 0.1
  */
@@ -19,10 +19,10 @@
         String instance, long incarnation, long wallMillis, long overwritten, List<Entry> events) {
 
     /**
-     * Makes an answer.
+     * Creates an answer.
      *
-     * @param incarnation the incarnation that answers
-     * @param now the time at which it answers
+     * @param incarnation the responding incarnation
+     * @param now the time of the response
      * @param overwritten how many events newer ones have overwritten
      * @param events the events in the order of their times
      * @return the answer
@@ -38,7 +38,7 @@
     }
 
     /**
-     * One event.
+     * Timeline event.
      *
      * @param wallMillis the wall time of its hybrid time, in milliseconds since the epoch
      * @param counter the counter of its hybrid time
@@ -46,7 +46,7 @@
      * @param event the name of the event
      * @param service the service that it concerns, or ""
      * @param object the id of the object that it concerns, or ""
-     * @param detail a few words more, or ""
+     * @param detail additional detail, or ""
      * @since 0.1
      */
     public record Entry(
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/timeline/TimelineRoutes.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/timeline/TimelineRoutes.java
@@ -17,10 +17,10 @@
 import java.util.TreeSet;
 
 /**
- * The route /v1/timeline of this process.
+ * Operator route {@code /v1/timeline}, which returns the timeline of this process.
  *
- * <p>{@code sinceMillis} counts back from the clock of this process, not from the operator's, so
- * that an instance whose wall clock is wrong still shows its newest events.
+ * <p>{@code sinceMillis} is relative to the clock of this process, not to the operator's, so that
+ * an instance whose wall clock is wrong still returns its newest events.
  *
  * @since 0.1
  */
@@ -40,11 +40,11 @@
     private final ObjectMapper mMapper = new ObjectMapper();
 
     /**
-     * Makes the route.
+     * Creates the route.
      *
      * @param incarnation the incarnation of this instance
-     * @param clock the clock of the events
-     * @param ring the events
+     * @param clock the clock that time-stamps the events
+     * @param ring the ring buffer of events
      */
     public TimelineRoutes(Incarnation incarnation, HybridLogicalClock clock, TimelineRing ring) {
         mIncarnation = Assert.notNull(incarnation, "An incarnation");
@@ -58,7 +58,7 @@
     }
 
     private void show(Context context) throws JsonProcessingException {
-        refuseUnknownParameters(context);
+        rejectUnknownParameters(context);
         HybridTime now = mClock.now();
         TimelineQuery query =
                 new TimelineQuery(
@@ -76,7 +76,7 @@
 
     private static HybridTime since(Context context, HybridTime now) {
         return number(context, SINCE, 0, Long.MAX_VALUE)
-                .map(back -> HybridTime.of(Math.max(0, now.wallMillis() - back), 0))
+                .map(ageMillis -> HybridTime.of(Math.max(0, now.wallMillis() - ageMillis), 0))
                 .orElse(HybridTime.ZERO);
     }
 
@@ -84,29 +84,28 @@
         return Optional.ofNullable(context.queryParam(name)).filter(text -> !text.isEmpty());
     }
 
-    private static Optional<Long> number(Context context, String name, long least, long most) {
+    private static Optional<Long> number(Context context, String name, long min, long max) {
         Optional<String> text = text(context, name);
         if (text.isEmpty()) {
             return Optional.empty();
         }
         try {
             long number = Long.parseLong(text.get());
-            if (number >= least && number <= most) {
+            if (number >= min && number <= max) {
                 return Optional.of(number);
             }
         } catch (NumberFormatException e) {
-            throw outOfRange(name, least, most);
+            throw outOfRange(name, min, max);
         }
-        throw outOfRange(name, least, most);
+        throw outOfRange(name, min, max);
     }
 
-    private static BadRequestResponse outOfRange(String name, long least, long most) {
+    private static BadRequestResponse outOfRange(String name, long min, long max) {
         return new BadRequestResponse(
-                "The parameter %s must be a whole number from %d to %d."
-                        .formatted(name, least, most));
+                "The parameter %s must be a whole number from %d to %d.".formatted(name, min, max));
     }
 
-    private static void refuseUnknownParameters(Context context) {
+    private static void rejectUnknownParameters(Context context) {
         Set<String> unknown = new TreeSet<>(context.queryParamMap().keySet());
         unknown.removeAll(PARAMETERS);
         if (!unknown.isEmpty()) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/timeline/package-info.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/timeline/package-info.java
@@ -1,2 +1,2 @@
-/** The route that shows the time line of this process; the events themselves are the core's. */
+/** Operator route for the timeline of this process; the events are recorded by the core. */
 package io.masticpond.daemon.timeline;
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/timeline/ObservationRoutesTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/timeline/ObservationRoutesTest.java
@@ -66,7 +66,7 @@
     }
 
     @Example
-    void timelineCountsBackFromTheClockOfTheInstance() throws IOException {
+    void sinceMillisIsRelativeToTheClockOfTheInstance() throws IOException {
         mRing.record(TimelinePart.CONFIG, "version-in-force", "", "41", "");
         mTime.advance(Duration.ofMinutes(10));
         mTime.stepWallClock(Duration.ofDays(-1));
@@ -87,7 +87,7 @@
     }
 
     @Example
-    void badParametersAreNamed() throws IOException {
+    void errorNamesTheBadParameter() throws IOException {
         for (String query :
                 List.of("limit=0", "limit=x", "limit=10001", "sinceMillis=-1", "servise=a")) {
             try (Response response = get("/v1/timeline?" + query)) {
@@ -98,7 +98,7 @@
     }
 
     @Example
-    void sinceOfAnyLengthIsTaken() throws IOException {
+    void acceptsMaximumSinceMillis() throws IOException {
         mRing.record(TimelinePart.ADMIT, "dispatched", "booking", "r1", "");
         JsonNode answer = json(get("/v1/timeline?sinceMillis=" + Long.MAX_VALUE));
         assertThat(answer.path("events")).hasSize(1);
@@ -117,7 +117,7 @@
     }
 
     @Example
-    void levelIsChangedByWellFormedBodiesOnly() throws IOException {
+    void onlyWellFormedBodiesChangeTheLevel() throws IOException {
         assertThat(put("{\"level\":\"debug\"}")).isEqualTo(200);
         assertThat(mLogging.levels()).containsEntry(Logging.OWN_LOGGER, "DEBUG");
         for (String body :
