--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/LedgerCodec.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/LedgerCodec.java
@@ -13,8 +13,9 @@
 import java.io.IOException;
 
 /**
- * Writes ledgers as JSON and reads them strictly: whatever is missing, unknown, doubled, of another
- * type, of another ledger or does not add up is a fault. Safe for all threads.
+ * Codec for ledgers as JSON documents. Decoding is strict: a field that is missing, unknown,
+ * duplicated or of the wrong type, a document of another ledger, and sums or a checksum that do not
+ * match are faults. Thread-safe.
  *
  * @since 0.1
  */
@@ -32,7 +33,7 @@
                     .build();
 
     /**
-     * Writes a ledger.
+     * Encodes a ledger.
      *
      * @param ledger the ledger
      * @return the JSON document
@@ -46,11 +47,11 @@
     }
 
     /**
-     * Reads a ledger.
+     * Decodes a ledger.
      *
-     * @param key the ledger that is expected
+     * @param key the key of the expected ledger
      * @param value the JSON document
-     * @return the ledger, or what is wrong with the document
+     * @return the ledger, or the fault in the document
      */
     public Either<LedgerFault, SpendingLedger> decode(LedgerKey key, byte[] value) {
         try {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/PlatformLedgers.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/PlatformLedgers.java
@@ -15,8 +15,8 @@
 import java.util.function.Function;
 
 /**
- * Reads and changes ledgers at the platform, and turns the platform's errors into answers about
- * ledgers. Safe for all threads.
+ * Repository of the ledgers in the platform's object store, which translates the store's errors
+ * into {@link LedgerAnswer}s. Thread-safe.
  *
  * @since 0.1
  */
@@ -26,10 +26,10 @@
     private final LedgerCodec mCodec;
 
     /**
-     * Makes the access to ledgers.
+     * Creates the repository.
      *
-     * @param objectStore the platform
-     * @param codec reads and writes ledgers
+     * @param objectStore the object store of the platform
+     * @param codec encodes and decodes ledgers
      */
     public PlatformLedgers(ObjectStore objectStore, LedgerCodec codec) {
         mObjectStore = objectStore;
@@ -39,37 +39,42 @@
     /**
      * Reads a ledger.
      *
-     * @param key the ledger
-     * @return a future of a function that gives the answer; it parses, so call it on a duty
+     * @param key the key of the ledger
+     * @return a future of a reply that is not parsed yet; call {@link LedgerReply#parse} on an
+     *     event loop, since it decodes the document
      */
     public CompletableFuture<LedgerReply> read(LedgerKey key) {
-        return mObjectStore.read(objectKey(key)).thenApply(result -> () -> answer(key, result));
+        return mObjectStore
+                .read(objectKey(key))
+                .thenApply(result -> () -> toReadAnswer(key, result));
     }
 
     /**
-     * Makes a change, once.
+     * Writes a change once, without retries.
      *
      * @param change the change
-     * @return a future of a function that gives the answer; it parses, so call it on a duty
+     * @return a future of a reply that is not parsed yet; call {@link LedgerReply#parse} on an
+     *     event loop, since it decodes the document
      */
     public CompletableFuture<LedgerReply> write(LedgerChange change) {
         byte[] value = mCodec.encode(change.ledger());
         return mObjectStore
                 .write(objectKey(change.key()), change.expectedVersion(), value)
-                .thenApply(result -> () -> written(change.key(), result));
+                .thenApply(result -> () -> toWriteAnswer(change.key(), result));
     }
 
-    private LedgerAnswer written(LedgerKey key, Either<PlatformError, Long> result) {
-        return result.fold(error -> failed(key, error), LedgerAnswer.Written::new);
+    private LedgerAnswer toWriteAnswer(LedgerKey key, Either<PlatformError, Long> result) {
+        return result.fold(error -> toErrorAnswer(key, error), LedgerAnswer.Written::new);
     }
 
-    private LedgerAnswer answer(
+    private LedgerAnswer toReadAnswer(
             LedgerKey key, Either<PlatformError, Optional<StoredObject>> result) {
         return result.fold(
-                error -> failed(key, error), found -> decode(key, found, LedgerAnswer.Found::new));
+                error -> toErrorAnswer(key, error),
+                found -> decode(key, found, LedgerAnswer.Found::new));
     }
 
-    private LedgerAnswer failed(LedgerKey key, PlatformError error) {
+    private LedgerAnswer toErrorAnswer(LedgerKey key, PlatformError error) {
         if (error instanceof PlatformError.Conflict conflict) {
             return decode(key, conflict.current(), LedgerAnswer.Conflicted::new);
         }
@@ -100,12 +105,12 @@
         return new ObjectKey(ObjectKind.LEDGER, key.objectName());
     }
 
-    /** An answer that is yet to be parsed. */
+    /** Reply of the platform that is not parsed yet. */
     @FunctionalInterface
     public interface LedgerReply {
 
         /**
-         * Parses the answer.
+         * Parses the reply.
          *
          * @return the answer
          */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingAnswer.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingAnswer.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /**
- * The answer to an operator who asks for the spending of the shifts that run now.
+ * Response to an operator's query for the spending of the current shifts.
  *
  * @param spendings an entry for each service and shift
  * @since 0.1
@@ -18,11 +18,11 @@
     }
 
     /**
-     * Makes the answer.
+     * Creates the answer from the accounts of this instance.
      *
      * @param views the accounts of this instance
-     * @param now the time
-     * @return an entry for each shift that runs now
+     * @param now the current time
+     * @return the answer, with an entry for each current shift
      */
     public static SpendingAnswer of(List<SpendingView> views, Instant now) {
         return new SpendingAnswer(
@@ -33,17 +33,17 @@
     }
 
     /**
-     * The spending of one service in one shift; amounts are in millionths of the unit of money.
+     * Spending of one service in one shift. Amounts are in millionths of the currency unit.
      *
      * @param service the service
      * @param shift the shift
-     * @param end when it ends, in ISO 8601
-     * @param capMicros the cap
-     * @param allottedMicros what all instances hold or have spent
-     * @param availableMicros what this instance may still spend
-     * @param spentMicros what this instance has spent
-     * @param forecastMicros what all instances are expected to have spent at the end
-     * @param state whether this instance can pay
+     * @param end the end of the shift, in ISO 8601
+     * @param capMicros the spending cap
+     * @param allottedMicros the amount that all instances hold or have spent
+     * @param availableMicros the amount that this instance may still spend
+     * @param spentMicros the amount that this instance has spent
+     * @param forecastMicros the amount that all instances are expected to have spent at the end
+     * @param state the state of this instance's account, that is, whether it can charge requests
      */
     public record Entry(
             String service,
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingObserver.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingObserver.java
@@ -10,12 +10,12 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Shows the accounts of the shifts that run now in the metrics; belongs to the steering duty. */
+/** Updates the metrics from the accounts of the current shifts. Confined to the steering thread. */
 final class SpendingObserver implements Consumer<List<SpendingView>> {
 
     private final SpendingMetrics mMetrics;
     private final TimeSource mTimeSource;
-    private final Map<LedgerKey, Long> mCounted = new HashMap<>();
+    private final Map<LedgerKey, Long> mRecordedMicros = new HashMap<>();
 
     SpendingObserver(SpendingMetrics metrics, TimeSource timeSource) {
         mMetrics = metrics;
@@ -25,25 +25,28 @@
     @Override
     public void accept(List<SpendingView> views) {
         Instant now = mTimeSource.instant();
-        mCounted.keySet().retainAll(views.stream().map(SpendingView::key).toList());
+        mRecordedMicros.keySet().retainAll(views.stream().map(SpendingView::key).toList());
         for (SpendingView view : views) {
-            count(view);
+            recordCharges(view);
             if (view.shift().contains(now)) {
-                show(view, now);
+                updateGauges(view, now);
             }
         }
     }
 
-    /** Counts what was spent since the last time; a refund since then is taken off the next. */
-    private void count(SpendingView view) {
-        long counted = mCounted.getOrDefault(view.key(), 0L);
-        if (view.spentMicros() > counted) {
-            mMetrics.recordCharge(view.key().service(), view.spentMicros() - counted);
-            mCounted.put(view.key(), view.spentMicros());
+    /**
+     * Records the amount spent since the last call. A refund in between is deducted from a later
+     * amount.
+     */
+    private void recordCharges(SpendingView view) {
+        long recordedMicros = mRecordedMicros.getOrDefault(view.key(), 0L);
+        if (view.spentMicros() > recordedMicros) {
+            mMetrics.recordCharge(view.key().service(), view.spentMicros() - recordedMicros);
+            mRecordedMicros.put(view.key(), view.spentMicros());
         }
     }
 
-    private void show(SpendingView view, Instant now) {
+    private void updateGauges(SpendingView view, Instant now) {
         mMetrics.updateHeld(view.key().service(), view.availableMicros());
         mMetrics.updateLedger(
                 view.key().service(),
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingPlanObservations.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingPlanObservations.java
@@ -10,8 +10,9 @@
 import java.util.OptionalLong;
 
 /**
- * Tells a plan what is allotted in the shifts that run now, so that it can say what can still be
- * spent under a lowered cap; what it does not know itself it asks another. Safe for all threads.
+ * Observations for a plan that add the amounts allotted in the current shifts, so that the plan can
+ * state how much can still be spent under a lowered cap. All other observations are delegated.
+ * Thread-safe.
  *
  * @since 0.1
  */
@@ -22,11 +23,11 @@
     private final PlanObservations mLoad;
 
     /**
-     * Makes the observations.
+     * Creates the observations.
      *
-     * @param spending knows the accounts of this instance
-     * @param timeSource the clocks
-     * @param load knows the load
+     * @param spending provides the accounts of this instance
+     * @param timeSource the source of the current time
+     * @param load the delegate for the observations of load
      */
     public SpendingPlanObservations(
             SpendingService spending, TimeSource timeSource, PlanObservations load) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingRoutes.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingRoutes.java
@@ -9,7 +9,7 @@
 import io.masticpond.daemon.operator.OperatorRoutes;
 
 /**
- * The route that shows the spending of the shifts that run now.
+ * Operator route that returns the spending of the current shifts.
  *
  * @since 0.1
  */
@@ -20,13 +20,13 @@
     private final ObjectMapper mMapper = new ObjectMapper();
 
     /**
-     * Makes the route.
+     * Creates the route.
      *
-     * @param spending knows the accounts of this instance
-     * @param timeSource the clocks
+     * @param spending provides the accounts of this instance
+     * @param timeSource the source of the current time
      */
     public SpendingRoutes(SpendingService spending, TimeSource timeSource) {
-        mSpending = Assert.notNull(spending, "A spending duty");
+        mSpending = Assert.notNull(spending, "A spending service");
         mTimeSource = Assert.notNull(timeSource, "A time source");
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingService.java
@@ -25,111 +25,113 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Joins the spending gate, which belongs to the steering duty, with the ledgers at the platform,
- * whose documents are read and written on the spending duty.
+ * Service that connects the spending gate, which is confined to the steering thread, with the
+ * ledgers at the platform, whose documents are encoded and decoded on the spending thread.
  *
- * <p>The steering duty never waits: a call that finds the ring of the spending duty full is
- * answered as if the platform were away. Answers are put into the ring of the steering duty and
- * wait for room there, because an account makes no other call before its last one is answered.
+ * <p>The steering thread never blocks: a call that finds the queue of the spending event loop full
+ * is answered as if the platform were unavailable. Answers are queued on the steering event loop,
+ * and the spending thread blocks while that queue is full: no answer may be lost, because an
+ * account makes no further call until its last one is answered.
  *
  * @since 0.1
  */
 public final class SpendingService implements AutoCloseable {
 
-    /** The bound of the error of the instances' clocks. */
+    /** Maximum error of the instances' wall clocks. */
     public static final Duration CLOCK_ERROR = Duration.ofMillis(500);
 
     private static final Logger sLogger = LoggerFactory.getLogger(SpendingService.class);
-    private static final int RING_CAPACITY = 1_024;
+    private static final int QUEUE_CAPACITY = 1_024;
     private static final Duration OBSERVE_PERIOD = Duration.ofSeconds(1);
     private static final Duration ADVANCE_PERIOD = Duration.ofMillis(100);
 
-    private final EventLoop mSteering;
-    private final EventLoop mDuty;
+    private final EventLoop mSteeringLoop;
+    private final EventLoop mSpendingLoop;
     private final PlatformLedgers mLedgers;
     private final DefaultSpendingGate mGate;
-    private final Queue<LedgerKey> mNotTaken = new ArrayDeque<>();
+    private final Queue<LedgerKey> mRejectedCalls = new ArrayDeque<>();
     private final CompletableFuture<Void> mStopped = new CompletableFuture<>();
     private volatile List<SpendingView> mViews = List.of();
 
     /**
-     * Makes the duty and its gate; the steering duty must not be started yet.
+     * Creates the service and its gate; the steering event loop must not be started yet.
      *
-     * @param steering the duty that charges
+     * @param steeringLoop the steering event loop, which charges requests
      * @param ledgers the ledgers at the platform
-     * @param self this run of the instance
-     * @param policy how allotments are sized
-     * @param timeSource the clocks
-     * @param timeline takes events
+     * @param self the incarnation of this instance
+     * @param policy the policy that sizes allotments
+     * @param timeSource the source of the current time
+     * @param timeline records events
      */
     public SpendingService(
-            EventLoop steering,
+            EventLoop steeringLoop,
             PlatformLedgers ledgers,
             Incarnation self,
             AllotmentPolicy policy,
             TimeSource timeSource,
             Timeline timeline) {
-        mSteering = steering;
+        mSteeringLoop = steeringLoop;
         mLedgers = ledgers;
-        mDuty = new EventLoop("spending", RING_CAPACITY, timeSource);
+        mSpendingLoop = new EventLoop("spending", QUEUE_CAPACITY, timeSource);
         mGate =
                 new DefaultSpendingGate(
                         self,
                         policy,
                         CLOCK_ERROR,
-                        new Calls(),
+                        new LedgerCalls(),
                         timeSource,
                         timeline,
                         self.hashCode());
-        steering.every(ADVANCE_PERIOD, this::advance);
+        steeringLoop.every(ADVANCE_PERIOD, this::advance);
     }
 
     /**
-     * Gives the gate.
+     * Returns the spending gate.
      *
-     * @return the gate, for the steering duty only
+     * @return the gate, to be used only on the steering thread
      */
     public SpendingGate gate() {
         return mGate;
     }
 
     /**
-     * Shows the accounts in metrics; call it before the steering duty starts.
+     * Publishes the accounts as metrics. Must be called before the steering event loop starts.
      *
      * @param metrics the metrics
-     * @param timeSource the clocks
+     * @param timeSource the source of the current time
      */
     public void bindTo(SpendingMetrics metrics, TimeSource timeSource) {
         SpendingObserver observer = new SpendingObserver(metrics, timeSource);
-        mSteering.every(OBSERVE_PERIOD, () -> observer.accept(mViews));
+        mSteeringLoop.every(OBSERVE_PERIOD, () -> observer.accept(mViews));
     }
 
-    /** Starts the thread of the platform's answers. */
+    /** Starts the spending thread, which handles the platform's answers. */
     public void start() {
-        mDuty.start();
+        mSpendingLoop.start();
     }
 
     /**
-     * Takes a configuration that is in force now. Safe for all threads but that of the duty.
+     * Applies the configuration that is in force now. May be called from any thread except the
+     * spending thread.
      *
      * @param configuration the configuration
      */
     public void configure(Configuration configuration) {
-        mSteering.put(() -> mGate.configure(configuration));
+        mSteeringLoop.put(() -> mGate.configure(configuration));
     }
 
     /**
-     * Takes how many instances share the caps. Safe for all threads but that of the duty.
+     * Sets the number of instances that share the caps. May be called from any thread except the
+     * spending thread.
      *
-     * @param holders the live instances, this one included
+     * @param holders the number of live instances, this one included
      */
     public void updateHolderCount(int holders) {
-        mSteering.put(() -> mGate.holders(Math.max(1, holders)));
+        mSteeringLoop.put(() -> mGate.holders(Math.max(1, holders)));
     }
 
     /**
-     * Tells the accounts of this instance as they were within the last tenth of a second. Safe for
-     * all threads.
+     * Returns the accounts of this instance, at most a tenth of a second old. Thread-safe.
      *
      * @return a view for each service and shift
      */
@@ -138,40 +140,41 @@
     }
 
     /**
-     * Returns what is left of the allotments, after the last request of a planned stop. Safe for
-     * all threads.
+     * Returns the remaining allotments to the platform, after the last request of a planned stop.
+     * Thread-safe.
      *
-     * @return completes when the platform has taken back everything; give it a timeout, since the
-     *     platform may be away
+     * @return a future that completes when all allotments are returned; wait for it with a timeout,
+     *     since the platform may be unavailable
      */
     public CompletableFuture<Void> stop() {
-        mSteering.put(mGate::stop);
+        mSteeringLoop.put(mGate::stop);
         return mStopped;
     }
 
-    /** Ends the thread without returning anything. */
+    /** Stops the spending thread without returning any allotments. */
     @Override
     public void close() {
-        mDuty.close();
+        mSpendingLoop.close();
     }
 
     private void advance() {
-        while (!mNotTaken.isEmpty()) {
-            mGate.onAnswer(mNotTaken.remove(), new LedgerAnswer.Unavailable());
+        while (!mRejectedCalls.isEmpty()) {
+            mGate.onAnswer(mRejectedCalls.remove(), new LedgerAnswer.Unavailable());
         }
         mGate.advance();
         mViews = mGate.views();
         if (mGate.isStopped() && mStopped.complete(null)) {
-            sLogger.info("SPEND  All allotments are returned.");
+            sLogger.info("SPEND  All allotments have been returned.");
         }
     }
 
     private void call(
             LedgerKey key, Supplier<CompletableFuture<PlatformLedgers.LedgerReply>> call) {
-        Assert.isTrue(mSteering.isCurrentThread(), "Accounts belong to the steering duty.");
-        boolean taken = mDuty.offer(() -> start(key, call));
-        if (!taken) {
-            mNotTaken.add(key);
+        Assert.isTrue(
+                mSteeringLoop.isCurrentThread(), "Accounts are confined to the steering thread.");
+        boolean queued = mSpendingLoop.offer(() -> start(key, call));
+        if (!queued) {
+            mRejectedCalls.add(key);
         }
     }
 
@@ -179,49 +182,53 @@
             LedgerKey key, Supplier<CompletableFuture<PlatformLedgers.LedgerReply>> call) {
         var unused =
                 call.get()
-                        .thenAccept(reply -> handOver(key, reply))
-                        .exceptionally(error -> logFailed(key, error));
+                        .thenAccept(reply -> handleReply(key, reply))
+                        .exceptionally(error -> logFailure(key, error));
     }
 
-    private static Void logFailed(LedgerKey key, Throwable error) {
+    private static Void logFailure(LedgerKey key, Throwable error) {
         sLogger.error("SPEND  The answer to a call for the ledger {} was lost.", key, error);
         return null;
     }
 
-    private void handOver(LedgerKey key, PlatformLedgers.LedgerReply reply) {
-        if (mDuty.isCurrentThread()) {
+    private void handleReply(LedgerKey key, PlatformLedgers.LedgerReply reply) {
+        if (mSpendingLoop.isCurrentThread()) {
             answer(key, reply);
             return;
         }
-        mDuty.put(() -> answer(key, reply));
+        mSpendingLoop.put(() -> answer(key, reply));
     }
 
     private void answer(LedgerKey key, PlatformLedgers.LedgerReply reply) {
         LedgerAnswer answer = parse(key, reply);
         log(key, answer);
-        mSteering.put(() -> mGate.onAnswer(key, answer));
+        mSteeringLoop.put(() -> mGate.onAnswer(key, answer));
     }
 
     private static LedgerAnswer parse(LedgerKey key, PlatformLedgers.LedgerReply reply) {
         try {
             return reply.parse();
         } catch (RuntimeException e) {
-            sLogger.error("SPEND  An answer about the ledger {} could not be read.", key, e);
+            sLogger.error("SPEND  An answer about the ledger {} could not be parsed.", key, e);
             return new LedgerAnswer.Unreadable("An answer about " + key + " could not be read.");
         }
     }
 
     private static void log(LedgerKey key, LedgerAnswer answer) {
         if (answer instanceof LedgerAnswer.Unreadable unreadable) {
-            sLogger.error("SPEND  No more is taken from a ledger: {}", unreadable.reason());
+            sLogger.error(
+                    "SPEND  No further allotments are taken from an unreadable ledger: {}",
+                    unreadable.reason());
         }
         if (answer instanceof LedgerAnswer.Uncertain) {
-            sLogger.info("SPEND  The answer about the ledger {} was lost; reading back.", key);
+            sLogger.info(
+                    "SPEND  The answer about the ledger {} was lost; reading the ledger back.",
+                    key);
         }
     }
 
-    /** Hands calls to the spending duty. */
-    private final class Calls implements LedgerSink {
+    /** Passes calls of the gate to the spending event loop. */
+    private final class LedgerCalls implements LedgerSink {
 
         @Override
         public void read(LedgerKey key) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/package-info.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/package-info.java
@@ -1,2 +1,5 @@
-/** Ledgers of spending at the platform and the duty that keeps them; decisions are in the core. */
+/**
+ * Spending ledgers in the platform's object store and the service that maintains them. The
+ * decisions are made in the core.
+ */
 package io.masticpond.daemon.spending;
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/spending/FakeObjectStore.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/spending/FakeObjectStore.java
@@ -15,18 +15,18 @@
 import java.util.concurrent.ConcurrentSkipListMap;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Objects in memory, with lost answers and outages. */
+/** In-memory object store that can lose answers and simulate outages. */
 final class FakeObjectStore implements ObjectStore {
 
     final Map<String, StoredObject> mObjects = new ConcurrentSkipListMap<>();
-    final AtomicInteger mLoseAnswers = new AtomicInteger();
+    final AtomicInteger mAnswersToLose = new AtomicInteger();
     final AtomicInteger mLostAnswers = new AtomicInteger();
     volatile boolean mUnavailable;
 
     @Override
     public CompletableFuture<Either<PlatformError, Optional<StoredObject>>> read(ObjectKey key) {
         if (mUnavailable) {
-            return away();
+            return unavailable();
         }
         return done(Optional.ofNullable(mObjects.get(key.toString())));
     }
@@ -35,7 +35,7 @@
     public synchronized CompletableFuture<Either<PlatformError, Long>> write(
             ObjectKey key, long expectedVersion, byte[] value) {
         if (mUnavailable) {
-            return away();
+            return unavailable();
         }
         StoredObject current = mObjects.get(key.toString());
         long version = current == null ? ABSENT : current.version();
@@ -44,7 +44,7 @@
             return CompletableFuture.completedFuture(Either.left(conflict));
         }
         mObjects.put(key.toString(), new StoredObject(key, version + 1, value));
-        if (mLoseAnswers.getAndUpdate(left -> Math.max(0, left - 1)) > 0) {
+        if (mAnswersToLose.getAndUpdate(left -> Math.max(0, left - 1)) > 0) {
             mLostAnswers.incrementAndGet();
             PlatformError lost = new PlatformError.Uncertain("The answer was lost.");
             return CompletableFuture.completedFuture(Either.left(lost));
@@ -85,7 +85,7 @@
         return CompletableFuture.completedFuture(Either.right(value));
     }
 
-    private static <T> CompletableFuture<Either<PlatformError, T>> away() {
+    private static <T> CompletableFuture<Either<PlatformError, T>> unavailable() {
         PlatformError error = new PlatformError.Away("The platform is away.");
         return CompletableFuture.completedFuture(Either.left(error));
     }
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/spending/LedgerCodecTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/spending/LedgerCodecTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Corrupted ledgers must not be taken for sound ones. */
+/** Tests that corrupted ledgers are never decoded as valid ones. */
 class LedgerCodecTest {
 
     private static final LedgerKey KEY =
@@ -30,13 +30,16 @@
     private final LedgerCodec mCodec = new LedgerCodec();
 
     @Example
-    void whatIsWrittenIsReadBack() {
+    void decodesEncodedLedger() {
         assertThat(mCodec.decode(KEY, mCodec.encode(LEDGER)).get()).isEqualTo(LEDGER);
     }
 
-    /** What other versions of the product wrote must stay readable, and the other way round. */
+    /**
+     * The checksum is part of the stored format: ledgers must stay readable across product
+     * versions, in both directions.
+     */
     @Example
-    void theChecksumIsThatOfTheTextWithNoneInIt() {
+    void checksumCoversTheTextWithZeroInItsPlace() {
         String text = new String(mCodec.encode(LEDGER), StandardCharsets.UTF_8);
         CRC32C sum = new CRC32C();
         sum.update(
@@ -46,14 +49,14 @@
     }
 
     @Example
-    void theLedgerOfAnotherShiftIsFaulty() {
+    void rejectsLedgerOfAnotherShift() {
         LedgerKey other = new LedgerKey(KEY.service(), new ShiftId("2026-12-03-morning"));
         assertThat(mCodec.decode(other, mCodec.encode(LEDGER)).getLeft().message())
                 .contains("2026-12-02-morning");
     }
 
     @Example
-    void unknownMissingAndDoubledFieldsAreFaulty() {
+    void rejectsUnknownMissingAndDuplicateFields() {
         String text = new String(mCodec.encode(LEDGER), StandardCharsets.UTF_8);
         assertThat(isFaulty(text.replace("\"format\":1", "\"format\":1,\"more\":1"))).isTrue();
         assertThat(isFaulty(text.replace("\"format\":1", "\"format\":1,\"format\":1"))).isTrue();
@@ -66,7 +69,7 @@
     }
 
     @Property(tries = 2_000, seed = "20261202")
-    void documentsWithOneByteChangedAreNeverReadAsOtherLedgers(
+    void documentsWithOneChangedByteAreNeverDecodedAsOtherLedgers(
             @ForAll @IntRange(max = 10_000) int place, @ForAll byte value) {
         byte[] bytes = mCodec.encode(LEDGER);
         bytes[place % bytes.length] = value;
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/spending/SpendingServiceTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/spending/SpendingServiceTest.java
@@ -33,20 +33,23 @@
 import net.jqwik.api.Example;
 import net.jqwik.api.lifecycle.AfterTry;
 
-/** The duty with a store in memory: lost answers, an outage, a corrupted ledger, a planned stop. */
+/**
+ * Tests the service with an in-memory store: lost answers, an outage, a corrupted ledger, a planned
+ * stop.
+ */
 class SpendingServiceTest {
 
     private static final ServiceId SERVICE = new ServiceId("booking");
     private static final long CAP = 1_000_000;
     private static final long PRICE = 100;
-    private static final long PATIENCE_NANOS = TimeUnit.SECONDS.toNanos(60);
+    private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(60);
 
     private final FakeObjectStore mStore = new FakeObjectStore();
     private final TimeSource mTimeSource = new NoonTimeSource();
-    private final EventLoop mSteering = new EventLoop("steering", 64, mTimeSource);
+    private final EventLoop mSteeringLoop = new EventLoop("steering", 64, mTimeSource);
     private final SpendingService mSpending =
             new SpendingService(
-                    mSteering,
+                    mSteeringLoop,
                     new PlatformLedgers(mStore, new LedgerCodec()),
                     Incarnation.parse("perth-1@1700000000000"),
                     AllotmentPolicy.DEFAULT,
@@ -55,12 +58,12 @@
 
     @AfterTry
     void close() {
-        mSteering.close();
+        mSteeringLoop.close();
         mSpending.close();
     }
 
     private void start() {
-        mSteering.start();
+        mSteeringLoop.start();
         mSpending.start();
         mSpending.configure(configuration());
     }
@@ -82,14 +85,14 @@
 
     private Either<Refusal, Charge> charge() {
         CompletableFuture<Either<Refusal, Charge>> charge = new CompletableFuture<>();
-        mSteering.put(() -> charge.complete(mSpending.gate().charge(SERVICE, PRICE)));
+        mSteeringLoop.put(() -> charge.complete(mSpending.gate().charge(SERVICE, PRICE)));
         return charge.orTimeout(60, TimeUnit.SECONDS).join();
     }
 
     private static void await(BooleanSupplier condition) {
         long start = System.nanoTime();
         while (!condition.getAsBoolean()) {
-            assertThat(System.nanoTime() - start).isLessThan(PATIENCE_NANOS);
+            assertThat(System.nanoTime() - start).isLessThan(TIMEOUT_NANOS);
             Thread.yield();
         }
     }
@@ -103,8 +106,8 @@
     }
 
     @Example
-    void chargesAreServedThoughAnswersAreLost() {
-        mStore.mLoseAnswers.set(3);
+    void chargesSucceedDespiteLostAnswers() {
+        mStore.mAnswersToLose.set(3);
         start();
         await(() -> available() > 0);
         await(() -> charge().isRight());
@@ -114,7 +117,7 @@
     }
 
     @Example
-    void withThePlatformAwayOnlyWhatIsHeldIsSpent() {
+    void spendsOnlyHeldAllotmentWhilePlatformIsUnavailable() {
         start();
         await(() -> available() > 0);
         long held = available();
@@ -129,7 +132,7 @@
     }
 
     @Example
-    void noMoreIsTakenFromCorruptedLedgers() {
+    void doesNotTakeAllotmentsFromCorruptedLedgers() {
         start();
         await(() -> available() > 0);
         long held = available();
@@ -146,7 +149,7 @@
     }
 
     @Example
-    void plannedStopsReturnWhatIsLeft() {
+    void plannedStopReturnsRemainingAllotment() {
         start();
         await(() -> available() > 0);
         assertThat(charge().isRight()).isTrue();
@@ -157,7 +160,7 @@
                 .contains("\"allottedMicros\":" + PRICE + ",");
     }
 
-    /** The time that elapses is real; by the wall clock it is always noon. */
+    /** Time source whose monotonic time is real and whose wall clock always reads noon in Perth. */
     private static final class NoonTimeSource implements TimeSource {
 
         @Override
