--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/AdmitterSteering.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/AdmitterSteering.java
@@ -23,42 +23,42 @@
 import java.util.function.Consumer;
 
 /**
- * The admitter side of the request path: gives requests slots of backend servers.
+ * Admitter side of the request path, which assigns slots of backend servers to requests.
  *
- * <p>Belongs to the steering duty; only the results of attempts come from other threads, and they
- * are handed to the duty.
+ * <p>Confined to the steering thread. Results of attempts arrive on other threads and are passed to
+ * the steering thread.
  *
  * @since 0.1
  */
 public final class AdmitterSteering {
 
-    private final Executor mDuty;
+    private final Executor mSteeringExecutor;
     private final ShardDirectory mDirectory;
     private final BackendDispatcher mDispatcher;
-    private final BiFunction<Shard, AdmissionSink, Admission> mAdmissions;
+    private final BiFunction<Shard, AdmissionSink, Admission> mAdmissionFactory;
     private final Timeline mTimeline;
     private final Map<Shard, ShardAdmission> mShards = new LinkedHashMap<>();
     private final Map<RequestId, ShardAdmission> mRequests = new HashMap<>();
 
     /**
-     * Makes an admitter side without shards.
+     * Creates an admitter side without shards.
      *
-     * @param duty runs tasks on the steering duty, and loses none
-     * @param directory tells which shards are admitted here
+     * @param steeringExecutor runs tasks on the steering thread and never drops one
+     * @param directory provides the shards that this instance admits to
      * @param dispatcher sends requests to backend servers
-     * @param admissions makes the admission of a shard
-     * @param timeline takes events
+     * @param admissionFactory creates the admission of a shard
+     * @param timeline records events
      */
     public AdmitterSteering(
-            Executor duty,
+            Executor steeringExecutor,
             ShardDirectory directory,
             BackendDispatcher dispatcher,
-            BiFunction<Shard, AdmissionSink, Admission> admissions,
+            BiFunction<Shard, AdmissionSink, Admission> admissionFactory,
             Timeline timeline) {
-        mDuty = duty;
+        mSteeringExecutor = steeringExecutor;
         mDirectory = directory;
         mDispatcher = dispatcher;
-        mAdmissions = admissions;
+        mAdmissionFactory = admissionFactory;
         mTimeline = timeline;
     }
 
@@ -67,7 +67,7 @@
      *
      * @param shard the shard
      * @param request the request
-     * @param listener takes the one end, on the steering duty
+     * @param listener receives the completion, on the steering thread
      */
     public void offer(Shard shard, SteeredRequest request, Consumer<RequestCompletion> listener) {
         if (!mDirectory.admitsHere(shard)) {
@@ -84,7 +84,7 @@
     }
 
     /**
-     * Gives up a request, wherever it is; its listener is told.
+     * Cancels a request, whether it waits or is in flight; its listener is notified.
      *
      * @param request the request
      */
@@ -96,19 +96,19 @@
     }
 
     /**
-     * Counts what is free, in flight and waiting in a shard.
+     * Returns the headroom of a shard: its free slots and its requests in flight and waiting.
      *
      * @param shard the shard
-     * @return the counts, or empty if nothing was admitted here
+     * @return the headroom, or empty if this instance holds no admission for the shard
      */
     public Optional<Headroom> headroom(Shard shard) {
         return Optional.ofNullable(mShards.get(shard)).map(each -> each.mAdmission.headroom());
     }
 
     /**
-     * Counts for every shard that is admitted here.
+     * Returns the headroom of every shard for which this instance holds an admission.
      *
-     * @return the counts by shard
+     * @return the headroom by shard
      */
     public Map<Shard, Headroom> headrooms() {
         Map<Shard, Headroom> headrooms = new LinkedHashMap<>();
@@ -117,7 +117,7 @@
     }
 
     /**
-     * Counts the requests that wait or are at backend servers.
+     * Returns the number of requests that wait or are in flight at backend servers.
      *
      * @return the count
      */
@@ -126,24 +126,26 @@
     }
 
     /**
-     * Takes what a backend server says about itself.
+     * Applies a signal of a backend server to every shard that contains the server.
      *
      * @param server the backend server
-     * @param sign the sign
+     * @param signal the signal
      */
-    public void observe(BackendServerId server, BackendServerSignal sign) {
+    public void observe(BackendServerId server, BackendServerSignal signal) {
         for (ShardAdmission each : mShards.values()) {
             if (each.mServers.containsKey(server)) {
-                each.mAdmission.observe(server, sign);
+                each.mAdmission.observe(server, signal);
             }
         }
     }
 
     /**
-     * Takes the directory as it is now; call it when configuration or membership changed.
+     * Applies the current state of the directory. Must be called after a change of the
+     * configuration or the membership.
      *
-     * <p>A shard that is admitted elsewhere from now on loses its backend servers here: what waits
-     * is refused as did not run, so that the new admitter may take it, and what is in flight ends.
+     * <p>A shard that another instance admits to from now on loses its backend servers here:
+     * waiting requests are refused as not run, so that the new admitter can take them, and requests
+     * in flight are allowed to finish.
      */
     public void reconfigure() {
         for (Shard shard : mDirectory.shardsHere()) {
@@ -151,14 +153,14 @@
         }
         for (ShardAdmission each : List.copyOf(mShards.values())) {
             if (!mDirectory.admitsHere(each.mShard)) {
-                each.giveUp();
+                each.removeServers();
             }
         }
         mShards.values()
                 .removeIf(each -> each.mPending.isEmpty() && !mDirectory.admitsHere(each.mShard));
     }
 
-    /** Lets time act on every shard. */
+    /** Advances every shard to the current time, see {@link Admission#advance}. */
     public void advance() {
         mShards.values().forEach(each -> each.mAdmission.advance());
     }
@@ -168,7 +170,7 @@
         listener.accept(new RequestCompletion.Refused(Refusal.didNotRun(cause, detail)));
     }
 
-    /** A request that waits or is at a backend server. */
+    /** Request that waits or is in flight at a backend server. */
     private static final class PendingRequest {
 
         private final SteeredRequest mRequest;
@@ -181,7 +183,7 @@
         }
     }
 
-    /** The admission of one shard, with the requests that it holds. */
+    /** Admission of one shard with its pending requests. */
     private final class ShardAdmission implements AdmissionSink {
 
         private final Shard mShard;
@@ -191,7 +193,7 @@
 
         ShardAdmission(Shard shard) {
             mShard = shard;
-            mAdmission = mAdmissions.apply(shard, this);
+            mAdmission = mAdmissionFactory.apply(shard, this);
             configure();
         }
 
@@ -203,7 +205,7 @@
             mAdmission.configure(mDirectory.servers(mShard), mDirectory.share(mShard));
         }
 
-        void giveUp() {
+        void removeServers() {
             mAdmission.configure(List.of(), mDirectory.share(mShard));
         }
 
@@ -230,7 +232,9 @@
                     mDispatcher.dispatch(
                             pending.mRequest,
                             mServers.get(server),
-                            result -> mDuty.execute(() -> complete(head.id(), server, result)));
+                            result ->
+                                    mSteeringExecutor.execute(
+                                            () -> complete(head.id(), server, result)));
         }
 
         @Override
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/BackendDispatcher.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/BackendDispatcher.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 
 /**
- * Sends requests to backend servers; the edge implements it.
+ * Strategy interface for sending requests to backend servers, implemented by the HTTP client.
  *
  * @since 0.1
  */
@@ -16,26 +16,28 @@
      *
      * @param request the request
      * @param server the backend server
-     * @param listener takes the one end of the attempt, on any thread
-     * @return a handle that cancels the attempt; the listener is told all the same
+     * @param listener receives the result of the attempt exactly once, on any thread
+     * @return a handle that cancels the attempt; the listener is notified even then
      */
     Attempt dispatch(
             SteeredRequest request,
             BackendServerSpecification server,
             Consumer<AttemptResult> listener);
 
-    /** An attempt in flight. */
+    /** Handle of an attempt in flight. */
     interface Attempt {
-        /** Gives up the attempt and tells the backend server by closing the connection. */
+        /**
+         * Cancels the attempt and closes the connection, by which the backend server notices it.
+         */
         void cancel();
     }
 
     /**
-     * The end of an attempt.
+     * Result of an attempt.
      *
-     * @param outcome how it ended
-     * @param completion what the caller is told
-     * @param leaving whether the backend server said that it is leaving
+     * @param outcome the outcome of the attempt
+     * @param completion the completion to report to the caller
+     * @param leaving whether the backend server announced that it is leaving
      */
     record AttemptResult(AttemptOutcome outcome, RequestCompletion completion, boolean leaving) {}
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/ConfiguredRegionSelector.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/ConfiguredRegionSelector.java
@@ -20,9 +20,10 @@
 import java.util.Set;
 
 /**
- * A selector that starts once a configuration tells the region of this instance.
+ * Region selector that delegates to a {@link DefaultRegionSelector} once a configuration defines
+ * the region of this instance.
  *
- * <p>Belongs to the steering duty.
+ * <p>Confined to the steering thread.
  *
  * @since 0.1
  */
@@ -30,26 +31,27 @@
 
     private final ZoneId mZone;
     private final TimeSource mTimeSource;
-    private final RegionSelectorParameters mKnobs;
+    private final RegionSelectorParameters mParameters;
     private Optional<RegionId> mRegion = Optional.empty();
     private DefaultRegionSelector mSelector;
 
     /**
-     * Makes a selector that refuses everything until it is configured.
+     * Creates a selector that refuses all requests until it is configured.
      *
      * @param zone the availability zone of this instance
-     * @param timeSource the clocks
-     * @param knobs the adjustable numbers
+     * @param timeSource the source of the current time
+     * @param parameters the parameters of the selection
      */
     public ConfiguredRegionSelector(
-            ZoneId zone, TimeSource timeSource, RegionSelectorParameters knobs) {
+            ZoneId zone, TimeSource timeSource, RegionSelectorParameters parameters) {
         mZone = zone;
         mTimeSource = timeSource;
-        mKnobs = knobs;
+        mParameters = parameters;
     }
 
     /**
-     * Takes the configuration in force.
+     * Applies the configuration in force. Ignored if the availability zone of this instance is in
+     * no region of it.
      *
      * @param configuration the configuration
      */
@@ -60,17 +62,19 @@
         }
         if (mSelector == null || !region.equals(mRegion)) {
             mRegion = region;
-            mSelector = new DefaultRegionSelector(region.get(), configuration, mTimeSource, mKnobs);
+            mSelector =
+                    new DefaultRegionSelector(
+                            region.get(), configuration, mTimeSource, mParameters);
             return;
         }
         mSelector.configure(configuration);
     }
 
     /**
-     * Takes how many instances take requests from callers.
+     * Updates the number of instances that accept requests from callers.
      *
-     * @param inRegion how many are in the region of this instance
-     * @param inAll how many there are
+     * @param inRegion the number of such instances in the region of this instance
+     * @param inAll the number of such instances in all regions
      */
     public void updateInstanceCounts(int inRegion, int inAll) {
         if (mSelector != null) {
@@ -79,16 +83,16 @@
     }
 
     /**
-     * Tells the region of this instance.
+     * Returns the region of this instance.
      *
-     * @return the region, or empty before the first configuration
+     * @return the region, or empty before the first configuration that defines it
      */
     public Optional<RegionId> region() {
         return mRegion;
     }
 
     /**
-     * Tells what is known of each region now.
+     * Returns the current status of each region.
      *
      * @return one entry for each service and region
      */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/DefaultShardDirectory.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/DefaultShardDirectory.java
@@ -31,9 +31,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A directory that follows the configuration and the members it is told of.
+ * Default implementation of {@link ShardDirectory}, derived from the current configuration and
+ * membership.
  *
- * <p>Belongs to the steering duty.
+ * <p>Confined to the steering thread.
  *
  * @since 0.1
  */
@@ -54,12 +55,12 @@
     private MembershipView mView;
 
     /**
-     * Makes a directory that knows nobody yet.
+     * Creates a directory without configuration or members.
      *
      * @param self this instance
      * @param zone its availability zone
-     * @param scope what one admitter admits to
-     * @param timeSource the clocks
+     * @param scope the scope of a shard, that is, what one admitter admits to
+     * @param timeSource the source of the current time
      */
     public DefaultShardDirectory(
             InstanceId self, ZoneId zone, ShardScope scope, TimeSource timeSource) {
@@ -71,7 +72,7 @@
     }
 
     /**
-     * Takes the configuration in force.
+     * Applies the configuration in force.
      *
      * @param configuration the configuration
      */
@@ -81,9 +82,9 @@
     }
 
     /**
-     * Takes the members as they are seen now.
+     * Applies the current membership view.
      *
-     * @param view the members, this instance among them
+     * @param view the members, including this instance
      */
     public void updateMembers(MembershipView view) {
         mView = view;
@@ -91,7 +92,7 @@
     }
 
     /**
-     * Lists the regions in which an instance may admit work of a service.
+     * Returns the regions in which at least one instance may admit requests of a service.
      *
      * @param service the service
      * @return the regions
@@ -113,7 +114,7 @@
         if (shards.isEmpty()) {
             return List.of();
         }
-        Shard first = mChooser.choose(shards, ownNumber(region), mHeadrooms.fresh(shards));
+        Shard first = mChooser.choose(shards, ownZoneIndex(region), mHeadrooms.fresh(shards));
         List<ShardRoute> routes = new ArrayList<>();
         routes.add(route(first));
         shards.stream().filter(each -> !each.equals(first)).map(this::route).forEach(routes::add);
@@ -132,8 +133,8 @@
         Headroom sum = headroom;
         List<Shard> others = new ArrayList<>(shards(shard.service(), shard.region()));
         others.remove(shard);
-        for (Headroom counts : mHeadrooms.fresh(others).values()) {
-            sum = sum.plus(counts);
+        for (Headroom other : mHeadrooms.fresh(others).values()) {
+            sum = sum.plus(other);
         }
         return sum;
     }
@@ -145,16 +146,17 @@
 
     @Override
     public List<InstanceId> othersFor(RequestId request) {
-        List<InstanceId> near = new ArrayList<>();
-        List<InstanceId> far = new ArrayList<>();
+        List<InstanceId> inOwnRegion = new ArrayList<>();
+        List<InstanceId> inOtherRegions = new ArrayList<>();
         Optional<RegionId> own = mConfiguration.regionOf(mZone);
         for (Member member : mView == null ? List.<Member>of() : mView.live()) {
             if (!member.id().equals(mSelf)) {
-                (mConfiguration.regionOf(member.zone()).equals(own) ? near : far).add(member.id());
+                (mConfiguration.regionOf(member.zone()).equals(own) ? inOwnRegion : inOtherRegions)
+                        .add(member.id());
             }
         }
-        List<InstanceId> others = new ArrayList<>(Rendezvous.order(request.value(), near));
-        others.addAll(Rendezvous.order(request.value(), far));
+        List<InstanceId> others = new ArrayList<>(Rendezvous.order(request.value(), inOwnRegion));
+        others.addAll(Rendezvous.order(request.value(), inOtherRegions));
         return others;
     }
 
@@ -176,26 +178,28 @@
         if (!ids.contains(mSelf)) {
             ids.add(mSelf);
         }
-        boolean hidden = ids.stream().anyMatch(mView.missing()::contains);
-        if (!mView.upToDate() || hidden) {
+        boolean hasMissingAdmitter = ids.stream().anyMatch(mView.missing()::contains);
+        if (!mView.upToDate() || hasMissingAdmitter) {
             return new SlotShare(AdmissionShare.FAIR_SHARE, mSelf, ids);
         }
         return new SlotShare(
-                isRecent(shard) ? AdmissionShare.WIDENING : AdmissionShare.WHOLE, mSelf, ids);
+                isInWideningPeriod(shard) ? AdmissionShare.WIDENING : AdmissionShare.WHOLE,
+                mSelf,
+                ids);
     }
 
-    private boolean isRecent(Shard shard) {
+    private boolean isInWideningPeriod(Shard shard) {
         Long since = mAdmittedSince.get(shard);
         long deadlineMillis =
                 mConfiguration
                         .service(shard.service())
                         .map(ServiceSpecification::defaultDeadlineMillis)
                         .orElse(0L);
-        long widening = TimeUnit.MILLISECONDS.toNanos(deadlineMillis);
-        return since == null || mTimeSource.monotonicNanos() - since < widening;
+        long wideningNanos = TimeUnit.MILLISECONDS.toNanos(deadlineMillis);
+        return since == null || mTimeSource.monotonicNanos() - since < wideningNanos;
     }
 
-    /** Lists the shards of a service in a region that someone admits to. */
+    /** Returns the shards of a service in a region that have an admitter. */
     private List<Shard> shards(ServiceId service, RegionId region) {
         return mShards.getOrDefault(service, Map.of()).getOrDefault(region, List.of());
     }
@@ -204,7 +208,7 @@
         return new ShardRoute(shard, mAdmitters.get(shard));
     }
 
-    private int ownNumber(RegionId region) {
+    private int ownZoneIndex(RegionId region) {
         return mConfiguration.content().regions().stream()
                 .filter(found -> found.id().equals(region))
                 .map(found -> found.zones().indexOf(mZone))
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/EntrySteering.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/EntrySteering.java
@@ -36,10 +36,10 @@
 import java.util.function.Supplier;
 
 /**
- * The entry side of the request path: charges a request, chooses its region and forwards it.
+ * Entry side of the request path: selects the region of a request, charges and forwards it.
  *
- * <p>Belongs to the steering duty. Each request ends once, with a verdict that covers all its
- * attempts: if one of them may have run, so may the request.
+ * <p>Confined to the steering thread. Each request completes exactly once, with a verdict that
+ * covers all its attempts: if one of them may have run, so may the request.
  *
  * @since 0.1
  */
@@ -47,42 +47,42 @@
 
     private static final int MAXIMUM_ATTEMPTS = 6;
 
-    /** How long a request waits for an allotment that is being renewed. */
+    /** Maximum time for which a request waits for an allotment that is being renewed. */
     private static final long ALLOTMENT_WAIT_NANOS = Duration.ofSeconds(1).toNanos();
 
-    /** How many requests may wait for an allotment at a time. */
+    /** Maximum number of requests that wait for an allotment at a time. */
     private static final int MAXIMUM_WAITING = 1_024;
 
-    private final Executor mDuty;
+    private final Executor mSteeringExecutor;
     private final TimeSource mTimeSource;
     private final InstanceId mSelf;
     private final Supplier<Configuration> mConfiguration;
     private final RegionSelector mSelector;
     private final SpendingGate mSpending;
-    private final RetryBudget mRetries;
+    private final RetryBudget mRetryBudget;
     private final ShardDirectory mDirectory;
     private final AdmitterSteering mAdmitter;
     private final RemoteAdmitter mRemote;
     private final Timeline mTimeline;
     private final Map<RequestId, Flow> mFlows = new HashMap<>();
     private List<Flow> mWaiting = new ArrayList<>();
-    private BiConsumer<ServiceId, AttemptKind> mFurtherAttempts = (service, kind) -> {};
+    private BiConsumer<ServiceId, AttemptKind> mFurtherAttemptListener = (service, kind) -> {};
 
     /**
-     * Makes an entry side.
+     * Creates an entry side.
      *
-     * @param duty runs tasks on the steering duty, and loses none
-     * @param timeSource the clocks
+     * @param steeringExecutor runs tasks on the steering thread and never drops one
+     * @param timeSource the source of the current time
      * @param self this instance
-     * @param configuration gives the configuration in force
-     * @param decisions the decisions that belong to the duty
-     * @param directory tells who admits where
+     * @param configuration supplies the configuration in force
+     * @param decisions the decision-makers, confined to the steering thread
+     * @param directory provides the shards and their admitters
      * @param admitter the admitter side of this instance
      * @param remote forwards to other instances
-     * @param timeline takes events
+     * @param timeline records events
      */
     public EntrySteering(
-            Executor duty,
+            Executor steeringExecutor,
             TimeSource timeSource,
             InstanceId self,
             Supplier<Configuration> configuration,
@@ -91,13 +91,13 @@
             AdmitterSteering admitter,
             RemoteAdmitter remote,
             Timeline timeline) {
-        mDuty = duty;
+        mSteeringExecutor = steeringExecutor;
         mTimeSource = timeSource;
         mSelf = self;
         mConfiguration = configuration;
         mSelector = decisions.selector();
         mSpending = decisions.spending();
-        mRetries = decisions.retries();
+        mRetryBudget = decisions.retries();
         mDirectory = directory;
         mAdmitter = admitter;
         mRemote = remote;
@@ -105,29 +105,29 @@
     }
 
     /**
-     * Tells a listener of every attempt after the first of a request.
+     * Sets the listener that is notified of every attempt after the first of a request.
      *
-     * @param listener takes the service and why the attempt was made, on the steering duty
+     * @param listener receives the service and the kind of the attempt, on the steering thread
      */
     public void setFurtherAttemptListener(BiConsumer<ServiceId, AttemptKind> listener) {
-        mFurtherAttempts = Assert.notNull(listener, "A listener to further attempts");
+        mFurtherAttemptListener = Assert.notNull(listener, "A listener to further attempts");
     }
 
     /**
-     * Steers a request to its end.
+     * Steers a request until it completes.
      *
      * @param request the request; its id must not be in use
-     * @param listener takes the one end, on the steering duty
+     * @param listener receives the completion, on the steering thread
      */
     public void submit(SteeredRequest request, Consumer<RequestCompletion> listener) {
         Flow flow = new Flow(request, listener);
         mFlows.put(request.head().id(), flow);
-        mRetries.firstAttempt();
-        flow.step();
+        mRetryBudget.firstAttempt();
+        flow.startAttempt();
     }
 
     /**
-     * Gives up a request because its caller went away.
+     * Cancels a request because its caller has disconnected.
      *
      * @param request the request
      */
@@ -138,18 +138,18 @@
         }
     }
 
-    /** Tries again to charge the requests that wait for an allotment. */
+    /** Retries to charge the requests that wait for an allotment. */
     public void advance() {
         if (mWaiting.isEmpty()) {
             return;
         }
         List<Flow> waiting = mWaiting;
         mWaiting = new ArrayList<>();
-        waiting.forEach(Flow::step);
+        waiting.forEach(Flow::startAttempt);
     }
 
     /**
-     * Counts the requests that have not ended.
+     * Returns the number of requests that have not completed.
      *
      * @return the count
      */
@@ -158,16 +158,16 @@
     }
 
     /**
-     * Decisions that belong to the steering duty.
+     * Decision-makers of the entry side, confined to the steering thread.
      *
-     * @param selector chooses regions
+     * @param selector selects regions
      * @param spending charges attempts
-     * @param retries the budget of retries
+     * @param retries the retry budget
      */
     public record EntryDecisions(
             RegionSelector selector, SpendingGate spending, RetryBudget retries) {}
 
-    /** The way of one request. */
+    /** State of one request. */
     private final class Flow {
 
         private final SteeredRequest mRequest;
@@ -181,7 +181,7 @@
         private boolean mMayHaveRun;
         private boolean mCancelled;
 
-        /** Why the next attempt would be made; null before the first. */
+        /** Kind of the next attempt; null before the first. */
         private AttemptKind mNextAttempt;
 
         private final long mStartNanos = mTimeSource.monotonicNanos();
@@ -191,7 +191,7 @@
             mListener = listener;
         }
 
-        void step() {
+        void startAttempt() {
             if (mCancelled) {
                 refuse(RefusalCause.CANCELLED, "The caller gave up before the request was sent.");
                 return;
@@ -204,33 +204,34 @@
                 refuse(RefusalCause.NO_CAPACITY, "Every region that was tried refused it.");
                 return;
             }
-            Either<Refusal, RegionId> choice = mSelector.select(mRequest.head(), mTried);
-            if (choice.isLeft()) {
-                finish(new RequestCompletion.Refused(choice.getLeft()));
+            Either<Refusal, RegionId> selection = mSelector.select(mRequest.head(), mTried);
+            if (selection.isLeft()) {
+                finish(new RequestCompletion.Refused(selection.getLeft()));
                 return;
             }
-            mRegion = choice.get();
+            mRegion = selection.get();
             charge();
         }
 
         private void charge() {
             Optional<ServiceSpecification> service =
                     mConfiguration.get().service(mRequest.head().service());
-            long price = service.map(found -> found.priceMicros(mRegion)).orElse(0L);
-            Either<Refusal, Charge> charge = mSpending.charge(mRequest.head().service(), price);
+            long priceMicros = service.map(found -> found.priceMicros(mRegion)).orElse(0L);
+            Either<Refusal, Charge> charge =
+                    mSpending.charge(mRequest.head().service(), priceMicros);
             if (charge.isLeft()) {
                 mSelector.ended(mRequest.head(), mRegion, RegionAttemptOutcome.FAILED);
-                notCharged(charge.getLeft());
+                onChargeRefused(charge.getLeft());
                 return;
             }
             mCharge = charge.get();
             forward();
         }
 
-        private void notCharged(Refusal refusal) {
-            boolean renewed = refusal.cause() == RefusalCause.NOT_READY;
+        private void onChargeRefused(Refusal refusal) {
+            boolean renewing = refusal.cause() == RefusalCause.NOT_READY;
             boolean inTime = mTimeSource.monotonicNanos() - mStartNanos < ALLOTMENT_WAIT_NANOS;
-            if (renewed && inTime && !mCancelled && mWaiting.size() < MAXIMUM_WAITING) {
+            if (renewing && inTime && !mCancelled && mWaiting.size() < MAXIMUM_WAITING) {
                 mAttempts--;
                 mWaiting.add(this);
                 return;
@@ -242,7 +243,7 @@
             List<ShardDirectory.ShardRoute> routes =
                     mDirectory.routes(mRequest.head().service(), mRegion);
             if (routes.isEmpty()) {
-                attemptRefused(
+                onAttemptRefused(
                         RegionAttemptOutcome.LOST,
                         Refusal.didNotRun(
                                 RefusalCause.INSTANCE_LOST,
@@ -258,94 +259,98 @@
             ShardDirectory.ShardRoute route = mRoutes.remove();
             mDirectory.sent(route.shard());
             if (mNextAttempt != null) {
-                mFurtherAttempts.accept(mRequest.head().service(), mNextAttempt);
+                mFurtherAttemptListener.accept(mRequest.head().service(), mNextAttempt);
             }
             mNextAttempt = AttemptKind.SPILL;
             forward(route, 0);
         }
 
-        private void forward(ShardDirectory.ShardRoute route, int choice) {
-            if (choice >= route.admitters().size()) {
-                shardRefused(
+        private void forward(ShardDirectory.ShardRoute route, int admitterIndex) {
+            if (admitterIndex >= route.admitters().size()) {
+                onShardRefused(
                         RegionAttemptOutcome.LOST,
                         Refusal.didNotRun(
                                 RefusalCause.INSTANCE_LOST,
                                 "No admitter of " + route.shard() + " can be reached."));
                 return;
             }
-            mTarget = route.admitters().get(choice);
+            mTarget = route.admitters().get(admitterIndex);
             if (mTarget.equals(mSelf)) {
-                mAdmitter.offer(route.shard(), mRequest, this::ended);
+                mAdmitter.offer(route.shard(), mRequest, this::onCompletion);
                 return;
             }
             mRemote.forward(
                     mTarget,
                     route.shard(),
                     mRequest,
-                    result -> mDuty.execute(() -> forwarded(route, choice, result)));
+                    result ->
+                            mSteeringExecutor.execute(
+                                    () -> onForwardResult(route, admitterIndex, result)));
         }
 
-        private void forwarded(
-                ShardDirectory.ShardRoute route, int choice, RemoteAdmitter.ForwardResult result) {
-            if (result instanceof RemoteAdmitter.ForwardResult.Ended end) {
-                end.headroom()
+        private void onForwardResult(
+                ShardDirectory.ShardRoute route,
+                int admitterIndex,
+                RemoteAdmitter.ForwardResult result) {
+            if (result instanceof RemoteAdmitter.ForwardResult.Ended ended) {
+                ended.headroom()
                         .ifPresent(
-                                counts ->
+                                headroom ->
                                         mSelector.observe(
                                                 mRequest.head().service(),
                                                 mRegion,
-                                                mDirectory.observe(route.shard(), counts)));
-                if (isNotAdmitter(end.completion())) {
-                    forward(route, choice + 1);
+                                                mDirectory.observe(route.shard(), headroom)));
+                if (isNotAdmitter(ended.completion())) {
+                    forward(route, admitterIndex + 1);
                     return;
                 }
-                ended(end.completion());
+                onCompletion(ended.completion());
             } else if (result instanceof RemoteAdmitter.ForwardResult.NotSent) {
-                forward(route, choice + 1);
+                forward(route, admitterIndex + 1);
             } else if (result instanceof RemoteAdmitter.ForwardResult.Lost lost) {
-                ended(
+                onCompletion(
                         new RequestCompletion.Refused(
                                 Refusal.mayHaveRun(lost.cause(), lost.reason())));
             }
         }
 
-        private boolean isNotAdmitter(RequestCompletion end) {
-            return end instanceof RequestCompletion.Refused refused
+        private boolean isNotAdmitter(RequestCompletion completion) {
+            return completion instanceof RequestCompletion.Refused refused
                     && refused.refusal().verdict() == Verdict.DID_NOT_RUN
                     && refused.refusal().cause() == RefusalCause.NOT_READY;
         }
 
-        private void ended(RequestCompletion end) {
-            if (end instanceof RequestCompletion.Refused refused) {
+        private void onCompletion(RequestCompletion completion) {
+            if (completion instanceof RequestCompletion.Refused refused) {
                 if (refused.refusal().verdict() == Verdict.DID_NOT_RUN) {
-                    shardRefused(RegionAttemptOutcome.REFUSED, refused.refusal());
+                    onShardRefused(RegionAttemptOutcome.REFUSED, refused.refusal());
                 } else {
-                    attemptFailed(refused);
+                    onAttemptFailed(refused);
                 }
                 return;
             }
             mSelector.ended(mRequest.head(), mRegion, RegionAttemptOutcome.ANSWERED);
-            finish(end);
+            finish(completion);
         }
 
-        /** Goes on with the next shard of the region, and with the next region after the last. */
-        private void shardRefused(RegionAttemptOutcome how, Refusal refusal) {
+        /** Continues with the next shard of the region or, after the last, the next region. */
+        private void onShardRefused(RegionAttemptOutcome outcome, Refusal refusal) {
             if (mCancelled || isFinal(refusal.cause()) || mRoutes.isEmpty()) {
-                attemptRefused(how, refusal);
+                onAttemptRefused(outcome, refusal);
                 return;
             }
             forwardToNextShard();
         }
 
-        private void attemptRefused(RegionAttemptOutcome how, Refusal refusal) {
+        private void onAttemptRefused(RegionAttemptOutcome outcome, Refusal refusal) {
             mSpending.refund(mCharge);
-            mSelector.ended(mRequest.head(), mRegion, how);
+            mSelector.ended(mRequest.head(), mRegion, outcome);
             mTried.add(mRegion);
             if (mCancelled || isFinal(refusal.cause())) {
                 finish(new RequestCompletion.Refused(refusal));
                 return;
             }
-            step();
+            startAttempt();
         }
 
         private boolean isFinal(RefusalCause cause) {
@@ -354,11 +359,11 @@
                     || cause == RefusalCause.BAD_REQUEST;
         }
 
-        private void attemptFailed(RequestCompletion.Refused refused) {
+        private void onAttemptFailed(RequestCompletion.Refused refused) {
             mSelector.ended(mRequest.head(), mRegion, RegionAttemptOutcome.FAILED);
             mMayHaveRun = true;
             if (!mCancelled
-                    && mRetries.tryRetry(refused.refusal().verdict(), mRequest.head().kind())) {
+                    && mRetryBudget.tryRetry(refused.refusal().verdict(), mRequest.head().kind())) {
                 mTimeline.record(
                         TimelinePart.STEER,
                         "request-retried",
@@ -366,7 +371,7 @@
                         mRequest.head().id().value(),
                         refused.refusal().cause().text());
                 mNextAttempt = AttemptKind.RETRY;
-                step();
+                startAttempt();
                 return;
             }
             finish(refused);
@@ -385,9 +390,9 @@
             finish(new RequestCompletion.Refused(Refusal.didNotRun(cause, detail)));
         }
 
-        private void finish(RequestCompletion end) {
+        private void finish(RequestCompletion completion) {
             mFlows.remove(mRequest.head().id());
-            mListener.accept(mMayHaveRun ? end.asUncertain() : end);
+            mListener.accept(mMayHaveRun ? completion.asUncertain() : completion);
         }
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/HeaderField.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/HeaderField.java
@@ -1,9 +1,9 @@
 package io.masticpond.daemon.steering;
 
 /**
- * One header field of a request or an answer.
+ * Header field of a request or an answer.
  *
- * @param name the name, in any case
+ * @param name the name, case-insensitive
  * @param value the value
  * @since 0.1
  */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/MeteredAdmission.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/MeteredAdmission.java
@@ -20,9 +20,9 @@
 import java.util.function.Function;
 
 /**
- * Measures how long the requests that an admission dispatches have waited for their slot.
+ * Decorator of an {@link Admission} that measures how long dispatched requests waited for a slot.
  *
- * <p>Belongs to the steering duty. Requests that are refused or cancelled are not measured.
+ * <p>Confined to the steering thread. Requests that are refused or cancelled are not measured.
  *
  * @since 0.2
  */
@@ -34,12 +34,12 @@
     private final Admission mDelegate;
 
     /**
-     * Wraps the admission that a factory makes.
+     * Creates the decorator around the admission that a factory creates.
      *
-     * @param factory makes the admission, which must tell the sink that it is given
-     * @param sink carries out what is decided
-     * @param metrics takes the waits
-     * @param timeSource the clocks
+     * @param factory creates the admission, which must report its decisions to the given sink
+     * @param sink carries out the decisions
+     * @param metrics records the waiting times
+     * @param timeSource the source of the current time
      */
     public MeteredAdmission(
             Function<AdmissionSink, Admission> factory,
@@ -64,11 +64,11 @@
 
     @Override
     public boolean cancel(RequestId request) {
-        boolean waited = mDelegate.cancel(request);
-        if (waited) {
+        boolean wasWaiting = mDelegate.cancel(request);
+        if (wasWaiting) {
             mOfferedNanos.remove(request);
         }
-        return waited;
+        return wasWaiting;
     }
 
     @Override
@@ -77,8 +77,8 @@
     }
 
     @Override
-    public void observe(BackendServerId server, BackendServerSignal sign) {
-        mDelegate.observe(server, sign);
+    public void observe(BackendServerId server, BackendServerSignal signal) {
+        mDelegate.observe(server, signal);
     }
 
     @Override
@@ -91,7 +91,7 @@
         return mDelegate.headroom();
     }
 
-    /** Takes each decision before it is carried out. */
+    /** Observes each decision before it is passed on to be carried out. */
     private final class MeteredSink implements AdmissionSink {
 
         private final AdmissionSink mSink;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/MeteredDispatcher.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/MeteredDispatcher.java
@@ -7,9 +7,10 @@
 import java.util.function.Consumer;
 
 /**
- * Measures how long backend servers take to answer.
+ * Decorator of a {@link BackendDispatcher} that measures how long backend servers take to answer.
  *
- * <p>Attempts that end without an answer are not measured. As safe for threads as what it wraps.
+ * <p>Attempts that end without an answer are not measured. Thread-safe if the decorated dispatcher
+ * is.
  *
  * @since 0.2
  */
@@ -20,11 +21,11 @@
     private final TimeSource mTimeSource;
 
     /**
-     * Wraps a dispatcher.
+     * Creates the decorator around a dispatcher.
      *
      * @param delegate sends the requests
-     * @param metrics takes the times
-     * @param timeSource the clocks
+     * @param metrics records the answer times
+     * @param timeSource the source of the current time
      */
     public MeteredDispatcher(
             BackendDispatcher delegate, RequestMetrics metrics, TimeSource timeSource) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/PeerFallbackEntry.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/PeerFallbackEntry.java
@@ -20,77 +20,77 @@
 import java.util.function.Consumer;
 
 /**
- * The entry side for callers: what this instance cannot pay for while the platform is away, another
- * instance steers and pays for.
+ * Entry side for callers with a fallback to peers: a request that this instance cannot charge while
+ * the platform is unavailable is steered and charged by another instance.
  *
- * <p>An instance that starts while the platform is away has no allotment and gets none, though the
- * others still have theirs. A request is asked of one other instance after the other, and only
- * while the one before says that it did not run, or the kind of request may be repeated; the one
- * that takes it charges its own allotment and never passes it on. An instance that cannot pay
- * either is not asked again for a second, so that an outage that outlasts all allotments does not
- * multiply the load.
+ * <p>An instance that starts while the platform is unavailable has no allotment and cannot get one,
+ * although the other instances still have theirs. The other instances are tried one after the
+ * other, and the next one only if the previous one reports that the request did not run or the kind
+ * of request may be repeated. The instance that accepts the request charges its own allotment and
+ * never forwards the request to another peer. An instance that has no allotment either is not tried
+ * again for one second, so that an outage that outlasts all allotments does not multiply the load.
  *
- * <p>Belongs to the steering duty.
+ * <p>Confined to the steering thread.
  *
  * @since 0.1
  */
 public final class PeerFallbackEntry {
 
-    private static final Set<RefusalCause> NO_ALLOTMENT =
+    private static final Set<RefusalCause> NO_ALLOTMENT_CAUSES =
             EnumSet.of(RefusalCause.PLATFORM_AWAY, RefusalCause.NOT_READY);
-    private static final long FORGET_NANOS = Duration.ofSeconds(1).toNanos();
+    private static final long EXHAUSTED_NANOS = Duration.ofSeconds(1).toNanos();
 
     private final EntrySteering mEntry;
-    private final Executor mDuty;
+    private final Executor mSteeringExecutor;
     private final TimeSource mTimeSource;
     private final ShardDirectory mDirectory;
     private final RemoteAdmitter mRemote;
-    private final RetryBudget mRetries;
-    private final Map<RequestId, Search> mSearches = new HashMap<>();
-    private final Map<AllotmentKey, Long> mEmptySince = new HashMap<>();
+    private final RetryBudget mRetryBudget;
+    private final Map<RequestId, PeerSearch> mPeerSearches = new HashMap<>();
+    private final Map<AllotmentKey, Long> mExhaustedSince = new HashMap<>();
 
     /**
-     * Makes an entry side.
+     * Creates an entry side.
      *
-     * @param entry steers what this instance can pay for
-     * @param duty runs tasks on the steering duty, and loses none
-     * @param timeSource the clocks
-     * @param directory tells who else takes work
-     * @param remote passes requests on
-     * @param retries the budget of retries, which the entry side shares
+     * @param entry steers the requests that this instance can charge
+     * @param steeringExecutor runs tasks on the steering thread and never drops one
+     * @param timeSource the source of the current time
+     * @param directory provides the other instances
+     * @param remote forwards requests to other instances
+     * @param retryBudget the retry budget, shared with the entry side
      */
     public PeerFallbackEntry(
             EntrySteering entry,
-            Executor duty,
+            Executor steeringExecutor,
             TimeSource timeSource,
             ShardDirectory directory,
             RemoteAdmitter remote,
-            RetryBudget retries) {
+            RetryBudget retryBudget) {
         mEntry = Assert.notNull(entry, "An entry side");
-        mDuty = Assert.notNull(duty, "An executor");
+        mSteeringExecutor = Assert.notNull(steeringExecutor, "An executor");
         mTimeSource = Assert.notNull(timeSource, "A time source");
         mDirectory = Assert.notNull(directory, "A directory");
         mRemote = Assert.notNull(remote, "A forwarder");
-        mRetries = Assert.notNull(retries, "A budget of retries");
+        mRetryBudget = Assert.notNull(retryBudget, "A budget of retries");
     }
 
     /**
-     * Steers a request to its end.
+     * Steers a request until it completes.
      *
      * @param request the request; its id must not be in use
-     * @param listener takes the one end, on the steering duty
+     * @param listener receives the completion, on the steering thread
      */
     public void submit(SteeredRequest request, Consumer<RequestCompletion> listener) {
-        mEntry.submit(request, end -> ended(request, end, listener));
+        mEntry.submit(request, completion -> onOwnCompletion(request, completion, listener));
     }
 
     /**
-     * Gives up a request because its caller went away.
+     * Cancels a request because its caller has disconnected.
      *
      * @param request the request
      */
     public void cancel(RequestId request) {
-        Search search = mSearches.get(request);
+        PeerSearch search = mPeerSearches.get(request);
         if (search != null) {
             search.cancel();
             return;
@@ -98,102 +98,110 @@
         mEntry.cancel(request);
     }
 
-    private void ended(
-            SteeredRequest request, RequestCompletion end, Consumer<RequestCompletion> listener) {
-        if (!cannotPay(end)) {
-            listener.accept(end);
+    private void onOwnCompletion(
+            SteeredRequest request,
+            RequestCompletion completion,
+            Consumer<RequestCompletion> listener) {
+        if (!hasNoAllotment(completion)) {
+            listener.accept(completion);
             return;
         }
-        Search search = new Search(request, (RequestCompletion.Refused) end, listener);
-        mSearches.put(request.head().id(), search);
-        search.askNext();
+        PeerSearch search =
+                new PeerSearch(request, (RequestCompletion.Refused) completion, listener);
+        mPeerSearches.put(request.head().id(), search);
+        search.tryNextInstance();
     }
 
-    /** Tells whether a request did not run because its instance has no allotment, or not yet. */
-    private static boolean cannotPay(RequestCompletion end) {
-        return end instanceof RequestCompletion.Refused refused
+    /**
+     * Determines whether a request did not run because the instance has no allotment, or none yet.
+     */
+    private static boolean hasNoAllotment(RequestCompletion completion) {
+        return completion instanceof RequestCompletion.Refused refused
                 && refused.refusal().verdict() == Verdict.DID_NOT_RUN
-                && NO_ALLOTMENT.contains(refused.refusal().cause());
+                && NO_ALLOTMENT_CAUSES.contains(refused.refusal().cause());
     }
 
-    /** The allotment of an instance for a service. */
+    /** Key of the allotment of an instance for a service. */
     private record AllotmentKey(InstanceId instance, ServiceId service) {}
 
-    /** The search for an instance that pays for one request. */
-    private final class Search {
+    /** Search for an instance that can charge one request. */
+    private final class PeerSearch {
 
         private final SteeredRequest mRequest;
-        private final RequestCompletion.Refused mOwnEnd;
+        private final RequestCompletion.Refused mOwnCompletion;
         private final Consumer<RequestCompletion> mListener;
-        private final Queue<InstanceId> mLeft = new ArrayDeque<>();
-        private InstanceId mAsked;
+        private final Queue<InstanceId> mCandidates = new ArrayDeque<>();
+        private InstanceId mTarget;
         private boolean mMayHaveRun;
         private boolean mCancelled;
 
-        Search(
+        PeerSearch(
                 SteeredRequest request,
-                RequestCompletion.Refused ownEnd,
+                RequestCompletion.Refused ownCompletion,
                 Consumer<RequestCompletion> listener) {
             mRequest = request;
-            mOwnEnd = ownEnd;
+            mOwnCompletion = ownCompletion;
             mListener = listener;
             mDirectory.othersFor(request.head().id()).stream()
-                    .filter(each -> !isEmpty(purse(each)))
-                    .forEach(mLeft::add);
+                    .filter(each -> !isExhausted(allotmentKey(each)))
+                    .forEach(mCandidates::add);
         }
 
-        void askNext() {
-            long left = mRequest.head().deadlineNanos() - mTimeSource.monotonicNanos();
-            if (mCancelled || mLeft.isEmpty() || left <= 0) {
-                finish(mOwnEnd);
+        void tryNextInstance() {
+            long remainingNanos = mRequest.head().deadlineNanos() - mTimeSource.monotonicNanos();
+            if (mCancelled || mCandidates.isEmpty() || remainingNanos <= 0) {
+                finish(mOwnCompletion);
                 return;
             }
-            InstanceId next = mLeft.remove();
-            mAsked = next;
-            mRemote.steer(next, mRequest, result -> mDuty.execute(() -> answered(next, result)));
+            InstanceId next = mCandidates.remove();
+            mTarget = next;
+            mRemote.steer(
+                    next,
+                    mRequest,
+                    result -> mSteeringExecutor.execute(() -> onResult(next, result)));
         }
 
         void cancel() {
             mCancelled = true;
-            mRemote.cancel(mAsked, mRequest.head().id());
+            mRemote.cancel(mTarget, mRequest.head().id());
         }
 
-        private void answered(InstanceId from, RemoteAdmitter.ForwardResult result) {
+        private void onResult(InstanceId from, RemoteAdmitter.ForwardResult result) {
             if (result instanceof RemoteAdmitter.ForwardResult.Ended ended) {
-                if (cannotPay(ended.completion())) {
-                    mEmptySince.put(purse(from), mTimeSource.monotonicNanos());
-                    askNext();
+                if (hasNoAllotment(ended.completion())) {
+                    mExhaustedSince.put(allotmentKey(from), mTimeSource.monotonicNanos());
+                    tryNextInstance();
                     return;
                 }
                 finish(ended.completion());
             } else if (result instanceof RemoteAdmitter.ForwardResult.Lost lost) {
-                lost(lost);
+                onLost(lost);
             } else {
-                askNext();
+                tryNextInstance();
             }
         }
 
-        private void lost(RemoteAdmitter.ForwardResult.Lost lost) {
+        private void onLost(RemoteAdmitter.ForwardResult.Lost lost) {
             mMayHaveRun = true;
-            if (mRetries.tryRetry(Verdict.MAY_HAVE_RUN, mRequest.head().kind())) {
-                askNext();
+            if (mRetryBudget.tryRetry(Verdict.MAY_HAVE_RUN, mRequest.head().kind())) {
+                tryNextInstance();
                 return;
             }
             finish(new RequestCompletion.Refused(Refusal.mayHaveRun(lost.cause(), lost.reason())));
         }
 
-        private boolean isEmpty(AllotmentKey purse) {
-            Long since = mEmptySince.get(purse);
-            return since != null && mTimeSource.monotonicNanos() - since < FORGET_NANOS;
+        private boolean isExhausted(AllotmentKey key) {
+            Long since = mExhaustedSince.get(key);
+            return since != null && mTimeSource.monotonicNanos() - since < EXHAUSTED_NANOS;
         }
 
-        private AllotmentKey purse(InstanceId instance) {
+        private AllotmentKey allotmentKey(InstanceId instance) {
             return new AllotmentKey(instance, mRequest.head().service());
         }
 
-        private void finish(RequestCompletion end) {
-            mSearches.remove(mRequest.head().id());
-            mListener.accept(mMayHaveRun ? end.asUncertain() : end);
+        private void finish(RequestCompletion completion) {
+            mPeerSearches.remove(mRequest.head().id());
+            mListener.accept(mMayHaveRun ? completion.asUncertain() : completion);
         }
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/RemoteAdmitter.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/RemoteAdmitter.java
@@ -9,49 +9,50 @@
 import java.util.function.Consumer;
 
 /**
- * Forwards requests to the admitters at other instances, or whole to their entry sides; the edge
- * implements it.
+ * Strategy interface for forwarding requests to other instances: to their admitter side, or
+ * uncharged to their entry side. Implemented on top of the links between instances.
  *
  * @since 0.1
  */
 public interface RemoteAdmitter {
 
     /**
-     * Forwards a request once.
+     * Forwards a request to an admitter once.
      *
      * @param to the instance of the admitter
-     * @param shard the shard that it is asked to admit to
+     * @param shard the shard that is to admit the request
      * @param request the request
-     * @param listener takes the one result, on any thread
+     * @param listener receives the result, on any thread
      */
     void forward(
             InstanceId to, Shard shard, SteeredRequest request, Consumer<ForwardResult> listener);
 
     /**
-     * Asks an instance once to steer a request as one of its own callers', and to pay for it.
+     * Forwards an uncharged request once to an instance, which steers it like a request of its own
+     * callers and charges it to its own allotment.
      *
      * @param to the instance
-     * @param request the request, which nobody has paid for
-     * @param listener takes the one result, on any thread
+     * @param request the request, which has not been charged
+     * @param listener receives the result, on any thread
      */
     void steer(InstanceId to, SteeredRequest request, Consumer<ForwardResult> listener);
 
     /**
-     * Asks an instance to give up a request; there is no answer of its own.
+     * Requests an instance to cancel a request. The cancellation itself is not acknowledged.
      *
      * @param to the instance
      * @param request the request
      */
     void cancel(InstanceId to, RequestId request);
 
-    /** The result of a forward. */
+    /** Result of a forward. */
     sealed interface ForwardResult {
 
         /**
-         * The admitter ended the request.
+         * The instance completed the request.
          *
-         * @param completion the end
-         * @param headroom the admitter's counts, if it told them
+         * @param completion the completion
+         * @param headroom the admitter's headroom, if it reported it
          */
         record Ended(RequestCompletion completion, Optional<Headroom> headroom)
                 implements ForwardResult {}
@@ -59,15 +60,15 @@
         /**
          * No byte of the request reached the instance, so it did not run.
          *
-         * @param reason one sentence
+         * @param reason the reason, as one sentence
          */
         record NotSent(String reason) implements ForwardResult {}
 
         /**
-         * The link broke or the time ran out after the request had left; it may have run.
+         * The link broke or the request timed out after it had been sent, so it may have run.
          *
-         * @param cause what the caller is told
-         * @param reason one sentence
+         * @param cause the cause to report to the caller
+         * @param reason the reason, as one sentence
          */
         record Lost(RefusalCause cause, String reason) implements ForwardResult {}
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/RequestCompletion.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/RequestCompletion.java
@@ -5,28 +5,29 @@
 import java.util.List;
 
 /**
- * The one end of a request.
+ * Completion of a request. Each request has exactly one.
  *
  * @since 0.1
  */
 public sealed interface RequestCompletion {
 
     /**
-     * Gives this end to a request of which an earlier attempt may have run.
+     * Returns this completion as that of a request of which an earlier attempt may have run.
      *
-     * @return this end, but in place of a refusal that says it did not run one that says it may
+     * @return this completion, except that a refusal with the verdict {@code DID_NOT_RUN} is
+     *     replaced by one with {@code MAY_HAVE_RUN}
      */
     default RequestCompletion asUncertain() {
         return this;
     }
 
     /**
-     * A backend server gave a whole answer.
+     * Complete answer of a backend server.
      *
      * @param status the HTTP status
-     * @param headers the header fields to pass on
-     * @param body the whole body; must not be changed
-     * @param backendServer the backend server, as text
+     * @param headers the header fields to forward
+     * @param body the complete body; must not be modified
+     * @param backendServer the id of the backend server
      */
     @SuppressWarnings("ArrayRecordComponent")
     record Answered(int status, List<HeaderField> headers, byte[] body, String backendServer)
@@ -39,9 +40,9 @@
     }
 
     /**
-     * There is no answer.
+     * Refusal in place of an answer.
      *
-     * @param refusal what is known
+     * @param refusal the refusal, with its verdict on whether the request ran
      */
     record Refused(Refusal refusal) implements RequestCompletion {
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/ShardDirectory.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/ShardDirectory.java
@@ -11,40 +11,42 @@
 import java.util.List;
 
 /**
- * Tells who admits work to what, as this instance sees it now.
+ * Strategy interface for looking up the shards and their admitters in the current view of this
+ * instance.
  *
- * <p>Read by the steering duty only.
+ * <p>Used on the steering thread only.
  *
  * @since 0.1
  */
 public interface ShardDirectory {
 
     /**
-     * Lists where a request for a region may go.
+     * Returns the routes for a request to a region.
      *
      * @param service the service
      * @param region the region
-     * @return shards with their admitters, the first choice first; empty if no instance is there
+     * @return the shards with their admitters in order of preference; empty if no shard has an
+     *     admitter
      */
     List<ShardRoute> routes(ServiceId service, RegionId region);
 
     /**
-     * Tells whether this instance admits work to a shard now.
+     * Determines whether this instance currently admits requests to a shard.
      *
      * @param shard the shard
-     * @return whether it is the first in the order of its own view
+     * @return whether this instance is the first admitter in its own view
      */
     boolean admitsHere(Shard shard);
 
     /**
-     * Lists the shards that this instance admits work to now.
+     * Returns the shards that this instance currently admits requests to.
      *
      * @return the shards
      */
     List<Shard> shardsHere();
 
     /**
-     * Lists the backend servers of a shard.
+     * Returns the backend servers of a shard.
      *
      * @param shard the shard
      * @return the backend servers
@@ -52,7 +54,7 @@
     List<BackendServerSpecification> servers(Shard shard);
 
     /**
-     * Tells how much of the slots of a shard this instance may use.
+     * Returns the share of the slots of a shard that this instance may use.
      *
      * @param shard the shard
      * @return the share
@@ -60,34 +62,38 @@
     SlotShare share(Shard shard);
 
     /**
-     * Takes the counts of a shard that its admitter told.
+     * Records the headroom of a shard as reported by its admitter.
      *
      * @param shard the shard
-     * @param headroom the counts
-     * @return the sums over the region of the shard
+     * @param headroom the headroom
+     * @return the sum over all shards of the service in the region, as far as their headroom is
+     *     current
      */
     Headroom observe(Shard shard, Headroom headroom);
 
     /**
-     * Lists the other instances that take work, in an order that spreads requests over them.
+     * Returns the other instances that accept requests, in an order that spreads requests over
+     * them.
      *
      * @param request the request
-     * @return the instances, those of the own region first
+     * @return the instances, with those in the region of this instance first
      */
     List<InstanceId> othersFor(RequestId request);
 
     /**
-     * Counts a request that was forwarded to a shard, until its next counts come.
+     * Records a request that is forwarded to a shard; it counts against the headroom until the next
+     * report.
      *
      * @param shard the shard
      */
     void sent(Shard shard);
 
     /**
-     * A shard and the instances that may admit to it.
+     * Route to a shard.
      *
      * @param shard the shard
-     * @param admitters the instances in order of choice, at least one
+     * @param admitters the instances that may admit to the shard in order of preference, at least
+     *     one
      */
     record ShardRoute(Shard shard, List<InstanceId> admitters) {
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/SteeredRequest.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/SteeredRequest.java
@@ -7,13 +7,13 @@
 import java.util.Optional;
 
 /**
- * A request with its body, as the request path carries it; the body must not be changed.
+ * Request with its body, as it is passed along the request path. The body must not be modified.
  *
- * @param head what the decisions need
- * @param operation the operation it asks for, if the configuration names one
+ * @param head the properties on which decisions are based
+ * @param operation the requested operation, if the configuration names it
  * @param method the HTTP method in capitals
- * @param path the path below the service with its query, from a slash
- * @param headers the header fields to pass on
+ * @param path the path below the service with its query, starting with a slash
+ * @param headers the header fields to forward
  * @param body the body
  * @param operationId the id under which a once-only operation runs, passed to the backend server
  * @since 0.1
@@ -28,7 +28,7 @@
         byte[] body,
         Optional<String> operationId) {
 
-    /** Checks the parts and copies the list. */
+    /** Validates the components and copies the list. */
     public SteeredRequest {
         Assert.notNull(head, "A request head");
         Assert.notNull(operation, "An operation name");
@@ -40,10 +40,10 @@
     }
 
     /**
-     * Gives the same request under an operation id.
+     * Returns a copy of this request with the given operation id.
      *
      * @param id the operation id
-     * @return the request
+     * @return the copy
      */
     public SteeredRequest withOperationId(String id) {
         return new SteeredRequest(head, operation, method, path, headers, body, Optional.of(id));
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/SteeringService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/SteeringService.java
@@ -16,9 +16,11 @@
 import java.util.Set;
 
 /**
- * Keeps the decisions of the request path up to date with configuration, members and time.
+ * Service that keeps the request path up to date with the configuration, the membership and the
+ * passage of time.
  *
- * <p>Public methods may be called by any thread; the work is done by the steering duty.
+ * <p>Thread-safe: public methods may be called from any thread; the work is done on the steering
+ * thread.
  *
  * @since 0.1
  */
@@ -27,44 +29,44 @@
     private static final Duration ADVANCE_PERIOD = Duration.ofMillis(5);
     private static final Duration RECONFIGURE_PERIOD = Duration.ofMillis(250);
 
-    private final EventLoop mDuty;
+    private final EventLoop mEventLoop;
     private final DefaultShardDirectory mDirectory;
     private final ConfiguredRegionSelector mSelector;
     private final AdmitterSteering mAdmitter;
-    private final Map<RegionKey, Headroom> mRegions = new LinkedHashMap<>();
+    private final Map<RegionKey, Headroom> mNewestHeadrooms = new LinkedHashMap<>();
     private volatile Map<RegionKey, Headroom> mRegionHeadrooms = Map.of();
     private volatile Map<Shard, Headroom> mOwnHeadrooms = Map.of();
     private volatile int mInFlight;
     private Configuration mConfiguration = Configuration.EMPTY;
 
     /**
-     * Makes the keeper; the duty must not be started yet.
+     * Creates the service; the event loop must not be started yet.
      *
-     * @param duty the steering duty
-     * @param directory tells who admits where
-     * @param selector chooses regions
+     * @param eventLoop the steering event loop
+     * @param directory provides the shards and their admitters
+     * @param selector selects regions
      * @param admitter the admitter side
      */
     public SteeringService(
-            EventLoop duty,
+            EventLoop eventLoop,
             DefaultShardDirectory directory,
             ConfiguredRegionSelector selector,
             AdmitterSteering admitter) {
-        mDuty = duty;
+        mEventLoop = eventLoop;
         mDirectory = directory;
         mSelector = selector;
         mAdmitter = admitter;
-        mDuty.every(ADVANCE_PERIOD, this::advance);
-        mDuty.every(RECONFIGURE_PERIOD, this::observeOwnShards);
+        mEventLoop.every(ADVANCE_PERIOD, this::advance);
+        mEventLoop.every(RECONFIGURE_PERIOD, this::observeOwnShards);
     }
 
     /**
-     * Takes a configuration that came into force.
+     * Applies a configuration that has come into force.
      *
      * @param configuration the configuration
      */
     public void configure(Configuration configuration) {
-        mDuty.put(
+        mEventLoop.put(
                 () -> {
                     mConfiguration = configuration;
                     mDirectory.configure(configuration);
@@ -74,32 +76,34 @@
     }
 
     /**
-     * Takes the members as they are seen now.
+     * Applies the current membership view.
      *
      * @param view the members
      */
     public void updateMembers(MembershipView view) {
-        mDuty.put(
+        mEventLoop.put(
                 () -> {
                     mDirectory.updateMembers(view);
                     countInstances(view);
-                    tellReachable();
+                    updateReachability();
                     mAdmitter.reconfigure();
                 });
     }
 
     /**
-     * Takes the counts of a shard that another instance admits to.
+     * Updates the headroom of a shard that another instance admits to. Dropped if the queue of the
+     * event loop is full.
      *
      * @param shard the shard
-     * @param headroom the counts
+     * @param headroom the headroom
      */
     public void updateHeadroom(Shard shard, Headroom headroom) {
-        mDuty.offer(() -> observe(shard, headroom));
+        mEventLoop.offer(() -> observe(shard, headroom));
     }
 
     /**
-     * Counts the requests that wait here or are at backend servers, as a few milliseconds ago.
+     * Returns the number of requests that wait here or are in flight at backend servers, as of a
+     * few milliseconds ago.
      *
      * @return the count
      */
@@ -108,25 +112,27 @@
     }
 
     /**
-     * Gives the counts of the shards that are admitted here, as a short time ago.
+     * Returns the headroom of the shards that this instance admits to, updated every quarter of a
+     * second.
      *
-     * @return the counts by shard
+     * @return the headroom by shard
      */
     public Map<Shard, Headroom> ownHeadrooms() {
         return mOwnHeadrooms;
     }
 
     /**
-     * Gives the newest counts of each service in each region, as far as known here.
+     * Returns the newest headroom of each service in each region, as far as it is known to this
+     * instance.
      *
-     * @return the counts
+     * @return the headroom by service and region
      */
     public Map<RegionKey, Headroom> regionHeadrooms() {
         return mRegionHeadrooms;
     }
 
     /**
-     * A service in a region.
+     * Key of a service in a region.
      *
      * @param service the service
      * @param region the region
@@ -147,12 +153,12 @@
         }
         mAdmitter.reconfigure();
         mOwnHeadrooms = mAdmitter.headrooms();
-        mRegionHeadrooms = Map.copyOf(mRegions);
+        mRegionHeadrooms = Map.copyOf(mNewestHeadrooms);
     }
 
     private void observe(Shard shard, Headroom headroom) {
         Headroom sum = mDirectory.observe(shard, headroom);
-        mRegions.put(new RegionKey(shard.service(), shard.region()), sum);
+        mNewestHeadrooms.put(new RegionKey(shard.service(), shard.region()), sum);
         mSelector.observe(shard.service(), shard.region(), sum);
     }
 
@@ -169,7 +175,7 @@
         mSelector.updateInstanceCounts(Math.max(1, inRegion), Math.max(1, inAll));
     }
 
-    private void tellReachable() {
+    private void updateReachability() {
         for (ServiceSpecification service : mConfiguration.content().services()) {
             Set<RegionId> reachable = mDirectory.reachableRegions(service.id());
             for (RegionSpecification region : mConfiguration.content().regions()) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/package-info.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The path of a request: from the entry side, where it is charged and a region is chosen, to the
- * admitter side, where it gets a slot of a backend server. It must not know HTTP or Netty.
+ * The request path: from the entry side, where a request is charged and its region is chosen, to
+ * the admitter side, where it is given a slot of a backend server. Independent of HTTP and Netty.
  */
 package io.masticpond.daemon.steering;
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/AdmitterSteeringTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/AdmitterSteeringTest.java
@@ -41,7 +41,7 @@
 
     private final ManualTimeSource mTime =
             new ManualTimeSource(Instant.parse("2026-12-02T08:00:00Z"));
-    private final Map<String, RequestCompletion> mEnds = new HashMap<>();
+    private final Map<String, RequestCompletion> mCompletions = new HashMap<>();
     private final Map<String, Consumer<BackendDispatcher.AttemptResult>> mAttempts =
             new HashMap<>();
     private final List<String> mCancelled = new ArrayList<>();
@@ -57,16 +57,16 @@
                     Timeline.NONE);
 
     @Example
-    void shardsThatMoveAwayRefuseWhatWaitsAndFinishWhatIsInFlight() {
+    void movedShardRefusesWaitingRequestsAndFinishesThoseInFlight() {
         offer("running");
         offer("waiting");
         assertThat(mAttempts).containsOnlyKeys("running");
         mAdmitsHere = false;
         mAdmitter.reconfigure();
         assertThat(verdict("waiting")).isEqualTo(Verdict.DID_NOT_RUN);
-        assertThat(mEnds).doesNotContainKey("running");
+        assertThat(mCompletions).doesNotContainKey("running");
         answer("running");
-        assertThat(mEnds.get("running")).isInstanceOf(RequestCompletion.Answered.class);
+        assertThat(mCompletions.get("running")).isInstanceOf(RequestCompletion.Answered.class);
         assertThat(mAdmitter.inFlight()).isZero();
     }
 
@@ -79,27 +79,27 @@
     }
 
     @Example
-    void theSameRequestTwiceRunsOnce() {
+    void duplicateRequestRunsOnce() {
         offer("same");
         RequestCompletion[] second = new RequestCompletion[1];
-        mAdmitter.offer(SHARD, request("same"), end -> second[0] = end);
+        mAdmitter.offer(SHARD, request("same"), completion -> second[0] = completion);
         assertThat(second[0]).isInstanceOf(RequestCompletion.Refused.class);
         assertThat(mAttempts).hasSize(1);
     }
 
     @Example
-    void requestsGivenUpWhileTheyWaitDidNotRunAndFreeTheirPlace() {
+    void cancelEndsWaitingRequestAndCancelsRunningAttempt() {
         offer("running");
         offer("waiting");
         mAdmitter.cancel(new RequestId("waiting"));
         assertThat(verdict("waiting")).isEqualTo(Verdict.DID_NOT_RUN);
         mAdmitter.cancel(new RequestId("running"));
         assertThat(mCancelled).containsExactly("running");
-        assertThat(mEnds).doesNotContainKey("running");
+        assertThat(mCompletions).doesNotContainKey("running");
     }
 
     @Example
-    void slotsOfAnswersThatCameGoToWhatWaits() {
+    void freedSlotGoesToWaitingRequest() {
         offer("first");
         offer("second");
         answer("first");
@@ -107,7 +107,7 @@
     }
 
     private void offer(String id) {
-        mAdmitter.offer(SHARD, request(id), end -> mEnds.put(id, end));
+        mAdmitter.offer(SHARD, request(id), completion -> mCompletions.put(id, completion));
     }
 
     private SteeredRequest request(String id) {
@@ -142,7 +142,7 @@
     }
 
     private Verdict verdict(String id) {
-        return ((RequestCompletion.Refused) mEnds.get(id)).refusal().verdict();
+        return ((RequestCompletion.Refused) mCompletions.get(id)).refusal().verdict();
     }
 
     private final class Directory implements ShardDirectory {
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/ChargedForwardTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/ChargedForwardTest.java
@@ -36,16 +36,18 @@
 import java.util.Optional;
 import net.jqwik.api.Example;
 
-/** Passes requests on to an instance that is asked to pay, and asserts what it does with them. */
+/**
+ * Tests an instance that receives uncharged requests from another instance and is to charge them.
+ */
 class ChargedForwardTest {
 
-    private static final InstanceId ASKER = new InstanceId("asker");
+    private static final InstanceId FORWARDING_INSTANCE = new InstanceId("asker");
     private static final ServiceId SERVICE = new ServiceId("plate-ledger");
     private static final RequestId REQUEST = new RequestId("request-1");
 
     private final ManualTimeSource mTime =
             new ManualTimeSource(Instant.parse("2026-12-02T08:00:00Z"));
-    private final EventLoop mDuty = new EventLoop("steering", 16, mTime);
+    private final EventLoop mSteeringLoop = new EventLoop("steering", 16, mTime);
     private final Deque<ForwardResult> mResults = new ArrayDeque<>();
     private final List<InstanceId> mForwardedTo = new ArrayList<>();
     private final List<Envelope> mAnswers = new ArrayList<>();
@@ -56,12 +58,12 @@
     private final ForwardReceiver mReceiver = receiver();
 
     @Example
-    void theInstanceThatIsAskedPaysAndSteers() {
+    void receivingInstanceChargesAndSteersRequest() {
         RequestCompletion answer =
                 new RequestCompletion.Answered(200, List.of(), new byte[] {1}, "server-1");
         mResults.add(new ForwardResult.Ended(answer, Optional.empty()));
-        passOn();
-        runDuty();
+        forwardUncharged();
+        runSteeringLoop();
         assertThat(mGate.mCharged).isEqualTo(1);
         assertThat(mAnswers).hasSize(1);
         assertThat(mAnswers.get(0).getForwardAnswer().getAnswer().getBackendServer())
@@ -70,50 +72,52 @@
     }
 
     @Example
-    void theInstanceThatIsAskedRefusesWhatItCannotPayForAndAsksNobody() {
+    void receivingInstanceWithoutAllotmentRefusesAndDoesNotForward() {
         mGate.mUnavailable = true;
-        passOn();
-        runDuty();
+        forwardUncharged();
+        runSteeringLoop();
         assertThat(mForwardedTo).isEmpty();
-        RequestCompletion end = ForwardCodec.toCompletion(mAnswers.get(0).getForwardAnswer());
-        Refusal refusal = ((RequestCompletion.Refused) end).refusal();
+        RequestCompletion completion =
+                ForwardCodec.toCompletion(mAnswers.get(0).getForwardAnswer());
+        Refusal refusal = ((RequestCompletion.Refused) completion).refusal();
         assertThat(refusal.verdict()).isEqualTo(Verdict.DID_NOT_RUN);
         assertThat(refusal.cause()).isEqualTo(RefusalCause.PLATFORM_AWAY);
     }
 
     @Example
-    void theAskerMayGiveUpWhatItPassedOn() {
+    void forwardingInstanceCanCancelItsRequest() {
         mGate.mRenewing = true;
-        passOn();
+        forwardUncharged();
         cancel();
-        runDuty();
+        runSteeringLoop();
         assertThat(mReceiver.steered()).isEqualTo(1);
         mGate.mRenewing = false;
         mEntry.advance();
         assertThat(mForwardedTo).isEmpty();
-        RequestCompletion end = ForwardCodec.toCompletion(mAnswers.get(0).getForwardAnswer());
-        assertThat(((RequestCompletion.Refused) end).refusal().cause())
+        RequestCompletion completion =
+                ForwardCodec.toCompletion(mAnswers.get(0).getForwardAnswer());
+        assertThat(((RequestCompletion.Refused) completion).refusal().cause())
                 .isEqualTo(RefusalCause.CANCELLED);
         assertThat(mReceiver.steered()).isZero();
     }
 
     @Example
-    void anotherInstanceCannotGiveUpRequestsOfOwnCallers() {
+    void otherInstancesCannotCancelRequestsOfLocalCallers() {
         mGate.mRenewing = true;
-        List<RequestCompletion> ends = new ArrayList<>();
-        mEntry.submit(request(), ends::add);
+        List<RequestCompletion> completions = new ArrayList<>();
+        mEntry.submit(request(), completions::add);
         cancel();
-        runDuty();
+        runSteeringLoop();
         mGate.mRenewing = false;
         RequestCompletion answer =
                 new RequestCompletion.Answered(200, List.of(), new byte[] {1}, "server-1");
         mResults.add(new ForwardResult.Ended(answer, Optional.empty()));
         mEntry.advance();
-        assertThat(ends).containsExactly(answer);
+        assertThat(completions).containsExactly(answer);
     }
 
     @Example
-    void anInstanceOfAnEarlierBuildDeclinesSinceItFindsNoShard() {
+    void earlierBuildRejectsUnchargedForwardForLackOfShard() {
         assertThatThrownBy(
                         () -> ForwardCodec.toShard(ForwardCodec.toUnchargedForward(request(), 1)))
                 .isInstanceOf(IllegalArgumentException.class);
@@ -121,14 +125,16 @@
         assertThat(ForwardCodec.isUncharged(ForwardCodec.toForward(request(), shard, 1))).isFalse();
     }
 
-    private void passOn() {
+    private void forwardUncharged() {
         Envelope envelope =
                 Envelope.newBuilder()
                         .setForward(
                                 ForwardCodec.toUnchargedForward(
                                         request(), Duration.ofSeconds(1).toNanos()))
                         .build();
-        mHandlers.get(Envelope.BodyCase.FORWARD).handle(ASKER, envelope, new Answers());
+        mHandlers
+                .get(Envelope.BodyCase.FORWARD)
+                .handle(FORWARDING_INSTANCE, envelope, new RecordingResponder());
     }
 
     private void cancel() {
@@ -136,13 +142,15 @@
                 Envelope.newBuilder()
                         .setCancel(Cancel.newBuilder().setRequest(REQUEST.value()))
                         .build();
-        mHandlers.get(Envelope.BodyCase.CANCEL).handle(ASKER, envelope, new Answers());
+        mHandlers
+                .get(Envelope.BodyCase.CANCEL)
+                .handle(FORWARDING_INSTANCE, envelope, new RecordingResponder());
     }
 
-    /** Runs what the duty's ring holds, to its end. */
-    private void runDuty() {
-        mDuty.start();
-        mDuty.close();
+    /** Runs the queued tasks of the event loop to completion. */
+    private void runSteeringLoop() {
+        mSteeringLoop.start();
+        mSteeringLoop.close();
     }
 
     private static SteeredRequest request() {
@@ -163,7 +171,8 @@
 
     private ForwardReceiver receiver() {
         ForwardReceiver receiver =
-                new ForwardReceiver(mDuty, SteeringFakes.admitter(directory()), mEntry, mTime);
+                new ForwardReceiver(
+                        mSteeringLoop, SteeringFakes.admitter(directory()), mEntry, mTime);
         receiver.register(
                 (InstanceLinks)
                         Proxy.newProxyInstance(
@@ -182,12 +191,12 @@
                 List.of(new InstanceId("first")));
     }
 
-    /** Keeps the answers. */
-    private final class Answers implements Responder {
+    /** Responder that records the answers. */
+    private final class RecordingResponder implements Responder {
 
         @Override
         public Incarnation peer() {
-            return new Incarnation(ASKER, 1);
+            return new Incarnation(FORWARDING_INSTANCE, 1);
         }
 
         @Override
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/EntrySteeringTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/EntrySteeringTest.java
@@ -26,7 +26,7 @@
 import java.util.Optional;
 import net.jqwik.api.Example;
 
-/** Arranges ends of forwards and asserts what the caller is told and what stays charged. */
+/** Tests the completion and the remaining charges of requests for scripted results of forwards. */
 class EntrySteeringTest {
 
     private static final ServiceId SERVICE = new ServiceId("plate-ledger");
@@ -42,31 +42,31 @@
     private final Deque<ForwardResult> mResults = new ArrayDeque<>();
     private final List<InstanceId> mForwardedTo = new ArrayList<>();
     private final List<Shard> mOtherShards = new ArrayList<>();
-    private final List<RequestCompletion> mEnds = new ArrayList<>();
+    private final List<RequestCompletion> mCompletions = new ArrayList<>();
     private final SteeringFakes.CountingGate mGate = new SteeringFakes.CountingGate();
     private final SteeringFakes.ListSelector mSelector =
             new SteeringFakes.ListSelector(List.of(new RegionId("casa"), new RegionId("fes")));
 
     @Example
-    void anInstanceThatCannotBeReachedIsPassedOverAtOnce() {
+    void skipsUnreachableInstanceImmediately() {
         mResults.add(new ForwardResult.NotSent("The connection was refused."));
-        mResults.add(ended(ANSWER));
+        mResults.add(endedWith(ANSWER));
         submit(OperationKind.ONCE_ONLY);
         assertThat(mForwardedTo).containsExactly(FIRST, SECOND);
-        assertThat(mEnds).containsExactly(ANSWER);
+        assertThat(mCompletions).containsExactly(ANSWER);
         assertThat(mGate.mCharged).isEqualTo(1);
     }
 
     @Example
-    void anInstanceThatIsNotTheAdmitterIsPassedOver() {
-        mResults.add(ended(refused(Verdict.DID_NOT_RUN, RefusalCause.NOT_READY)));
-        mResults.add(ended(ANSWER));
+    void skipsInstanceThatIsNotTheAdmitter() {
+        mResults.add(endedWith(refused(Verdict.DID_NOT_RUN, RefusalCause.NOT_READY)));
+        mResults.add(endedWith(ANSWER));
         submit(OperationKind.ONCE_ONLY);
-        assertThat(mEnds).containsExactly(ANSWER);
+        assertThat(mCompletions).containsExactly(ANSWER);
     }
 
     @Example
-    void onceOnlyRequestsAreNeverSentAgainAfterLostLinks() {
+    void onceOnlyRequestsAreNotRetriedAfterLostLinks() {
         mResults.add(new ForwardResult.Lost(RefusalCause.INSTANCE_LOST, "The link broke."));
         submit(OperationKind.ONCE_ONLY);
         assertThat(mForwardedTo).hasSize(1);
@@ -77,44 +77,44 @@
     @Example
     void readsAreRetriedAfterLostLinksAndEachAttemptIsCharged() {
         mResults.add(new ForwardResult.Lost(RefusalCause.INSTANCE_LOST, "The link broke."));
-        mResults.add(ended(ANSWER));
+        mResults.add(endedWith(ANSWER));
         submit(OperationKind.READ);
-        assertThat(mEnds).containsExactly(ANSWER);
+        assertThat(mCompletions).containsExactly(ANSWER);
         assertThat(mGate.mCharged).isEqualTo(2);
     }
 
     @Example
     void theVerdictCoversAnEarlierAttemptThatMayHaveRun() {
         mResults.add(new ForwardResult.Lost(RefusalCause.INSTANCE_LOST, "The link broke."));
-        mResults.add(ended(refused(Verdict.DID_NOT_RUN, RefusalCause.NO_CAPACITY)));
-        mResults.add(ended(refused(Verdict.DID_NOT_RUN, RefusalCause.NO_CAPACITY)));
+        mResults.add(endedWith(refused(Verdict.DID_NOT_RUN, RefusalCause.NO_CAPACITY)));
+        mResults.add(endedWith(refused(Verdict.DID_NOT_RUN, RefusalCause.NO_CAPACITY)));
         submit(OperationKind.READ);
         assertThat(verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
     }
 
     @Example
-    void aRefusedRequestSpillsToTheNextRegionAndItsChargeGoesBack() {
-        mResults.add(ended(refused(Verdict.DID_NOT_RUN, RefusalCause.NO_CAPACITY)));
-        mResults.add(ended(ANSWER));
+    void refusedRequestSpillsToNextRegionAndIsRefunded() {
+        mResults.add(endedWith(refused(Verdict.DID_NOT_RUN, RefusalCause.NO_CAPACITY)));
+        mResults.add(endedWith(ANSWER));
         submit(OperationKind.ONCE_ONLY);
-        assertThat(mEnds).containsExactly(ANSWER);
-        assertThat(mSelector.mChosen).containsExactly(new RegionId("casa"), new RegionId("fes"));
+        assertThat(mCompletions).containsExactly(ANSWER);
+        assertThat(mSelector.mSelected).containsExactly(new RegionId("casa"), new RegionId("fes"));
         assertThat(mGate.mCharged).isEqualTo(1);
     }
 
     @Example
-    void aRefusedRequestGoesToTheNextShardBeforeTheRegionIsGivenUp() {
+    void refusedRequestTriesNextShardBeforeNextRegion() {
         mOtherShards.add(new Shard(SERVICE, new RegionId("casa"), 1));
-        mResults.add(ended(refused(Verdict.DID_NOT_RUN, RefusalCause.NO_CAPACITY)));
-        mResults.add(ended(ANSWER));
+        mResults.add(endedWith(refused(Verdict.DID_NOT_RUN, RefusalCause.NO_CAPACITY)));
+        mResults.add(endedWith(ANSWER));
         submit(OperationKind.ONCE_ONLY);
-        assertThat(mEnds).containsExactly(ANSWER);
-        assertThat(mSelector.mChosen).containsExactly(new RegionId("casa"));
+        assertThat(mCompletions).containsExactly(ANSWER);
+        assertThat(mSelector.mSelected).containsExactly(new RegionId("casa"));
         assertThat(mGate.mCharged).isEqualTo(1);
     }
 
     @Example
-    void lostLinksEndOnceOnlyRequestsThoughOtherShardsAreLeft() {
+    void lostLinkEndsOnceOnlyRequestDespiteFurtherShards() {
         mOtherShards.add(new Shard(SERVICE, new RegionId("casa"), 1));
         mResults.add(new ForwardResult.Lost(RefusalCause.INSTANCE_LOST, "The link broke."));
         submit(OperationKind.ONCE_ONLY);
@@ -123,31 +123,31 @@
     }
 
     @Example
-    void theSpendingCapEndsRequestsBeforeAnyForward() {
-        mGate.mOpen = false;
+    void spendingCapEndsRequestBeforeAnyForward() {
+        mGate.mBelowCap = false;
         submit(OperationKind.READ);
         assertThat(mForwardedTo).isEmpty();
-        assertThat(mEnds).hasSize(1);
+        assertThat(mCompletions).hasSize(1);
         assertThat(verdict()).isEqualTo(Verdict.DID_NOT_RUN);
-        assertThat(mSelector.mOpenChoices).isEqualTo(0);
+        assertThat(mSelector.mOpenSelections).isEqualTo(0);
     }
 
     @Example
-    void requestsWaitForAnAllotmentThatIsRenewedButNotForLong() {
+    void requestsWaitForAllotmentRenewalOnlyBriefly() {
         mGate.mRenewing = true;
         EntrySteering entry = entry();
-        entry.submit(request(OperationKind.ONCE_ONLY), mEnds::add);
+        entry.submit(request(OperationKind.ONCE_ONLY), mCompletions::add);
         mTime.advance(Duration.ofMillis(200));
         entry.advance();
-        assertThat(mEnds).isEmpty();
+        assertThat(mCompletions).isEmpty();
         mGate.mRenewing = false;
-        mResults.add(ended(ANSWER));
+        mResults.add(endedWith(ANSWER));
         entry.advance();
-        assertThat(mEnds).containsExactly(ANSWER);
-        mEnds.clear();
+        assertThat(mCompletions).containsExactly(ANSWER);
+        mCompletions.clear();
         mGate.mRenewing = true;
         mTime.advance(Duration.ofMillis(-200).negated());
-        entry.submit(request(OperationKind.READ), mEnds::add);
+        entry.submit(request(OperationKind.READ), mCompletions::add);
         entry.cancel(new RequestId("request-1"));
         entry.advance();
         assertThat(verdict()).isEqualTo(Verdict.DID_NOT_RUN);
@@ -164,7 +164,7 @@
     }
 
     @Example
-    void noInstanceInAnyRegionIsTruthfullyRefused() {
+    void refusesAsNotRunWhenNoInstanceIsReachable() {
         mResults.add(new ForwardResult.NotSent("Gone."));
         mResults.add(new ForwardResult.NotSent("Gone."));
         mResults.add(new ForwardResult.NotSent("Gone."));
@@ -172,12 +172,12 @@
         submit(OperationKind.ONCE_ONLY);
         assertThat(verdict()).isEqualTo(Verdict.DID_NOT_RUN);
         assertThat(mGate.mCharged).isEqualTo(0);
-        assertThat(mSelector.mOpenChoices).isEqualTo(0);
+        assertThat(mSelector.mOpenSelections).isEqualTo(0);
     }
 
     private void submit(OperationKind kind) {
         EntrySteering entry = entry();
-        entry.submit(request(kind), mEnds::add);
+        entry.submit(request(kind), mCompletions::add);
         assertThat(entry.inFlight()).isEqualTo(0);
     }
 
@@ -218,11 +218,11 @@
     }
 
     private Verdict verdict() {
-        return ((RequestCompletion.Refused) mEnds.get(0)).refusal().verdict();
+        return ((RequestCompletion.Refused) mCompletions.get(0)).refusal().verdict();
     }
 
-    private static ForwardResult ended(RequestCompletion end) {
-        return new ForwardResult.Ended(end, Optional.empty());
+    private static ForwardResult endedWith(RequestCompletion completion) {
+        return new ForwardResult.Ended(completion, Optional.empty());
     }
 
     private static RequestCompletion refused(Verdict verdict, RefusalCause cause) {
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/FurtherAttemptsTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/FurtherAttemptsTest.java
@@ -26,7 +26,10 @@
 import java.util.Optional;
 import net.jqwik.api.Example;
 
-/** A listener hears why each attempt after the first was made, and of nothing else. */
+/**
+ * Tests that the listener is notified of the kind of each attempt after the first, and of nothing
+ * else.
+ */
 class FurtherAttemptsTest {
 
     private static final ServiceId SERVICE = new ServiceId("plate-ledger");
@@ -44,30 +47,30 @@
 
     private final ManualTimeSource mTime =
             new ManualTimeSource(Instant.parse("2026-12-02T08:00:00Z"));
-    private final List<AttemptKind> mFurther = new ArrayList<>();
+    private final List<AttemptKind> mKinds = new ArrayList<>();
 
     @Example
-    void theFirstAttemptIsNotTold() {
+    void doesNotNotifyOfFirstAttempt() {
         submit(ANSWER);
-        assertThat(mFurther).isEmpty();
+        assertThat(mKinds).isEmpty();
     }
 
     @Example
-    void refusedRequestsThatGoOnAreSpills() {
+    void refusedRequestThatContinuesIsSpill() {
         submit(REFUSED, ANSWER);
-        assertThat(mFurther).containsExactly(AttemptKind.SPILL);
+        assertThat(mKinds).containsExactly(AttemptKind.SPILL);
     }
 
     @Example
-    void readsAfterLostLinksAreRetriesAndGoingOnFromThereIsOneSpill() {
+    void readAfterLostLinkIsRetryAndItsRefusalIsOneSpill() {
         submit(LOST, REFUSED, ANSWER);
-        assertThat(mFurther).containsExactly(AttemptKind.RETRY, AttemptKind.SPILL);
+        assertThat(mKinds).containsExactly(AttemptKind.RETRY, AttemptKind.SPILL);
     }
 
     @Example
-    void anInstanceThatCannotBeReachedMakesNoFurtherAttempt() {
+    void unreachableInstanceIsNoFurtherAttempt() {
         submit(new ForwardResult.NotSent("The connection was refused."), ANSWER);
-        assertThat(mFurther).isEmpty();
+        assertThat(mKinds).isEmpty();
     }
 
     private void submit(ForwardResult... results) {
@@ -96,7 +99,7 @@
                                 Timeline.NONE),
                         new SteeringFakes.ScriptedRemote(script, new ArrayList<>()),
                         Timeline.NONE);
-        entry.setFurtherAttemptListener((service, kind) -> mFurther.add(kind));
+        entry.setFurtherAttemptListener((service, kind) -> mKinds.add(kind));
         RequestHead head =
                 new RequestHead(
                         new RequestId("request-1"),
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/PeerFallbackEntryTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/PeerFallbackEntryTest.java
@@ -25,7 +25,9 @@
 import java.util.function.Consumer;
 import net.jqwik.api.Example;
 
-/** Arranges instances without an allotment and asserts who is asked to pay, and how often. */
+/**
+ * Tests which instances an instance without an allotment forwards its requests to, and how often.
+ */
 class PeerFallbackEntryTest {
 
     private static final ServiceId SERVICE = new ServiceId("plate-ledger");
@@ -38,104 +40,104 @@
     private final ManualTimeSource mTime =
             new ManualTimeSource(Instant.parse("2026-12-02T08:00:00Z"));
     private final Deque<ForwardResult> mResults = new ArrayDeque<>();
-    private final List<InstanceId> mAsked = new ArrayList<>();
+    private final List<InstanceId> mForwardedTo = new ArrayList<>();
     private final List<InstanceId> mCancelled = new ArrayList<>();
-    private final List<RequestCompletion> mEnds = new ArrayList<>();
+    private final List<RequestCompletion> mCompletions = new ArrayList<>();
     private final SteeringFakes.CountingGate mGate = new SteeringFakes.CountingGate();
     private final Remote mRemote = new Remote();
     private final PeerFallbackEntry mEntry = entry();
 
     @Example
-    void anotherInstancePaysWhileThisOneHasNoAllotmentAndThePlatformIsAway() {
+    void otherInstanceChargesRequestWhilePlatformIsUnavailable() {
         mGate.mUnavailable = true;
-        mResults.add(ended(ANSWER));
+        mResults.add(endedWith(ANSWER));
         submit(OperationKind.ONCE_ONLY);
-        assertThat(mAsked).containsExactly(FIRST);
-        assertThat(mEnds).containsExactly(ANSWER);
+        assertThat(mForwardedTo).containsExactly(FIRST);
+        assertThat(mCompletions).containsExactly(ANSWER);
         assertThat(mGate.mCharged).isZero();
     }
 
     @Example
-    void instancesThatCannotPayOrCannotBeReachedArePassedOver() {
+    void skipsInstancesThatHaveNoAllotmentOrAreUnreachable() {
         mGate.mUnavailable = true;
-        mResults.add(ended(refused(Verdict.DID_NOT_RUN, RefusalCause.PLATFORM_AWAY)));
-        mResults.add(ended(ANSWER));
+        mResults.add(endedWith(refused(Verdict.DID_NOT_RUN, RefusalCause.PLATFORM_AWAY)));
+        mResults.add(endedWith(ANSWER));
         submit(OperationKind.ONCE_ONLY);
         mResults.add(new ForwardResult.NotSent("The connection was refused."));
         submit(OperationKind.ONCE_ONLY);
-        assertThat(mAsked).containsExactly(FIRST, SECOND, SECOND);
-        assertThat(mEnds.get(0)).isEqualTo(ANSWER);
+        assertThat(mForwardedTo).containsExactly(FIRST, SECOND, SECOND);
+        assertThat(mCompletions.get(0)).isEqualTo(ANSWER);
         assertThat(refusal(1).verdict()).isEqualTo(Verdict.DID_NOT_RUN);
         assertThat(refusal(1).cause()).isEqualTo(RefusalCause.PLATFORM_AWAY);
     }
 
     @Example
-    void anInstanceThatCouldNotPayIsAskedAgainAfterOneSecond() {
+    void retriesInstanceWithoutAllotmentAfterOneSecond() {
         mGate.mUnavailable = true;
-        mResults.add(ended(refused(Verdict.DID_NOT_RUN, RefusalCause.PLATFORM_AWAY)));
-        mResults.add(ended(refused(Verdict.DID_NOT_RUN, RefusalCause.NOT_READY)));
+        mResults.add(endedWith(refused(Verdict.DID_NOT_RUN, RefusalCause.PLATFORM_AWAY)));
+        mResults.add(endedWith(refused(Verdict.DID_NOT_RUN, RefusalCause.NOT_READY)));
         submit(OperationKind.READ);
         submit(OperationKind.READ);
-        assertThat(mAsked).containsExactly(FIRST, SECOND);
+        assertThat(mForwardedTo).containsExactly(FIRST, SECOND);
         mTime.advance(Duration.ofSeconds(1));
-        mResults.add(ended(ANSWER));
+        mResults.add(endedWith(ANSWER));
         submit(OperationKind.READ);
-        assertThat(mAsked).containsExactly(FIRST, SECOND, FIRST);
-        assertThat(mEnds.get(2)).isEqualTo(ANSWER);
+        assertThat(mForwardedTo).containsExactly(FIRST, SECOND, FIRST);
+        assertThat(mCompletions.get(2)).isEqualTo(ANSWER);
     }
 
     @Example
-    void requestsLostOnTheWayToPayersMayHaveRunAndAreNotPassedOnAgain() {
+    void onceOnlyRequestsOnLostLinksMayHaveRunAndAreNotForwardedAgain() {
         mGate.mUnavailable = true;
         mResults.add(new ForwardResult.Lost(RefusalCause.INSTANCE_LOST, "The link broke."));
         submit(OperationKind.ONCE_ONLY);
-        assertThat(mAsked).containsExactly(FIRST);
+        assertThat(mForwardedTo).containsExactly(FIRST);
         assertThat(refusal(0).verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
     }
 
     @Example
-    void readsLostOnTheWayToOnePayerAreAskedOfTheNextAndStayInDoubt() {
+    void readsOnLostLinksAreForwardedToNextInstanceAndStayUncertain() {
         mGate.mUnavailable = true;
         mResults.add(new ForwardResult.Lost(RefusalCause.INSTANCE_LOST, "The link broke."));
-        mResults.add(ended(ANSWER));
+        mResults.add(endedWith(ANSWER));
         submit(OperationKind.READ);
-        assertThat(mAsked).containsExactly(FIRST, SECOND);
-        assertThat(mEnds).containsExactly(ANSWER);
+        assertThat(mForwardedTo).containsExactly(FIRST, SECOND);
+        assertThat(mCompletions).containsExactly(ANSWER);
         mResults.add(new ForwardResult.Lost(RefusalCause.INSTANCE_LOST, "The link broke."));
-        mResults.add(ended(refused(Verdict.DID_NOT_RUN, RefusalCause.PLATFORM_AWAY)));
+        mResults.add(endedWith(refused(Verdict.DID_NOT_RUN, RefusalCause.PLATFORM_AWAY)));
         submit(OperationKind.READ);
         assertThat(refusal(1).verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
     }
 
     @Example
-    void otherRefusalsOfPayersAreFinal() {
+    void otherRefusalsOfPeersAreFinal() {
         mGate.mUnavailable = true;
-        mResults.add(ended(refused(Verdict.DID_NOT_RUN, RefusalCause.SPENDING_CAP)));
-        mResults.add(ended(refused(Verdict.MAY_HAVE_RUN, RefusalCause.PLATFORM_AWAY)));
+        mResults.add(endedWith(refused(Verdict.DID_NOT_RUN, RefusalCause.SPENDING_CAP)));
+        mResults.add(endedWith(refused(Verdict.MAY_HAVE_RUN, RefusalCause.PLATFORM_AWAY)));
         submit(OperationKind.ONCE_ONLY);
         submit(OperationKind.ONCE_ONLY);
-        assertThat(mAsked).containsExactly(FIRST, FIRST);
+        assertThat(mForwardedTo).containsExactly(FIRST, FIRST);
         assertThat(refusal(0).cause()).isEqualTo(RefusalCause.SPENDING_CAP);
         assertThat(refusal(1).verdict()).isEqualTo(Verdict.MAY_HAVE_RUN);
     }
 
     @Example
-    void theSpendingCapIsNotPassedOn() {
-        mGate.mOpen = false;
+    void doesNotForwardRequestsAboveSpendingCap() {
+        mGate.mBelowCap = false;
         submit(OperationKind.READ);
-        assertThat(mAsked).isEmpty();
+        assertThat(mForwardedTo).isEmpty();
         assertThat(refusal(0).cause()).isEqualTo(RefusalCause.SPENDING_CAP);
     }
 
     @Example
-    void cancellingReachesThePayerAndNobodyElseIsAsked() {
+    void cancelReachesTargetAndNoOtherInstanceIsTried() {
         mGate.mUnavailable = true;
         mRemote.mHolds = true;
         submit(OperationKind.READ);
         mEntry.cancel(REQUEST);
         assertThat(mCancelled).containsExactly(FIRST);
         mRemote.mHeld.accept(new ForwardResult.NotSent("The connection broke."));
-        assertThat(mAsked).containsExactly(FIRST);
+        assertThat(mForwardedTo).containsExactly(FIRST);
         assertThat(refusal(0).verdict()).isEqualTo(Verdict.DID_NOT_RUN);
     }
 
@@ -151,7 +153,7 @@
                         List.of(),
                         new byte[0],
                         Optional.empty()),
-                mEnds::add);
+                mCompletions::add);
     }
 
     private PeerFallbackEntry entry() {
@@ -165,11 +167,11 @@
     }
 
     private Refusal refusal(int index) {
-        return ((RequestCompletion.Refused) mEnds.get(index)).refusal();
+        return ((RequestCompletion.Refused) mCompletions.get(index)).refusal();
     }
 
-    private static ForwardResult ended(RequestCompletion end) {
-        return new ForwardResult.Ended(end, Optional.empty());
+    private static ForwardResult endedWith(RequestCompletion completion) {
+        return new ForwardResult.Ended(completion, Optional.empty());
     }
 
     private static RequestCompletion refused(Verdict verdict, RefusalCause cause) {
@@ -177,7 +179,7 @@
                 new Refusal(verdict, cause, "Arranged by the test.", Optional.empty()));
     }
 
-    /** Ends what is passed on with the results of a script, or holds it. */
+    /** Completes uncharged forwards with scripted results, or holds them. */
     private final class Remote implements RemoteAdmitter {
 
         private boolean mHolds;
@@ -194,7 +196,7 @@
 
         @Override
         public void steer(InstanceId to, SteeredRequest request, Consumer<ForwardResult> listener) {
-            mAsked.add(to);
+            mForwardedTo.add(to);
             if (mHolds) {
                 mHeld = listener;
                 return;
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/SteeringFakes.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/SteeringFakes.java
@@ -31,12 +31,12 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** Small fakes at the interfaces of the request path. */
+/** Fake implementations of the interfaces of the request path. */
 final class SteeringFakes {
 
     private SteeringFakes() {}
 
-    /** Makes an admitter side that holds what it is offered. */
+    /** Creates an admitter side that never dispatches or refuses the offered requests. */
     static AdmitterSteering admitter(ShardDirectory directory) {
         return new AdmitterSteering(
                 Runnable::run,
@@ -46,7 +46,7 @@
                 Timeline.NONE);
     }
 
-    /** Makes the entry side of an instance that admits to no shard. */
+    /** Creates the entry side of an instance that admits to no shard. */
     static EntrySteering entry(
             TimeSource timeSource,
             SpendingGate gate,
@@ -67,11 +67,11 @@
                 Timeline.NONE);
     }
 
-    /** Chooses the first region of a list that was not tried. */
+    /** Selects the first region of a list that has not been tried. */
     static final class ListSelector implements RegionSelector {
 
-        final List<RegionId> mChosen = new ArrayList<>();
-        int mOpenChoices;
+        final List<RegionId> mSelected = new ArrayList<>();
+        int mOpenSelections;
         private final List<RegionId> mRegions;
 
         ListSelector(List<RegionId> regions) {
@@ -82,8 +82,8 @@
         public Either<Refusal, RegionId> select(RequestHead request, Set<RegionId> tried) {
             for (RegionId region : mRegions) {
                 if (!tried.contains(region)) {
-                    mChosen.add(region);
-                    mOpenChoices++;
+                    mSelected.add(region);
+                    mOpenSelections++;
                     return Either.right(region);
                 }
             }
@@ -95,18 +95,18 @@
 
         @Override
         public void ended(RequestHead request, RegionId region, RegionAttemptOutcome end) {
-            mOpenChoices--;
+            mOpenSelections--;
         }
 
         @Override
         public void setReachable(ServiceId service, RegionId region, boolean reachable) {}
     }
 
-    /** Counts what stays charged. */
+    /** Counts the charges that have not been refunded. */
     static final class CountingGate implements SpendingGate {
 
         int mCharged;
-        boolean mOpen = true;
+        boolean mBelowCap = true;
         boolean mRenewing;
         boolean mUnavailable;
 
@@ -118,7 +118,7 @@
             if (mUnavailable) {
                 return Either.left(Refusal.didNotRun(RefusalCause.PLATFORM_AWAY, "It is spent."));
             }
-            if (!mOpen) {
+            if (!mBelowCap) {
                 return Either.left(Refusal.didNotRun(RefusalCause.SPENDING_CAP, "It is reached."));
             }
             mCharged++;
@@ -131,7 +131,7 @@
         }
     }
 
-    /** Routes everything to the same instances. */
+    /** Routes all requests to the same shards and instances. */
     record FixedDirectory(List<Shard> shards, List<InstanceId> admitters)
             implements ShardDirectory {
 
@@ -141,7 +141,7 @@
         }
 
         @Override
-        public boolean admitsHere(Shard asked) {
+        public boolean admitsHere(Shard ignored) {
             return false;
         }
 
@@ -151,17 +151,17 @@
         }
 
         @Override
-        public List<BackendServerSpecification> servers(Shard asked) {
+        public List<BackendServerSpecification> servers(Shard ignored) {
             return List.of();
         }
 
         @Override
-        public SlotShare share(Shard asked) {
+        public SlotShare share(Shard ignored) {
             return SlotShare.whole(new InstanceId("self"));
         }
 
         @Override
-        public Headroom observe(Shard asked, Headroom headroom) {
+        public Headroom observe(Shard ignored, Headroom headroom) {
             return headroom;
         }
 
@@ -171,10 +171,10 @@
         }
 
         @Override
-        public void sent(Shard asked) {}
+        public void sent(Shard ignored) {}
     }
 
-    /** Ends forwards with the results of a script. */
+    /** Completes forwards with scripted results. */
     record ScriptedRemote(Deque<RemoteAdmitter.ForwardResult> results, List<InstanceId> forwardedTo)
             implements RemoteAdmitter {
 
@@ -198,7 +198,7 @@
         public void cancel(InstanceId to, RequestId request) {}
     }
 
-    /** Holds what it is offered. */
+    /** Admission that never dispatches or refuses the offered requests. */
     static final class HoldingAdmission implements Admission {
 
         @Override
@@ -216,7 +216,7 @@
         public void complete(RequestId request, AttemptOutcome outcome) {}
 
         @Override
-        public void observe(BackendServerId server, BackendServerSignal sign) {}
+        public void observe(BackendServerId server, BackendServerSignal signal) {}
 
         @Override
         public void advance() {}
