--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/Masticpond.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/Masticpond.java
@@ -22,7 +22,7 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The daemon: one process at every entry instance.
+ * Main class of the daemon, which runs as one process on every entry instance.
  *
  * @since 0.1
  */
@@ -49,7 +49,7 @@
 
     private Masticpond() {}
 
-    /** What to do with which file. */
+    /** Mutually exclusive modes, each with its settings file. */
     private static final class Mode {
         @Option(
                 names = "--settings",
@@ -65,9 +65,9 @@
     }
 
     /**
-     * Runs the program.
+     * Runs the daemon.
      *
-     * @param arguments the arguments of the command line
+     * @param arguments the command line arguments
      */
     public static void main(String[] arguments) {
         int exitCode = new CommandLine(new Masticpond()).execute(arguments);
@@ -128,7 +128,7 @@
         return e.getMessage() + (cause == e ? "" : " (" + cause.getMessage() + ")");
     }
 
-    /** Reads the version from the program's own archive. */
+    /** Provides the version from the manifest of the program's archive. */
     static final class VersionProvider implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/package-info.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** The daemon that runs at every entry instance; its wiring is in {@code wiring}. */
+/** The daemon that runs on every entry instance; its parts are wired in {@code wiring}. */
 package io.masticpond.daemon;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/BackendWatch.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/BackendWatch.java
@@ -10,9 +10,10 @@
 import java.util.List;
 
 /**
- * Lets the health duty ask the backend servers of the shards that this instance admits to now.
+ * Periodic task that keeps the set of health-checked backend servers equal to those of the shards
+ * that this instance currently admits to.
  *
- * <p>Belongs to the steering duty.
+ * <p>Confined to the steering thread.
  *
  * @since 0.1
  */
@@ -25,10 +26,10 @@
     private List<BackendServerSpecification> mWatched = List.of();
 
     /**
-     * Makes a watch that does not follow the directory yet.
+     * Creates a watch that is not started yet.
      *
-     * @param directory tells which shards are admitted here
-     * @param health asks the backend servers
+     * @param directory provides the shards that this instance admits to
+     * @param health checks the backend servers
      */
     public BackendWatch(ShardDirectory directory, BackendHealthChecker health) {
         mDirectory = directory;
@@ -36,12 +37,12 @@
     }
 
     /**
-     * Follows the directory from now on.
+     * Starts to follow the directory periodically.
      *
-     * @param steering the steering duty, which must not be started yet
+     * @param steeringLoop the steering event loop, which must not be started yet
      */
-    public void follow(EventLoop steering) {
-        steering.every(PERIOD, this::watch);
+    public void follow(EventLoop steeringLoop) {
+        steeringLoop.every(PERIOD, this::watch);
     }
 
     private void watch() {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/CallerModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/CallerModule.java
@@ -20,7 +20,7 @@
 import javax.inject.Singleton;
 
 /**
- * Wires the interface towards callers.
+ * Dagger module that provides the interface for callers.
  *
  * @since 0.1
  */
@@ -40,21 +40,21 @@
     @Provides
     @Singleton
     static RequestGateway requestGateway(
-            @SteeringThread EventLoop duty,
+            @SteeringThread EventLoop steeringLoop,
             DaemonSettings settings,
             ConfigurationHolder configuration,
-            ConfigurationService configurationDuty,
+            ConfigurationService configurationService,
             LookupTable lookups,
             PeerFallbackEntry entry,
             OnceOnlyGuard guard) {
         return new RequestGateway(
-                duty,
+                steeringLoop,
                 settings.instance().zone(),
                 configuration::current,
                 lookups,
                 entry,
                 guard,
-                configurationDuty::onVersionSeen);
+                configurationService::onVersionSeen);
     }
 
     @Provides
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/ConfigurationModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/ConfigurationModule.java
@@ -26,7 +26,7 @@
 import javax.inject.Singleton;
 
 /**
- * Wires the configuration and the interface towards operators.
+ * Dagger module that provides the configuration and the interface for operators.
  *
  * @since 0.1
  */
@@ -71,7 +71,7 @@
     @Provides
     @Singleton
     static DefaultConfigurationCommands configurationCommands(
-            ConfigurationService duty,
+            ConfigurationService service,
             ConfigurationHolder holder,
             ObjectStore store,
             ConfigurationCodec codec,
@@ -81,7 +81,7 @@
         PlanObservations observations =
                 new SpendingPlanObservations(spending, timeSource, PlanObservations.NONE);
         return new DefaultConfigurationCommands(
-                duty,
+                service,
                 holder,
                 new ConfigurationPlanner(observations),
                 store,
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/Daemon.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/Daemon.java
@@ -31,93 +31,94 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The parts of one process, started in the order in which they need each other.
+ * The daemon process: starts and stops its parts in the order of their dependencies.
  *
  * @since 0.1
  */
 @Singleton
 public final class Daemon {
 
-    /** Says that the daemon goes on running after its start. */
+    /** Exit code placeholder: the daemon keeps running after its start. */
     public static final int RUNNING = -1;
 
     private static final Logger sLogger = LoggerFactory.getLogger(Daemon.class);
 
     private final Incarnation mIncarnation;
-    private final EventLoop mSteering;
-    private final EventLoop mOperations;
-    private final SteeringService mSteeringKeeper;
+    private final EventLoop mSteeringLoop;
+    private final EventLoop mOperationLoop;
+    private final SteeringService mSteeringService;
     private final BackendWatch mBackendWatch;
     private final NettyInstanceLinks mLinks;
-    private final ForwardReceiver mForwards;
-    private final OperationReceiver mAsks;
+    private final ForwardReceiver mForwardReceiver;
+    private final OperationReceiver mOperationReceiver;
     private final ConfigurationHolder mConfiguration;
-    private final ConfigurationService mConfigurationDuty;
-    private final SpendingService mSpending;
+    private final ConfigurationService mConfigurationService;
+    private final SpendingService mSpendingService;
     private final LookupTable mLookups;
     private final MembershipService mMembers;
     private final DaemonMetrics mMetrics;
-    private final CallerServer mCallers;
-    private final OperatorServer mOperators;
-    private final PlannedStop mStop;
+    private final CallerServer mCallerServer;
+    private final OperatorServer mOperatorServer;
+    private final PlannedStop mPlannedStop;
     private final Logging mLogging;
 
     @Inject
     Daemon(
             Incarnation incarnation,
-            @SteeringThread EventLoop steering,
-            @OperationThread EventLoop operations,
-            SteeringService steeringKeeper,
+            @SteeringThread EventLoop steeringLoop,
+            @OperationThread EventLoop operationLoop,
+            SteeringService steeringService,
             BackendWatch backendWatch,
             NettyInstanceLinks links,
-            ForwardReceiver forwards,
-            OperationReceiver asks,
+            ForwardReceiver forwardReceiver,
+            OperationReceiver operationReceiver,
             ConfigurationHolder configuration,
-            ConfigurationService configurationDuty,
-            SpendingService spending,
+            ConfigurationService configurationService,
+            SpendingService spendingService,
             LookupTable lookups,
             MembershipService members,
             DaemonMetrics metrics,
-            CallerServer callers,
-            OperatorServer operators,
+            CallerServer callerServer,
+            OperatorServer operatorServer,
             PlannedStop stop,
             Logging logging) {
         mIncarnation = incarnation;
-        mSteering = steering;
-        mOperations = operations;
-        mSteeringKeeper = steeringKeeper;
+        mSteeringLoop = steeringLoop;
+        mOperationLoop = operationLoop;
+        mSteeringService = steeringService;
         mBackendWatch = backendWatch;
         mLinks = links;
-        mForwards = forwards;
-        mAsks = asks;
+        mForwardReceiver = forwardReceiver;
+        mOperationReceiver = operationReceiver;
         mConfiguration = configuration;
-        mConfigurationDuty = configurationDuty;
-        mSpending = spending;
+        mConfigurationService = configurationService;
+        mSpendingService = spendingService;
         mLookups = lookups;
         mMembers = members;
         mMetrics = metrics;
-        mCallers = callers;
-        mOperators = operators;
-        mStop = stop;
+        mCallerServer = callerServer;
+        mOperatorServer = operatorServer;
+        mPlannedStop = stop;
         mLogging = logging;
     }
 
     /**
-     * Starts all parts, and stops them as planned when the process is asked to end.
+     * Starts all parts and registers a shutdown hook for the planned stop. The hook ends the
+     * process with exit code 0 if the planned stop was complete and 1 otherwise.
      *
      * @return {@link #RUNNING}
      */
     public int start() {
-        mForwards.register(mLinks);
-        mAsks.register(mLinks);
-        mBackendWatch.follow(mSteering);
-        mSteering.start();
-        mOperations.start();
-        mSpending.start();
-        mConfiguration.addListener(this::configured);
-        mMembers.setHeadroomSupplier(this::headroom);
-        mMembers.addHeadroomListener(this::headroom);
-        mMembers.addListener(this::membersChanged);
+        mForwardReceiver.register(mLinks);
+        mOperationReceiver.register(mLinks);
+        mBackendWatch.follow(mSteeringLoop);
+        mSteeringLoop.start();
+        mOperationLoop.start();
+        mSpendingService.start();
+        mConfiguration.addListener(this::onConfiguration);
+        mMembers.setHeadroomSupplier(this::ownHeadroom);
+        mMembers.addHeadroomListener(this::onHeadroom);
+        mMembers.addListener(this::onMembersChanged);
         mLinks.start();
         mMetrics.control()
                 .watchLinks(
@@ -126,34 +127,34 @@
                         () -> mLinks.statistics().answersNotAwaited());
         mMetrics.control().watchHeartbeats(mMembers::rejectedHeartbeats);
         mMembers.start();
-        mConfigurationDuty.start();
-        mOperators.start();
-        mCallers.start();
-        membersChanged(mMembers.view());
+        mConfigurationService.start();
+        mOperatorServer.start();
+        mCallerServer.start();
+        onMembersChanged(mMembers.view());
         Runtime.getRuntime().addShutdownHook(new Thread(this::stop, "planned-stop"));
-        sLogger.info("PROCESS  Instance {} serves.", mIncarnation);
+        sLogger.info("PROCESS  Instance {} is serving.", mIncarnation);
         return RUNNING;
     }
 
     private void stop() {
-        sLogger.info("PROCESS  Instance {} stops as planned.", mIncarnation);
-        boolean whole = mStop.stop();
-        mCallers.close();
-        mOperators.close();
+        sLogger.info("PROCESS  Instance {} is stopping as planned.", mIncarnation);
+        boolean complete = mPlannedStop.stop();
+        mCallerServer.close();
+        mOperatorServer.close();
         mMembers.close();
-        mConfigurationDuty.close();
-        mSpending.close();
-        mOperations.close();
-        mSteering.close();
+        mConfigurationService.close();
+        mSpendingService.close();
+        mOperationLoop.close();
+        mSteeringLoop.close();
         mLinks.close();
         sLogger.info("PROCESS  Instance {} has stopped.", mIncarnation);
         mLogging.close();
-        Runtime.getRuntime().halt(whole ? 0 : 1);
+        Runtime.getRuntime().halt(complete ? 0 : 1);
     }
 
-    private void configured(Configuration configuration) {
-        mSteeringKeeper.configure(configuration);
-        mSpending.configure(configuration);
+    private void onConfiguration(Configuration configuration) {
+        mSteeringService.configure(configuration);
+        mSpendingService.configure(configuration);
         mLookups.configure(configuration);
         mMembers.configure(configuration);
         mMetrics.allowNamesOf(configuration.content());
@@ -161,28 +162,30 @@
         sLogger.info("CONFIG  Version {} is in force.", configuration.version());
     }
 
-    private void membersChanged(MembershipView view) {
-        mSteeringKeeper.updateMembers(view);
+    private void onMembersChanged(MembershipView view) {
+        mSteeringService.updateMembers(view);
         mLookups.updateMembers(view.members());
-        mSpending.updateHolderCount(view.live().size());
+        mSpendingService.updateHolderCount(view.live().size());
         mMetrics.control().updatePeerCount(view.live().size() - 1);
     }
 
-    private List<HeadroomEntry> headroom() {
-        return mSteeringKeeper.ownHeadrooms().entrySet().stream()
+    private List<HeadroomEntry> ownHeadroom() {
+        return mSteeringService.ownHeadrooms().entrySet().stream()
                 .map(each -> ForwardCodec.toEntry(each.getKey(), each.getValue()))
                 .toList();
     }
 
-    private void headroom(InstanceId from, List<HeadroomEntry> entries) {
+    private void onHeadroom(InstanceId from, List<HeadroomEntry> entries) {
         for (HeadroomEntry entry : entries) {
             try {
                 Shard shard = ForwardCodec.toShard(entry);
-                Headroom counts = ForwardCodec.toHeadroom(entry);
-                mSteeringKeeper.updateHeadroom(shard, counts);
+                Headroom headroom = ForwardCodec.toHeadroom(entry);
+                mSteeringService.updateHeadroom(shard, headroom);
             } catch (IllegalArgumentException e) {
                 sLogger.warn(
-                        "INSTANCE  Instance {} told of bad headroom: {}", from, e.getMessage());
+                        "INSTANCE  Instance {} reported invalid headroom: {}",
+                        from,
+                        e.getMessage());
             }
         }
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/DaemonComponent.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/DaemonComponent.java
@@ -7,7 +7,7 @@
 import javax.inject.Singleton;
 
 /**
- * All parts of a daemon, wired in one place.
+ * Dagger component that wires all parts of a daemon.
  *
  * @since 0.1
  */
@@ -29,36 +29,36 @@
 public interface DaemonComponent {
 
     /**
-     * Gives the daemon.
+     * Returns the daemon.
      *
      * @return the daemon, not started yet
      */
     Daemon daemon();
 
-    /** Takes what is known before the wiring. */
+    /** Builder that accepts the objects created before the wiring. */
     @Component.Builder
     interface Builder {
 
         /**
-         * Takes the settings.
+         * Sets the settings.
          *
-         * @param settings the checked settings
+         * @param settings the validated settings
          * @return this
          */
         @BindsInstance
         Builder settings(DaemonSettings settings);
 
         /**
-         * Takes the logging.
+         * Sets the logging.
          *
-         * @param logging the logging, started
+         * @param logging the logging, already started
          * @return this
          */
         @BindsInstance
         Builder logging(Logging logging);
 
         /**
-         * Wires the parts.
+         * Builds the component.
          *
          * @return the component
          */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/DaemonParts.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/DaemonParts.java
@@ -20,44 +20,44 @@
 import java.util.concurrent.TimeoutException;
 import javax.inject.Inject;
 
-/** The parts of the daemon as a planned stop sees them; safe for all threads. */
+/** Adapter of the daemon's parts for a planned stop. Thread-safe. */
 final class DaemonParts implements StoppableParts {
 
     private final Incarnation mIncarnation;
-    private final EventLoop mSteering;
-    private final SteeringService mSteeringKeeper;
-    private final ForwardReceiver mForwards;
+    private final EventLoop mSteeringLoop;
+    private final SteeringService mSteeringService;
+    private final ForwardReceiver mForwardReceiver;
     private final MembershipService mMembers;
     private final CallerServer mCallers;
     private final RequestGateway mGateway;
     private final OnceOnlyGuard mGuard;
     private final LinkOperationPeers mPeers;
-    private final PlatformOperationArchive mOperations;
+    private final PlatformOperationArchive mArchive;
     private final SpendingService mSpending;
 
     @Inject
     DaemonParts(
             Incarnation incarnation,
-            @SteeringThread EventLoop steering,
-            SteeringService steeringKeeper,
-            ForwardReceiver forwards,
+            @SteeringThread EventLoop steeringLoop,
+            SteeringService steeringService,
+            ForwardReceiver forwardReceiver,
             MembershipService members,
             CallerServer callers,
             RequestGateway gateway,
             OnceOnlyGuard guard,
             LinkOperationPeers peers,
-            PlatformOperationArchive operations,
+            PlatformOperationArchive archive,
             SpendingService spending) {
         mIncarnation = incarnation;
-        mSteering = steering;
-        mSteeringKeeper = steeringKeeper;
-        mForwards = forwards;
+        mSteeringLoop = steeringLoop;
+        mSteeringService = steeringService;
+        mForwardReceiver = forwardReceiver;
         mMembers = members;
         mCallers = callers;
         mGateway = gateway;
         mGuard = guard;
         mPeers = peers;
-        mOperations = operations;
+        mArchive = archive;
         mSpending = spending;
     }
 
@@ -68,7 +68,7 @@
 
     @Override
     public int inFlight() {
-        return mCallers.inFlight() + mForwards.steered() + mSteeringKeeper.inFlight();
+        return mCallers.inFlight() + mForwardReceiver.steered() + mSteeringService.inFlight();
     }
 
     @Override
@@ -78,7 +78,7 @@
 
     @Override
     public boolean handOverOutcomes(Duration bound) {
-        return new OperationHandover(mIncarnation, mSteering, mGuard, mOperations, mPeers)
+        return new OperationHandover(mIncarnation, mSteeringLoop, mGuard, mArchive, mPeers)
                 .handOver(bound);
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/DaemonStatus.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/DaemonStatus.java
@@ -14,7 +14,7 @@
 import java.util.Locale;
 import javax.inject.Inject;
 
-/** Knows the status of this instance; safe for all threads. */
+/** Source of the status of this instance. Thread-safe. */
 final class DaemonStatus implements StatusSource {
 
     private final DaemonSettings mSettings;
@@ -24,7 +24,7 @@
     private final ConfigurationHolder mConfiguration;
     private final CallerServer mCallers;
     private final MembershipService mMembers;
-    private final SteeringService mSteering;
+    private final SteeringService mSteeringService;
 
     @Inject
     DaemonStatus(
@@ -35,7 +35,7 @@
             ConfigurationHolder configuration,
             CallerServer callers,
             MembershipService members,
-            SteeringService steering) {
+            SteeringService steeringService) {
         mSettings = settings;
         mIncarnation = incarnation;
         mStop = stop;
@@ -43,7 +43,7 @@
         mConfiguration = configuration;
         mCallers = callers;
         mMembers = members;
-        mSteering = steering;
+        mSteeringService = steeringService;
     }
 
     @Override
@@ -51,7 +51,7 @@
         List<StatusAnswer.MemberEntry> members =
                 mMembers.view().members().stream().map(StatusAnswer.MemberEntry::of).toList();
         List<StatusAnswer.CapacityEntry> capacity =
-                mSteering.regionHeadrooms().entrySet().stream()
+                mSteeringService.regionHeadrooms().entrySet().stream()
                         .map(
                                 each ->
                                         StatusAnswer.CapacityEntry.of(
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/FoundationModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/FoundationModule.java
@@ -15,7 +15,7 @@
 import javax.inject.Singleton;
 
 /**
- * Wires clocks, ids, random numbers and the steering duty.
+ * Dagger module that provides clocks, ids, random numbers and the steering event loop.
  *
  * @since 0.1
  */
@@ -58,8 +58,9 @@
     @SteeringThread
     static EventLoop steeringEventLoop(
             DaemonSettings settings, TimeSource timeSource, DaemonMetrics metrics) {
-        EventLoop duty = new EventLoop("steering", settings.steering().ringCapacity(), timeSource);
-        metrics.control().watchRing("steering", duty::refused, duty::waiting);
-        return duty;
+        EventLoop eventLoop =
+                new EventLoop("steering", settings.steering().ringCapacity(), timeSource);
+        metrics.control().watchRing("steering", eventLoop::refused, eventLoop::waiting);
+        return eventLoop;
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/HeadroomScrape.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/HeadroomScrape.java
@@ -8,30 +8,30 @@
 import java.util.Set;
 import javax.inject.Inject;
 
-/** Brings the metrics of headroom up to date before each scrape; safe for all threads. */
+/** Updates the headroom metrics before each scrape. Thread-safe. */
 final class HeadroomScrape implements Runnable {
 
-    private final SteeringService mSteering;
+    private final SteeringService mSteeringService;
     private final DaemonMetrics mMetrics;
-    private Set<RegionKey> mShown = Set.of();
+    private Set<RegionKey> mPublishedKeys = Set.of();
 
     @Inject
-    HeadroomScrape(SteeringService steering, DaemonMetrics metrics) {
-        mSteering = steering;
+    HeadroomScrape(SteeringService steeringService, DaemonMetrics metrics) {
+        mSteeringService = steeringService;
         mMetrics = metrics;
     }
 
     @Override
     public synchronized void run() {
-        Map<RegionKey, Headroom> known = mSteering.regionHeadrooms();
-        for (RegionKey key : mShown) {
-            if (!known.containsKey(key)) {
+        Map<RegionKey, Headroom> headrooms = mSteeringService.regionHeadrooms();
+        for (RegionKey key : mPublishedKeys) {
+            if (!headrooms.containsKey(key)) {
                 mMetrics.capacity().remove(key.service(), key.region());
             }
         }
-        known.forEach(
+        headrooms.forEach(
                 (key, headroom) ->
                         mMetrics.capacity().updateHeadroom(key.service(), key.region(), headroom));
-        mShown = Set.copyOf(known.keySet());
+        mPublishedKeys = Set.copyOf(headrooms.keySet());
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/LifecycleModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/LifecycleModule.java
@@ -16,7 +16,7 @@
 import javax.inject.Singleton;
 
 /**
- * Wires planned stops, drains and the status.
+ * Dagger module that provides the planned stop, drains and the status.
  *
  * @since 0.1
  */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/LinkConfigurationPeers.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/LinkConfigurationPeers.java
@@ -14,7 +14,7 @@
 import java.util.function.Supplier;
 
 /**
- * The other instances as the configuration's duty needs them, over links; safe for all threads.
+ * Implementation of {@link ConfigurationPeers} on top of the links between instances. Thread-safe.
  *
  * @since 0.1
  */
@@ -27,11 +27,11 @@
     private final Supplier<? extends Collection<Member>> mMembers;
 
     /**
-     * Makes the peers.
+     * Creates the peers.
      *
      * @param self this instance
      * @param links the links
-     * @param members lists all members as they are seen now
+     * @param members supplies all members of the current view
      */
     public LinkConfigurationPeers(
             InstanceId self, InstanceLinks links, Supplier<? extends Collection<Member>> members) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/LinkModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/LinkModule.java
@@ -18,7 +18,7 @@
 import javax.inject.Singleton;
 
 /**
- * Wires the links to other instances.
+ * Dagger module that provides the links to other instances.
  *
  * @since 0.1
  */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/MembershipModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/MembershipModule.java
@@ -17,7 +17,7 @@
 import javax.inject.Singleton;
 
 /**
- * Wires the members.
+ * Dagger module that provides the membership.
  *
  * @since 0.1
  */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/ObservationModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/ObservationModule.java
@@ -18,7 +18,7 @@
 import javax.inject.Singleton;
 
 /**
- * Wires the time line, the metrics and the logs, and the routes that show them.
+ * Dagger module that provides the timeline, the metrics, the logging and their operator routes.
  *
  * @since 0.1
  */
@@ -38,7 +38,7 @@
                 incarnation.instance(), clock, TimelineRing.DEFAULT_CAPACITY_PER_PART);
     }
 
-    /** Lets all parts record into the ring. */
+    /** Binds the timeline of all parts to the ring. */
     @Binds
     abstract Timeline timeline(TimelineRing ring);
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/OperationModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/OperationModule.java
@@ -32,14 +32,14 @@
 import javax.inject.Singleton;
 
 /**
- * Wires the operations that run at most once.
+ * Dagger module that provides the operations that run at most once.
  *
  * @since 0.1
  */
 @Module
 public final class OperationModule {
 
-    private static final int RING_CAPACITY = 8_192;
+    private static final int QUEUE_CAPACITY = 8_192;
     private static final int SECRET_BYTES = 32;
     private static final int MAXIMUM_OUTCOMES = 20_000;
     private static final Duration KEY_LIFETIME = Duration.ofMinutes(10);
@@ -47,7 +47,7 @@
 
     private OperationModule() {}
 
-    /** Marks the duty that talks with the platform about operations. */
+    /** Qualifier of the event loop that communicates with the platform about operations. */
     @Qualifier
     @interface OperationThread {}
 
@@ -55,7 +55,7 @@
     @Singleton
     @OperationThread
     static EventLoop operationThread(TimeSource timeSource) {
-        return new EventLoop("operations", RING_CAPACITY, timeSource);
+        return new EventLoop("operations", QUEUE_CAPACITY, timeSource);
     }
 
     @Provides
@@ -67,14 +67,14 @@
     @Provides
     @Singleton
     static PlatformOperationArchive platformOperationArchive(
-            @OperationThread EventLoop thread,
-            @SteeringThread EventLoop steering,
+            @OperationThread EventLoop operationLoop,
+            @SteeringThread EventLoop steeringLoop,
             ObjectStore store,
             Incarnation incarnation,
             TimeSource timeSource,
             RandomGenerator random) {
         return new PlatformOperationArchive(
-                thread,
+                operationLoop,
                 store,
                 incarnation,
                 new ClaimBatcher(ClaimLimits.DEFAULT, timeSource, random),
@@ -83,7 +83,7 @@
                         OUTCOME_INTERVAL,
                         ClaimLimits.DEFAULT.clockError(),
                         MAXIMUM_OUTCOMES),
-                steering::put);
+                steeringLoop::put);
     }
 
     @Provides
@@ -100,11 +100,11 @@
     @Singleton
     static OnceOnlyGuard onceOnlyGuard(
             Incarnation incarnation,
-            @SteeringThread EventLoop steering,
+            @SteeringThread EventLoop steeringLoop,
             PeerFallbackEntry entry,
             MemberHomeDirectory homes,
             LinkOperationPeers peers,
-            PlatformOperationArchive operations,
+            PlatformOperationArchive archive,
             TimeSource timeSource,
             RandomGenerator random,
             Timeline timeline) {
@@ -121,15 +121,15 @@
                                 issuer, homes, clock, OperationLimits.DEFAULT, AnswerSize::of)),
                 entry::submit,
                 peers,
-                operations,
-                steering::put,
+                archive,
+                steeringLoop::put,
                 timeline);
     }
 
     @Provides
     @Singleton
     static OperationReceiver operationReceiver(
-            @SteeringThread EventLoop steering, OnceOnlyGuard guard, TimeSource timeSource) {
-        return new OperationReceiver(steering, guard, timeSource);
+            @SteeringThread EventLoop steeringLoop, OnceOnlyGuard guard, TimeSource timeSource) {
+        return new OperationReceiver(steeringLoop, guard, timeSource);
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/PlatformModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/PlatformModule.java
@@ -13,10 +13,10 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Wires the client of the platform.
+ * Dagger module that provides the client of the platform.
  *
- * <p>The jitter is seeded by the machine, so that instances which start together do not call
- * together.
+ * <p>The jitter is seeded by the operating system, so that instances that start at the same time do
+ * not call the platform at the same time.
  *
  * @since 0.1
  */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/SpendingModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/SpendingModule.java
@@ -18,7 +18,8 @@
 import javax.inject.Singleton;
 
 /**
- * Wires spending: the accounts on the steering duty, the ledgers at the platform and the route.
+ * Dagger module that provides spending: the accounts, confined to the steering thread, the ledgers
+ * at the platform and the operator route.
  *
  * @since 0.1
  */
@@ -30,7 +31,7 @@
     @Provides
     @Singleton
     static SpendingService spendingService(
-            @SteeringThread EventLoop duty,
+            @SteeringThread EventLoop steeringLoop,
             ObjectStore store,
             Incarnation incarnation,
             TimeSource timeSource,
@@ -38,7 +39,7 @@
             DaemonMetrics metrics) {
         SpendingService spending =
                 new SpendingService(
-                        duty,
+                        steeringLoop,
                         new PlatformLedgers(store, new LedgerCodec()),
                         incarnation,
                         AllotmentPolicy.DEFAULT,
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/SteeringModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/SteeringModule.java
@@ -37,7 +37,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Wires the request path: selection, spending, admission, forwarding and dispatch.
+ * Dagger module that provides the request path: selection, spending, admission, forwarding and
+ * dispatch.
  *
  * @since 0.1
  */
@@ -47,7 +48,7 @@
     /** One admitter for each availability zone; see docs/design/region-selection.md. */
     private static final ShardScope SCOPE = ShardScope.ZONE;
 
-    /** How often requests that wait for an allotment are tried again. */
+    /** Interval at which requests that wait for an allotment are charged again. */
     private static final Duration CHARGE_PERIOD = Duration.ofMillis(5);
 
     private SteeringModule() {}
@@ -75,14 +76,14 @@
     @Provides
     @Singleton
     static AdmitterSteering admitterSteering(
-            @SteeringThread EventLoop duty,
+            @SteeringThread EventLoop steeringLoop,
             DefaultShardDirectory directory,
             BackendClient client,
             DaemonMetrics metrics,
             TimeSource timeSource,
             Timeline timeline) {
         return new AdmitterSteering(
-                duty::put,
+                steeringLoop::put,
                 directory,
                 new MeteredDispatcher(client, metrics.requests(), timeSource),
                 (shard, sink) ->
@@ -102,12 +103,14 @@
     @Provides
     @Singleton
     static BackendHealthChecker backendHealthChecker(
-            @SteeringThread EventLoop duty, AdmitterSteering admitter, TimeSource timeSource) {
+            @SteeringThread EventLoop steeringLoop,
+            AdmitterSteering admitter,
+            TimeSource timeSource) {
         return new BackendHealthChecker(
                 BackendHealthSettings.DEFAULTS,
                 timeSource,
                 RandomSource.XO_RO_SHI_RO_128_PP.create(),
-                (server, sign) -> duty.put(() -> admitter.observe(server, sign)));
+                (server, signal) -> steeringLoop.put(() -> admitter.observe(server, signal)));
     }
 
     @Provides
@@ -119,11 +122,11 @@
     @Provides
     @Singleton
     static SteeringService steeringService(
-            @SteeringThread EventLoop duty,
+            @SteeringThread EventLoop steeringLoop,
             DefaultShardDirectory directory,
             ConfiguredRegionSelector selector,
             AdmitterSteering admitter) {
-        return new SteeringService(duty, directory, selector, admitter);
+        return new SteeringService(steeringLoop, directory, selector, admitter);
     }
 
     @Provides
@@ -135,23 +138,24 @@
     @Provides
     @Singleton
     static ForwardReceiver forwardReceiver(
-            @SteeringThread EventLoop duty,
+            @SteeringThread EventLoop steeringLoop,
             AdmitterSteering admitter,
             EntrySteering entry,
             TimeSource timeSource) {
-        return new ForwardReceiver(duty, admitter, entry, timeSource);
+        return new ForwardReceiver(steeringLoop, admitter, entry, timeSource);
     }
 
     @Provides
     @Singleton
     static PeerFallbackEntry peerFallbackEntry(
             EntrySteering entry,
-            @SteeringThread EventLoop duty,
+            @SteeringThread EventLoop steeringLoop,
             TimeSource timeSource,
             DefaultShardDirectory directory,
             LinkRemoteAdmitter remote,
             RetryBudget retries) {
-        return new PeerFallbackEntry(entry, duty::put, timeSource, directory, remote, retries);
+        return new PeerFallbackEntry(
+                entry, steeringLoop::put, timeSource, directory, remote, retries);
     }
 
     @Provides
@@ -163,7 +167,7 @@
     @Provides
     @Singleton
     static EntrySteering entrySteering(
-            @SteeringThread EventLoop duty,
+            @SteeringThread EventLoop steeringLoop,
             TimeSource timeSource,
             DaemonSettings settings,
             ConfigurationHolder configuration,
@@ -177,7 +181,7 @@
             Timeline timeline) {
         EntrySteering entry =
                 new EntrySteering(
-                        duty::put,
+                        steeringLoop::put,
                         timeSource,
                         settings.instance().id(),
                         configuration::current,
@@ -187,7 +191,7 @@
                         remote,
                         timeline);
         entry.setFurtherAttemptListener(metrics.requests()::recordFurtherAttempt);
-        duty.every(CHARGE_PERIOD, entry::advance);
+        steeringLoop.every(CHARGE_PERIOD, entry::advance);
         return entry;
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/SteeringThread.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/SteeringThread.java
@@ -5,7 +5,7 @@
 import javax.inject.Qualifier;
 
 /**
- * Marks the duty that the request path belongs to.
+ * Qualifier of the event loop to which the request path is confined.
  *
  * @since 0.1
  */
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/DaemonArchitectureTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/DaemonArchitectureTest.java
@@ -11,7 +11,10 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** Each peer has a package at the edge, and the wiring alone sees all. */
+/**
+ * Tests that each kind of peer has a package of its own and that only the wiring depends on all of
+ * them.
+ */
 class DaemonArchitectureTest {
 
     private static final List<String> PEERS =
@@ -23,7 +26,7 @@
                     .importPackages("io.masticpond.daemon");
 
     @Example
-    void peersDoNotSeeEachOther() {
+    void peerPackagesDoNotDependOnEachOther() {
         for (String peer : PEERS) {
             String[] others =
                     PEERS.stream()
@@ -41,7 +44,7 @@
     }
 
     @Example
-    void onlyTheMainClassSeesTheWiring() {
+    void onlyMainClassDependsOnWiring() {
         classes()
                 .that()
                 .resideInAPackage(packageOf("wiring"))
@@ -69,7 +72,7 @@
     }
 
     @Example
-    void librariesStayAtTheirEdges() {
+    void librariesAreUsedOnlyInTheirPackages() {
         onlyIn("io.netty..", "instance");
         onlyIn("io.prometheus..", "metrics");
         onlyIn("ch.qos.logback..", "logging");
@@ -77,7 +80,7 @@
     }
 
     @Example
-    void daemonSeesNeitherStandInsNorCommandLine() {
+    void daemonDependsOnNeitherStandInsNorCommandLine() {
         noClasses()
                 .should()
                 .dependOnClassesThat()
