--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/timeline/TimelineAnswer.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/timeline/TimelineAnswer.java
@@ -23,7 +23,7 @@
      *
      * @param incarnation the responding incarnation
      * @param now the time of the response
-     * @param overwritten how many events newer ones have overwritten
+     * @param overwritten the number of events that newer ones have overwritten
      * @param events the events in the order of their times
      * @return the answer
      */
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/EntrySteeringTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/EntrySteeringTest.java
@@ -133,7 +133,7 @@
     }
 
     @Example
-    void requestsWaitForAllotmentRenewalOnlyBriefly() {
+    void requestsWaitForAllotmentRenewalUntilCancelled() {
         mGate.mRenewing = true;
         EntrySteering entry = entry();
         entry.submit(request(OperationKind.ONCE_ONLY), mCompletions::add);
