--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlDocuments.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlDocuments.java
@@ -18,7 +18,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** Makes the documents of one moment. Control thread only. */
+/** Builder of the control documents of one point in time. For the control thread only. */
 final class ControlDocuments {
 
     private static final int DEFAULT_VIEW_CHANGES = 50;
@@ -28,10 +28,10 @@
     private final long mNowNanos;
 
     /**
-     * Prepares documents.
+     * Creates a builder.
      *
-     * @param sources the parts to ask
-     * @param traffic what the traffic thread knows, or null for documents that don't need it
+     * @param sources the components to read
+     * @param traffic the snapshot of the traffic thread, or null for documents that don't need it
      */
     ControlDocuments(ControlSources sources, TrafficSnapshot traffic) {
         mSources = sources;
@@ -40,13 +40,13 @@
     }
 
     FleetDocuments fleet() {
-        return new FleetDocuments(mSources.replica().snapshot(), this::begin, mNowNanos);
+        return new FleetDocuments(mSources.replica().snapshot(), this::newDocument, mNowNanos);
     }
 
     ObjectNode status() {
         PeerInstance self = mSources.self();
         ReplicaStatus replica = mSources.replica().status();
-        ObjectNode document = begin();
+        ObjectNode document = newDocument();
         document.put("incarnation", self.incarnation());
         document.put("zone", self.zone().value());
         document.put("region", self.region().value());
@@ -81,7 +81,7 @@
     }
 
     ObjectNode members() {
-        ObjectNode document = begin();
+        ObjectNode document = newDocument();
         document.put("shareholders", mSources.heartbeats().shareholders());
         ArrayNode members = document.putArray("members");
         for (PeerMember member : mSources.heartbeats().members()) {
@@ -103,19 +103,19 @@
     }
 
     Either<ControlProblem, ObjectNode> servers(Optional<String> service) {
-        boolean known =
+        boolean isKnown =
                 service.isEmpty()
                         || mSources.replica().snapshot().routing().stream()
                                 .flatMap(routing -> routing.services().keySet().stream())
                                 .anyMatch(each -> each.value().equals(service.get()));
-        if (!known) {
+        if (!isKnown) {
             return Either.left(
                     ControlProblem.notFound(
                             "no-such-service",
                             "The routes in force name no service '%s'.",
                             service.get()));
         }
-        ObjectNode document = beginTraffic();
+        ObjectNode document = newTrafficDocument();
         ArrayNode servers = document.putArray("servers");
         mTraffic.servers().stream()
                 .filter(
@@ -127,20 +127,20 @@
     }
 
     ObjectNode budget() {
-        ObjectNode document = beginTraffic();
+        ObjectNode document = newTrafficDocument();
         document.put("shareholders", mSources.heartbeats().shareholders());
         ArrayNode budgets = document.putArray("budgets");
         TreeMap<String, RetryBudgetUsage> sorted = new TreeMap<>();
         mTraffic.budgets()
-                .forEach((ServiceId id, RetryBudgetUsage use) -> sorted.put(id.value(), use));
+                .forEach((ServiceId id, RetryBudgetUsage usage) -> sorted.put(id.value(), usage));
         sorted.forEach(
-                (service, use) ->
+                (service, usage) ->
                         budgets.addObject()
                                 .put("service", service)
-                                .put("requests", use.requests())
-                                .put("used", use.used())
-                                .put("bound", JsonFormat.rounded(use.bound()))
-                                .put("left", JsonFormat.rounded(use.left())));
+                                .put("requests", usage.requests())
+                                .put("used", usage.used())
+                                .put("bound", JsonFormat.rounded(usage.bound()))
+                                .put("left", JsonFormat.rounded(usage.left())));
         ArrayNode cold = document.putArray("coldServers");
         mTraffic.servers().stream()
                 .filter(ServerSnapshot::cold)
@@ -151,7 +151,10 @@
         return document;
     }
 
-    /** Writes the shifts that run now; amounts are in millionths of the unit of money. */
+    /**
+     * Writes the spending of the shifts that are running; amounts are in millionths of the currency
+     * unit.
+     */
     private void writeSpendings(ArrayNode spendings) {
         Instant now = mSources.timeSource().instant();
         mTraffic.spendings().stream()
@@ -172,7 +175,7 @@
     }
 
     ObjectNode crashes() {
-        ObjectNode document = beginTraffic();
+        ObjectNode document = newTrafficDocument();
         ArrayNode crashes = document.putArray("crashes");
         for (CrashView each : mTraffic.crashes()) {
             ObjectNode crash =
@@ -193,39 +196,39 @@
     }
 
     ObjectNode workspaces() {
-        ObjectNode document = beginTraffic();
+        ObjectNode document = newTrafficDocument();
         mTraffic.workspaces().write(document);
         return document;
     }
 
-    Either<ControlProblem, ObjectNode> timeline(ControlRequest question) {
-        return question.number(
-                        ControlView.BELIEFS,
+    Either<ControlProblem, ObjectNode> timeline(ControlRequest request) {
+        return request.number(
+                        ControlView.VIEW_CHANGES,
                         DEFAULT_VIEW_CHANGES,
                         RecentDecisions.MAXIMUM_VIEW_CHANGES)
-                .map(beliefs -> timeline(question.parameter(ControlView.REQUEST), beliefs));
+                .map(changeCount -> timeline(request.parameter(ControlView.REQUEST), changeCount));
     }
 
-    private ObjectNode timeline(Optional<String> request, int beliefs) {
-        ObjectNode document = begin();
+    private ObjectNode timeline(Optional<String> requestId, int changeCount) {
+        ObjectNode document = newDocument();
         document.put("forgottenLines", mSources.decisions().evicted());
-        request.ifPresent(
+        requestId.ifPresent(
                 id -> {
                     document.put("request", id);
                     document.putArray("lines").addAll(mSources.decisions().ofRequest(id));
                 });
-        document.putArray("beliefs").addAll(mSources.decisions().recentViewChanges(beliefs));
+        document.putArray("beliefs").addAll(mSources.decisions().recentViewChanges(changeCount));
         return document;
     }
 
-    private ObjectNode begin() {
+    private ObjectNode newDocument() {
         return JsonFormat.object()
                 .put("instance", mSources.self().id().value())
                 .put("at", mSources.timeSource().instant().toString());
     }
 
-    private ObjectNode beginTraffic() {
-        return begin().put("ageMillis", JsonFormat.millis(mNowNanos - mTraffic.takenNanos()));
+    private ObjectNode newTrafficDocument() {
+        return newDocument().put("ageMillis", JsonFormat.millis(mNowNanos - mTraffic.takenNanos()));
     }
 
     private static Optional<Long> age(ReplicaStatus replica, Category category) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlSurface.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlHandler.java
@@ -18,19 +18,20 @@
 import java.util.Optional;
 
 /**
- * Answers operators with JSON documents below {@code /v1/}; all other paths go on. The one thing
- * that can be changed by it is that a rejected request is released. Every question is answered
- * within about a second, and none waits in the way of requests. Control thread only.
+ * Request handler that serves JSON documents to operators below {@code /v1/} and delegates all
+ * other paths. The only change that it allows is the release of a rejected request. Every read is
+ * answered within about a second, and no control request blocks the requests of clients. Not
+ * thread-safe: for the control thread only.
  *
  * @since 0.2
  */
-public final class ControlSurface implements RequestHandler {
+public final class ControlHandler implements RequestHandler {
 
-    private static final int FOUND = 200;
+    private static final int OK = 200;
     private static final int METHOD_NOT_ALLOWED = 405;
     private static final int UNAVAILABLE = 503;
-    private static final String DOCUMENT = "application/json";
-    private static final String PROBLEM = "application/problem+json";
+    private static final String JSON_TYPE = "application/json";
+    private static final String PROBLEM_TYPE = "application/problem+json";
 
     private final ControlSources mSources;
     private final RequestHandler mNext;
@@ -38,12 +39,12 @@
     private final JsonMapper mMapper = new JsonMapper();
 
     /**
-     * Joins the parts.
+     * Creates a handler.
      *
-     * @param sources the parts to ask
-     * @param next handles requests for other paths
+     * @param sources the components to read
+     * @param next the handler of requests for other paths
      */
-    public ControlSurface(ControlSources sources, RequestHandler next) {
+    public ControlHandler(ControlSources sources, RequestHandler next) {
         mSources = Assert.notNull(sources, "Sources");
         mNext = Assert.notNull(next, "A next handler");
         mReader =
@@ -56,29 +57,31 @@
 
     @Override
     public void handle(IncomingRequest request, Responder responder) {
-        if (!request.target().startsWith(ControlRequest.ROOT)) {
+        if (!request.target().startsWith(ControlRequest.PATH_PREFIX)) {
             mNext.handle(request, responder);
             return;
         }
         request.body().release();
-        Either<ControlProblem, ControlRequest> question =
+        Either<ControlProblem, ControlRequest> controlRequest =
                 ControlRequest.read(request.method(), request.target());
-        if (question.isLeft()) {
-            refuse(question.getLeft(), responder);
-        } else if (question.get().isChange()) {
-            release(question.get(), responder);
-        } else if (question.get().view().needsTraffic()) {
-            mReader.read(snapshot -> answer(question.get(), snapshot, responder));
+        if (controlRequest.isLeft()) {
+            answerProblem(controlRequest.getLeft(), responder);
+        } else if (controlRequest.get().isChange()) {
+            release(controlRequest.get(), responder);
+        } else if (controlRequest.get().view().needsTraffic()) {
+            mReader.read(snapshot -> answer(controlRequest.get(), snapshot, responder));
         } else {
-            answer(question.get(), Either.right(null), responder);
+            answer(controlRequest.get(), Either.right(null), responder);
         }
     }
 
-    private void release(ControlRequest question, Responder responder) {
-        Optional<RequestFingerprint> request =
-                question.parameter(ControlView.FINGERPRINT).flatMap(RequestFingerprint::parse);
-        if (request.isEmpty()) {
-            refuse(
+    private void release(ControlRequest controlRequest, Responder responder) {
+        Optional<RequestFingerprint> fingerprint =
+                controlRequest
+                        .parameter(ControlView.FINGERPRINT)
+                        .flatMap(RequestFingerprint::parse);
+        if (fingerprint.isEmpty()) {
+            answerProblem(
                     ControlProblem.badRequest(
                             "bad-parameter",
                             "%s must be the 32 hexadecimal digits of a fingerprint.",
@@ -89,45 +92,51 @@
         mSources.traffic()
                 .execute(
                         () -> {
-                            boolean isKnown = mSources.flow().crashes().release(request.get());
+                            boolean isKnown = mSources.flow().crashes().release(fingerprint.get());
                             mSources.control()
-                                    .execute(() -> released(request.get(), isKnown, responder));
+                                    .execute(
+                                            () ->
+                                                    answerReleased(
+                                                            fingerprint.get(), isKnown, responder));
                         });
     }
 
-    private void released(RequestFingerprint request, boolean isKnown, Responder responder) {
+    private void answerReleased(
+            RequestFingerprint fingerprint, boolean isKnown, Responder responder) {
         if (isKnown) {
             ObjectNode document =
                     JsonFormat.object()
                             .put("instance", mSources.self().id().value())
-                            .put("released", request.toString());
-            responder.answer(answer(FOUND, DOCUMENT, document));
+                            .put("released", fingerprint.toString());
+            responder.answer(answer(OK, JSON_TYPE, document));
         } else {
-            refuse(
+            answerProblem(
                     ControlProblem.notFound(
-                            "no-such-request", "No request %s is followed here.", request),
+                            "no-such-request", "No request %s is followed here.", fingerprint),
                     responder);
         }
     }
 
     private void answer(
-            ControlRequest question,
+            ControlRequest controlRequest,
             Either<ControlProblem, TrafficSnapshot> snapshot,
             Responder responder) {
         Either<ControlProblem, ObjectNode> document =
                 snapshot.map(traffic -> new ControlDocuments(mSources, traffic))
-                        .flatMap(documents -> question.view().show(question, documents));
-        document.peek(found -> responder.answer(answer(FOUND, DOCUMENT, found)))
-                .peekLeft(problem -> refuse(problem, responder));
+                        .flatMap(
+                                documents ->
+                                        controlRequest.view().build(controlRequest, documents));
+        document.peek(found -> responder.answer(answer(OK, JSON_TYPE, found)))
+                .peekLeft(problem -> answerProblem(problem, responder));
     }
 
-    private void refuse(ControlProblem problem, Responder responder) {
+    private void answerProblem(ControlProblem problem, Responder responder) {
         ObjectNode document =
                 JsonFormat.object()
                         .put("status", problem.status())
                         .put("cause", problem.cause())
                         .put("detail", problem.detail());
-        OutgoingAnswer answer = answer(problem.status(), PROBLEM, document);
+        OutgoingAnswer answer = answer(problem.status(), PROBLEM_TYPE, document);
         if (problem.status() == METHOD_NOT_ALLOWED) {
             answer.headers().set(HttpHeaderNames.ALLOW, "GET");
         } else if (problem.status() == UNAVAILABLE) {
@@ -145,7 +154,7 @@
         try {
             return mMapper.writeValueAsBytes(document);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("A document could not be written.", e);
+            throw new IllegalStateException("A control document could not be serialized.", e);
         }
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlProblem.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlProblem.java
@@ -1,20 +1,20 @@
 package io.masticpond.entry.control;
 
 /**
- * Why a question is not answered (RFC 9457).
+ * Problem details (RFC 9457) of a control request that is rejected.
  *
  * @param status the HTTP status
- * @param cause a fixed word
- * @param detail one sentence for people
+ * @param cause the kind of problem, a fixed identifier
+ * @param detail one sentence for the operator
  */
 record ControlProblem(int status, String cause, String detail) {
 
-    static ControlProblem badRequest(String cause, String form, Object... values) {
-        return new ControlProblem(400, cause, String.format(form, values));
+    static ControlProblem badRequest(String cause, String format, Object... values) {
+        return new ControlProblem(400, cause, String.format(format, values));
     }
 
-    static ControlProblem notFound(String cause, String form, Object... values) {
-        return new ControlProblem(404, cause, String.format(form, values));
+    static ControlProblem notFound(String cause, String format, Object... values) {
+        return new ControlProblem(404, cause, String.format(format, values));
     }
 
     static ControlProblem unavailable(String cause, String detail) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlRequest.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlRequest.java
@@ -11,25 +11,25 @@
 import java.util.TreeSet;
 
 /**
- * What an operator asks, checked.
+ * Validated request of an operator for a control document or a change.
  *
- * @param view which document
- * @param isChange whether something is to be changed, not only read
- * @param parameters the parameters, each given once and known to the view
+ * @param view the requested view
+ * @param isChange whether the request changes state rather than reads it
+ * @param parameters the query parameters, each given once and accepted by the view
  */
 record ControlRequest(ControlView view, boolean isChange, Map<String, String> parameters) {
 
-    /** What the paths of all questions begin with. */
-    static final String ROOT = "/v1/";
+    /** Prefix of the paths of all control requests. */
+    static final String PATH_PREFIX = "/v1/";
 
     private static final int METHOD_NOT_ALLOWED = 405;
-    private static final int LONGEST_VALUE = 256;
+    private static final int MAXIMUM_VALUE_LENGTH = 256;
 
     ControlRequest {
         parameters = Map.copyOf(parameters);
     }
 
-    /** Reads a question, or says what is wrong with it. */
+    /** Parses and validates a request. */
     static Either<ControlProblem, ControlRequest> read(HttpMethod method, String target) {
         QueryStringDecoder decoder;
         try {
@@ -40,7 +40,7 @@
                     ControlProblem.badRequest(
                             "bad-target", "The query can't be decoded: %s.", e.getMessage()));
         }
-        Optional<ControlView> view = ControlView.at(decoder.path());
+        Optional<ControlView> view = ControlView.forPath(decoder.path());
         if (view.isEmpty()) {
             return Either.left(
                     ControlProblem.notFound(
@@ -49,13 +49,13 @@
                             decoder.path(),
                             String.join(", ", ControlView.paths())));
         }
-        if (!method.equals(HttpMethod.GET) && !method.equals(view.get().change())) {
+        if (!method.equals(HttpMethod.GET) && !method.equals(view.get().changeMethod())) {
             return Either.left(
                     new ControlProblem(
                             METHOD_NOT_ALLOWED,
                             "method-not-allowed",
                             "%s is read with GET%s, but the method was "
-                                            .formatted(view.get().path(), otherMethod(view.get()))
+                                            .formatted(view.get().path(), changeHint(view.get()))
                                     + method
                                     + "."));
         }
@@ -66,55 +66,57 @@
                                         view.get(), !method.equals(HttpMethod.GET), parameters));
     }
 
-    private static String otherMethod(ControlView view) {
-        return view.change().equals(HttpMethod.GET)
+    private static String changeHint(ControlView view) {
+        return view.changeMethod().equals(HttpMethod.GET)
                 ? " only"
-                : ", or changed with " + view.change();
+                : ", or changed with " + view.changeMethod();
     }
 
     Optional<String> parameter(String name) {
         return Optional.ofNullable(parameters.get(name));
     }
 
-    /** Reads a number within bounds. */
-    Either<ControlProblem, Integer> number(String name, int fallback, int greatest) {
+    /**
+     * Returns a parameter as an integer from 0 to a maximum, or a default value if it is absent.
+     */
+    Either<ControlProblem, Integer> number(String name, int defaultValue, int maximum) {
         String text = parameters.get(name);
         if (text == null) {
-            return Either.right(fallback);
+            return Either.right(defaultValue);
         }
         try {
             int value = Integer.parseInt(text);
-            if (value >= 0 && value <= greatest) {
+            if (value >= 0 && value <= maximum) {
                 return Either.right(value);
             }
         } catch (NumberFormatException e) {
-            // Said below, as for a number out of bounds.
+            // Reported below, in the same way as a number out of bounds.
         }
         return Either.left(
                 ControlProblem.badRequest(
                         "bad-parameter",
                         "%s must be a whole number from 0 to %d, but was '%s'.",
                         name,
-                        greatest,
+                        maximum,
                         text));
     }
 
     private static Either<ControlProblem, Map<String, String>> parameters(
-            ControlView view, Map<String, List<String>> given) {
+            ControlView view, Map<String, List<String>> query) {
         Map<String, String> parameters = new HashMap<>();
         List<ControlProblem> problems = new ArrayList<>();
-        given.forEach(
+        query.forEach(
                 (name, values) -> {
                     parameters.put(name, values.get(0));
-                    check(view, name, values).ifPresent(problems::add);
+                    validate(view, name, values).ifPresent(problems::add);
                 });
         return problems.isEmpty() ? Either.right(parameters) : Either.left(problems.get(0));
     }
 
-    private static Optional<ControlProblem> check(
+    private static Optional<ControlProblem> validate(
             ControlView view, String name, List<String> values) {
         if (!view.parameters().contains(name)) {
-            String known =
+            String accepted =
                     view.parameters().isEmpty()
                             ? "it takes none"
                             : "it takes " + String.join(", ", new TreeSet<>(view.parameters()));
@@ -124,16 +126,16 @@
                             "%s does not take the parameter '%s'; %s.",
                             view.path(),
                             name,
-                            known));
+                            accepted));
         }
         String value = values.get(0);
-        if (values.size() > 1 || value.isBlank() || value.length() > LONGEST_VALUE) {
+        if (values.size() > 1 || value.isBlank() || value.length() > MAXIMUM_VALUE_LENGTH) {
             return Optional.of(
                     ControlProblem.badRequest(
                             "bad-parameter",
                             "%s must be given once, with 1 to %d characters.",
                             name,
-                            LONGEST_VALUE));
+                            MAXIMUM_VALUE_LENGTH));
         }
         return Optional.empty();
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlSources.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlSources.java
@@ -12,20 +12,20 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The parts that are asked.
+ * Components from which the control documents are built.
  *
- * @param timeSource the clocks
+ * @param timeSource the time source
  * @param self this instance
- * @param port the port that operators reach; all instances are taken to have the same
+ * @param port the port that operators connect to; all instances are assumed to use the same one
  * @param traffic runs tasks on the traffic thread
  * @param control runs tasks on the control thread
- * @param flow the request path; asked on the traffic thread
- * @param limits the shared limits; asked on the traffic thread
- * @param replica the copy of the store; asked on the control thread
- * @param heartbeats the other instances; asked on the control thread
- * @param ready whether this instance takes new clients
+ * @param flow the request path; read on the traffic thread
+ * @param limits the shared limits; read on the traffic thread
+ * @param replica the replica of the store; read on the control thread
+ * @param heartbeats the service that knows the other instances; read on the control thread
+ * @param ready whether this instance accepts new clients
  * @param stopping whether a planned stop has begun
- * @param decisions what was decided lately
+ * @param decisions the recent decisions
  * @since 0.2
  */
 public record ControlSources(
@@ -42,7 +42,7 @@
         BooleanSupplier stopping,
         RecentDecisions decisions) {
 
-    /** Checks that the parts are given. */
+    /** Checks that all components are present. */
     public ControlSources {
         Assert.notNull(timeSource, "A time source");
         Assert.notNull(self, "An instance");
@@ -50,10 +50,10 @@
         Assert.notNull(control, "A control thread");
         Assert.notNull(flow, "A request path");
         Assert.notNull(limits, "Shared limits");
-        Assert.notNull(replica, "A copy of the store");
+        Assert.notNull(replica, "A replica");
         Assert.notNull(heartbeats, "Heartbeats");
-        Assert.notNull(ready, "A readiness");
-        Assert.notNull(stopping, "A state of stopping");
+        Assert.notNull(ready, "A readiness state");
+        Assert.notNull(stopping, "A stopping state");
         Assert.notNull(decisions, "Recent decisions");
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlView.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlView.java
@@ -9,34 +9,38 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The documents that an operator can ask for. */
+/** The documents that an operator can request. */
 enum ControlView {
     /** The instance itself, and how current its snapshot is. */
     STATUS {
         @Override
-        Either<ControlProblem, ObjectNode> show(ControlRequest question, ControlDocuments from) {
-            return Either.right(from.status());
+        Either<ControlProblem, ObjectNode> build(
+                ControlRequest request, ControlDocuments documents) {
+            return Either.right(documents.status());
         }
     },
-    /** The services with their rules and backend servers in numbers. */
+    /** The services with their rules and the numbers of their backend servers. */
     SERVICES {
         @Override
-        Either<ControlProblem, ObjectNode> show(ControlRequest question, ControlDocuments from) {
-            return Either.right(from.fleet().services());
+        Either<ControlProblem, ObjectNode> build(
+                ControlRequest request, ControlDocuments documents) {
+            return Either.right(documents.fleet().services());
         }
     },
     /** The routes in force. */
     ROUTES {
         @Override
-        Either<ControlProblem, ObjectNode> show(ControlRequest question, ControlDocuments from) {
-            return Either.right(from.fleet().routes());
+        Either<ControlProblem, ObjectNode> build(
+                ControlRequest request, ControlDocuments documents) {
+            return Either.right(documents.fleet().routes());
         }
     },
-    /** The backend servers with what is believed of each. */
+    /** The backend servers with this instance's view of each. */
     SERVERS(ControlView.SERVICE) {
         @Override
-        Either<ControlProblem, ObjectNode> show(ControlRequest question, ControlDocuments from) {
-            return from.servers(question.parameter(SERVICE));
+        Either<ControlProblem, ObjectNode> build(
+                ControlRequest request, ControlDocuments documents) {
+            return documents.servers(request.parameter(SERVICE));
         }
 
         @Override
@@ -47,22 +51,28 @@
     /** The instances. */
     MEMBERS {
         @Override
-        Either<ControlProblem, ObjectNode> show(ControlRequest question, ControlDocuments from) {
-            return Either.right(from.members());
+        Either<ControlProblem, ObjectNode> build(
+                ControlRequest request, ControlDocuments documents) {
+            return Either.right(documents.members());
         }
     },
     /** The evacuated zones. */
     EVACUATIONS {
         @Override
-        Either<ControlProblem, ObjectNode> show(ControlRequest question, ControlDocuments from) {
-            return Either.right(from.fleet().evacuations());
+        Either<ControlProblem, ObjectNode> build(
+                ControlRequest request, ControlDocuments documents) {
+            return Either.right(documents.fleet().evacuations());
         }
     },
-    /** The retry budgets, and who keeps the pace of cold backend servers. */
+    /**
+     * The retry budgets, the spending of running shifts, and the instances that pace requests to
+     * cold backend servers.
+     */
     BUDGET {
         @Override
-        Either<ControlProblem, ObjectNode> show(ControlRequest question, ControlDocuments from) {
-            return Either.right(from.budget());
+        Either<ControlProblem, ObjectNode> build(
+                ControlRequest request, ControlDocuments documents) {
+            return Either.right(documents.budget());
         }
 
         @Override
@@ -70,11 +80,15 @@
             return true;
         }
     },
-    /** The requests under which servers ended; one of them may be released. */
+    /**
+     * The requests during which backend servers terminated. A rejected one can be released by its
+     * fingerprint.
+     */
     CRASHES(ControlView.FINGERPRINT) {
         @Override
-        Either<ControlProblem, ObjectNode> show(ControlRequest question, ControlDocuments from) {
-            return Either.right(from.crashes());
+        Either<ControlProblem, ObjectNode> build(
+                ControlRequest request, ControlDocuments documents) {
+            return Either.right(documents.crashes());
         }
 
         @Override
@@ -83,15 +97,16 @@
         }
 
         @Override
-        HttpMethod change() {
+        HttpMethod changeMethod() {
             return HttpMethod.DELETE;
         }
     },
-    /** The workspaces with their rates, and whether their keys are proven to be the newest. */
+    /** The workspaces with their rates, and whether their keys are proven to be the newest ones. */
     WORKSPACES {
         @Override
-        Either<ControlProblem, ObjectNode> show(ControlRequest question, ControlDocuments from) {
-            return Either.right(from.workspaces());
+        Either<ControlProblem, ObjectNode> build(
+                ControlRequest request, ControlDocuments documents) {
+            return Either.right(documents.workspaces());
         }
 
         @Override
@@ -99,18 +114,19 @@
             return true;
         }
     },
-    /** The decisions about a request, and the newest changes of what the instance believes. */
-    TIMELINE(ControlView.REQUEST, ControlView.BELIEFS) {
+    /** The decisions about a request, and the newest changes of the instance's view. */
+    TIMELINE(ControlView.REQUEST, ControlView.VIEW_CHANGES) {
         @Override
-        Either<ControlProblem, ObjectNode> show(ControlRequest question, ControlDocuments from) {
-            return from.timeline(question);
+        Either<ControlProblem, ObjectNode> build(
+                ControlRequest request, ControlDocuments documents) {
+            return documents.timeline(request);
         }
     };
 
     static final String SERVICE = "service";
     static final String FINGERPRINT = "fingerprint";
     static final String REQUEST = "request";
-    static final String BELIEFS = "beliefs";
+    static final String VIEW_CHANGES = "beliefs";
 
     private final Set<String> mParameters;
 
@@ -118,30 +134,33 @@
         mParameters = Set.of(parameters);
     }
 
-    /** Makes the document, or says why there is none. */
-    abstract Either<ControlProblem, ObjectNode> show(
-            ControlRequest question, ControlDocuments from);
+    /** Builds the document. */
+    abstract Either<ControlProblem, ObjectNode> build(
+            ControlRequest request, ControlDocuments documents);
 
-    /** Tells whether the traffic thread has to be asked. */
+    /** Determines whether the document needs a snapshot of the traffic thread. */
     boolean needsTraffic() {
         return false;
     }
 
-    /** Gives the method that changes something rather than reads it; GET if nothing can be. */
-    HttpMethod change() {
+    /**
+     * Returns the HTTP method that changes state through this view, or GET if the view is
+     * read-only.
+     */
+    HttpMethod changeMethod() {
         return HttpMethod.GET;
     }
 
-    /** Names the parameters that the question may have. */
+    /** Returns the names of the query parameters that this view accepts. */
     Set<String> parameters() {
         return mParameters;
     }
 
     String path() {
-        return ControlRequest.ROOT + name().toLowerCase(Locale.ROOT);
+        return ControlRequest.PATH_PREFIX + name().toLowerCase(Locale.ROOT);
     }
 
-    static Optional<ControlView> at(String path) {
+    static Optional<ControlView> forPath(String path) {
         return Arrays.stream(values()).filter(view -> view.path().equals(path)).findFirst();
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/FleetDocuments.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/FleetDocuments.java
@@ -14,21 +14,21 @@
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 
-/** Makes the documents that need the copy of the store alone. */
+/** Builder of the control documents that need only the replica of the store. */
 final class FleetDocuments {
 
     private final FleetSnapshot mSnapshot;
-    private final Supplier<ObjectNode> mBegin;
+    private final Supplier<ObjectNode> mDocumentFactory;
     private final long mNowNanos;
 
-    FleetDocuments(FleetSnapshot snapshot, Supplier<ObjectNode> begin, long nowNanos) {
+    FleetDocuments(FleetSnapshot snapshot, Supplier<ObjectNode> documentFactory, long nowNanos) {
         mSnapshot = snapshot;
-        mBegin = begin;
+        mDocumentFactory = documentFactory;
         mNowNanos = nowNanos;
     }
 
     ObjectNode services() {
-        ObjectNode document = mBegin.get();
+        ObjectNode document = mDocumentFactory.get();
         ArrayNode services = document.putArray("services");
         mSnapshot.routing().stream()
                 .flatMap(routing -> routing.services().values().stream())
@@ -37,12 +37,12 @@
         return document;
     }
 
-    private void writeService(ServiceRules rules, ObjectNode into) {
+    private void writeService(ServiceRules rules, ObjectNode node) {
         List<RegisteredServer> servers =
                 mSnapshot.servers().values().stream()
                         .filter(server -> server.service().equals(rules.service()))
                         .toList();
-        into.put("service", rules.service().value())
+        node.put("service", rules.service().value())
                 .put("healthPath", rules.healthPath())
                 .put("maximumConnections", rules.maximumConnections())
                 .put("warmUpMillis", rules.warmUp().toMillis())
@@ -55,7 +55,7 @@
     }
 
     ObjectNode routes() {
-        ObjectNode document = mBegin.get();
+        ObjectNode document = mDocumentFactory.get();
         mSnapshot
                 .routing()
                 .map(RoutingConfiguration::version)
@@ -68,8 +68,8 @@
         return document;
     }
 
-    private static void writeRoute(Route route, ObjectNode into) {
-        into.put("route", route.id().value())
+    private static void writeRoute(Route route, ObjectNode node) {
+        node.put("route", route.id().value())
                 .put("host", route.host())
                 .put("pathPrefix", route.pathPrefix())
                 .put("idempotent", route.idempotent())
@@ -79,9 +79,9 @@
                 .put("maximumAttempts", route.maximumAttempts())
                 .put("affinity", route.affinity())
                 .put("keyless", route.keyless());
-        ArrayNode homes = into.putArray("homeRegions");
+        ArrayNode homes = node.putArray("homeRegions");
         route.homeRegions().stream().map(region -> region.value()).sorted().forEach(homes::add);
-        ArrayNode services = into.putArray("services");
+        ArrayNode services = node.putArray("services");
         route.services()
                 .forEach(
                         each ->
@@ -91,7 +91,7 @@
     }
 
     ObjectNode evacuations() {
-        ObjectNode document = mBegin.get();
+        ObjectNode document = mDocumentFactory.get();
         ArrayNode zones = document.putArray("evacuations");
         mSnapshot.evacuatedZones().stream()
                 .sorted(Comparator.comparing(ZoneId::value))
@@ -116,7 +116,7 @@
     }
 
     private static long count(
-            Collection<RegisteredServer> servers, Predicate<RegisteredServer> meant) {
-        return servers.stream().filter(meant).count();
+            Collection<RegisteredServer> servers, Predicate<RegisteredServer> predicate) {
+        return servers.stream().filter(predicate).count();
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/JsonFormat.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/JsonFormat.java
@@ -5,10 +5,10 @@
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 
-/** Forms of values in the documents, as in the log. */
+/** Utility methods that format values in control documents in the same way as in the log. */
 final class JsonFormat {
 
-    private static final double STEPS = 1_000;
+    private static final double STEPS_PER_UNIT = 1_000;
 
     private JsonFormat() {}
 
@@ -21,7 +21,7 @@
     }
 
     static double rounded(double value) {
-        return Math.round(value * STEPS) / STEPS;
+        return Math.round(value * STEPS_PER_UNIT) / STEPS_PER_UNIT;
     }
 
     static long millis(long nanos) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ServerDocument.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ServerDocument.java
@@ -5,14 +5,14 @@
 import io.masticpond.core.serverlimit.LimitView;
 import io.masticpond.core.statement.WithdrawalView;
 
-/** Writes what is believed of a backend server. */
+/** Writer of the JSON documents that describe a backend server. */
 final class ServerDocument {
 
     private ServerDocument() {}
 
-    static void write(ServerSnapshot snapshot, ObjectNode into, long nowNanos) {
+    static void write(ServerSnapshot snapshot, ObjectNode node, long nowNanos) {
         RegisteredServer server = snapshot.server();
-        into.put("server", server.id().value())
+        node.put("server", server.id().value())
                 .put("service", server.service().value())
                 .put("zone", server.zone().value())
                 .put("address", server.address().toString())
@@ -22,50 +22,53 @@
                 .put("own", snapshot.own())
                 .put("serviceMillis", JsonFormat.millis((long) snapshot.serviceNanos()));
         if (snapshot.cold()) {
-            into.put("coldMillis", coldMillis(server, nowNanos));
+            node.put("coldMillis", remainingColdMillis(server, nowNanos));
         }
-        snapshot.avoidReason().ifPresent(reason -> into.put("avoided", JsonFormat.toName(reason)));
-        snapshot.withdrawal().ifPresent(each -> writeWithdrawal(each, into));
-        snapshot.limit().ifPresent(limit -> writeLimit(limit, into));
+        snapshot.avoidReason().ifPresent(reason -> node.put("avoided", JsonFormat.toName(reason)));
+        snapshot.withdrawal().ifPresent(each -> writeWithdrawal(each, node));
+        snapshot.limit().ifPresent(limit -> writeLimit(limit, node));
         snapshot.evaluation()
                 .ifPresent(
-                        judgement ->
-                                into.put("penalty", JsonFormat.rounded(judgement.penalty()))
-                                        .put("calls", JsonFormat.rounded(judgement.calls()))
+                        evaluation ->
+                                node.put("penalty", JsonFormat.rounded(evaluation.penalty()))
+                                        .put("calls", JsonFormat.rounded(evaluation.calls()))
                                         .put(
                                                 "failureShare",
-                                                JsonFormat.rounded(judgement.failureShare()))
+                                                JsonFormat.rounded(evaluation.failureShare()))
                                         .put(
                                                 "meanMillis",
-                                                JsonFormat.millis(judgement.meanNanos())));
+                                                JsonFormat.millis(evaluation.meanNanos())));
     }
 
-    private static void writeWithdrawal(WithdrawalView withdrawal, ObjectNode into) {
-        into.put("withdrawal", JsonFormat.toName(withdrawal.state()))
+    private static void writeWithdrawal(WithdrawalView withdrawal, ObjectNode node) {
+        node.put("withdrawal", JsonFormat.toName(withdrawal.state()))
                 .put("withdrawalAgeMillis", JsonFormat.millis(withdrawal.ageNanos()));
         if (withdrawal.leftNanos() > 0) {
-            into.put("withdrawalLeftMillis", JsonFormat.millis(withdrawal.leftNanos()));
+            node.put("withdrawalLeftMillis", JsonFormat.millis(withdrawal.leftNanos()));
         }
     }
 
-    private static void writeLimit(LimitView limit, ObjectNode into) {
-        into.put("limitPerSecond", JsonFormat.rounded(limit.perSecond()))
+    private static void writeLimit(LimitView limit, ObjectNode node) {
+        node.put("limitPerSecond", JsonFormat.rounded(limit.perSecond()))
                 .put("limitSenders", limit.senders())
                 .put("limitOwnPerSecond", JsonFormat.rounded(limit.ownPerSecond()))
                 .put("limitSource", limit.isOwn() ? "answer" : "peer")
                 .put("limitAgeMillis", JsonFormat.millis(limit.ageNanos()));
     }
 
-    static void writeCold(ServerSnapshot snapshot, ObjectNode into, long nowNanos) {
+    static void writeCold(ServerSnapshot snapshot, ObjectNode node, long nowNanos) {
         RegisteredServer server = snapshot.server();
-        into.put("server", server.id().value())
+        node.put("server", server.id().value())
                 .put("service", server.service().value())
                 .put("zone", server.zone().value())
-                .put("coldMillis", coldMillis(server, nowNanos));
-        snapshot.owners().forEach(owner -> into.withArray("owners").add(owner.value()));
+                .put("coldMillis", remainingColdMillis(server, nowNanos));
+        snapshot.owners().forEach(owner -> node.withArray("owners").add(owner.value()));
     }
 
-    /** Names the first thing that keeps requests away, or "usable". */
+    /**
+     * Returns the first reason for which the server gets no requests or fewer than usual, or
+     * "usable".
+     */
     private static String state(ServerSnapshot snapshot) {
         if (snapshot.server().leaving()) {
             return "leaving";
@@ -85,8 +88,11 @@
         return snapshot.cold() ? "cold" : "usable";
     }
 
-    /** Gives the time that it stays cold by the registry; the pace is kept a little longer. */
-    private static long coldMillis(RegisteredServer server, long nowNanos) {
+    /**
+     * Returns for how long, in milliseconds, the server stays cold by the registry. The rate limit
+     * of a cold server is kept a little longer.
+     */
+    private static long remainingColdMillis(RegisteredServer server, long nowNanos) {
         return Math.max(0, JsonFormat.millis(server.coldUntilNanos() - nowNanos));
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ServerSnapshot.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ServerSnapshot.java
@@ -10,19 +10,20 @@
 import java.util.Optional;
 
 /**
- * What is believed of a backend server at a moment.
+ * Snapshot of this instance's view of a backend server.
  *
- * @param server the server as registered, cold for longer if it was seen to be
+ * @param server the server as registered, with a longer cold period if this instance observed one
  * @param evacuated whether its zone is evacuated
  * @param cold whether it is treated as cold
- * @param owners the instances that keep its pace while it is cold, as this one sees it
- * @param own the requests of this instance there
- * @param inFlight the requests of all instances there, as far as known
- * @param serviceNanos the typical time of a request there, 0 if none was answered
- * @param avoidReason why requests are kept away for a moment, if they are
- * @param withdrawal what it has said of whether it takes requests, if it has
- * @param limit what is believed of the limit that it names, if it names one
- * @param evaluation what is held against it, if anything was sent there
+ * @param owners the instances that pace requests to it while it is cold, in the view of this
+ *     instance
+ * @param own the number of requests of this instance that it is processing
+ * @param inFlight the estimated number of requests of all instances that it is processing
+ * @param serviceNanos the typical service time of a request in nanoseconds, 0 if none was answered
+ * @param avoidReason the reason why it temporarily gets no requests, if any
+ * @param withdrawal its statement that it is leaving or pausing, if any
+ * @param limit the view of the rate limit that it states, if any
+ * @param evaluation the evaluation of its calls, if any request was sent to it
  */
 record ServerSnapshot(
         RegisteredServer server,
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/SharedLimitStatus.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/SharedLimitStatus.java
@@ -9,22 +9,24 @@
 import java.util.Map;
 
 /**
- * Tells how this instance's parts of the shared limits stand. Traffic thread only.
+ * Read access to this instance's shares of the limits that all instances have in common. For the
+ * traffic thread only.
  *
  * @since 0.2
  */
 public interface SharedLimitStatus {
 
     /**
-     * Tells how the retry budgets stand.
+     * Returns the usage of the retry budgets.
      *
      * @param nowNanos the monotonic time
-     * @return the budget of each service that had a request
+     * @return the usage of each service that had a request
      */
     Map<ServiceId, RetryBudgetUsage> budgets(long nowNanos);
 
     /**
-     * Names the instances that keep the pace of a cold backend server, as this one sees it.
+     * Returns the instances that pace requests to a cold backend server, in the view of this
+     * instance.
      *
      * @param server the server
      * @param rules the rules of its service
@@ -33,11 +35,11 @@
     List<InstanceId> owners(RegisteredServer server, ServiceRules rules);
 
     /**
-     * Tells whether a server is treated as cold.
+     * Determines whether a server is treated as cold.
      *
      * @param server the server
      * @param nowNanos the monotonic time
-     * @return whether it is
+     * @return whether the server is treated as cold
      */
     boolean isCold(RegisteredServer server, long nowNanos);
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/TrafficReader.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/TrafficReader.java
@@ -15,93 +15,96 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Asks the traffic thread for a snapshot of what it knows: one task at a time, and none while the
- * last snapshot is fresh, whoever asks how often. Who waits is answered within a bounded time. Used
- * by the control thread alone.
+ * Cached reader of the state of the traffic thread. It runs one task at a time there, and none
+ * while the last snapshot is fresh, however many reads arrive. Each pending read is completed
+ * within {@link #TIMEOUT}. Not thread-safe: for the control thread only.
  */
 final class TrafficReader {
 
-    /** For how long a snapshot serves all who ask. */
+    /** How long a snapshot is reused for further reads. */
     static final Duration MAXIMUM_AGE = Duration.ofMillis(200);
 
-    /** How long an answer waits for the traffic thread. */
+    /** How long a read waits for the traffic thread. */
     static final Duration TIMEOUT = Duration.ofSeconds(1);
 
-    /** How many answers may wait; the next is refused at once. */
-    static final int MAXIMUM_WAITING = 32;
+    /** The maximum number of pending reads; a further read fails at once. */
+    static final int MAXIMUM_PENDING_READS = 32;
 
     private static final Logger sLogger = LoggerFactory.getLogger(TrafficReader.class);
 
     private final TimeSource mTimeSource;
     private final Executor mTraffic;
     private final ScheduledExecutorService mControl;
-    private final LongFunction<TrafficSnapshot> mTake;
-    private final List<Waiter> mWaiters = new ArrayList<>();
+    private final LongFunction<TrafficSnapshot> mSnapshotFunction;
+    private final List<PendingRead> mPendingReads = new ArrayList<>();
     private TrafficSnapshot mSnapshot;
-    private boolean mAsked;
+    private boolean mSnapshotRequested;
 
     TrafficReader(
             TimeSource timeSource,
             Executor traffic,
             ScheduledExecutorService control,
-            LongFunction<TrafficSnapshot> take) {
+            LongFunction<TrafficSnapshot> snapshotFunction) {
         mTimeSource = timeSource;
         mTraffic = traffic;
         mControl = control;
-        mTake = take;
+        mSnapshotFunction = snapshotFunction;
     }
 
-    /** Gives a snapshot to an answer, now or later, or why there is none. */
-    void read(Consumer<Either<ControlProblem, TrafficSnapshot>> answer) {
+    /**
+     * Passes a snapshot, or the problem that prevents one, to a callback, either at once or within
+     * {@link #TIMEOUT}.
+     */
+    void read(Consumer<Either<ControlProblem, TrafficSnapshot>> callback) {
         long now = mTimeSource.monotonicNanos();
         if (mSnapshot != null && now - mSnapshot.takenNanos() < MAXIMUM_AGE.toNanos()) {
-            answer.accept(Either.right(mSnapshot));
+            callback.accept(Either.right(mSnapshot));
             return;
         }
-        if (mWaiters.size() >= MAXIMUM_WAITING) {
-            answer.accept(
+        if (mPendingReads.size() >= MAXIMUM_PENDING_READS) {
+            callback.accept(
                     Either.left(
                             ControlProblem.unavailable(
                                     "too-many-questions", "Too many questions wait already.")));
             return;
         }
-        Waiter waiter = new Waiter(answer);
-        mWaiters.add(waiter);
-        waiter.mTimeout =
-                mControl.schedule(() -> giveUp(waiter), TIMEOUT.toNanos(), TimeUnit.NANOSECONDS);
-        if (!mAsked) {
-            mAsked = true;
+        PendingRead pending = new PendingRead(callback);
+        mPendingReads.add(pending);
+        pending.mTimeout =
+                mControl.schedule(() -> expire(pending), TIMEOUT.toNanos(), TimeUnit.NANOSECONDS);
+        if (!mSnapshotRequested) {
+            mSnapshotRequested = true;
             mTraffic.execute(this::take);
         }
     }
 
-    /** Takes a snapshot, on the traffic thread. */
+    /** Takes a snapshot and passes it to the control thread. Runs on the traffic thread. */
     private void take() {
         Either<ControlProblem, TrafficSnapshot> result;
         try {
-            result = Either.right(mTake.apply(mTimeSource.monotonicNanos()));
+            result = Either.right(mSnapshotFunction.apply(mTimeSource.monotonicNanos()));
         } catch (RuntimeException e) {
-            sLogger.error("CONTROL  No snapshot of the traffic could be taken.", e);
+            sLogger.error("CONTROL  Failed to take a snapshot on the traffic thread.", e);
             result = Either.left(new ControlProblem(500, "fault", "No snapshot could be taken."));
         }
-        Either<ControlProblem, TrafficSnapshot> taken = result;
-        mControl.execute(() -> took(taken));
+        Either<ControlProblem, TrafficSnapshot> outcome = result;
+        mControl.execute(() -> complete(outcome));
     }
 
-    private void took(Either<ControlProblem, TrafficSnapshot> result) {
-        mAsked = false;
+    private void complete(Either<ControlProblem, TrafficSnapshot> result) {
+        mSnapshotRequested = false;
         mSnapshot = result.getOrNull();
-        List<Waiter> waiters = List.copyOf(mWaiters);
-        mWaiters.clear();
-        for (Waiter waiter : waiters) {
-            waiter.mTimeout.cancel(false);
-            waiter.mAnswer.accept(result);
+        List<PendingRead> completed = List.copyOf(mPendingReads);
+        mPendingReads.clear();
+        for (PendingRead pending : completed) {
+            pending.mTimeout.cancel(false);
+            pending.mCallback.accept(result);
         }
     }
 
-    private void giveUp(Waiter waiter) {
-        if (mWaiters.remove(waiter)) {
-            waiter.mAnswer.accept(
+    private void expire(PendingRead pending) {
+        if (mPendingReads.remove(pending)) {
+            pending.mCallback.accept(
                     Either.left(
                             ControlProblem.unavailable(
                                     "traffic-busy",
@@ -111,14 +114,14 @@
         }
     }
 
-    /** An answer that waits. */
-    private static final class Waiter {
+    /** A read that waits for the traffic thread. */
+    private static final class PendingRead {
 
-        private final Consumer<Either<ControlProblem, TrafficSnapshot>> mAnswer;
+        private final Consumer<Either<ControlProblem, TrafficSnapshot>> mCallback;
         private Future<?> mTimeout;
 
-        Waiter(Consumer<Either<ControlProblem, TrafficSnapshot>> answer) {
-            mAnswer = answer;
+        PendingRead(Consumer<Either<ControlProblem, TrafficSnapshot>> callback) {
+            mCallback = callback;
         }
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/TrafficSnapshot.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/TrafficSnapshot.java
@@ -23,14 +23,14 @@
 import java.util.TreeSet;
 
 /**
- * What the traffic thread knew at a moment; immutable.
+ * Immutable snapshot of the state of the traffic thread.
  *
- * @param takenNanos the monotonic time of that moment
- * @param servers the backend servers, by service and id
+ * @param takenNanos the monotonic time at which the snapshot was taken
+ * @param servers the backend servers, ordered by service and id
  * @param budgets the retry budgets
- * @param spendings how spending stands in each shift that is open
- * @param crashes what is believed of requests under which servers ended
- * @param workspaces what is believed of the workspaces
+ * @param spendings the spending in each open shift
+ * @param crashes the view of the requests during which backend servers terminated
+ * @param workspaces the view of the workspaces
  */
 record TrafficSnapshot(
         long takenNanos,
@@ -51,25 +51,27 @@
         crashes = List.copyOf(crashes);
     }
 
-    /** Takes the snapshot, on the traffic thread. */
+    /** Takes a snapshot. Must be called on the traffic thread. */
     static TrafficSnapshot take(RequestFlow flow, SharedLimitStatus limits, long nowNanos) {
         FleetSnapshot fleet = flow.state().snapshot();
         TreeSet<ServiceId> services =
                 new TreeSet<>(Comparator.comparing((ServiceId service) -> service.value()));
         fleet.servers().values().forEach(server -> services.add(server.service()));
-        Map<BackendServerId, LimitView> named = new HashMap<>();
+        Map<BackendServerId, LimitView> limitsByServer = new HashMap<>();
         for (LimitView each : flow.statements().limits().views()) {
             if (each.isLimited()) {
-                named.put(each.server(), each);
+                limitsByServer.put(each.server(), each);
             }
         }
-        Map<BackendServerId, WithdrawalView> withdrawn = new HashMap<>();
-        flow.statements().withdrawals().forEach(each -> withdrawn.put(each.server(), each));
+        Map<BackendServerId, WithdrawalView> withdrawalsByServer = new HashMap<>();
+        flow.statements()
+                .withdrawals()
+                .forEach(each -> withdrawalsByServer.put(each.server(), each));
         List<ServerSnapshot> servers = new ArrayList<>();
         for (ServiceId service : services) {
             for (ServerLoad load : flow.servers().of(service)) {
-                LimitView limit = named.get(load.server().id());
-                WithdrawalView withdrawal = withdrawn.get(load.server().id());
+                LimitView limit = limitsByServer.get(load.server().id());
+                WithdrawalView withdrawal = withdrawalsByServer.get(load.server().id());
                 servers.add(snapshot(flow, limits, load, withdrawal, limit, nowNanos));
             }
         }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/WorkspaceSnapshot.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/WorkspaceSnapshot.java
@@ -11,37 +11,39 @@
 import java.util.List;
 
 /**
- * What is believed of the workspaces at a moment; keys have no place in it.
+ * Snapshot of this instance's view of the workspaces, which never contains their keys.
  *
- * @param proven whether requests with keys are let in
- * @param proofAgeNanos how old the proof is that the keys are the newest, or {@link
- *     RequestRecord#UNKNOWN}
- * @param workspaces the workspaces, by name
+ * @param proven whether requests with keys are admitted
+ * @param proofAgeNanos the age in nanoseconds of the proof that the keys are the newest ones, or
+ *     {@link RequestRecord#UNKNOWN}
+ * @param workspaces the workspaces, ordered by name
  */
-record WorkspaceSnapshot(boolean proven, long proofAgeNanos, List<Line> workspaces) {
+record WorkspaceSnapshot(boolean proven, long proofAgeNanos, List<WorkspaceState> workspaces) {
 
-    /** There are none. */
+    /** Snapshot without workspaces. */
     static final WorkspaceSnapshot NONE =
             new WorkspaceSnapshot(true, RequestRecord.UNKNOWN, List.of());
 
-    /** One workspace; credit and demand are those of all instances, as known here. */
-    record Line(Workspace workspace, double credit, double demand) {}
+    /**
+     * State of a workspace. Credit and demand are those of all instances, in this instance's view.
+     */
+    record WorkspaceState(Workspace workspace, double credit, double demand) {}
 
-    /** Takes the snapshot, on the traffic thread. */
+    /** Takes a snapshot. Must be called on the traffic thread. */
     static WorkspaceSnapshot take(WorkspaceAuthenticator authenticator, long nowNanos) {
-        List<Line> lines = new ArrayList<>();
+        List<WorkspaceState> states = new ArrayList<>();
         SharedRates rates = authenticator.rates();
         for (Workspace each : authenticator.workspaces().all()) {
             boolean isLimited = rates.isLimited(each.id());
-            lines.add(
-                    new Line(
+            states.add(
+                    new WorkspaceState(
                             each,
                             isLimited ? rates.credit(each.id()) : 0,
                             isLimited ? rates.demand(each.id(), nowNanos) : 0));
         }
-        lines.sort(Comparator.comparing(line -> line.workspace().id()));
+        states.sort(Comparator.comparing(state -> state.workspace().id()));
         return new WorkspaceSnapshot(
-                authenticator.isProven(), authenticator.proofAgeNanos(), lines);
+                authenticator.isProven(), authenticator.proofAgeNanos(), states);
     }
 
     void write(ObjectNode document) {
@@ -49,11 +51,11 @@
         if (proofAgeNanos != RequestRecord.UNKNOWN) {
             document.put("proofAgeMillis", JsonFormat.millis(proofAgeNanos));
         }
-        ArrayNode list = document.putArray("workspaces");
-        for (Line line : workspaces) {
-            Workspace workspace = line.workspace();
+        ArrayNode array = document.putArray("workspaces");
+        for (WorkspaceState state : workspaces) {
+            Workspace workspace = state.workspace();
             ObjectNode each =
-                    list.addObject()
+                    array.addObject()
                             .put("workspace", workspace.id().value())
                             .put("keys", workspace.keys().size());
             workspace.priority().ifPresent(priority -> each.put("priority", priority));
@@ -63,8 +65,8 @@
                             limit ->
                                     each.put("ratePerSecond", limit.perSecond())
                                             .put("burst", limit.burst())
-                                            .put("credit", JsonFormat.rounded(line.credit()))
-                                            .put("demandPerSecond", line.demand()));
+                                            .put("credit", JsonFormat.rounded(state.credit()))
+                                            .put("demandPerSecond", state.demand()));
             ArrayNode homes = each.putArray("homeRegions");
             workspace.homeRegions().stream()
                     .map(region -> region.value())
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryListeners.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryListeners.java
@@ -4,7 +4,7 @@
 import io.masticpond.core.fleet.ServerAddress;
 import io.masticpond.core.routing.RequestLimits;
 import io.masticpond.core.time.TimeSource;
-import io.masticpond.entry.control.ControlSurface;
+import io.masticpond.entry.control.ControlHandler;
 import io.masticpond.entry.http.HttpEntryOptions;
 import io.masticpond.entry.http.HttpEntryServer;
 import io.masticpond.entry.http.RequestHandler;
@@ -22,7 +22,7 @@
     private final TimeSource mTimeSource;
     private final EventLoopGroup mControlGroup;
     private final EntrySettings.Listeners mAddresses;
-    private final Lazy<ControlSurface> mControlSurface;
+    private final Lazy<ControlHandler> mControlHandler;
     private final HttpEntryServer mEntry;
     private final HttpEntryServer mDirectory;
     private final HttpEntryServer mReadiness;
@@ -40,11 +40,11 @@
             RequestFlow flow,
             DirectoryHandler directory,
             Lazy<Readiness> readiness,
-            Lazy<ControlSurface> controlSurface) {
+            Lazy<ControlHandler> controlHandler) {
         mTimeSource = timeSource;
         mControlGroup = controlGroup;
         mAddresses = settings.listeners();
-        mControlSurface = controlSurface;
+        mControlHandler = controlHandler;
         mEntry = server(trafficGroup, mAddresses.entry(), flow);
         mDirectory = server(trafficGroup, mAddresses.directory(), directory);
         mReadiness =
@@ -89,7 +89,7 @@
     /** What answers them is made when the first one asks, since a start must not wait for it. */
     private void serveOperators(ServerAddress address) {
         RequestHandler handler =
-                (request, responder) -> mControlSurface.get().handle(request, responder);
+                (request, responder) -> mControlHandler.get().handle(request, responder);
         server(mControlGroup, address, handler).start();
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LifecycleModule.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LifecycleModule.java
@@ -3,8 +3,8 @@
 import dagger.Module;
 import dagger.Provides;
 import io.masticpond.core.time.TimeSource;
+import io.masticpond.entry.control.ControlHandler;
 import io.masticpond.entry.control.ControlSources;
-import io.masticpond.entry.control.ControlSurface;
 import io.masticpond.entry.lifecycle.Readiness;
 import io.masticpond.entry.log.RecentDecisions;
 import io.masticpond.entry.peer.PeerInstance;
@@ -29,7 +29,7 @@
     /** Only made where the settings say where it listens, so the port is there. */
     @Provides
     @Singleton
-    static ControlSurface controlSurface(
+    static ControlHandler controlHandler(
             TimeSource timeSource,
             PeerInstance self,
             EntrySettings settings,
@@ -56,6 +56,6 @@
                         readiness::isReady,
                         stop::isStopping,
                         decisions);
-        return new ControlSurface(sources, metrics);
+        return new ControlHandler(sources, metrics);
     }
 }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/control/ControlRequestTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/control/ControlRequestTest.java
@@ -6,11 +6,11 @@
 import io.vavr.control.Either;
 import net.jqwik.api.Example;
 
-/** Whatever is wrong with a question is said. */
+/** Tests that an invalid control request is rejected with a problem that names the fault. */
 class ControlRequestTest {
 
     @Example
-    void whatIsWrongIsNamed() {
+    void problemNamesTheInvalidPart() {
         assertThat(problem("/v1/nothing").detail()).contains("/v1/nothing", "/v1/servers");
         assertThat(problem("/v1/nothing").status()).isEqualTo(404);
         assertThat(problem("/v1/status?x=1").detail()).contains("'x'", "it takes none");
@@ -22,23 +22,23 @@
     }
 
     @Example
-    void nothingIsChangedByAnyMethod() {
-        Either<ControlProblem, ControlRequest> question =
+    void rejectsMethodThatTheViewDoesNotSupport() {
+        Either<ControlProblem, ControlRequest> request =
                 ControlRequest.read(HttpMethod.POST, "/v1/status");
-        assertThat(question.getLeft().status()).isEqualTo(405);
+        assertThat(request.getLeft().status()).isEqualTo(405);
     }
 
     @Example
-    void numbersAreBounded() {
+    void acceptsOnlyNumbersWithinBounds() {
         assertThat(number("7").get()).isEqualTo(7);
-        for (String wrong : new String[] {"-1", "11", "x", "99999999999"}) {
-            assertThat(number(wrong).getLeft().detail()).contains("0 to 10", "'" + wrong + "'");
+        for (String invalid : new String[] {"-1", "11", "x", "99999999999"}) {
+            assertThat(number(invalid).getLeft().detail()).contains("0 to 10", "'" + invalid + "'");
         }
     }
 
     private static Either<ControlProblem, Integer> number(String text) {
         return ControlRequest.read(HttpMethod.GET, "/v1/timeline?beliefs=" + text)
-                .flatMap(question -> question.number("beliefs", 1, 10));
+                .flatMap(request -> request.number("beliefs", 1, 10));
     }
 
     private static ControlProblem problem(String target) {
--- a/masticpond-entry/src/test/java/io/masticpond/entry/control/TrafficReaderTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/control/TrafficReaderTest.java
@@ -14,7 +14,10 @@
 import java.util.concurrent.TimeUnit;
 import net.jqwik.api.Example;
 
-/** The traffic thread is asked seldom, and whoever asks has an answer in time. */
+/**
+ * Tests that the traffic thread is queried rarely and that each read is completed within its
+ * timeout.
+ */
 class TrafficReaderTest {
 
     private final ManualTimeSource mTime = new ManualTimeSource(Instant.EPOCH);
@@ -26,24 +29,24 @@
             new TrafficReader(mTime, mTraffic::add, mControl.eventLoop(), this::take);
 
     @Example
-    void manyQuestionsAreOneTaskAndOneSnapshotWhileItIsFresh() {
-        ask(5);
+    void manyReadsShareOneTaskAndOneSnapshotWhileItIsFresh() {
+        read(5);
         assertThat(mTraffic).hasSize(1);
         runTraffic();
-        ask(5);
+        read(5);
         assertThat(mTraffic).isEmpty();
         assertThat(mAnswers).hasSize(10).allMatch(Either::isRight);
         mTime.advance(TrafficReader.MAXIMUM_AGE);
-        ask(1);
+        read(1);
         assertThat(mTraffic).hasSize(1);
     }
 
     @Example
-    void trafficThreadThatDoesNotComeIsSaidInTimeAndAskedNoSecondTime() {
-        ask(2);
-        passTime();
+    void readsTimeOutAndStartNoSecondTaskWhenTheTrafficThreadIsBusy() {
+        read(2);
+        passTimeout();
         assertThat(mAnswers).hasSize(2).allMatch(each -> each.getLeft().status() == 503);
-        ask(1);
+        read(1);
         assertThat(mTraffic).hasSize(1);
         runTraffic();
         assertThat(mAnswers).hasSize(3);
@@ -51,20 +54,20 @@
     }
 
     @Example
-    void crowdOfQuestionsIsRefusedBeyondItsBound() {
-        ask(TrafficReader.MAXIMUM_WAITING + 1);
+    void rejectsReadsBeyondTheMaximumOfPendingOnes() {
+        read(TrafficReader.MAXIMUM_PENDING_READS + 1);
         assertThat(mAnswers).hasSize(1);
         assertThat(mAnswers.get(0).getLeft().cause()).isEqualTo("too-many-questions");
     }
 
     @Example
-    void snapshotThatFailsIsSaidAndTheNextQuestionAsksAgain() {
+    void reportsFailedSnapshotAndTakesAnotherForTheNextRead() {
         mFails = true;
-        ask(1);
+        read(1);
         runTraffic();
         assertThat(mAnswers.get(0).getLeft().status()).isEqualTo(500);
         mFails = false;
-        ask(1);
+        read(1);
         runTraffic();
         assertThat(mAnswers.get(1).isRight()).isTrue();
     }
@@ -77,7 +80,7 @@
                 nowNanos, List.of(), Map.of(), List.of(), List.of(), WorkspaceSnapshot.NONE);
     }
 
-    private void ask(int times) {
+    private void read(int times) {
         for (int time = 0; time < times; time++) {
             mReader.read(mAnswers::add);
         }
@@ -88,7 +91,7 @@
         mControl.runPendingTasks();
     }
 
-    private void passTime() {
+    private void passTimeout() {
         mControl.advanceTimeBy(TrafficReader.TIMEOUT.toNanos(), TimeUnit.NANOSECONDS);
         mControl.runScheduledPendingTasks();
     }
