--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/AntiEntropyTargets.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/AntiEntropyTargets.java
@@ -10,33 +10,34 @@
 import java.util.Set;
 
 /**
- * Chooses the instances that this one tells what it knows, at each of its looks: those that have
- * started since the last one, and from time to time one other in turn, which makes up for lost
- * datagrams. A few instances tell one that starts, the same for all who see the same instances.
+ * Selector of the instances to which this instance sends its state in each anti-entropy round:
+ * those that have started since the last round, and in every fourth round one other in turn, which
+ * compensates for lost datagrams. A starting instance gets reports from 3 others only; all
+ * instances that see the same members choose the same ones.
  */
 final class AntiEntropyTargets {
 
     private static final int REPORTERS = 3;
-    private static final int LOOKS_FOR_A_REPEAT = 4;
+    private static final int ROUNDS_PER_REPEAT = 4;
 
     private final InstanceId mSelf;
-    private long mLooks;
-    private long mTurn;
+    private long mRounds;
+    private long mNextIndex;
     private Set<Long> mKnown = Set.of();
     private List<PeerInstance> mAlive = List.of();
 
     AntiEntropyTargets(InstanceId self) {
         mSelf = self;
-        mTurn = HashMixer.hash(self.value());
+        mNextIndex = HashMixer.hash(self.value());
     }
 
-    /** Gives those that are to be told now. */
+    /** Returns the targets of the next round, and begins that round. */
     List<PeerInstance> select(List<PeerInstance> alive) {
-        List<PeerInstance> hearers = new ArrayList<>(started(alive));
-        if (mLooks++ % LOOKS_FOR_A_REPEAT == 0 && !alive.isEmpty()) {
-            hearers.add(alive.get(Math.floorMod(mTurn++, alive.size())));
+        List<PeerInstance> targets = new ArrayList<>(started(alive));
+        if (mRounds++ % ROUNDS_PER_REPEAT == 0 && !alive.isEmpty()) {
+            targets.add(alive.get(Math.floorMod(mNextIndex++, alive.size())));
         }
-        return hearers;
+        return targets;
     }
 
     private List<PeerInstance> started(List<PeerInstance> alive) {
@@ -46,9 +47,9 @@
         List<PeerInstance> started = new ArrayList<>();
         Set<Long> known = new HashSet<>();
         for (PeerInstance each : alive) {
-            long run = each.incarnation() + HashMixer.hash(each.id().value());
-            known.add(run);
-            if (!mKnown.contains(run) && reporters(each, alive).contains(mSelf)) {
+            long runKey = each.incarnation() + HashMixer.hash(each.id().value());
+            known.add(runKey);
+            if (!mKnown.contains(runKey) && reporters(each, alive).contains(mSelf)) {
                 started.add(each);
             }
         }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlComponents.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlComponents.java
@@ -18,7 +18,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What runs on the control thread: the copy of the store, the own entry there, and the peers. */
+/**
+ * The components that run on the control thread: the replica of the store, this instance's
+ * registration there, the heartbeats and the relay.
+ */
 @Singleton
 final class ControlComponents {
 
@@ -47,7 +50,7 @@
         mRelayServer = relayServer;
     }
 
-    /** Starts the parts; to be called on the control thread. */
+    /** Starts the components. Must be called on the control thread. */
     void start() {
         mReplica.restoreTracker()
                 .addSettledListener((era, hadBefore) -> mRegistration.register(era));
@@ -57,14 +60,17 @@
         ServerAddress internal = mSelf.internal();
         mRelayServer.start(
                 new InetSocketAddress(internal.ip(), internal.port()),
-                bound -> bound.peekLeft(this::cannotRelay));
+                bound -> bound.peekLeft(this::logRelayFailure));
     }
 
-    private void cannotRelay(String cause) {
-        sLogger.error("STORE  Peers cannot ask this instance: {}", cause);
+    private void logRelayFailure(String cause) {
+        sLogger.error("STORE  Failed to bind the relay, so peers cannot use it: {}", cause);
     }
 
-    /** Tells when the routes and backend servers were last confirmed, if they ever were. */
+    /**
+     * Returns when the routes and backend servers were last confirmed, or nothing if they never
+     * were.
+     */
     Optional<UpdateTimes> updateTimes() {
         ReplicaStatus status = mReplica.status();
         if (!status.usable()) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlModule.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlModule.java
@@ -26,7 +26,10 @@
 import javax.inject.Singleton;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Wires what runs on the control thread: peers, the copy of the store, the own entry there. */
+/**
+ * Dagger module of the components on the control thread: the peers, the replica of the store and
+ * this instance's registration there.
+ */
 @Module
 abstract class ControlModule {
 
@@ -87,7 +90,10 @@
                 });
     }
 
-    /** The copy tells of each snapshot those who ask the copy, so they are joined after it. */
+    /**
+     * Creates the replica. The components that it notifies of a snapshot depend on the replica
+     * themselves, so they are resolved lazily.
+     */
     @Provides
     @Singleton
     static FleetReplica replica(
@@ -106,12 +112,12 @@
                         new KnownZonesTranslator(platform.translator(), settings.zones().keySet()),
                         (snapshot, source) -> updates.get().snapshotChanged(snapshot, source));
         replica.addStoreListener(new LoggingStoreListener(log));
-        HeartbeatRevisions heard = new HeartbeatRevisions(heartbeats, self.id());
+        HeartbeatRevisions revisions = new HeartbeatRevisions(heartbeats, self.id());
         RelayClient client = new RelayClient(control);
-        replica.usePeers(heard, client, settings.zone(), settings.region());
+        replica.usePeers(revisions, client, settings.zone(), settings.region());
         replica.shareWatching(
                 new WatcherSelector(
-                        settings.zone(), self.id(), () -> heard.readyMembers(settings.zone())),
+                        settings.zone(), self.id(), () -> revisions.readyMembers(settings.zone())),
                 client);
         return replica;
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlThread.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlThread.java
@@ -4,7 +4,7 @@
 import java.lang.annotation.RetentionPolicy;
 import javax.inject.Qualifier;
 
-/** Marks what runs on the control thread. */
+/** Qualifier of event loops of the control thread. */
 @Qualifier
 @Retention(RetentionPolicy.CLASS)
 @interface ControlThread {}
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/CrashSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/CrashSharing.java
@@ -19,32 +19,44 @@
 import javax.inject.Singleton;
 
 /**
- * Carries what instances know of requests under which servers end, by the datagrams between them.
- * The keepers of a request follow from its fingerprint, so that all instances agree without asking.
+ * Exchange, by datagrams between instances, of what they know of requests during which backend
+ * servers terminate. The aggregators of a request follow from its fingerprint, so that all
+ * instances agree on them without a query.
  */
 @Singleton
 final class CrashSharing {
 
-    /** One may be down or believed so by some, and a second one proves what the first says. */
+    /**
+     * One aggregator may be down, or assumed to be down by some instances, and a second one
+     * confirms what the first reports.
+     */
     private static final int AGGREGATORS = 2;
 
-    /** A keeper in the own zone besides, since a zone that is cut off goes on by itself. */
+    /**
+     * An additional aggregator in the own zone, since a zone that is cut off continues on its own.
+     */
     private static final int AGGREGATORS_IN_ZONE = 1;
 
-    /** Requests that one server's end broke off go in one bundle. */
-    private static final long BUNDLE_MILLIS = 10;
+    /** Batches the requests that the termination of one server interrupted. */
+    private static final long BATCH_MILLIS = 10;
 
-    /** An instance that starts is told so soon after it is heard, before clients come to it. */
-    private static final long LOOK_MILLIS = 250;
+    /**
+     * An instance that starts gets a report within this time of its first heartbeat, before clients
+     * connect to it.
+     */
+    private static final long REPORT_PERIOD_MILLIS = 250;
 
-    /** Messages that wait for an instance at most, three datagrams; a flood loses the rest. */
-    private static final int MAXIMUM_WAITING = 3 * CrashMessageCodec.MAXIMUM_MESSAGES;
+    /**
+     * The maximum number of messages pending for an instance, three datagrams; further ones are
+     * dropped.
+     */
+    private static final int MAXIMUM_PENDING = 3 * CrashMessageCodec.MAXIMUM_MESSAGES;
 
     private final EventLoop mTraffic;
     private final EventLoop mControl;
     private final CrashGuard mGuard;
     private final HeartbeatService mPeers;
-    private final Map<PeerInstance, List<CrashMessage>> mWaiting = new HashMap<>();
+    private final Map<PeerInstance, List<CrashMessage>> mPending = new HashMap<>();
     private final AntiEntropyTargets mTargets;
 
     @Inject
@@ -61,7 +73,7 @@
         mTargets = new AntiEntropyTargets(self.id());
     }
 
-    /** Begins to tell and to hear. */
+    /** Starts sending and receiving. */
     void start() {
         mPeers.registerReceiver(
                 CrashMessageCodec.VERSION,
@@ -74,10 +86,13 @@
                         mGuard.setMessageSender(
                                 (message, toAll) -> mControl.execute(() -> add(message, toAll))));
         mTraffic.scheduleWithFixedDelay(
-                this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+                this::reportRejections,
+                REPORT_PERIOD_MILLIS,
+                REPORT_PERIOD_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 
-    private void look() {
+    private void reportRejections() {
         List<CrashMessage> rejections = mGuard.rejections();
         if (!rejections.isEmpty()) {
             mControl.execute(
@@ -89,38 +104,38 @@
     }
 
     private void add(CrashMessage message, boolean toAll) {
-        if (mWaiting.isEmpty()) {
-            mControl.schedule(this::sendPending, BUNDLE_MILLIS, TimeUnit.MILLISECONDS);
+        if (mPending.isEmpty()) {
+            mControl.schedule(this::sendPending, BATCH_MILLIS, TimeUnit.MILLISECONDS);
         }
-        for (PeerInstance hearer : toAll ? mPeers.alive() : aggregators(message.request())) {
-            List<CrashMessage> waiting =
-                    mWaiting.computeIfAbsent(hearer, each -> new ArrayList<>());
-            if (waiting.size() < MAXIMUM_WAITING) {
-                waiting.add(message);
+        for (PeerInstance receiver : toAll ? mPeers.alive() : aggregators(message.request())) {
+            List<CrashMessage> pending =
+                    mPending.computeIfAbsent(receiver, each -> new ArrayList<>());
+            if (pending.size() < MAXIMUM_PENDING) {
+                pending.add(message);
             }
         }
     }
 
     private Set<PeerInstance> aggregators(RequestFingerprint request) {
-        Set<PeerInstance> keepers = new LinkedHashSet<>();
-        keepers.addAll(PeerOrder.first(request.toString(), mPeers.alive(), AGGREGATORS));
-        keepers.addAll(PeerOrder.first(request.toString(), mPeers.ownZone(), AGGREGATORS_IN_ZONE));
-        return keepers;
+        Set<PeerInstance> selected = new LinkedHashSet<>();
+        selected.addAll(PeerOrder.first(request.toString(), mPeers.alive(), AGGREGATORS));
+        selected.addAll(PeerOrder.first(request.toString(), mPeers.ownZone(), AGGREGATORS_IN_ZONE));
+        return selected;
     }
 
     private void sendPending() {
-        mWaiting.forEach(
-                (hearer, messages) -> {
+        mPending.forEach(
+                (receiver, messages) -> {
                     for (int from = 0; from < messages.size(); ) {
                         int to =
                                 Math.min(
                                         messages.size(), from + CrashMessageCodec.MAXIMUM_MESSAGES);
                         List<CrashMessage> part = messages.subList(from, to);
                         mPeers.sendDatagram(
-                                List.of(hearer), out -> CrashMessageCodec.write(part, out));
+                                List.of(receiver), out -> CrashMessageCodec.write(part, out));
                         from = to;
                     }
                 });
-        mWaiting.clear();
+        mPending.clear();
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/DirectoryHandler.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/DirectoryHandler.java
@@ -12,7 +12,10 @@
 import javax.inject.Inject;
 import javax.inject.Singleton;
 
-/** Answers clients that ask where to connect, by the bounds in force. */
+/**
+ * Request handler that answers clients that ask which instance to connect to, with the bounds in
+ * force.
+ */
 @Singleton
 final class DirectoryHandler implements RequestHandler {
 
@@ -32,7 +35,7 @@
         apply(settings.bounds());
     }
 
-    /** Takes other bounds, for the questions after this. */
+    /** Applies other bounds to all later requests. */
     void apply(Bounds bounds) {
         DirectorySettings bounded = DirectorySettings.DEFAULT.within(bounds.directoryLifetime());
         mHandler =
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryComponent.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryComponent.java
@@ -9,7 +9,7 @@
 import javax.inject.Singleton;
 
 /**
- * All parts of an instance, wired in one place.
+ * Dagger component that creates all parts of an instance.
  *
  * @since 0.2
  */
@@ -24,24 +24,24 @@
 public interface EntryComponent {
 
     /**
-     * Gives the instance.
+     * Returns the instance.
      *
      * @return the instance, not started yet
      */
     EntryInstance instance();
 
-    /** Takes what is known before the wiring. */
+    /** Factory that binds the objects created outside of the component. */
     @Component.Factory
     interface Factory {
 
         /**
-         * Wires the parts.
+         * Creates a component.
          *
          * @param settings the settings of this instance
-         * @param platform what the platform spells in its own way
-         * @param timeSource the clocks
-         * @param log takes what is decided and believed
-         * @param lines counts the lines of that log
+         * @param platform the adapter to the formats and interfaces of the platform
+         * @param timeSource the time source
+         * @param log the log of decisions and of changes of the instance's view
+         * @param lines the counters of the lines of that log
          * @param exit ends the process after a planned stop
          * @return the component
          */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryInstance.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryInstance.java
@@ -10,8 +10,8 @@
 import javax.inject.Singleton;
 
 /**
- * One instance: serves clients on the traffic thread, and follows the store and its peers on the
- * control thread.
+ * An instance, which serves clients on the traffic thread and follows the store and its peers on
+ * the control thread.
  *
  * @since 0.2
  */
@@ -22,12 +22,12 @@
 
     private final EventLoop mTraffic;
     private final EventLoop mControl;
-    private final ControlComponents mControlSide;
+    private final ControlComponents mControlComponents;
     private final RequestFlow mFlow;
     private final EntryListeners mListeners;
     private final SnapshotUpdates mUpdates;
     private final StopSwitch mStop;
-    private final ProcessChangeLog mNews;
+    private final ProcessChangeLog mProcessChanges;
     private final SettingsReloader mSettings;
     private final LoadSharing mLoadSharing;
     private final CrashSharing mCrashSharing;
@@ -37,10 +37,10 @@
 
     @Inject
     EntryInstance(
-            ProcessChangeLog news,
+            ProcessChangeLog processChanges,
             @TrafficThread EventLoop traffic,
             @ControlThread EventLoop control,
-            ControlComponents controlSide,
+            ControlComponents controlComponents,
             RequestFlow flow,
             EntryListeners listeners,
             SnapshotUpdates updates,
@@ -51,10 +51,10 @@
             ProofSharing proofSharing,
             RateSharing rateSharing,
             LimitSharing limitSharing) {
-        mNews = news;
+        mProcessChanges = processChanges;
         mTraffic = traffic;
         mControl = control;
-        mControlSide = controlSide;
+        mControlComponents = controlComponents;
         mFlow = flow;
         mListeners = listeners;
         mUpdates = updates;
@@ -67,9 +67,9 @@
         mLimitSharing = limitSharing;
     }
 
-    /** Starts all parts; readiness follows once routes and backend servers are known. */
+    /** Starts all parts. The instance becomes ready once routes and backend servers are known. */
     public void start() {
-        mNews.log(ProcessChange.Kind.STARTED);
+        mProcessChanges.log(ProcessChange.Kind.STARTED);
         mLoadSharing.start();
         mCrashSharing.start();
         mProofSharing.start();
@@ -78,14 +78,14 @@
         if (mFlow.spending().isPresent()) {
             SpendingCheck spending = mFlow.spending().get();
             mTraffic.execute(spending::start);
-            mControlSide
+            mControlComponents
                     .replica()
                     .restoreTracker()
                     .addRestoreListener(() -> mTraffic.execute(spending::storeRestored));
         }
         mControl.execute(
                 () -> {
-                    mControlSide.start();
+                    mControlComponents.start();
                     mControl.scheduleAtFixedRate(
                             mUpdates::reportStatus,
                             STATUS_PERIOD_MILLIS,
@@ -96,16 +96,16 @@
         mListeners.start(() -> mControl.execute(mUpdates::reportStatus));
     }
 
-    /** Begins a planned stop, which ends with the exit given. */
+    /** Begins a planned stop, at whose end the {@link ProcessEnd} action runs. */
     public void stop() {
         mControl.execute(mStop::begin);
     }
 
     /**
-     * Takes settings that were read again: those that can come into force at once, and a line of
-     * the log tells what waits for a restart. No request and no connection ends by it.
+     * Applies reloaded settings. Those that can change at run time come into force at once; a log
+     * line names those that need a restart. No request is aborted and no connection is closed.
      *
-     * @param settings the settings, which differ from those before
+     * @param settings the settings, which differ from the previous ones
      */
     public void reload(EntrySettings settings) {
         mSettings.apply(settings);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryListeners.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryListeners.java
@@ -15,7 +15,7 @@
 import javax.inject.Inject;
 import javax.inject.Singleton;
 
-/** Where an instance listens, but for other instances. */
+/** The listening sockets of an instance, except those for other instances. */
 @Singleton
 final class EntryListeners {
 
@@ -29,7 +29,10 @@
     private volatile boolean mListening;
     private volatile RequestLimits mRequestLimits = RequestLimits.DEFAULT;
 
-    /** Readiness asks whether this listens, so it is joined after this. */
+    /**
+     * Creates the servers without starting them. Readiness depends on whether these listen, so it
+     * is resolved lazily.
+     */
     @Inject
     EntryListeners(
             @TrafficThread EventLoopGroup trafficGroup,
@@ -66,34 +69,37 @@
     }
 
     /**
-     * Takes clients, and those who ask whether and where they may come.
+     * Starts the servers for clients, for the directory and for readiness checks.
      *
-     * @param listening is run once clients can connect, on the traffic thread
+     * @param onBound runs on the traffic thread once the attempt to listen for clients has ended
      */
-    void start(Runnable listening) {
+    void start(Runnable onBound) {
         mReadiness.start();
         mDirectory.start();
         mEntry.start()
                 .addListener(
                         bound -> {
                             mListening = bound.isSuccess();
-                            listening.run();
+                            onBound.run();
                         });
     }
 
-    /** Takes scrapers and operators, if the settings say where; on the control thread. */
+    /**
+     * Starts the server for metrics and operators, if the settings name its address. Must be called
+     * on the control thread.
+     */
     void serveOperators() {
         mAddresses.metrics().ifPresent(this::serveOperators);
     }
 
-    /** What answers them is made when the first one asks, since a start must not wait for it. */
+    /** The handler is created by the first request, since its creation must not delay the start. */
     private void serveOperators(ServerAddress address) {
         RequestHandler handler =
                 (request, responder) -> mControlHandler.get().handle(request, responder);
         server(mControlGroup, address, handler).start();
     }
 
-    void limit(RequestLimits limits) {
+    void setRequestLimits(RequestLimits limits) {
         mRequestLimits = limits;
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryMetricsCollector.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryMetricsCollector.java
@@ -35,7 +35,7 @@
 import javax.inject.Inject;
 import javax.inject.Singleton;
 
-/** Collects what the parts know for a page of metrics. */
+/** Collector of the metric values of all parts of an instance. */
 @Singleton
 final class EntryMetricsCollector {
 
@@ -65,7 +65,7 @@
                     Limits.NONE,
                     Withdrawals.NONE);
 
-    /** The figures of workspaces' keys. */
+    /** The metrics of the workspaces' keys. */
     private record Keys(int workspaces, int keys, long proofAgeNanos, boolean isProven) {
 
         static final Keys NONE = new Keys(0, 0, RequestRecord.UNKNOWN, false);
@@ -79,43 +79,43 @@
         }
     }
 
-    /** The figures of the limits that backend servers name. */
+    /** The metrics of the limits that backend servers state. */
     private record Limits(long servers, double ownPerSecond, long malformed) {
 
         static final Limits NONE = new Limits(0, 0, 0);
 
         static Limits of(ServerLimitGate gate) {
-            List<LimitView> beliefs = gate.views();
+            List<LimitView> views = gate.views();
             return new Limits(
-                    beliefs.stream().filter(LimitView::isLimited).count(),
-                    beliefs.stream().mapToDouble(LimitView::ownPerSecond).sum(),
+                    views.stream().filter(LimitView::isLimited).count(),
+                    views.stream().mapToDouble(LimitView::ownPerSecond).sum(),
                     gate.malformed());
         }
     }
 
-    /** The figures of what backend servers say of whether they take requests. */
+    /** The metrics of the withdrawals that backend servers state. */
     private record Withdrawals(long leaving, long paused, long malformed) {
 
         static final Withdrawals NONE = new Withdrawals(0, 0, 0);
 
         static Withdrawals of(ServerStatements statements) {
-            List<WithdrawalView> beliefs = statements.withdrawals();
+            List<WithdrawalView> views = statements.withdrawals();
             long paused =
-                    beliefs.stream()
+                    views.stream()
                             .filter(each -> each.state() == WithdrawalView.State.PAUSED)
                             .count();
-            return new Withdrawals(beliefs.size() - paused, paused, statements.malformed());
+            return new Withdrawals(views.size() - paused, paused, statements.malformed());
         }
     }
 
-    /** The figures of the traffic thread. */
+    /** The metrics of the traffic thread. */
     private record Traffic(
             int open,
             long connections,
             long idle,
             long opened,
-            long loadsTold,
-            long loadsHeard,
+            long loadsReported,
+            long loadsReceived,
             long serverEnds,
             int followed,
             long rejected,
@@ -125,8 +125,8 @@
             Limits limits,
             Withdrawals withdrawals) {
 
-        double sum(ToDoubleFunction<RetryBudgetUsage> figure) {
-            return retries.stream().mapToDouble(figure).sum();
+        double sum(ToDoubleFunction<RetryBudgetUsage> value) {
+            return retries.stream().mapToDouble(value).sum();
         }
     }
 
@@ -167,7 +167,7 @@
                         Withdrawals.of(mFlow.statements()));
     }
 
-    /** Sets all figures, on the control thread. */
+    /** Sets all metric values. Must be called on the control thread. */
     void set(EntryValues values) {
         setTraffic(values);
         setFleet(values, mControl.replica().snapshot());
@@ -198,8 +198,8 @@
         values.set(EntryValue.BACKEND_CONNECTIONS, traffic.connections());
         values.set(EntryValue.IDLE_BACKEND_CONNECTIONS, traffic.idle());
         values.set(EntryValue.BACKEND_CONNECTIONS_OPENED, traffic.opened());
-        values.set(EntryValue.LOADS_REPORTED, traffic.loadsTold());
-        values.set(EntryValue.LOADS_RECEIVED, traffic.loadsHeard());
+        values.set(EntryValue.LOADS_REPORTED, traffic.loadsReported());
+        values.set(EntryValue.LOADS_RECEIVED, traffic.loadsReceived());
         values.set(EntryValue.SERVER_ENDS, traffic.serverEnds());
         values.set(EntryValue.FOLLOWED_REQUESTS, traffic.followed());
         values.set(EntryValue.LIMITED_SERVERS, traffic.limits().servers());
@@ -225,7 +225,7 @@
         }
     }
 
-    /** Sets the sums over the shifts that run now. */
+    /** Sets the sums over the shifts that are running. */
     private void setSpending(EntryValues values, List<SpendingView> spendings) {
         Instant now = mTimeSource.instant();
         List<SpendingView> running =
@@ -257,8 +257,8 @@
     }
 
     private static long count(
-            Collection<RegisteredServer> servers, Predicate<RegisteredServer> meant) {
-        return servers.stream().filter(meant).count();
+            Collection<RegisteredServer> servers, Predicate<RegisteredServer> predicate) {
+        return servers.stream().filter(predicate).count();
     }
 
     private static void setReplica(EntryValues values, ReplicaStatus status) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryStop.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryStop.java
@@ -12,7 +12,7 @@
 import javax.inject.Inject;
 import javax.inject.Singleton;
 
-/** What a planned stop does to the parts of an instance, and what it waits for. */
+/** The actions of a planned stop on the parts of an instance, and the work for which it waits. */
 @Singleton
 final class EntryStop implements StopActions, OpenWork {
 
@@ -22,7 +22,7 @@
     private final InstanceRegistration mRegistration;
     private final EntryListeners mListeners;
     private final RequestFlow mFlow;
-    private final ProcessChangeLog mNews;
+    private final ProcessChangeLog mProcessChanges;
     private final Runnable mExit;
     private boolean mWithdrawalPending;
 
@@ -34,7 +34,7 @@
             InstanceRegistration registration,
             EntryListeners listeners,
             RequestFlow flow,
-            ProcessChangeLog news,
+            ProcessChangeLog processChanges,
             @ProcessEnd Runnable exit) {
         mTraffic = traffic;
         mHeartbeats = heartbeats;
@@ -42,7 +42,7 @@
         mRegistration = registration;
         mListeners = listeners;
         mFlow = flow;
-        mNews = news;
+        mProcessChanges = processChanges;
         mExit = exit;
     }
 
@@ -77,7 +77,7 @@
 
     @Override
     public void exit() {
-        mNews.log(ProcessChange.Kind.STOPPED);
+        mProcessChanges.log(ProcessChange.Kind.STOPPED);
         mExit.run();
     }
 
@@ -94,11 +94,14 @@
     @Override
     public boolean isWithdrawalPending() {
         return mWithdrawalPending
-                || (mFlow.spending().isPresent() && mustReturn(mFlow.spending().get()));
+                || (mFlow.spending().isPresent() && mustReturnAllotments(mFlow.spending().get()));
     }
 
-    /** Once no request is open, what is left of allotments goes back. */
-    private boolean mustReturn(SpendingCheck spending) {
+    /**
+     * Determines whether allotments must still be returned. Starts their return once no request is
+     * open.
+     */
+    private boolean mustReturnAllotments(SpendingCheck spending) {
         if (spending.isStopped()) {
             return false;
         }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/HeartbeatRevisions.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/HeartbeatRevisions.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Tells how far the other instances are, as their heartbeats say. */
+/** Source of the store revisions that the other instances report in their heartbeats. */
 final class HeartbeatRevisions implements PeerRevisions {
 
     private final PeerView mPeers;
@@ -29,7 +29,10 @@
                 .toList();
     }
 
-    /** Gives the ready instances of a zone that are in no doubt, this one among them if ready. */
+    /**
+     * Returns the ready instances of a zone that are not suspected to have failed, including this
+     * one if it is ready.
+     */
     List<RelayMember> readyMembers(ZoneId zone) {
         Set<InstanceId> suspects = mPeers.suspects();
         return mPeers.alive().stream()
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/InstanceDocuments.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/InstanceDocuments.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Writes and reads the documents by which instances find each other in the platform's store. */
+/** Serializer of the documents by which instances discover each other in the platform's store. */
 final class InstanceDocuments {
 
     private static final String INCARNATION = "incarnation";
@@ -25,7 +25,7 @@
 
     private InstanceDocuments() {}
 
-    /** Writes an instance. */
+    /** Returns the document of an instance. */
     static JsonNode write(PeerInstance instance, long era) {
         ObjectNode document = JsonNodeFactory.instance.objectNode();
         document.put(INCARNATION, instance.incarnation());
@@ -37,7 +37,10 @@
         return document;
     }
 
-    /** Gives the newest era of the store in which an instance has settled, if any tells one. */
+    /**
+     * Returns the newest era of the store in which an instance has settled, or {@link
+     * StoreRestoreTracker#UNREPORTED} if none reports one.
+     */
     static long newestEra(List<StoredDocument> documents) {
         return documents.stream()
                 .mapToLong(each -> each.content().path(ERA).asLong(StoreRestoreTracker.UNREPORTED))
@@ -45,7 +48,7 @@
                 .orElse(StoreRestoreTracker.UNREPORTED);
     }
 
-    /** Reads all instances that can be read. */
+    /** Returns the instances whose documents are valid. */
     static List<PeerInstance> readAll(List<StoredDocument> documents) {
         return documents.stream()
                 .map(document -> read(document.name(), document.content()))
@@ -53,7 +56,7 @@
                 .toList();
     }
 
-    /** Reads an instance, or nothing if the document is none. */
+    /** Returns the instance of a document, or nothing if the document is invalid. */
     static Optional<PeerInstance> read(String name, JsonNode document) {
         try {
             return Optional.of(
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LifecycleModule.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LifecycleModule.java
@@ -14,7 +14,7 @@
 import io.netty.channel.EventLoop;
 import javax.inject.Singleton;
 
-/** Wires when an instance takes clients, and what it tells operators. */
+/** Dagger module of the readiness of an instance and of its handler for operators. */
 @Module
 final class LifecycleModule {
 
@@ -26,7 +26,10 @@
         return new Readiness(replica::isUsable, listeners::isListening, stop::isStopping);
     }
 
-    /** Only made where the settings say where it listens, so the port is there. */
+    /**
+     * Creates the handler for operators. It is created only where the settings name its listening
+     * address, so the port is present.
+     */
     @Provides
     @Singleton
     static ControlHandler controlHandler(
@@ -37,7 +40,7 @@
             @ControlThread EventLoop control,
             RequestFlow flow,
             SharedLimits limits,
-            ControlComponents controlSide,
+            ControlComponents controlComponents,
             Readiness readiness,
             StopSwitch stop,
             RecentDecisions decisions,
@@ -51,8 +54,8 @@
                         control,
                         flow,
                         limits,
-                        controlSide.replica(),
-                        controlSide.heartbeats(),
+                        controlComponents.replica(),
+                        controlComponents.heartbeats(),
                         readiness::isReady,
                         stop::isStopping,
                         decisions);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LimitSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LimitSharing.java
@@ -17,22 +17,29 @@
 import javax.inject.Singleton;
 
 /**
- * Carries the limits that backend servers name between instances. A change is told at once to the
- * own zone and to two instances of each other zone, who pass it on; besides, each tells one other
- * in turn what it knows, which mends what was lost.
+ * Exchange of the limits that backend servers state between instances. A change is reported at once
+ * to the own zone and to two instances of each other zone, which forward it in their zone. In
+ * addition, each instance reports all limits that it knows to one other in turn, which compensates
+ * for lost datagrams.
  */
 @Singleton
 final class LimitSharing {
 
-    /** The servers of a service name their limits at about the same time. */
-    private static final long BUNDLE_MILLIS = 100;
+    /**
+     * Batches the changes, since the servers of a service state their limits at about the same
+     * time.
+     */
+    private static final long BATCH_MILLIS = 100;
 
-    /** A bundle waits so long for each instance that gets it: 50 datagrams a second at most. */
-    private static final long MILLIS_FOR_EACH = 20;
+    /**
+     * The delay of the next batch per receiver of this one, which allows at most 50 datagrams a
+     * second.
+     */
+    private static final long MILLIS_PER_RECEIVER = 20;
 
-    private static final long LOOK_MILLIS = 250;
+    private static final long REPORT_PERIOD_MILLIS = 250;
 
-    /** One may be down without having been noticed. */
+    /** One relay may be down without having been detected. */
     private static final int RELAYS = 2;
 
     private final EventLoop mTraffic;
@@ -42,8 +49,8 @@
     private final HeartbeatService mPeers;
     private final PeerInstance mSelf;
     private final AntiEntropyTargets mTargets;
-    private final Map<Long, LimitReport> mWaiting = new HashMap<>();
-    private boolean mIsPlanned;
+    private final Map<Long, LimitReport> mPending = new HashMap<>();
+    private boolean mIsSendScheduled;
 
     @Inject
     LimitSharing(
@@ -61,27 +68,30 @@
         mTargets = new AntiEntropyTargets(self.id());
     }
 
-    /** Begins to tell and to hear. */
+    /** Starts sending and receiving. */
     void start() {
         mPeers.registerReceiver(
                 LimitReportCodec.VERSION,
                 (sender, content) -> {
-                    LimitReportCodec.Content told = LimitReportCodec.read(content);
-                    mTraffic.execute(() -> receive(told));
+                    LimitReportCodec.Content decoded = LimitReportCodec.read(content);
+                    mTraffic.execute(() -> receive(decoded));
                 });
         mTraffic.execute(() -> mLimits.publishTo(report -> mControl.execute(() -> add(report))));
         mTraffic.scheduleWithFixedDelay(
-                this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+                this::reportKnown,
+                REPORT_PERIOD_MILLIS,
+                REPORT_PERIOD_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 
-    private void receive(LimitReportCodec.Content told) {
-        List<LimitReport> news = mLimits.received(mFlow.servers(), told.reports());
-        if (told.forward() && !news.isEmpty()) {
-            mControl.execute(() -> send(mPeers.ownZone(), false, news));
+    private void receive(LimitReportCodec.Content decoded) {
+        List<LimitReport> updates = mLimits.received(mFlow.servers(), decoded.reports());
+        if (decoded.forward() && !updates.isEmpty()) {
+            mControl.execute(() -> send(mPeers.ownZone(), false, updates));
         }
     }
 
-    private void look() {
+    private void reportKnown() {
         mFlow.statements().refresh();
         List<LimitReport> reports = mLimits.reports();
         if (!reports.isEmpty()) {
@@ -90,27 +100,30 @@
     }
 
     private void add(LimitReport report) {
-        mWaiting.put(report.serverHash(), report);
-        if (!mIsPlanned) {
-            mIsPlanned = true;
-            mControl.schedule(this::sendPending, BUNDLE_MILLIS, TimeUnit.MILLISECONDS);
+        mPending.put(report.serverHash(), report);
+        if (!mIsSendScheduled) {
+            mIsSendScheduled = true;
+            mControl.schedule(this::sendPending, BATCH_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Tells what waits; the next bundle may follow when this one's datagrams are paid for. */
+    /**
+     * Sends the pending reports. The next batch may follow once the rate limit covers the datagrams
+     * of this one.
+     */
     private void sendPending() {
-        if (mWaiting.isEmpty()) {
-            mIsPlanned = false;
+        if (mPending.isEmpty()) {
+            mIsSendScheduled = false;
             return;
         }
-        List<LimitReport> reports = List.copyOf(mWaiting.values());
-        mWaiting.clear();
+        List<LimitReport> reports = List.copyOf(mPending.values());
+        mPending.clear();
         List<PeerInstance> relays = relays();
         List<PeerInstance> zone = mPeers.ownZone();
         send(zone, false, reports);
         send(relays, true, reports);
-        long rest = MILLIS_FOR_EACH * (zone.size() + relays.size());
-        mControl.schedule(this::sendPending, rest, TimeUnit.MILLISECONDS);
+        long delay = MILLIS_PER_RECEIVER * (zone.size() + relays.size());
+        mControl.schedule(this::sendPending, delay, TimeUnit.MILLISECONDS);
     }
 
     private List<PeerInstance> relays() {
@@ -127,12 +140,12 @@
         return relays;
     }
 
-    private void send(List<PeerInstance> hearers, boolean passOn, List<LimitReport> reports) {
+    private void send(List<PeerInstance> receivers, boolean forward, List<LimitReport> reports) {
         for (int from = 0; from < reports.size(); from += LimitReportCodec.MAXIMUM_REPORTS) {
             int to = Math.min(reports.size(), from + LimitReportCodec.MAXIMUM_REPORTS);
             LimitReportCodec.Content content =
-                    new LimitReportCodec.Content(passOn, reports.subList(from, to));
-            mPeers.sendDatagram(hearers, out -> LimitReportCodec.write(content, out));
+                    new LimitReportCodec.Content(forward, reports.subList(from, to));
+            mPeers.sendDatagram(receivers, out -> LimitReportCodec.write(content, out));
         }
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoadSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoadSharing.java
@@ -13,20 +13,23 @@
 import javax.inject.Singleton;
 
 /**
- * Carries loads of backend servers between the request path and the instances of the own
- * availability zone, in bundles.
+ * Exchange, in batches, of the loads of backend servers between the request path and the instances
+ * of the own availability zone.
  */
 @Singleton
 final class LoadSharing {
 
-    /** A bundle waits so long for each instance that gets it: 50 datagrams a second at most. */
-    private static final long MILLIS_FOR_EACH = 20;
+    /** The delay of a batch per receiver, which allows at most 50 datagrams a second. */
+    private static final long MILLIS_PER_RECEIVER = 20;
 
-    /** Waiting less brings nothing: queues last a second or two. */
-    private static final long MINIMUM_MILLIS = 100;
+    /** A shorter delay has no benefit, since queues last a second or two. */
+    private static final long MINIMUM_DELAY_MILLIS = 100;
 
-    /** Beyond this a queue may be over when it is heard of; larger zones send more datagrams. */
-    private static final long MAXIMUM_MILLIS = 500;
+    /**
+     * With a longer delay, a queue may be over before its report arrives. Larger zones send more
+     * datagrams instead.
+     */
+    private static final long MAXIMUM_DELAY_MILLIS = 500;
 
     private final EventLoop mTraffic;
     private final EventLoop mControl;
@@ -48,7 +51,7 @@
         mTimeSource = timeSource;
     }
 
-    /** Begins to tell and to hear. */
+    /** Starts sending and receiving. */
     void start() {
         mPeers.registerReceiver(
                 LoadReportCodec.VERSION,
@@ -56,7 +59,7 @@
                     List<LoadReport> reports = LoadReportCodec.read(content);
                     mTraffic.execute(() -> receive(reports));
                 });
-        mTraffic.execute(() -> shared().setPendingListener(this::plan));
+        mTraffic.execute(() -> shared().setPendingListener(this::scheduleSend));
     }
 
     private SharedLoads shared() {
@@ -67,10 +70,10 @@
         shared().receive(mFlow.servers(), reports, mTimeSource.monotonicNanos());
     }
 
-    private void plan() {
-        long wait = MILLIS_FOR_EACH * (mPeers.ownZone().size() - 1);
-        wait = Math.max(MINIMUM_MILLIS, Math.min(MAXIMUM_MILLIS, wait));
-        mTraffic.schedule(this::send, wait, TimeUnit.MILLISECONDS);
+    private void scheduleSend() {
+        long delay = MILLIS_PER_RECEIVER * (mPeers.ownZone().size() - 1);
+        delay = Math.max(MINIMUM_DELAY_MILLIS, Math.min(MAXIMUM_DELAY_MILLIS, delay));
+        mTraffic.schedule(this::send, delay, TimeUnit.MILLISECONDS);
     }
 
     private void send() {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoggingPeerListener.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoggingPeerListener.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Logs which other instances are heard. Control thread only. */
+/** Listener that logs which other instances are reachable. For the control thread only. */
 final class LoggingPeerListener implements PeerListener {
 
     private final DecisionLog mLog;
@@ -26,11 +26,12 @@
     @Override
     public void onPeerReachable(PeerInstance instance) {
         Long lost = mLostNanos.remove(instance.id());
-        long silent =
+        long inactiveMillis =
                 lost == null
                         ? 0
                         : TimeUnit.NANOSECONDS.toMillis(mTimeSource.monotonicNanos() - lost);
-        mLog.viewChanged(new ViewChange.Peer(instance.id(), instance.incarnation(), true, silent));
+        mLog.viewChanged(
+                new ViewChange.Peer(instance.id(), instance.incarnation(), true, inactiveMillis));
     }
 
     @Override
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoggingStoreListener.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoggingStoreListener.java
@@ -5,7 +5,9 @@
 import io.masticpond.entry.replica.StoreListener;
 import java.time.Duration;
 
-/** Logs when the platform's store is lost and when it is back. */
+/**
+ * Listener that logs when the platform's store becomes unavailable and when it is available again.
+ */
 final class LoggingStoreListener implements StoreListener {
 
     private final DecisionLog mLog;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/MetricsHandler.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/MetricsHandler.java
@@ -15,31 +15,31 @@
 import javax.inject.Singleton;
 
 /**
- * Shows the metrics of an instance. The control thread serves them, since the first page takes
- * long; the traffic thread is only asked for its own figures.
+ * Request handler that serves the metrics of an instance. The control thread renders them, since
+ * the first page takes long; the traffic thread only collects its own values.
  */
 @Singleton
 final class MetricsHandler implements RequestHandler {
 
-    /** Where the metrics are. */
+    /** Path of the metrics. */
     static final String PATH = "/metrics";
 
-    private static final int FOUND = 200;
+    private static final int OK = 200;
     private static final int NOT_FOUND = 404;
 
     private final EntryMetrics mMetrics;
-    private final EntryMetricsCollector mFigures;
+    private final EntryMetricsCollector mCollector;
     private final EventLoop mTraffic;
     private final EventLoop mControl;
 
     @Inject
     MetricsHandler(
             EntryMetrics metrics,
-            EntryMetricsCollector figures,
+            EntryMetricsCollector collector,
             @TrafficThread EventLoop traffic,
             @ControlThread EventLoop control) {
         mMetrics = metrics;
-        mFigures = figures;
+        mCollector = collector;
         mTraffic = traffic;
         mControl = control;
     }
@@ -47,22 +47,22 @@
     @Override
     public void handle(IncomingRequest request, Responder responder) {
         request.body().release();
-        if (!isMeant(request)) {
+        if (!isMetricsRequest(request)) {
             responder.answer(answer(NOT_FOUND, Unpooled.EMPTY_BUFFER));
             return;
         }
         mTraffic.execute(
                 () -> {
-                    mFigures.readTraffic();
-                    mControl.execute(() -> show(responder));
+                    mCollector.readTraffic();
+                    mControl.execute(() -> answerMetrics(responder));
                 });
     }
 
-    private void show(Responder responder) {
-        responder.answer(answer(FOUND, Unpooled.wrappedBuffer(mMetrics.scrapeBytes())));
+    private void answerMetrics(Responder responder) {
+        responder.answer(answer(OK, Unpooled.wrappedBuffer(mMetrics.scrapeBytes())));
     }
 
-    private static boolean isMeant(IncomingRequest request) {
+    private static boolean isMetricsRequest(IncomingRequest request) {
         String path = request.target().split("\\?", 2)[0];
         return request.method().equals(HttpMethod.GET) && path.equals(PATH);
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/PeerOrder.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/PeerOrder.java
@@ -8,19 +8,22 @@
 import java.util.List;
 import java.util.Map;
 
-/** Draws instances for a key, the same for all who see the same instances. */
+/**
+ * Utility methods that order instances by a key. All instances that see the same members get the
+ * same order.
+ */
 final class PeerOrder {
 
     private PeerOrder() {}
 
-    /** Gives instances in the order of a key, the first choice first. */
+    /** Returns the instances in the order of a key, the preferred one first. */
     static List<PeerInstance> of(String key, Collection<PeerInstance> among) {
         Map<InstanceId, PeerInstance> byId = new HashMap<>();
         among.forEach(each -> byId.put(each.id(), each));
         return Rendezvous.order(key, byId.keySet()).stream().map(byId::get).toList();
     }
 
-    /** Gives the first few of them. */
+    /** Returns at most {@code count} instances, the preferred ones of a key first. */
     static List<PeerInstance> first(String key, Collection<PeerInstance> among, int count) {
         List<PeerInstance> order = of(key, among);
         return order.subList(0, Math.min(count, order.size()));
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/PlatformAdapter.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/PlatformAdapter.java
@@ -13,21 +13,22 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * What a platform spells in its own way, in the terms of an instance.
+ * Strategy interface for what differs between platforms: the names of headers, the access to the
+ * store, and the formats of documents and answers.
  *
  * @since 0.2
  */
 public interface PlatformAdapter {
 
     /**
-     * Gives the names of headers.
+     * Returns the names of headers.
      *
      * @return the names
      */
     HeaderNames headerNames();
 
     /**
-     * Gives access to the store.
+     * Creates a client of the store.
      *
      * @param control the control thread
      * @param settings the settings of this instance
@@ -37,7 +38,7 @@
     StoreFeed storeFeed(EventLoop control, EntrySettings settings, TimeSource timeSource);
 
     /**
-     * Gives access to the ledgers in the store; asked only if spending has a cap.
+     * Creates a client of the ledgers in the store. Called only if spending has a cap.
      *
      * @param control the control thread
      * @param settings the settings of this instance
@@ -46,7 +47,7 @@
     ConditionalStore ledgerStore(EventLoop control, EntrySettings settings);
 
     /**
-     * Gives the call that looks whether the store answers.
+     * Creates the probe that checks whether the store answers.
      *
      * @param control the control thread
      * @param settings the settings of this instance
@@ -55,25 +56,25 @@
     StoreProbe storeProbe(EventLoop control, EntrySettings settings);
 
     /**
-     * Gives the translation of documents.
+     * Returns the translator of documents.
      *
      * @return the translator
      */
     DocumentTranslator translator();
 
     /**
-     * Answers clients that ask where to connect.
+     * Creates the handler that answers clients that ask which instance to connect to.
      *
-     * @param directory decides
+     * @param directory the decider
      * @param settings the settings of this instance
      * @return the handler
      */
     RequestHandler directoryHandler(DirectoryDecider directory, EntrySettings settings);
 
     /**
-     * Answers questions whether this instance takes clients.
+     * Creates the handler that answers whether this instance accepts clients.
      *
-     * @param ready tells whether it does
+     * @param ready whether it does
      * @return the handler
      */
     RequestHandler readinessHandler(BooleanSupplier ready);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ProcessChangeLog.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ProcessChangeLog.java
@@ -8,7 +8,7 @@
 import javax.inject.Inject;
 import javax.inject.Singleton;
 
-/** Logs what happens to this process, with the time since its parts were joined. */
+/** Logger of the state changes of this process, with the time since this logger was created. */
 @Singleton
 final class ProcessChangeLog {
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ProcessEnd.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ProcessEnd.java
@@ -5,7 +5,7 @@
 import javax.inject.Qualifier;
 
 /**
- * Marks what ends the process after a planned stop.
+ * Qualifier of the action that ends the process after a planned stop.
  *
  * @since 0.2
  */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ProcessModule.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ProcessModule.java
@@ -18,7 +18,7 @@
 import io.netty.util.concurrent.DefaultThreadFactory;
 import javax.inject.Singleton;
 
-/** Wires the threads, what this process is, and what it tells of itself. */
+/** Dagger module of the threads, the identity, the metrics and the log of the process. */
 @Module
 final class ProcessModule {
 
@@ -66,11 +66,14 @@
                 0);
     }
 
-    /** The figures are joined when somebody asks for them first. */
+    /**
+     * Creates the metrics. The collector is resolved at the first scrape, since it depends on most
+     * other parts.
+     */
     @Provides
     @Singleton
-    static EntryMetrics metrics(LineCounts lines, Lazy<EntryMetricsCollector> figures) {
-        return new EntryMetrics(lines, values -> figures.get().set(values));
+    static EntryMetrics metrics(LineCounts lines, Lazy<EntryMetricsCollector> collector) {
+        return new EntryMetrics(lines, values -> collector.get().set(values));
     }
 
     @Provides
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ProofSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ProofSharing.java
@@ -25,21 +25,27 @@
 import javax.inject.Singleton;
 
 /**
- * Keeps the proof that the workspaces and keys known here are the newest: one instance of a region
- * reads the store for all, the others ask it. Control thread, but for what the request path gets.
+ * Maintainer of the proof that the workspaces and keys of this instance are the newest ones. One
+ * instance of a region reads the store for all, and the others request its proof. Runs on the
+ * control thread, except for the proofs that it passes to the request path.
  */
 @Singleton
 final class ProofSharing {
 
-    private static final long LOOK_MILLIS = 300;
+    private static final long CHECK_PERIOD_MILLIS = 300;
 
-    /** The first of the region's order, which are asked in turn. */
-    private static final int ASKED_NEAR = 2;
+    /** The number of preferred instances of the own region that are queried in turn. */
+    private static final int REGION_TARGETS = 2;
 
-    /** Instances of any region that are asked besides, when the near ones have no proof. */
-    private static final int ASKED_FAR = 2;
+    /**
+     * The number of instances of any region that are queried in addition, when those of the own
+     * region have no proof.
+     */
+    private static final int ANY_REGION_TARGETS = 2;
 
-    /** Asks that may still be answered; later answers tell nothing. */
+    /**
+     * The maximum number of requests that may still be answered; answers to older ones are ignored.
+     */
     private static final int MAXIMUM_OPEN_REQUESTS = 32;
 
     private final EventLoop mTraffic;
@@ -52,12 +58,12 @@
     private final PeerInstance mSelf;
     private final DecisionLog mLog;
     private final long mLimitNanos;
-    private final FreshnessTracker mKeeper = new FreshnessTracker();
+    private final FreshnessTracker mFreshness = new FreshnessTracker();
     private final Map<Long, Moment> mRequests = new LinkedHashMap<>();
     private List<PeerInstance> mAlive = List.of();
-    private List<PeerInstance> mOrder = List.of();
-    private long mNumber;
-    private long mTurn;
+    private List<PeerInstance> mRegionOrder = List.of();
+    private long mNextRequestNumber;
+    private long mNextIndex;
     private boolean mReading;
     private boolean mProven;
     private Moment mReportedProof;
@@ -85,7 +91,9 @@
         mLimitNanos = settings.workspaces().proofLimit().toNanos();
     }
 
-    /** Begins to prove, to ask and to answer. */
+    /**
+     * Starts reading proofs from the store, querying other instances and answering their queries.
+     */
     void start() {
         mPeers.registerReceiver(
                 ProofCodec.VERSION,
@@ -93,43 +101,43 @@
                         ProofCodec.read(content)
                                 .ifPresent(
                                         message -> {
-                                            if (message instanceof ProofCodec.Request ask) {
+                                            if (message instanceof ProofCodec.Request query) {
                                                 mPeers.sendDatagram(
-                                                        sender, out -> answer(ask, out));
+                                                        sender, out -> answer(query, out));
                                             } else {
                                                 received((ProofCodec.Answer) message);
                                             }
                                         }));
-        mReader.setProofListener(this::take);
+        mReader.setProofListener(this::addProof);
         mControl.scheduleWithFixedDelay(
-                this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+                this::check, CHECK_PERIOD_MILLIS, CHECK_PERIOD_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void answer(ProofCodec.Request ask, ByteBuf out) {
-        FreshnessProof proof = mKeeper.youngestProof().orElse(null);
+    private void answer(ProofCodec.Request query, ByteBuf out) {
+        FreshnessProof proof = mFreshness.youngestProof().orElse(null);
         long age = proof == null ? Integer.MAX_VALUE : proof.ageNanos(now());
         ProofCodec.write(
                 new ProofCodec.Answer(
-                        ask.number(),
+                        query.number(),
                         TimeUnit.NANOSECONDS.toMillis(age) + 1,
                         proof == null ? 0 : proof.revision()),
                 out);
     }
 
     private void received(ProofCodec.Answer answer) {
-        Moment asked = mRequests.remove(answer.number());
-        if (asked != null && answer.revision() > 0) {
+        Moment sent = mRequests.remove(answer.number());
+        if (sent != null && answer.revision() > 0) {
             long age = TimeUnit.MILLISECONDS.toNanos(answer.ageMillis());
-            take(new FreshnessProof(asked.minusNanos(age), answer.revision()));
+            addProof(new FreshnessProof(sent.minusNanos(age), answer.revision()));
         }
     }
 
-    private void take(FreshnessProof proof) {
-        mKeeper.addProof(proof, now());
+    private void addProof(FreshnessProof proof) {
+        mFreshness.addProof(proof, now());
         reportProof();
     }
 
-    private void look() {
+    private void check() {
         boolean needed =
                 mReplica.snapshot()
                         .routing()
@@ -139,26 +147,26 @@
             return;
         }
         Moment now = now();
-        order();
+        updateRegionOrder();
         int rank = rank();
-        if (!mReading && mKeeper.mustReadStore(rank, now)) {
+        if (!mReading && mFreshness.mustReadStore(rank, now)) {
             mReading = true;
             mReader.read(isRead -> mReading = false);
         }
-        request(rank, now);
+        sendRequest(rank, now);
         reportProof();
     }
 
     private int rank() {
-        for (int rank = 0; rank < mOrder.size(); rank++) {
-            if (mOrder.get(rank).id().equals(mSelf.id())) {
+        for (int rank = 0; rank < mRegionOrder.size(); rank++) {
+            if (mRegionOrder.get(rank).id().equals(mSelf.id())) {
                 return rank;
             }
         }
-        return mOrder.size();
+        return mRegionOrder.size();
     }
 
-    private void order() {
+    private void updateRegionOrder() {
         List<PeerInstance> alive = mPeers.alive();
         if (alive == mAlive) {
             return;
@@ -166,35 +174,39 @@
         mAlive = alive;
         List<PeerInstance> inRegion =
                 alive.stream().filter(each -> each.region().equals(mSelf.region())).toList();
-        mOrder = PeerOrder.of("proof/" + mSelf.region().value(), inRegion);
+        mRegionOrder = PeerOrder.of("proof/" + mSelf.region().value(), inRegion);
     }
 
-    private void request(int rank, Moment now) {
-        List<PeerInstance> asked = new ArrayList<>();
-        if (rank != 0 && !mOrder.isEmpty() && mKeeper.mustQueryRegion(now)) {
-            asked.add(mOrder.get((int) (mNumber % Math.min(ASKED_NEAR, mOrder.size()))));
+    private void sendRequest(int rank, Moment now) {
+        List<PeerInstance> targets = new ArrayList<>();
+        if (rank != 0 && !mRegionOrder.isEmpty() && mFreshness.mustQueryRegion(now)) {
+            targets.add(
+                    mRegionOrder.get(
+                            (int)
+                                    (mNextRequestNumber
+                                            % Math.min(REGION_TARGETS, mRegionOrder.size()))));
         }
-        if (mKeeper.mustQueryOtherRegions(now)) {
-            for (int i = 0; i < ASKED_FAR && !mAlive.isEmpty(); i++) {
-                asked.add(mAlive.get((int) Math.floorMod(mTurn++, (long) mAlive.size())));
+        if (mFreshness.mustQueryOtherRegions(now)) {
+            for (int i = 0; i < ANY_REGION_TARGETS && !mAlive.isEmpty(); i++) {
+                targets.add(mAlive.get((int) Math.floorMod(mNextIndex++, (long) mAlive.size())));
             }
         }
-        if (asked.isEmpty()) {
+        if (targets.isEmpty()) {
             return;
         }
-        long number = mNumber++;
+        long number = mNextRequestNumber++;
         mRequests.put(number, now);
         if (mRequests.size() > MAXIMUM_OPEN_REQUESTS) {
             mRequests.remove(mRequests.keySet().iterator().next());
         }
-        mPeers.sendDatagram(asked, out -> ProofCodec.write(new ProofCodec.Request(number), out));
+        mPeers.sendDatagram(targets, out -> ProofCodec.write(new ProofCodec.Request(number), out));
     }
 
-    /** Tells the request path of a new proof; the snapshot that it proves is there before it. */
+    /** Passes a new proof to the request path, which has the snapshot that it proves already. */
     private void reportProof() {
         Moment now = now();
-        mKeeper.onRevisionApplied(mReader.revisionInForce(), now);
-        Moment proof = mKeeper.youngestProof().map(FreshnessProof::moment).orElse(null);
+        mFreshness.onRevisionApplied(mReader.revisionInForce(), now);
+        Moment proof = mFreshness.youngestProof().map(FreshnessProof::moment).orElse(null);
         if (proof != mReportedProof) {
             mReportedProof = proof;
             mTraffic.execute(() -> mFlow.authenticator().recordProof(proof));
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/RateSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/RateSharing.java
@@ -20,19 +20,20 @@
 import javax.inject.Singleton;
 
 /**
- * Carries what instances do with the rates of workspaces. Two instances of each availability zone
- * add up for it: each instance tells them in turn what it does and hears what all others do, and
- * the first of them tells the other zones. So only sums cross zones.
+ * Exchange of the instances' usage of the rates of workspaces. Two instances of each availability
+ * zone aggregate its usage: each instance reports its own usage to them in turn and receives that
+ * of all others, and the first of them reports the sum to the other zones. So only sums cross
+ * zones.
  */
 @Singleton
 final class RateSharing {
 
-    private static final long REPORT_MILLIS = 200;
+    private static final long REPORT_PERIOD_MILLIS = 200;
 
-    /** Between zones, where bytes are dear. */
-    private static final long REPORT_ZONES_MILLIS = 400;
+    /** The period of reports between zones, where traffic is expensive. */
+    private static final long REPORT_ZONES_PERIOD_MILLIS = 400;
 
-    /** One may be down without having been noticed. */
+    /** One aggregator may be down without having been detected. */
     private static final int AGGREGATORS = 2;
 
     private final EventLoop mTraffic;
@@ -45,8 +46,8 @@
     private List<PeerInstance> mAlive = List.of();
     private Map<ServerAddress, PeerInstance> mByAddress = Map.of();
     private Map<ZoneId, List<PeerInstance>> mAggregators = Map.of();
-    private int mParts = 1;
-    private long mTurn;
+    private int mPartCount = 1;
+    private long mNextIndex;
 
     @Inject
     RateSharing(
@@ -64,22 +65,22 @@
         mSelf = self;
     }
 
-    /** Begins to tell and to hear. */
+    /** Starts sending and receiving. */
     void start() {
         mPeers.registerReceiver(
                 RateCodec.VERSION,
                 (sender, content) ->
                         RateCodec.read(content).ifPresent(part -> receive(sender, part)));
         mTraffic.scheduleWithFixedDelay(
-                this::report, REPORT_MILLIS, REPORT_MILLIS, TimeUnit.MILLISECONDS);
+                this::report, REPORT_PERIOD_MILLIS, REPORT_PERIOD_MILLIS, TimeUnit.MILLISECONDS);
         mControl.scheduleWithFixedDelay(
                 this::reportToZones,
-                REPORT_ZONES_MILLIS,
-                REPORT_ZONES_MILLIS,
+                REPORT_ZONES_PERIOD_MILLIS,
+                REPORT_ZONES_PERIOD_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Takes what this instance does, on the traffic thread. */
+    /** Collects this instance's usage, on the traffic thread, and reports it. */
     private void report() {
         SharedRates rates = mFlow.authenticator().rates();
         if (rates.isEmpty()) {
@@ -93,19 +94,22 @@
     }
 
     private void reportToAggregators(Map<Integer, RateUsage> uses, int parts) {
-        mParts = parts;
-        look();
-        List<PeerInstance> adders = aggregators(mSelf.zone());
-        if (adders.isEmpty()) {
+        mPartCount = parts;
+        updateAggregators();
+        List<PeerInstance> zoneAggregators = aggregators(mSelf.zone());
+        if (zoneAggregators.isEmpty()) {
             return;
         }
-        PeerInstance adder = adders.get((int) (mTurn++ % adders.size()));
-        if (adder.id().equals(mSelf.id())) {
+        PeerInstance aggregator =
+                zoneAggregators.get((int) (mNextIndex++ % zoneAggregators.size()));
+        if (aggregator.id().equals(mSelf.id())) {
             receiveOwn(uses);
             return;
         }
         for (int part = 0; part < parts; part++) {
-            send(List.of(adder), new RateCodec.Part(RateCodec.Kind.INSTANCE, part, parts, 1, uses));
+            send(
+                    List.of(aggregator),
+                    new RateCodec.Part(RateCodec.Kind.INSTANCE, part, parts, 1, uses));
         }
     }
 
@@ -113,7 +117,7 @@
         long now = mTimeSource.monotonicNanos();
         mTotals.received(mSelf.id(), 0, uses, now);
         RateTotals.Sum others = mTotals.forInstance(mSelf.id(), 0, now);
-        mTraffic.execute(() -> take(part(RateCodec.Kind.OTHERS, 0, 1, others)));
+        mTraffic.execute(() -> applyOthers(part(RateCodec.Kind.OTHERS, 0, 1, others)));
     }
 
     private static RateCodec.Part part(
@@ -122,63 +126,63 @@
     }
 
     private void receive(ServerAddress sender, RateCodec.Part part) {
-        look();
-        PeerInstance teller = mByAddress.get(sender);
-        if (teller == null) {
+        updateAggregators();
+        PeerInstance reporter = mByAddress.get(sender);
+        if (reporter == null) {
             return;
         }
         long now = mTimeSource.monotonicNanos();
         switch (part.kind()) {
             case INSTANCE -> {
-                mTotals.received(teller.id(), part.part(), part.uses(), now);
-                RateTotals.Sum others = mTotals.forInstance(teller.id(), part.part(), now);
+                mTotals.received(reporter.id(), part.part(), part.uses(), now);
+                RateTotals.Sum others = mTotals.forInstance(reporter.id(), part.part(), now);
                 send(
-                        List.of(teller),
+                        List.of(reporter),
                         part(RateCodec.Kind.OTHERS, part.part(), part.parts(), others));
             }
             case ZONE -> {
                 RateTotals.Sum sum = new RateTotals.Sum(part.uses(), part.instances());
-                mTotals.received(teller.zone(), part.part(), sum, now);
+                mTotals.received(reporter.zone(), part.part(), sum, now);
             }
-            case OTHERS -> mTraffic.execute(() -> take(part));
+            case OTHERS -> mTraffic.execute(() -> applyOthers(part));
             default -> throw new IllegalStateException("The kind is unknown.");
         }
     }
 
-    private void take(RateCodec.Part part) {
+    private void applyOthers(RateCodec.Part part) {
         long now = mTimeSource.monotonicNanos();
         mFlow.authenticator().rates().received(part.uses(), part::covers, part.instances(), now);
     }
 
     private void reportToZones() {
-        look();
+        updateAggregators();
         List<PeerInstance> own = aggregators(mSelf.zone());
         if (own.isEmpty() || !own.get(0).id().equals(mSelf.id())) {
             return;
         }
         List<PeerInstance> others = new ArrayList<>();
         mAggregators.forEach(
-                (zone, adders) -> {
+                (zone, zoneAggregators) -> {
                     if (!zone.equals(mSelf.zone())) {
-                        others.addAll(adders);
+                        others.addAll(zoneAggregators);
                     }
                 });
         long now = mTimeSource.monotonicNanos();
-        for (int part = 0; part < mParts && !others.isEmpty(); part++) {
-            send(others, part(RateCodec.Kind.ZONE, part, mParts, mTotals.ofZone(part, now)));
+        for (int part = 0; part < mPartCount && !others.isEmpty(); part++) {
+            send(others, part(RateCodec.Kind.ZONE, part, mPartCount, mTotals.ofZone(part, now)));
         }
     }
 
-    private void send(List<PeerInstance> hearers, RateCodec.Part part) {
-        mPeers.sendDatagram(hearers, out -> RateCodec.write(part, out));
+    private void send(List<PeerInstance> receivers, RateCodec.Part part) {
+        mPeers.sendDatagram(receivers, out -> RateCodec.write(part, out));
     }
 
     private List<PeerInstance> aggregators(ZoneId zone) {
         return mAggregators.getOrDefault(zone, List.of());
     }
 
-    /** Draws anew who adds up, when other instances are alive than before. */
-    private void look() {
+    /** Selects the aggregators anew if the instances that are alive have changed. */
+    private void updateAggregators() {
         List<PeerInstance> alive = mPeers.alive();
         if (alive == mAlive) {
             return;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/Seeds.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/Seeds.java
@@ -5,7 +5,10 @@
 import io.masticpond.entry.settings.EntrySettings;
 import java.util.List;
 
-/** Tells where the seeds hear other instances: the internal port is the same everywhere. */
+/**
+ * Utility methods that derive the internal addresses of the seeds; the internal port is the same on
+ * all instances.
+ */
 final class Seeds {
 
     private Seeds() {}
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SettingsReloader.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SettingsReloader.java
@@ -12,8 +12,8 @@
 import javax.inject.Singleton;
 
 /**
- * Hands settings that were read again to the parts that can take them while they run. A request
- * that is on its way sees either the old ones or the new ones and is never cut.
+ * Distributor of reloaded settings to the parts that can change them at run time. A request in
+ * progress sees either the old settings or the new ones and is never aborted.
  */
 @Singleton
 final class SettingsReloader {
@@ -40,7 +40,7 @@
             ServerChooser chooser,
             RequestFlow flow,
             StopSwitch stop,
-            ProcessChangeLog news) {
+            ProcessChangeLog processChanges) {
         mSettings = settings;
         mTraffic = traffic;
         mSelf = self;
@@ -50,10 +50,10 @@
         mChooser = chooser;
         mFlow = flow;
         mStop = stop;
-        mProcessChanges = news;
+        mProcessChanges = processChanges;
     }
 
-    /** Takes the settings and tells what changed; to be called by one thread at a time. */
+    /** Applies the settings and logs what changed. */
     synchronized void apply(EntrySettings settings) {
         mDirectory.apply(settings.bounds());
         mStop.apply(settings.bounds());
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SharedLimits.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SharedLimits.java
@@ -25,7 +25,10 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The limits that all instances share, each keeping its part. Traffic thread only. */
+/**
+ * The limits that all instances have in common, of which each enforces its share. For the traffic
+ * thread only.
+ */
 final class SharedLimits implements ColdGate, RetryAllowance, SharedLimitStatus {
 
     private static final double RETRY_SAFETY = 0.8;
@@ -36,8 +39,11 @@
     private RetryBudgetSettings mRetrySettings;
     private final long mStartNanos;
 
-    /** Has seen all numbers of shareholders, also before a service was first used. */
-    private final SharedRetryBudget mWitness;
+    /**
+     * Observes every number of shareholders, also before a service is first used, so that the
+     * budget of a new service does not start with shares that instances spent before they left.
+     */
+    private final SharedRetryBudget mShareholderHistory;
 
     private final Map<ServiceId, SharedRetryBudget> mBudgets = new HashMap<>();
     private List<PeerInstance> mAlive = List.of();
@@ -57,7 +63,7 @@
                         zone -> Optional.ofNullable(regions.get(zone)));
         mRetrySettings = retrySettings(bounds, bounds.retryWindow());
         mStartNanos = startNanos;
-        mWitness = new SharedRetryBudget(mRetrySettings, startNanos);
+        mShareholderHistory = new SharedRetryBudget(mRetrySettings, startNanos);
     }
 
     private static RetryBudgetSettings retrySettings(Bounds bounds, Duration window) {
@@ -65,7 +71,7 @@
                 bounds.retryRatio(), bounds.retrySlack(), window, RETRY_SAFETY);
     }
 
-    /** Takes other bounds, but for the window; what was spent stays counted. */
+    /** Applies other bounds, except the window. Usage stays counted. */
     void apply(Bounds bounds) {
         mPacer.applySettings(ColdPacerSettings.of(bounds.warmUpFactor(), bounds.coldSlack()));
         mRetrySettings = retrySettings(bounds, mRetrySettings.window());
@@ -74,7 +80,7 @@
 
     void update(FleetSnapshot snapshot, long nowNanos) {
         mPacer.update(snapshot.servers().values(), candidates(), nowNanos);
-        mWitness.observe(nowNanos, mPeers.shareholders());
+        mShareholderHistory.observe(nowNanos, mPeers.shareholders());
     }
 
     @Override
@@ -104,11 +110,11 @@
 
     @Override
     public Map<ServiceId, RetryBudgetUsage> budgets(long nowNanos) {
-        Map<ServiceId, RetryBudgetUsage> uses = new HashMap<>();
+        Map<ServiceId, RetryBudgetUsage> usages = new HashMap<>();
         mBudgets.forEach(
                 (service, budget) ->
-                        uses.put(service, budget.usage(nowNanos, mPeers.shareholders())));
-        return uses;
+                        usages.put(service, budget.usage(nowNanos, mPeers.shareholders())));
+        return usages;
     }
 
     @Override
@@ -117,17 +123,17 @@
     }
 
     private SharedRetryBudget budget(ServiceId service, long nowNanos) {
-        mWitness.observe(nowNanos, mPeers.shareholders());
+        mShareholderHistory.observe(nowNanos, mPeers.shareholders());
         SharedRetryBudget budget = mBudgets.get(service);
         if (budget == null) {
             budget = new SharedRetryBudget(mRetrySettings, mStartNanos);
-            budget.observe(nowNanos, mWitness.shareholders());
+            budget.observe(nowNanos, mShareholderHistory.shareholders());
             mBudgets.put(service, budget);
         }
         return budget;
     }
 
-    /** Gives the instances that are alive, the same list until it changes. */
+    /** Returns the instances that are alive, as the same list object until they change. */
     List<OwnerCandidate> candidates() {
         List<PeerInstance> alive = mPeers.alive();
         if (alive != mAlive) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SnapshotUpdates.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SnapshotUpdates.java
@@ -15,86 +15,91 @@
 import javax.inject.Inject;
 import javax.inject.Singleton;
 
-/** Hands what the control thread learns to the traffic thread, the logs and the peers. */
+/** Distributor of updates from the control thread to the traffic thread, the logs and the peers. */
 @Singleton
 final class SnapshotUpdates {
 
     private final EventLoop mTraffic;
     private final TimeSource mTimeSource;
     private final FleetSnapshotLog mLog;
-    private final ControlComponents mControlSide;
+    private final ControlComponents mControlComponents;
     private final RequestFlow mFlow;
     private final SharedLimits mLimits;
     private final ServiceSplit mSplit;
     private final EntryListeners mListeners;
     private final Readiness mReadiness;
-    private final ProcessChangeLog mNews;
-    private boolean mToldReady;
+    private final ProcessChangeLog mProcessChanges;
+    private boolean mReadyLogged;
 
     @Inject
     SnapshotUpdates(
             @TrafficThread EventLoop traffic,
             TimeSource timeSource,
             FleetSnapshotLog log,
-            ControlComponents controlSide,
+            ControlComponents controlComponents,
             RequestFlow flow,
             SharedLimits limits,
             ServiceSplit split,
             EntryListeners listeners,
             Readiness readiness,
-            ProcessChangeLog news) {
+            ProcessChangeLog processChanges) {
         mTraffic = traffic;
         mTimeSource = timeSource;
         mLog = log;
-        mControlSide = controlSide;
+        mControlComponents = controlComponents;
         mFlow = flow;
         mLimits = limits;
         mSplit = split;
         mListeners = listeners;
         mReadiness = readiness;
-        mNews = news;
+        mProcessChanges = processChanges;
     }
 
-    /** Takes a new snapshot and who told it, on the control thread. */
-    void snapshotChanged(FleetSnapshot snapshot, CopySource told) {
-        snapshot.routing().map(RoutingConfiguration::limits).ifPresent(mListeners::limit);
-        mTraffic.execute(() -> follow(snapshot));
-        mLog.changed(snapshot, source(told), mTimeSource.monotonicNanos());
+    /** Distributes a new snapshot and logs its source. Must be called on the control thread. */
+    void snapshotChanged(FleetSnapshot snapshot, CopySource source) {
+        snapshot.routing()
+                .map(RoutingConfiguration::limits)
+                .ifPresent(mListeners::setRequestLimits);
+        mTraffic.execute(() -> applySnapshot(snapshot));
+        mLog.changed(snapshot, toUpdateSource(source), mTimeSource.monotonicNanos());
         reportStatus();
     }
 
-    private static UpdateSource source(CopySource told) {
-        return switch (told) {
+    private static UpdateSource toUpdateSource(CopySource source) {
+        return switch (source) {
             case STORE -> UpdateSource.STORE;
             case PEER -> UpdateSource.PEER;
             case NONE -> UpdateSource.SELF;
         };
     }
 
-    private void follow(FleetSnapshot snapshot) {
+    private void applySnapshot(FleetSnapshot snapshot) {
         EntryState before = mFlow.state();
         EntryState state = EntryState.of(snapshot, before);
         mFlow.update(state);
         mLimits.update(snapshot, mTimeSource.monotonicNanos());
         if (!state.routes().equals(before.routes())) {
-            snapshot.routing().ifPresent(this::configure);
+            snapshot.routing().ifPresent(this::retainConfigured);
         }
     }
 
-    private void configure(RoutingConfiguration configuration) {
+    private void retainConfigured(RoutingConfiguration configuration) {
         mSplit.retain(configuration);
         mFlow.placer().retain(configuration);
     }
 
-    /** Tells peers and the request path how far this instance is, on the control thread. */
+    /**
+     * Reports the readiness and revision of this instance to the peers, and the last confirmation
+     * of its snapshot to the request path. Must be called on the control thread.
+     */
     void reportStatus() {
         mLog.logWarmed(mTimeSource.monotonicNanos());
-        mControlSide.updateTimes().ifPresent(mFlow::confirmed);
+        mControlComponents.updateTimes().ifPresent(mFlow::confirmed);
         boolean ready = mReadiness.isReady();
-        if (ready && !mToldReady) {
-            mToldReady = true;
-            mNews.log(ProcessChange.Kind.READY);
+        if (ready && !mReadyLogged) {
+            mReadyLogged = true;
+            mProcessChanges.log(ProcessChange.Kind.READY);
         }
-        mControlSide.heartbeats().update(ready, mControlSide.replica().revision());
+        mControlComponents.heartbeats().update(ready, mControlComponents.replica().revision());
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SpendingWiring.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SpendingWiring.java
@@ -12,15 +12,15 @@
 import io.masticpond.entry.spending.SpendingService;
 import io.netty.channel.EventLoop;
 
-/** Joins what pays for attempts; loaded only where spending has a cap. */
+/** Factory of the spending check, which charges attempts; loaded only where spending has a cap. */
 final class SpendingWiring {
 
-    /** One ledger may take this part of the writes that the store allows. */
-    private static final int PART_OF_WRITES = 4;
+    /** The writes that the store allows, divided by this, are the maximum for one ledger. */
+    private static final int LEDGER_WRITE_DIVISOR = 4;
 
     private SpendingWiring() {}
 
-    static SpendingCheck desk(
+    static SpendingCheck createService(
             EntrySettings settings,
             ConditionalStore store,
             PeerInstance self,
@@ -28,14 +28,14 @@
             EventLoop traffic,
             EventLoop control,
             TimeSource timeSource) {
-        int part = settings.store().writesPerSecond() / PART_OF_WRITES;
-        int usual = AllotmentPolicy.DEFAULT.writesPerSecond();
+        int ledgerWrites = settings.store().writesPerSecond() / LEDGER_WRITE_DIVISOR;
+        int defaultWrites = AllotmentPolicy.DEFAULT.writesPerSecond();
         return new SpendingService(
                 settings.spending().orElseThrow(),
                 settings.zones(),
                 new Incarnation(self.id(), self.incarnation()),
                 store,
-                Math.max(1, Math.min(part, usual)),
+                Math.max(1, Math.min(ledgerWrites, defaultWrites)),
                 peers::shareholders,
                 new EventLoopScheduler(traffic),
                 control,
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/StopSwitch.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/StopSwitch.java
@@ -12,7 +12,7 @@
 import javax.inject.Inject;
 import javax.inject.Singleton;
 
-/** Begins a planned stop, with the bounds that are in force by then. */
+/** Starter of the planned stop, with the bounds in force at that time. */
 @Singleton
 final class StopSwitch {
 
@@ -20,7 +20,7 @@
     private final TimeSource mTimeSource;
     private volatile Bounds mBounds;
     private final EntryStop mActions;
-    private final ProcessChangeLog mNews;
+    private final ProcessChangeLog mProcessChanges;
     private volatile PlannedStop mStop;
 
     @Inject
@@ -29,25 +29,25 @@
             TimeSource timeSource,
             EntrySettings settings,
             EntryStop actions,
-            ProcessChangeLog news) {
+            ProcessChangeLog processChanges) {
         mControl = control;
         mTimeSource = timeSource;
         mBounds = settings.bounds();
         mActions = actions;
-        mNews = news;
+        mProcessChanges = processChanges;
     }
 
-    /** Takes other bounds, for a stop that begins after this. */
+    /** Applies other bounds to a stop that begins later. */
     void apply(Bounds bounds) {
         mBounds = bounds;
     }
 
-    /** Begins the stop, on the control thread; a second wish changes nothing. */
+    /** Begins the stop; further calls have no effect. Must be called on the control thread. */
     void begin() {
         if (isStopping()) {
             return;
         }
-        mNews.log(ProcessChange.Kind.STOPPING);
+        mProcessChanges.log(ProcessChange.Kind.STOPPING);
         PlannedStop stop =
                 new PlannedStop(
                         StopSettings.within(mBounds.stop(), DirectorySettings.DEFAULT.timeToLive()),
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/TrafficModule.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/TrafficModule.java
@@ -34,7 +34,10 @@
 import javax.inject.Singleton;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Wires the path of a request: limits, the choice of a server, connections to servers. */
+/**
+ * Dagger module of the request path: the limits, the selection of a server and the connections to
+ * servers.
+ */
 @Module
 final class TrafficModule {
 
@@ -160,7 +163,7 @@
             ConditionalStore store = metrics.counting(platform.ledgerStore(control, settings));
             spending =
                     Optional.of(
-                            SpendingWiring.desk(
+                            SpendingWiring.createService(
                                     settings, store, self, peers, traffic, control, timeSource));
         }
         RequestFlow flow =
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/TrafficThread.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/TrafficThread.java
@@ -4,7 +4,7 @@
 import java.lang.annotation.RetentionPolicy;
 import javax.inject.Qualifier;
 
-/** Marks what runs on the traffic thread. */
+/** Qualifier of event loops of the traffic thread. */
 @Qualifier
 @Retention(RetentionPolicy.CLASS)
 @interface TrafficThread {}
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/WrittenLog.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/WrittenLog.java
@@ -5,7 +5,8 @@
 import javax.inject.Qualifier;
 
 /**
- * Marks the log as it is written, before requests are counted on the way.
+ * Qualifier of the log that writes the lines, as distinct from its decorators that count requests
+ * and keep recent decisions.
  *
  * @since 0.2
  */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/package-info.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/package-info.java
@@ -1,2 +1,2 @@
-/** Joins the parts of one instance; the only package that sees all of them. */
+/** Dependency injection of an instance; the only package that depends on all others. */
 package io.masticpond.entry.wiring;
--- a/masticpond-entry/src/test/java/io/masticpond/entry/wiring/EntryInstanceTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/wiring/EntryInstanceTest.java
@@ -42,15 +42,18 @@
 import java.util.regex.Pattern;
 import net.jqwik.api.Example;
 
-/** A whole instance whose store is away. */
+/** Tests of a complete instance whose store is unavailable. */
 class EntryInstanceTest {
 
-    private static final long PATIENCE_NANOS = TimeUnit.SECONDS.toNanos(60);
+    private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(60);
 
     private static final int PORTS = 5;
-    private static final int OCTETS = 250;
+    private static final int OCTET_VALUES = 250;
 
-    /** An address of this process alone, so that no other takes a port that was free. */
+    /**
+     * A loopback address that differs by process id, so that no other process takes a port that was
+     * found free.
+     */
     private static final String HOST = host(ProcessHandle.current().pid());
 
     private final HttpClient mClient = HttpClient.newHttpClient();
@@ -60,12 +63,12 @@
     private int mEntryPort;
 
     @Example
-    void metricsTellOfTheWholeInstance() throws IOException, InterruptedException {
+    void metricsCoverAllPartsOfTheInstance() throws IOException, InterruptedException {
         int metrics = start();
-        String refused = get(metrics, "/other").body();
-        Pattern asked = Pattern.compile("result=\"unreachable\"} [1-9]");
-        HttpResponse<String> page = getWith(metrics, "/metrics?all", asked);
-        assertThat(refused).isEmpty();
+        String notFound = get(metrics, "/other").body();
+        Pattern probed = Pattern.compile("result=\"unreachable\"} [1-9]");
+        HttpResponse<String> page = getUntil(metrics, "/metrics?all", probed);
+        assertThat(notFound).isEmpty();
         assertThat(page.statusCode()).isEqualTo(200);
         assertThat(page.body())
                 .contains(
@@ -73,26 +76,30 @@
                         "masticpond_entry_open_requests 0.0",
                         "masticpond_entry_store_lost ",
                         "masticpond_entry_backend_servers 0.0");
-        assertThat(page.body()).containsPattern(asked);
+        assertThat(page.body()).containsPattern(probed);
     }
 
     @Example
-    void requestsBeforeTheFirstConfigurationAreRefusedAndCounted()
+    void rejectsAndCountsRequestsBeforeTheFirstConfiguration()
             throws IOException, InterruptedException {
         int metrics = start();
-        HttpResponse<String> refusal = get(mEntryPort, "/any");
-        assertThat(refusal.statusCode()).isEqualTo(503);
-        assertThat(refusal.headers().firstValue("Come-Back")).isPresent();
+        HttpResponse<String> rejection = get(mEntryPort, "/any");
+        assertThat(rejection.statusCode()).isEqualTo(503);
+        assertThat(rejection.headers().firstValue("Come-Back")).isPresent();
         Pattern counted = Pattern.compile("masticpond_entry_requests_total\\{.*refused.*} 1.0");
-        assertThat(getWith(metrics, "/metrics", counted).body()).containsPattern(counted);
+        assertThat(getUntil(metrics, "/metrics", counted).body()).containsPattern(counted);
     }
 
-    private static String host(long process) {
-        return "127." + (1 + process % OCTETS) + "." + (1 + process / OCTETS % OCTETS) + ".1";
+    private static String host(long processId) {
+        return "127."
+                + (1 + processId % OCTET_VALUES)
+                + "."
+                + (1 + processId / OCTET_VALUES % OCTET_VALUES)
+                + ".1";
     }
 
     @Example
-    void operatorsReadWhatTheInstanceIsAndDidAndAreToldWhatIsWrong()
+    void servesControlDocumentsAndRejectsInvalidControlRequests()
             throws IOException, InterruptedException {
         int metrics = start();
         get(mEntryPort, "/any");
@@ -105,16 +112,15 @@
             assertThat(document(metrics, "/v1/" + list).path(list).isArray()).as(list).isTrue();
         }
         assertThat(document(metrics, "/v1/budget").path("budgets").isArray()).isTrue();
-        JsonNode beliefs = document(metrics, "/v1/timeline").path("beliefs");
-        assertThat(beliefs.get(0).path("state").asText()).isEqualTo("started");
-        HttpResponse<String> wrong = get(metrics, "/v1/servers?service=none");
-        assertThat(wrong.statusCode()).isEqualTo(404);
-        assertThat(wrong.body()).contains("no-such-service", "'none'");
+        JsonNode viewChanges = document(metrics, "/v1/timeline").path("beliefs");
+        assertThat(viewChanges.get(0).path("state").asText()).isEqualTo("started");
+        HttpResponse<String> invalid = get(metrics, "/v1/servers?service=none");
+        assertThat(invalid.statusCode()).isEqualTo(404);
+        assertThat(invalid.body()).contains("no-such-service", "'none'");
     }
 
     @Example
-    void instanceWithCapTakesAnAllotmentBeforeTheFirstRequestAndReturnsItAtItsEnd()
-            throws Exception {
+    void instanceWithSpendingCapTakesAnAllotmentAtItsStartAndReturnsItAtItsStop() throws Exception {
         String shift =
                 "{\"name\": \"%s\", \"start\": \"%s\", \"end\": \"%s\", \"capMicros\": 9000}";
         String shifts =
@@ -132,7 +138,7 @@
         Pattern held = Pattern.compile("\"heldMicros\":[1-9].*\"state\":\"open\"");
         JsonNode spending =
                 new ObjectMapper()
-                        .readTree(getWith(metrics, "/v1/budget", held).body())
+                        .readTree(getUntil(metrics, "/v1/budget", held).body())
                         .path("spendings")
                         .get(0);
         assertThat(spending.path("service").asText()).isEqualTo("orders");
@@ -142,8 +148,8 @@
                 .contains("masticpond_entry_spending_cap_micros 9000.0");
         assertThat(mLedgers.mAllotted.get()).isPositive();
         mInstance.stop();
-        mEnded.get(PATIENCE_NANOS, TimeUnit.NANOSECONDS);
-        assertThat(mLedgers.mAllotted.get()).as("all is given back").isZero();
+        mEnded.get(TIMEOUT_NANOS, TimeUnit.NANOSECONDS);
+        assertThat(mLedgers.mAllotted.get()).as("the allotment is returned completely").isZero();
     }
 
     private JsonNode document(int port, String path) throws IOException, InterruptedException {
@@ -156,7 +162,7 @@
         return start("}");
     }
 
-    private int start(String further) throws IOException {
+    private int start(String remainingSettings) throws IOException {
         List<Integer> ports = freePorts();
         mEntryPort = ports.get(0);
         int metrics = ports.get(1);
@@ -172,12 +178,12 @@
                         "tolerance": {}, "resources": {}
                         """,
                         mEntryPort, ports.get(2), ports.get(3), ports.get(4), metrics);
-        String whole = settings.replace("HOST", HOST) + further;
+        String completeSettings = settings.replace("HOST", HOST) + remainingSettings;
         mInstance =
                 DaggerEntryComponent.factory()
                         .create(
-                                new EntrySettingsReader().read(whole).get(),
-                                new AbsentPlatform(),
+                                new EntrySettingsReader().read(completeSettings).get(),
+                                new UnreachablePlatform(),
                                 new SystemTimeSource(),
                                 DecisionLog.NONE,
                                 new LineCounts(),
@@ -187,13 +193,15 @@
         return metrics;
     }
 
-    /** Asks until the page tells something, for what is counted on other threads. */
-    private HttpResponse<String> getWith(int port, String path, Pattern expected)
+    /**
+     * Requests a page until it matches, since other threads update its values, or until the
+     * timeout.
+     */
+    private HttpResponse<String> getUntil(int port, String path, Pattern expected)
             throws IOException, InterruptedException {
         long begin = System.nanoTime();
         HttpResponse<String> page = get(port, path);
-        while (!expected.matcher(page.body()).find()
-                && System.nanoTime() - begin < PATIENCE_NANOS) {
+        while (!expected.matcher(page.body()).find() && System.nanoTime() - begin < TIMEOUT_NANOS) {
             page = get(port, path);
         }
         return page;
@@ -208,7 +216,7 @@
             try {
                 return mClient.send(request, HttpResponse.BodyHandlers.ofString());
             } catch (ConnectException exception) {
-                if (System.nanoTime() - begin > PATIENCE_NANOS) {
+                if (System.nanoTime() - begin > TIMEOUT_NANOS) {
                     throw exception;
                 }
                 Thread.yield();
@@ -227,8 +235,8 @@
         return sockets.stream().map(ServerSocket::getLocalPort).toList();
     }
 
-    /** A platform whose store nobody reaches. */
-    private final class AbsentPlatform implements PlatformAdapter {
+    /** Platform whose store is unreachable. */
+    private final class UnreachablePlatform implements PlatformAdapter {
 
         @Override
         public HeaderNames headerNames() {
@@ -250,25 +258,26 @@
         @Override
         public StoreFeed storeFeed(
                 EventLoop control, EntrySettings settings, TimeSource timeSource) {
-            return new AbsentStore(control);
+            return new UnreachableStore(control);
         }
 
         @Override
         public ConditionalStore ledgerStore(EventLoop control, EntrySettings settings) {
             if (settings.spending().isEmpty()) {
-                throw new IllegalStateException("Nobody asks for ledgers without a cap.");
+                throw new IllegalStateException(
+                        "The ledger store must not be requested without a spending cap.");
             }
             return mLedgers;
         }
 
         @Override
         public StoreProbe storeProbe(EventLoop control, EntrySettings settings) {
-            return new AbsentProbe(control);
+            return new UnreachableProbe(control);
         }
 
         @Override
         public DocumentTranslator translator() {
-            return new NoTranslator();
+            return new RejectingTranslator();
         }
 
         @Override
@@ -282,7 +291,7 @@
         }
     }
 
-    private record AbsentStore(EventLoop control) implements StoreFeed {
+    private record UnreachableStore(EventLoop control) implements StoreFeed {
 
         @Override
         public void list(
@@ -322,7 +331,7 @@
         }
     }
 
-    private record AbsentProbe(EventLoop control) implements StoreProbe {
+    private record UnreachableProbe(EventLoop control) implements StoreProbe {
 
         @Override
         public void probe(Duration timeout, Consumer<Either<FeedError, Void>> result) {
@@ -335,7 +344,7 @@
         }
     }
 
-    private static final class NoTranslator implements DocumentTranslator {
+    private static final class RejectingTranslator implements DocumentTranslator {
 
         @Override
         public Either<String, RoutingConfiguration> routing(JsonNode content) {
--- a/masticpond-entry/src/test/java/io/masticpond/entry/wiring/InMemoryLedgerStore.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/wiring/InMemoryLedgerStore.java
@@ -10,10 +10,13 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 
-/** A store of ledgers that always answers at once; for the control thread, but for the sum. */
+/**
+ * In-memory ledger store that always answers at once. For the control thread only, except for
+ * {@link #mAllotted}.
+ */
 final class InMemoryLedgerStore implements ConditionalStore {
 
-    /** What all ledgers together say is allotted. */
+    /** The sum of the allotments of all ledgers. */
     final AtomicLong mAllotted = new AtomicLong();
 
     private final Map<String, Versioned> mObjects = new HashMap<>();
--- a/masticpond-entry/src/test/java/io/masticpond/entry/wiring/SharedLimitsTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/wiring/SharedLimitsTest.java
@@ -17,7 +17,9 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** The parts of the retry budget of all instances, where a service is first used at any time. */
+/**
+ * Tests that the shares of a retry budget stay within its bound when a service is first used late.
+ */
 final class SharedLimitsTest {
 
     private static final ServiceId OLD = new ServiceId("old");
@@ -27,32 +29,34 @@
     private int mShareholders;
 
     /**
-     * All have served another service for long. Those that leave spend their parts for the new one
-     * just before, and those that stay have their first request for it shortly after.
+     * All instances have served another service for a minute. Those that leave spend their shares
+     * of the budget of the new service just before, and those that stay have their first request
+     * for it shortly after. Guards against a new budget that divides by the current number of
+     * instances and so grants the spent shares again.
      */
     @Property(seed = "20270311", tries = 100)
-    void serviceFirstUsedAfterOthersLeftHasNotTheirPartsAsWell(
+    void serviceFirstUsedAfterInstancesLeftDoesNotGetTheirSharesAgain(
             @ForAll @IntRange(min = 2, max = 12) int instances,
-            @ForAll @IntRange(min = 1, max = 11) int leavers,
+            @ForAll @IntRange(min = 1, max = 11) int leaving,
             @ForAll @IntRange(min = 50, max = 9_000) int laterMillis) {
-        int staying = Math.max(1, instances - leavers);
-        List<SharedLimits> all = new ArrayList<>();
+        int staying = Math.max(1, instances - leaving);
+        List<SharedLimits> instanceLimits = new ArrayList<>();
         for (int i = 0; i < instances; i++) {
-            all.add(limits(i));
+            instanceLimits.add(limits(i));
         }
         mShareholders = instances;
         for (long second = 1; second < 60; second++) {
             long now = Duration.ofSeconds(second).toNanos();
-            all.forEach(limits -> limits.left(OLD, now));
+            instanceLimits.forEach(limits -> limits.left(OLD, now));
         }
         double spent = 0;
-        for (SharedLimits leaver : all.subList(staying, instances)) {
-            spent += spend(leaver, LEFT_NANOS);
+        for (SharedLimits leavingInstance : instanceLimits.subList(staying, instances)) {
+            spent += spend(leavingInstance, LEFT_NANOS);
         }
         mShareholders = staying;
         long later = LEFT_NANOS + Duration.ofMillis(laterMillis).toNanos();
-        for (SharedLimits stayer : all.subList(0, staying)) {
-            spent += spend(stayer, later);
+        for (SharedLimits stayingInstance : instanceLimits.subList(0, staying)) {
+            spent += spend(stayingInstance, later);
         }
         assertThat(spent).isLessThanOrEqualTo(Bounds.DEFAULT.retrySlack());
     }
@@ -69,14 +73,14 @@
         ZoneId zone = new ZoneId("a");
         return new SharedLimits(
                 new InstanceId("instance-" + number),
-                new Peers(),
+                new StubPeers(),
                 Bounds.DEFAULT,
                 Map.of(zone, new RegionId("r")),
                 0);
     }
 
-    /** Peers of which only the number counts. */
-    private final class Peers implements PeerView {
+    /** Stub of which only the number of shareholders is used. */
+    private final class StubPeers implements PeerView {
 
         @Override
         public List<PeerInstance> alive() {
