--- a/masticpond-entry/src/main/java/io/masticpond/entry/package-info.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/package-info.java
@@ -1,2 +1,2 @@
-/** The request path of an instance, from clients to backend servers. */
+/** Request path of an instance, from clients to backend servers. */
 package io.masticpond.entry;
--- a/masticpond-entry/src/test/java/io/masticpond/entry/EntryArchitectureTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/EntryArchitectureTest.java
@@ -13,11 +13,17 @@
 import java.util.stream.Stream;
 import net.jqwik.api.Example;
 
-/** Each peer has a package at the edge, and the wiring alone sees all. */
+/**
+ * Checks the dependencies between the packages of the module: each external party has a package of
+ * its own, and only the wiring depends on all packages.
+ */
 class EntryArchitectureTest {
 
-    /** What each package may see of the others; the wiring sees all and is seen by none. */
-    private static final Map<String, List<String>> SEEN =
+    /**
+     * The packages on which each package may depend. The wiring depends on all, and none depends on
+     * it.
+     */
+    private static final Map<String, List<String>> ALLOWED_DEPENDENCIES =
             Map.ofEntries(
                     Map.entry("http", List.of()),
                     Map.entry("backend", List.of()),
@@ -41,26 +47,26 @@
                     .importPackages("io.masticpond.entry");
 
     @Example
-    void eachPackageSeesNoMoreThanItMay() {
-        SEEN.forEach(
-                (name, seen) ->
+    void packagesDependOnlyOnAllowedPackages() {
+        ALLOWED_DEPENDENCIES.forEach(
+                (name, allowed) ->
                         noClasses()
                                 .that()
                                 .resideInAPackage(packageOf(name))
                                 .should()
                                 .dependOnClassesThat()
-                                .resideInAnyPackage(allBut(name, seen))
+                                .resideInAnyPackage(packagesExcept(name, allowed))
                                 .check(ENTRY));
     }
 
     @Example
-    void eachPackageIsListedHere() {
+    void everyPackageIsListed() {
         classes()
                 .should()
                 .resideInAnyPackage(
                         Stream.concat(
                                         Stream.of("io.masticpond.entry", WIRING),
-                                        SEEN.keySet().stream()
+                                        ALLOWED_DEPENDENCIES.keySet().stream()
                                                 .map(EntryArchitectureTest::packageOf))
                                 .toArray(String[]::new))
                 .check(ENTRY);
@@ -99,15 +105,16 @@
     }
 
     @Example
-    void librariesStayAtTheirEdges() {
-        onlyIn("io.netty..", "http", "backend", "replica", "peer", "request", "control", "wiring");
-        onlyIn("io.prometheus..", "metrics");
-        onlyIn("ch.qos.logback..", "log");
-        onlyIn("org.jctools..", "log");
-        onlyIn("com.google.protobuf..", "replica");
-        onlyIn("dagger..", "wiring");
-        onlyIn("javax.inject..", "wiring");
-        onlyIn(
+    void librariesAreUsedOnlyInTheirPackages() {
+        checkUsedOnlyIn(
+                "io.netty..", "http", "backend", "replica", "peer", "request", "control", "wiring");
+        checkUsedOnlyIn("io.prometheus..", "metrics");
+        checkUsedOnlyIn("ch.qos.logback..", "log");
+        checkUsedOnlyIn("org.jctools..", "log");
+        checkUsedOnlyIn("com.google.protobuf..", "replica");
+        checkUsedOnlyIn("dagger..", "wiring");
+        checkUsedOnlyIn("javax.inject..", "wiring");
+        checkUsedOnlyIn(
                 "com.fasterxml..",
                 "json",
                 "replica",
@@ -120,7 +127,7 @@
     }
 
     @Example
-    void entrySeesNeitherTheDaemonNorStandIns() {
+    void entryDependsOnNeitherDaemonNorStandIns() {
         noClasses()
                 .should()
                 .dependOnClassesThat()
@@ -133,15 +140,15 @@
                 .check(ENTRY);
     }
 
-    private static String[] allBut(String name, List<String> seen) {
-        Stream<String> hidden =
-                SEEN.keySet().stream()
-                        .filter(other -> !other.equals(name) && !seen.contains(other))
+    private static String[] packagesExcept(String name, List<String> allowed) {
+        Stream<String> forbidden =
+                ALLOWED_DEPENDENCIES.keySet().stream()
+                        .filter(other -> !other.equals(name) && !allowed.contains(other))
                         .map(EntryArchitectureTest::packageOf);
-        return Stream.concat(hidden, Stream.of(WIRING)).toArray(String[]::new);
+        return Stream.concat(forbidden, Stream.of(WIRING)).toArray(String[]::new);
     }
 
-    private static void onlyIn(String library, String... packages) {
+    private static void checkUsedOnlyIn(String library, String... packages) {
         noClasses()
                 .that()
                 .resideOutsideOfPackages(
