--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LifecycleModule.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LifecycleModule.java
@@ -3,8 +3,8 @@
 import dagger.Module;
 import dagger.Provides;
 import io.masticpond.core.time.TimeSource;
+import io.masticpond.entry.control.ControlHandler;
 import io.masticpond.entry.control.ControlSources;
-import io.masticpond.entry.control.ControlSurface;
 import io.masticpond.entry.lifecycle.Readiness;
 import io.masticpond.entry.log.RecentDecisions;
 import io.masticpond.entry.peer.PeerInstance;
@@ -14,7 +14,7 @@
 import io.netty.channel.EventLoop;
 import javax.inject.Singleton;
 
-/** Wires when an instance takes clients, and what it tells operators. */
+/** Dagger module of the readiness of an instance and of its handler for operators. */
 @Module
 final class LifecycleModule {
 
@@ -26,10 +26,13 @@
         return new Readiness(replica::isUsable, listeners::isListening, stop::isStopping);
     }
 
-    /** Only made where the settings say where it listens, so the port is there. */
+    /**
+     * Creates the handler for operators. It is created only where the settings name its listening
+     * address, so the port is present.
+     */
     @Provides
     @Singleton
-    static ControlSurface controlSurface(
+    static ControlHandler controlHandler(
             TimeSource timeSource,
             PeerInstance self,
             EntrySettings settings,
@@ -37,7 +40,7 @@
             @ControlThread EventLoop control,
             RequestFlow flow,
             SharedLimits limits,
-            ControlComponents controlSide,
+            ControlComponents controlComponents,
             Readiness readiness,
             StopSwitch stop,
             RecentDecisions decisions,
@@ -51,11 +54,11 @@
                         control,
                         flow,
                         limits,
-                        controlSide.replica(),
-                        controlSide.heartbeats(),
+                        controlComponents.replica(),
+                        controlComponents.heartbeats(),
                         readiness::isReady,
                         stop::isStopping,
                         decisions);
-        return new ControlSurface(sources, metrics);
+        return new ControlHandler(sources, metrics);
     }
 }
