--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/Backoff.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/Backoff.java
@@ -4,42 +4,45 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Spaces attempts after failures: doubling, bounded, with jitter; for one thread.
+ * Exponential backoff with an upper bound and jitter, for use by a single thread.
  *
- * <p>Each pause is between half and all of the current length, so that instances that failed
- * together do not come back together.
+ * <p>Each delay is drawn from between half of the current length and the whole of it, so that
+ * instances that failed at the same time do not retry at the same time.
  */
 final class Backoff {
 
-    private static final long FIRST_NANOS = Duration.ofMillis(200).toNanos();
-    private static final long LONGEST_NANOS = Duration.ofSeconds(5).toNanos();
+    private static final long INITIAL_DELAY_NANOS = Duration.ofMillis(200).toNanos();
+    private static final long MAXIMUM_DELAY_NANOS = Duration.ofSeconds(5).toNanos();
 
     private final DoubleSupplier mRandom;
-    private long mLengthNanos = FIRST_NANOS;
+    private long mDelayNanos = INITIAL_DELAY_NANOS;
     private long mNotBeforeNanos;
     private boolean mPausing;
 
     /**
-     * Makes one without a pause.
+     * Creates a backoff that is not pausing.
      *
-     * @param random gives numbers from 0 to 1
+     * @param random the source of random numbers from 0 to 1
      */
     Backoff(DoubleSupplier random) {
         mRandom = random;
     }
 
+    /** Determines whether the delay after the last failure has not passed yet. */
     boolean isPausing(long nowNanos) {
         return mPausing && nowNanos - mNotBeforeNanos < 0;
     }
 
-    void failed(long nowNanos) {
-        mNotBeforeNanos = nowNanos + (long) (mLengthNanos * (1 + mRandom.getAsDouble()) / 2);
+    /** Starts the delay that follows a failure, and doubles the length of the next one. */
+    void recordFailure(long nowNanos) {
+        mNotBeforeNanos = nowNanos + (long) (mDelayNanos * (1 + mRandom.getAsDouble()) / 2);
         mPausing = true;
-        mLengthNanos = Math.min(LONGEST_NANOS, mLengthNanos * 2);
+        mDelayNanos = Math.min(MAXIMUM_DELAY_NANOS, mDelayNanos * 2);
     }
 
-    void succeeded() {
+    /** Ends the delay and restores its initial length. */
+    void recordSuccess() {
         mPausing = false;
-        mLengthNanos = FIRST_NANOS;
+        mDelayNanos = INITIAL_DELAY_NANOS;
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/CallLimit.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/CallLimit.java
@@ -2,27 +2,31 @@
 
 import java.time.Duration;
 
-/** Lets one call run at a time, and gives up on one whose end was dropped; for one thread. */
+/**
+ * Limit of one call at a time, for use by a single thread. A call whose completion was dropped
+ * stops counting after the maximum duration.
+ */
 final class CallLimit {
 
-    private final long mLongestNanos;
+    private final long mMaximumNanos;
     private boolean mRunning;
     private long mStartNanos;
 
-    CallLimit(Duration longest) {
-        mLongestNanos = longest.toNanos();
+    CallLimit(Duration maximumDuration) {
+        mMaximumNanos = maximumDuration.toNanos();
     }
 
+    /** Determines whether a call is running that has not exceeded the maximum duration. */
     boolean isRunning(long nowNanos) {
-        return mRunning && nowNanos - mStartNanos < mLongestNanos;
+        return mRunning && nowNanos - mStartNanos < mMaximumNanos;
     }
 
-    void started(long nowNanos) {
+    void recordStart(long nowNanos) {
         mRunning = true;
         mStartNanos = nowNanos;
     }
 
-    void ended() {
+    void recordEnd() {
         mRunning = false;
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ChainStore.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ChainStore.java
@@ -17,14 +17,15 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Keeps the chain of versions at the platform: the head in one object, checkpoints in parts.
+ * Store of the chain of configuration versions at the platform: the head in one object, checkpoints
+ * in parts.
  *
- * <p>Steps run on the executor that is given. An object that cannot be read as what it should be is
- * told as {@link PlatformError.Rejected}.
+ * <p>Continuations run on the given executor. An object that cannot be decoded is reported as
+ * {@link PlatformError.Rejected}.
  */
 final class ChainStore {
 
-    /** The object of the head. */
+    /** The key of the object that holds the head. */
     static final ObjectKey HEAD = new ObjectKey(ObjectKind.CONFIGURATION, "head");
 
     private static final String CHECKPOINT_PREFIX = "checkpoint-";
@@ -48,7 +49,7 @@
                                 read.flatMap(
                                         object ->
                                                 object.map(this::decodeHead)
-                                                        .orElseGet(ChainStore::noHead)),
+                                                        .orElseGet(ChainStore::emptyHead)),
                         mExecutor);
     }
 
@@ -68,7 +69,10 @@
                         mExecutor);
     }
 
-    /** Gives the configuration of a head, from the one known if the log reaches back so far. */
+    /**
+     * Returns the configuration of a head, computed from the known configuration if the log reaches
+     * back to it, and read from the checkpoint otherwise.
+     */
     CompletableFuture<Either<PlatformError, Configuration>> load(
             ConfigurationHead head, Configuration known) {
         Optional<Configuration> advanced = head.advance(known);
@@ -88,7 +92,10 @@
                         mExecutor);
     }
 
-    /** Writes the content of the head's checkpoint, and gives the head with the names of parts. */
+    /**
+     * Writes the content of the head's checkpoint, and returns the head with the names of the
+     * parts.
+     */
     CompletableFuture<Either<PlatformError, ConfigurationHead>> writeCheckpoint(
             ConfigurationHead head, ConfigurationContent content) {
         ConfigurationCheckpoint checkpoint = head.checkpoint();
@@ -101,7 +108,10 @@
         return mStore.write(HEAD, write.expectedObjectVersion(), mCodec.encode(write.head()));
     }
 
-    /** Deletes parts of checkpoints before the one given; what fails is left to a later time. */
+    /**
+     * Deletes the parts of checkpoints of versions before the given one; a later call retries what
+     * failed.
+     */
     void deleteCheckpointsBefore(long version) {
         mParts.deleteBefore(ObjectKind.CONFIGURATION, CHECKPOINT_PREFIX, prefixOf(version));
     }
@@ -135,7 +145,7 @@
                 .mapLeft(fault -> new PlatformError.Rejected("The head: " + fault.message()));
     }
 
-    private static Either<PlatformError, HeadObject> noHead() {
+    private static Either<PlatformError, HeadObject> emptyHead() {
         return Either.right(new HeadObject(ConfigurationHead.EMPTY, ObjectStore.ABSENT));
     }
 
@@ -148,7 +158,7 @@
     }
 
     /**
-     * A conditional write of the head.
+     * Conditional write of the head.
      *
      * @param head the head with the names of its parts
      * @param expectedObjectVersion the version that the object must have
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationCodec.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationCodec.java
@@ -20,16 +20,16 @@
 import java.util.stream.Collectors;
 
 /**
- * Turns documents of operators into records, and records into documents; safe for all threads.
+ * Codec between documents of operators and configuration records. Thread-safe.
  *
- * <p>A document is checked against the schema first, so that all its faults are told at once with
- * their paths; unknown fields are faults. The schema is {@code configuration.schema.json}.
+ * <p>A document is validated against the schema first, so that all its faults are reported at once
+ * with their paths; unknown fields are faults. The schema is {@code configuration.schema.json}.
  *
  * @since 0.1
  */
 public final class ConfigurationCodec {
 
-    /** How many faults are told at most. */
+    /** The maximum number of faults that are reported for a document. */
     public static final int MAXIMUM_FAULTS = 100;
 
     private static final String SCHEMA = "configuration.schema.json";
@@ -42,7 +42,7 @@
     private final JsonMapper mMapper = ConfigurationMapper.create();
     private final JsonSchema mSchema;
 
-    /** Reads the schema. */
+    /** Creates a codec and reads the schema. */
     public ConfigurationCodec() {
         mMapper.getFactory()
                 .setStreamReadConstraints(
@@ -53,31 +53,31 @@
     }
 
     /**
-     * Reads a whole content, as it stands in a file of operators.
+     * Decodes a complete content, as an operator writes it to a file.
      *
      * @param document the document in UTF-8, with comments allowed
-     * @return the content, or all faults
+     * @return the content, or all faults of the document
      */
     public Either<List<ConfigurationFault>, ConfigurationContent> decodeContent(byte[] document) {
         return parse(document)
-                .flatMap(this::contentIntentOf)
+                .flatMap(this::toContentIntent)
                 .map(intent -> intent.resultOn(ConfigurationContent.EMPTY));
     }
 
     /**
-     * Reads an intent: an object with either {@code content} or {@code change}, or a whole content
-     * itself, which is known by its field {@code regions}.
+     * Decodes an intent: an object with either {@code content} or {@code change}, or a complete
+     * content itself, which is recognized by its field {@code regions}.
      *
      * @param document the document in UTF-8, with comments allowed
-     * @return the intent, or all faults
+     * @return the intent, or all faults of the document
      */
     public Either<List<ConfigurationFault>, ConfigurationIntent> decodeIntent(byte[] document) {
         return parse(document)
-                .flatMap(node -> node.has(REGIONS) ? contentIntentOf(node) : intentOf(node));
+                .flatMap(node -> node.has(REGIONS) ? toContentIntent(node) : toIntent(node));
     }
 
     /**
-     * Writes a record, such as a content, a configuration or a plan.
+     * Encodes a record, such as a content, a configuration or a plan.
      *
      * @param record the record
      * @return the document in UTF-8
@@ -86,12 +86,13 @@
         try {
             return mMapper.writeValueAsBytes(record);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("A record could not be written.", e);
+            throw new IllegalStateException("Could not encode a record as JSON.", e);
         }
     }
 
     /**
-     * Reads a record that an instance wrote; the schema of operators is not applied.
+     * Decodes a record that an instance wrote, without applying the schema for documents of
+     * operators.
      *
      * @param <T> the type of the record
      * @param document the document in UTF-8
@@ -105,7 +106,7 @@
                     ? Either.left(new ConfigurationFault(ROOT, "The document is null."))
                     : Either.right(value);
         } catch (IOException | IllegalArgumentException e) {
-            return Either.left(faultOf(e));
+            return Either.left(toFault(e));
         }
     }
 
@@ -113,16 +114,16 @@
         try {
             return Either.right(mMapper.readTree(document));
         } catch (IOException e) {
-            return Either.left(List.of(faultOf(e)));
+            return Either.left(List.of(toFault(e)));
         }
     }
 
-    private Either<List<ConfigurationFault>, ConfigurationIntent> contentIntentOf(JsonNode node) {
-        return intentOf(mMapper.createObjectNode().set(CONTENT, node))
-                .mapLeft(faults -> faults.stream().map(ConfigurationCodec::inContent).toList());
+    private Either<List<ConfigurationFault>, ConfigurationIntent> toContentIntent(JsonNode node) {
+        return toIntent(mMapper.createObjectNode().set(CONTENT, node))
+                .mapLeft(faults -> faults.stream().map(ConfigurationCodec::toContentPath).toList());
     }
 
-    private static ConfigurationFault inContent(ConfigurationFault fault) {
+    private static ConfigurationFault toContentPath(ConfigurationFault fault) {
         String path = fault.path();
         return path.startsWith(CONTENT_PATH)
                 ? new ConfigurationFault(
@@ -130,7 +131,7 @@
                 : fault;
     }
 
-    private Either<List<ConfigurationFault>, ConfigurationIntent> intentOf(JsonNode node) {
+    private Either<List<ConfigurationFault>, ConfigurationIntent> toIntent(JsonNode node) {
         List<ConfigurationFault> faults =
                 mSchema.validate(node).stream()
                         .map(
@@ -159,18 +160,18 @@
                     new ConfigurationIntent.Merge(
                             mMapper.treeToValue(node.get("change"), ConfigurationChange.class)));
         } catch (JsonProcessingException | IllegalArgumentException e) {
-            return Either.left(List.of(faultOf(e)));
+            return Either.left(List.of(toFault(e)));
         }
     }
 
-    private static ConfigurationFault faultOf(Exception error) {
+    private static ConfigurationFault toFault(Exception error) {
         if (error instanceof JsonMappingException mapping) {
-            return new ConfigurationFault(pathOf(mapping), sentenceOf(mapping));
+            return new ConfigurationFault(toPath(mapping), toMessage(mapping));
         }
-        return new ConfigurationFault(ROOT, sentenceOf(error));
+        return new ConfigurationFault(ROOT, toMessage(error));
     }
 
-    private static String pathOf(JsonMappingException error) {
+    private static String toPath(JsonMappingException error) {
         return error.getPath().stream()
                 .map(
                         step ->
@@ -180,7 +181,7 @@
                 .collect(Collectors.joining("", ROOT, ""));
     }
 
-    private static String sentenceOf(Exception error) {
+    private static String toMessage(Exception error) {
         String message =
                 error instanceof JsonProcessingException processing
                         ? processing.getOriginalMessage()
@@ -192,7 +193,7 @@
         try (InputStream schema = ConfigurationCodec.class.getResourceAsStream(SCHEMA)) {
             return mapper.readTree(schema);
         } catch (IOException e) {
-            throw new UncheckedIOException("The schema cannot be read.", e);
+            throw new UncheckedIOException("Could not read the configuration schema.", e);
         }
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationCommands.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationCommands.java
@@ -9,42 +9,43 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * What operators may ask of the configuration; safe for all threads, futures never fail.
+ * Commands of operators on the configuration. Thread-safe; the returned futures never complete
+ * exceptionally.
  *
  * @since 0.1
  */
 public interface ConfigurationCommands {
 
     /**
-     * Makes a plan and keeps it at the platform, so that every instance can confirm it.
+     * Creates a plan and stores it at the platform, so that every instance can confirm it.
      *
-     * @param intent what the operator wants
+     * @param intent the change that the operator requests
      * @param operator the name of the operator's token
-     * @return the plan, or why there is none
+     * @return the plan, or the reason why none was created
      */
     CompletableFuture<Either<ConfigurationError, Plan>> plan(
             ConfigurationIntent intent, String operator);
 
     /**
-     * Reads a plan.
+     * Reads a stored plan.
      *
      * @param plan the plan
-     * @return the plan, or why it cannot be read
+     * @return the plan, or the reason why it cannot be read
      */
     CompletableFuture<Either<ConfigurationError, Plan>> find(PlanId plan);
 
     /**
-     * Confirms a plan. Confirming the same plan again gives the same version.
+     * Confirms a plan. Confirming the same plan again returns the same version.
      *
      * @param plan the plan
      * @param operator the name of the operator's token
-     * @return the version that the plan became, or why it was not accepted
+     * @return the version that the plan became, or the reason why it was not accepted
      */
     CompletableFuture<Either<ConfigurationError, ConfigurationVersion>> confirm(
             PlanId plan, String operator);
 
     /**
-     * Gives the configuration in force at this instance.
+     * Returns the configuration in force at this instance.
      *
      * @return the configuration
      */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationError.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationError.java
@@ -7,23 +7,24 @@
 import java.util.List;
 
 /**
- * Says why an operator's command about the configuration failed; nothing changed unless it says so.
+ * Reason why an operator's command on the configuration failed. Nothing was changed unless the type
+ * says otherwise.
  *
  * @since 0.1
  */
 public sealed interface ConfigurationError {
 
     /**
-     * Gives one sentence for people.
+     * Returns the reason as one sentence for operators.
      *
      * @return the sentence
      */
     String message();
 
     /**
-     * The document is wrong.
+     * The document is invalid.
      *
-     * @param faults everything that is wrong with it
+     * @param faults all faults of the document
      */
     record Invalid(List<ConfigurationFault> faults) implements ConfigurationError {
 
@@ -34,7 +35,7 @@
     }
 
     /**
-     * There is no such plan, or it expired long ago.
+     * The plan does not exist, or was deleted after it expired.
      *
      * @param plan the plan
      */
@@ -60,11 +61,11 @@
     }
 
     /**
-     * Another plan was accepted since this one was made.
+     * Another plan was accepted after this one was created.
      *
-     * @param base the version that the plan was made on
-     * @param current the version that stands now
-     * @param differences what changed since the base, as far as it is known
+     * @param base the version that the plan is based on
+     * @param current the current version
+     * @param differences the known differences between the base and the current version
      */
     record BaseChanged(
             ConfigurationVersion base,
@@ -79,17 +80,17 @@
     }
 
     /**
-     * The platform cannot be reached, so plans can be neither made nor confirmed.
+     * The platform cannot be reached, so plans can be neither created nor confirmed.
      *
-     * @param message one sentence
+     * @param message the reason as one sentence
      */
     record PlatformUnavailable(String message) implements ConfigurationError {}
 
     /**
-     * The chain at the platform stands before the version in force here: the platform has lost
-     * versions, and a plan made on it would never come into force.
+     * The chain at the platform ends before the version in force at this instance: the platform has
+     * lost versions, and a plan based on that chain would never come into force.
      *
-     * @param chain the version of the chain
+     * @param chain the version at the head of the chain
      * @param inForce the version in force at this instance
      */
     record ChainBehind(ConfigurationVersion chain, ConfigurationVersion inForce)
@@ -106,16 +107,17 @@
     }
 
     /**
-     * The plan may or may not have been accepted; confirming it again is safe and tells.
+     * The plan may or may not have been accepted. Confirming it again is safe and returns the
+     * outcome.
      *
-     * @param message one sentence
+     * @param message the reason as one sentence
      */
     record Unsettled(String message) implements ConfigurationError {}
 
     /**
-     * This instance has too much to do.
+     * This instance is overloaded.
      *
-     * @param message one sentence
+     * @param message the reason as one sentence
      */
     record Busy(String message) implements ConfigurationError {}
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationHolder.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationHolder.java
@@ -9,10 +9,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Holds the configuration in force at this instance; its version only ever rises.
+ * Holder of the configuration in force at this instance, whose version never decreases.
  *
- * <p>Safe for all threads. Listeners are called in order of version on the thread that offers, so
- * they hand the news to their duty and return.
+ * <p>Thread-safe. Listeners are called in order of version on the thread that calls {@link #offer},
+ * so they must hand the configuration over to their own event loop and return.
  *
  * @since 0.1
  */
@@ -24,19 +24,20 @@
     private volatile Configuration mCurrent = Configuration.EMPTY;
 
     /**
-     * Gives the configuration in force.
+     * Returns the configuration in force.
      *
-     * @return the configuration, {@link Configuration#EMPTY} before the first
+     * @return the configuration, {@link Configuration#EMPTY} before the first one
      */
     public Configuration current() {
         return mCurrent;
     }
 
     /**
-     * Puts a configuration in force if its version is higher than the one in force.
+     * Puts a configuration into force if its version is higher than that of the configuration in
+     * force.
      *
      * @param configuration the configuration
-     * @return whether it is now in force
+     * @return {@code true} if the given configuration is now in force
      */
     public synchronized boolean offer(Configuration configuration) {
         Assert.notNull(configuration, "A configuration");
@@ -44,14 +45,14 @@
             return false;
         }
         mCurrent = configuration;
-        mListeners.forEach(listener -> tell(listener, configuration));
+        mListeners.forEach(listener -> notifyListener(listener, configuration));
         return true;
     }
 
     /**
-     * Adds a listener, and calls it with the configuration in force if there is one.
+     * Adds a listener, and calls it with the configuration in force, if any.
      *
-     * @param listener called with each configuration that comes into force
+     * @param listener the listener, called with each configuration that comes into force
      */
     public synchronized void addListener(Consumer<Configuration> listener) {
         mListeners.add(Assert.notNull(listener, "A listener"));
@@ -60,12 +61,19 @@
         }
     }
 
-    /** A listener that fails must not keep the others, or other instances, from the news. */
-    private static void tell(Consumer<Configuration> listener, Configuration configuration) {
+    /**
+     * Notifies a listener. A listener that fails must not prevent the update from reaching the
+     * other listeners or other instances.
+     */
+    private static void notifyListener(
+            Consumer<Configuration> listener, Configuration configuration) {
         try {
             listener.accept(configuration);
         } catch (RuntimeException e) {
-            sLogger.error("CONFIG  A listener failed on version {}.", configuration.version(), e);
+            sLogger.error(
+                    "CONFIG  A listener failed to process configuration version {}.",
+                    configuration.version(),
+                    e);
         }
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationMapper.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationMapper.java
@@ -23,15 +23,15 @@
 import java.time.LocalTime;
 import java.util.function.Function;
 
-/** Makes the mapper between documents and the records of core.configuration. */
+/** Factory of the mapper between JSON documents and the records of core.configuration. */
 final class ConfigurationMapper {
 
     private ConfigurationMapper() {}
 
     /**
-     * Makes a mapper that refuses unknown fields, duplicate fields and text after the document.
+     * Creates a mapper that rejects unknown fields, duplicate fields and text after the document.
      *
-     * @return the mapper, which is safe for all threads
+     * @return the mapper, which is thread-safe
      */
     static JsonMapper create() {
         return JsonMapper.builder()
@@ -47,32 +47,33 @@
                         JsonInclude.Value.construct(
                                 JsonInclude.Include.NON_ABSENT, JsonInclude.Include.ALWAYS))
                 .addModule(new Jdk8Module())
-                .addModule(identifiers())
+                .addModule(identifierModule())
                 .build();
     }
 
-    private static SimpleModule identifiers() {
+    private static SimpleModule identifierModule() {
         SimpleModule module = new SimpleModule("masticpond-identifiers");
-        add(module, BackendServerId.class, BackendServerId::new);
-        add(module, OperationName.class, OperationName::new);
-        add(module, PlanId.class, PlanId::new);
-        add(module, RegionId.class, RegionId::new);
-        add(module, ServiceId.class, ServiceId::new);
-        add(module, SiteId.class, SiteId::new);
-        add(module, ZoneId.class, ZoneId::new);
-        add(module, LocalTime.class, LocalTime::parse);
-        add(module, Instant.class, Instant::parse);
+        addTextType(module, BackendServerId.class, BackendServerId::new);
+        addTextType(module, OperationName.class, OperationName::new);
+        addTextType(module, PlanId.class, PlanId::new);
+        addTextType(module, RegionId.class, RegionId::new);
+        addTextType(module, ServiceId.class, ServiceId::new);
+        addTextType(module, SiteId.class, SiteId::new);
+        addTextType(module, ZoneId.class, ZoneId::new);
+        addTextType(module, LocalTime.class, LocalTime::parse);
+        addTextType(module, Instant.class, Instant::parse);
         module.addSerializer(ConfigurationVersion.class, new VersionSerializer());
         module.addDeserializer(ConfigurationVersion.class, new VersionDeserializer());
         return module;
     }
 
-    private static <T> void add(SimpleModule module, Class<T> type, Function<String, T> parser) {
+    private static <T> void addTextType(
+            SimpleModule module, Class<T> type, Function<String, T> parser) {
         module.addSerializer(type, new ToStringSerializer(type));
         module.addDeserializer(type, new TextDeserializer<>(type, parser));
     }
 
-    /** Makes a value of its text. */
+    /** Deserializer of a value from its text. */
     private static final class TextDeserializer<T> extends FromStringDeserializer<T> {
 
         private static final long serialVersionUID = 1;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationPeers.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationPeers.java
@@ -10,21 +10,22 @@
 import java.util.function.Consumer;
 
 /**
- * The other instances as the configuration's duty needs them; safe for all threads.
+ * Strategy interface through which {@link ConfigurationService} reaches the other instances.
+ * Implementations must be thread-safe.
  *
  * @since 0.1
  */
 public interface ConfigurationPeers {
 
     /**
-     * Lists the other instances as this one sees them now.
+     * Returns the other instances in the current membership view of this instance.
      *
-     * @return the instances, each with the version it said it has
+     * @return the instances, each with the configuration version that it last reported
      */
     Collection<Member> members();
 
     /**
-     * Tells an instance of a version; the message may be lost.
+     * Sends an update to an instance; the message may be lost.
      *
      * @param to the instance
      * @param push the message
@@ -32,26 +33,29 @@
     void push(InstanceId to, ConfigurationPush push);
 
     /**
-     * Asks an instance for what it knows.
+     * Requests the update that an instance has for this one.
      *
      * @param from the instance
-     * @param fetch the question
-     * @return the answer, or empty if none came in time; never fails
+     * @param fetch the request
+     * @return the answer, or empty if none arrived in time; never completes exceptionally
      */
     CompletableFuture<Optional<ConfigurationPush>> fetch(InstanceId from, ConfigurationFetch fetch);
 
     /**
-     * Takes what other instances send.
+     * Sets the handler of messages from other instances.
      *
      * @param handler the handler, called on a thread of the links
      */
     void handle(Handler handler);
 
-    /** Takes what other instances send; hands it to a duty and returns at once. */
+    /**
+     * Callback interface for messages from other instances. Implementations must hand a message
+     * over to an event loop and return at once.
+     */
     interface Handler {
 
         /**
-         * Takes a message that was not asked for.
+         * Handles an update that this instance did not request.
          *
          * @param from the instance that sent it
          * @param push the message
@@ -59,10 +63,10 @@
         void onPush(InstanceId from, ConfigurationPush push);
 
         /**
-         * Takes a question.
+         * Handles a request for an update.
          *
-         * @param fetch the question
-         * @param answer takes the answer, from any thread
+         * @param fetch the request
+         * @param answer receives the answer, on any thread
          */
         void onFetch(ConfigurationFetch fetch, Consumer<ConfigurationPush> answer);
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationService.java
@@ -29,56 +29,58 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the configuration of this instance up with the chain: from the platform if this instance
- * watches it, from peers otherwise; tells others of new versions.
+ * Service that keeps the configuration of this instance up to date with the chain: from the
+ * platform if this instance watches it, from peers otherwise. It distributes new versions to other
+ * instances.
  *
- * <p>The duty's thread owns the replica. When its ring is full a message of a peer is dropped; the
- * comparison of versions makes up for it.
+ * <p>The replica is confined to the thread of the service's event loop. When the queue of the event
+ * loop is full, a message of a peer is dropped; the loss is repaired by the comparison of versions
+ * with those that peers report.
  *
  * @since 0.1
  */
 public final class ConfigurationService implements AutoCloseable {
 
     private static final Logger sLogger = LoggerFactory.getLogger(ConfigurationService.class);
-    private static final int RING_CAPACITY = 4_096;
-    private static final Duration TICK = Duration.ofMillis(100);
-    private static final long LOG_BYTES = 64 << 10;
-    private static final int RECENT = 4;
-    private static final long HIGHEST_LEAD = 10_000;
-    private static final long DROP_LOG_PAUSE_NANOS = Duration.ofSeconds(10).toNanos();
-    private static final long SEEN_PAUSE_NANOS = Duration.ofSeconds(1).toNanos();
+    private static final int QUEUE_CAPACITY = 4_096;
+    private static final Duration TICK_PERIOD = Duration.ofMillis(100);
+    private static final long MAXIMUM_LOG_BYTES = 64 << 10;
+    private static final int MAXIMUM_RECENT_VERSIONS = 4;
+    private static final long MAXIMUM_VERSION_LEAD = 10_000;
+    private static final long DROP_LOG_INTERVAL_NANOS = Duration.ofSeconds(10).toNanos();
+    private static final long SEEN_CHECK_INTERVAL_NANOS = Duration.ofSeconds(1).toNanos();
 
-    private final EventLoop mDuty;
+    private final EventLoop mEventLoop;
     private final EventLoopExecutor mExecutor;
     private final ConfigurationPeers mPeers;
     private final ConfigurationHolder mHolder;
     private final ConfigurationReplica mReplica;
-    private final ConfigurationDistribution mAudience;
+    private final ConfigurationDistribution mDistribution;
     private final ConfigurationLogLimits mLimits;
     private final ChainStore mChain;
-    private final UpdateCodec mNewsCodec;
+    private final UpdateCodec mUpdateCodec;
     private final PlatformFollower mPlatformFollower;
     private final PeerFollower mPeerFollower;
     private final TimeSource mTimeSource;
     private final Timeline mTimeline;
-    private final Deque<Configuration> mRecent = new ArrayDeque<>();
-    private final AtomicLong mSeen = new AtomicLong();
+    private final Deque<Configuration> mRecentVersions = new ArrayDeque<>();
+    private final AtomicLong mHighestSeenVersion = new AtomicLong();
     private volatile boolean mReady;
-    private long mSeenNotBeforeNanos;
-    private long mDropLogNotBeforeNanos;
-    private long mDropped;
+    private long mNextSeenCheckNanos;
+    private long mNextDropLogNanos;
+    private long mDroppedMessages;
 
     /**
-     * Makes a duty that is not started yet.
+     * Creates a service that is not started yet.
      *
      * @param self this instance
      * @param zone its availability zone
      * @param store the platform's object API
      * @param peers the other instances
-     * @param holder takes each version that comes into force
-     * @param codec reads and writes documents
+     * @param holder the holder that each version coming into force is passed to
+     * @param codec the codec of documents
      * @param timeSource the clocks
-     * @param timeline takes the events
+     * @param timeline the timeline that events are recorded in
      */
     public ConfigurationService(
             InstanceId self,
@@ -92,59 +94,62 @@
         mPeers = Assert.notNull(peers, "Peers");
         mHolder = Assert.notNull(holder, "A configuration holder");
         mTimeSource = Assert.notNull(timeSource, "A time source");
-        mSeenNotBeforeNanos = timeSource.monotonicNanos();
-        mDropLogNotBeforeNanos = mSeenNotBeforeNanos;
-        mTimeline = Assert.notNull(timeline, "A time line");
-        mDuty = new EventLoop("configuration", RING_CAPACITY, timeSource);
-        mExecutor = new EventLoopExecutor(mDuty);
-        mAudience = new ConfigurationDistribution(self, zone);
-        mLimits = new ConfigurationLogLimits(LOG_BYTES, change -> codec.encode(change).length);
+        mNextSeenCheckNanos = timeSource.monotonicNanos();
+        mNextDropLogNanos = mNextSeenCheckNanos;
+        mTimeline = Assert.notNull(timeline, "A timeline");
+        mEventLoop = new EventLoop("configuration", QUEUE_CAPACITY, timeSource);
+        mExecutor = new EventLoopExecutor(mEventLoop);
+        mDistribution = new ConfigurationDistribution(self, zone);
+        mLimits =
+                new ConfigurationLogLimits(
+                        MAXIMUM_LOG_BYTES, change -> codec.encode(change).length);
         mReplica = new ConfigurationReplica(mLimits);
         mChain = new ChainStore(store, codec, mExecutor);
-        mNewsCodec = new UpdateCodec(codec);
+        mUpdateCodec = new UpdateCodec(codec);
         mPlatformFollower =
                 new PlatformFollower(
                         mChain,
                         mReplica,
-                        news -> take("the platform", Optional.empty(), news),
+                        update -> apply("the platform", Optional.empty(), update),
                         mExecutor,
                         timeSource,
                         () -> ThreadLocalRandom.current().nextDouble());
         mPeerFollower =
-                new PeerFollower(peers, mReplica, zone, this::takePush, mExecutor, timeSource);
-        mDuty.every(TICK, this::tick);
+                new PeerFollower(peers, mReplica, zone, this::applyPush, mExecutor, timeSource);
+        mEventLoop.every(TICK_PERIOD, this::tick);
         peers.handle(new PeerHandler());
     }
 
-    /** Starts the thread. */
+    /** Starts the thread of the event loop. */
     public void start() {
-        mDuty.start();
+        mEventLoop.start();
     }
 
     /**
-     * Tells whether this instance may serve: it has read the platform, or all its reachable peers
-     * have told it what they have.
+     * Determines whether this instance may serve: it has read the platform, or all its reachable
+     * peers have reported their versions.
      *
-     * @return whether it is ready
+     * @return {@code true} if this instance is ready
      */
     public boolean isReady() {
         return mReady;
     }
 
     /**
-     * Takes note that somebody has seen a version; a higher one than ours is looked for.
+     * Records a version that a client or another party has seen. If it is higher than the one in
+     * force, this instance looks for it.
      *
      * @param version the number of the version, which may be wrong
      */
     public void onVersionSeen(long version) {
-        if (version <= mHolder.current().version().number() + HIGHEST_LEAD) {
-            mSeen.accumulateAndGet(version, Math::max);
+        if (version <= mHolder.current().version().number() + MAXIMUM_VERSION_LEAD) {
+            mHighestSeenVersion.accumulateAndGet(version, Math::max);
         }
     }
 
     @Override
     public void close() {
-        mDuty.close();
+        mEventLoop.close();
     }
 
     EventLoopExecutor executor() {
@@ -159,38 +164,44 @@
         return mLimits;
     }
 
-    /** Gives a version that was in force here lately; only the duty's thread may call it. */
-    Optional<Configuration> recent(ConfigurationVersion version) {
-        return mRecent.stream()
+    /**
+     * Returns a version that was recently in force at this instance. Must be called on the thread
+     * of the event loop.
+     */
+    Optional<Configuration> recentVersion(ConfigurationVersion version) {
+        return mRecentVersions.stream()
                 .filter(configuration -> configuration.version().equals(version))
                 .findFirst();
     }
 
-    /** Gives what is in force; only the duty's thread may call it. */
+    /** Returns the configuration in force. Must be called on the thread of the event loop. */
     Configuration known() {
         return mReplica.current();
     }
 
-    /** Brings a version that this instance has just accepted into force; on the duty's thread. */
-    void caughtUp(Configuration configuration, ConfigurationUpdate news) {
+    /**
+     * Puts a version that this instance has just accepted into force. Must be called on the thread
+     * of the event loop.
+     */
+    void applyAccepted(Configuration configuration, ConfigurationUpdate update) {
         if (configuration.version().isAfter(mReplica.current().version())) {
-            take("a confirmation", Optional.empty(), news);
+            apply("a confirmation", Optional.empty(), update);
         }
     }
 
     private void tick() {
         mPeerFollower.follow();
         if (!mReady) {
-            becomeReady();
+            updateReadiness();
             return;
         }
-        if (mAudience.isWatcher(mPeers.members())) {
+        if (mDistribution.isWatcher(mPeers.members())) {
             mPlatformFollower.watch();
         }
-        lookForSeen();
+        fetchSeenVersion();
     }
 
-    private void becomeReady() {
+    private void updateReadiness() {
         mPlatformFollower.read();
         mPeerFollower.queryNext();
         boolean fromPeers =
@@ -205,51 +216,54 @@
         }
     }
 
-    /** A version that no member is known to have may still stand at the platform. */
-    private void lookForSeen() {
+    /**
+     * Looks for a version that was seen elsewhere. A version that no member has reported may still
+     * exist at the platform.
+     */
+    private void fetchSeenVersion() {
         long now = mTimeSource.monotonicNanos();
-        boolean behind = mSeen.get() > mReplica.current().version().number();
-        if (behind && now - mSeenNotBeforeNanos >= 0) {
-            mSeenNotBeforeNanos = now + SEEN_PAUSE_NANOS;
+        boolean behind = mHighestSeenVersion.get() > mReplica.current().version().number();
+        if (behind && now - mNextSeenCheckNanos >= 0) {
+            mNextSeenCheckNanos = now + SEEN_CHECK_INTERVAL_NANOS;
             mPlatformFollower.read();
             mPeerFollower.follow();
-            mSeen.set(0);
+            mHighestSeenVersion.set(0);
         }
     }
 
-    private void takePush(InstanceId from, ConfigurationPush push) {
+    private void applyPush(InstanceId from, ConfigurationPush push) {
         if (push.getVersion() <= mReplica.current().version().number()) {
             return;
         }
-        mNewsCodec
+        mUpdateCodec
                 .decode(push)
-                .peek(news -> take("instance " + from, Optional.of(from), news))
+                .peek(update -> apply("instance " + from, Optional.of(from), update))
                 .peekLeft(message -> logDropped(from, message));
     }
 
-    /** A peer that has gone wrong must not fill the log. */
+    /** Logs a dropped message at a limited rate, so that a faulty peer cannot fill the log. */
     private void logDropped(InstanceId from, String message) {
-        mDropped++;
+        mDroppedMessages++;
         long now = mTimeSource.monotonicNanos();
-        if (now - mDropLogNotBeforeNanos >= 0) {
-            mDropLogNotBeforeNanos = now + DROP_LOG_PAUSE_NANOS;
+        if (now - mNextDropLogNanos >= 0) {
+            mNextDropLogNanos = now + DROP_LOG_INTERVAL_NANOS;
             sLogger.warn(
-                    "CONFIG  A message of instance {} was dropped, {} so far: {}",
+                    "CONFIG  Dropped an unreadable message of instance {}, {} so far: {}",
                     from,
-                    mDropped,
+                    mDroppedMessages,
                     message);
         }
     }
 
-    private void take(String source, Optional<InstanceId> from, ConfigurationUpdate news) {
+    private void apply(String source, Optional<InstanceId> from, ConfigurationUpdate update) {
         Configuration before = mReplica.current();
-        ConfigurationReplica.ApplyResult taken = mReplica.apply(news);
+        ConfigurationReplica.ApplyResult result = mReplica.apply(update);
         Configuration after = mReplica.current();
         if (after.version().isAfter(before.version())) {
             mHolder.offer(after);
-            mRecent.addLast(before);
-            if (mRecent.size() > RECENT) {
-                mRecent.removeFirst();
+            mRecentVersions.addLast(before);
+            if (mRecentVersions.size() > MAXIMUM_RECENT_VERSIONS) {
+                mRecentVersions.removeFirst();
             }
             sLogger.info("CONFIG  Version {} from {} is in force.", after.version(), source);
             mTimeline.record(
@@ -258,49 +272,52 @@
                     "",
                     after.version().toString(),
                     "from " + source);
-            tell(before.version(), after.version(), from);
+            distribute(before.version(), after.version(), from);
         }
-        if (taken == ConfigurationReplica.ApplyResult.GAP) {
+        if (result == ConfigurationReplica.ApplyResult.GAP) {
             from.ifPresent(mPeerFollower::fetchFrom);
         }
     }
 
-    /** Only one who watches tells, or one who has it not from a peer: it confirmed it itself. */
-    private void tell(
+    /**
+     * Sends an update to other instances. An instance that received the update from a peer sends it
+     * on only if it watches the platform; one that confirmed the version itself always sends it.
+     */
+    private void distribute(
             ConfigurationVersion before, ConfigurationVersion after, Optional<InstanceId> from) {
         Collection<Member> members = mPeers.members();
-        if (from.isPresent() && !mAudience.isWatcher(members)) {
+        if (from.isPresent() && !mDistribution.isWatcher(members)) {
             return;
         }
         mReplica.updateSince(before)
-                .map(news -> mNewsCodec.encode(after, news))
+                .map(update -> mUpdateCodec.encode(after, update))
                 .ifPresent(
                         push ->
-                                mAudience.recipients(members, after).stream()
+                                mDistribution.recipients(members, after).stream()
                                         .filter(id -> !from.equals(Optional.of(id)))
                                         .forEach(id -> mPeers.push(id, push)));
     }
 
-    private void answer(ConfigurationFetch fetch, Consumer<ConfigurationPush> answer) {
+    private void answerFetch(ConfigurationFetch fetch, Consumer<ConfigurationPush> answer) {
         ConfigurationVersion current = mReplica.current().version();
         long known = Math.max(0, fetch.getKnownVersion());
         answer.accept(
                 mReplica.updateSince(new ConfigurationVersion(known))
-                        .map(news -> mNewsCodec.encode(current, news))
+                        .map(update -> mUpdateCodec.encode(current, update))
                         .orElseGet(() -> UpdateCodec.nothingNewer(current)));
     }
 
-    /** Hands messages of peers to the duty. */
+    /** Handler that passes messages of peers to the event loop. */
     private final class PeerHandler implements ConfigurationPeers.Handler {
 
         @Override
         public void onPush(InstanceId from, ConfigurationPush push) {
-            mDuty.offer(() -> takePush(from, push));
+            mEventLoop.offer(() -> applyPush(from, push));
         }
 
         @Override
         public void onFetch(ConfigurationFetch fetch, Consumer<ConfigurationPush> answer) {
-            mDuty.offer(() -> answer(fetch, answer));
+            mEventLoop.offer(() -> answerFetch(fetch, answer));
         }
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfirmationRunner.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfirmationRunner.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.Executor;
 import java.util.function.Supplier;
 
-/** Carries out the steps of confirmations at the platform. */
+/** Executor of the steps of a {@link ConfigurationConfirmation} at the platform. */
 final class ConfirmationRunner {
 
     private static final int MAXIMUM_READS = 6;
@@ -38,7 +38,10 @@
         mExecutor = Assert.notNull(executor, "An executor");
     }
 
-    /** Runs a confirmation to its end; the step given is never one that asks for more. */
+    /**
+     * Runs a confirmation to its outcome. The returned step is final: it is never one that requires
+     * a further read or write.
+     */
     CompletableFuture<ConfirmationStep> run(Plan plan) {
         return new Run(plan).start();
     }
@@ -47,7 +50,7 @@
         return head.checkpoint().version().equals(head.version());
     }
 
-    private static WriteOutcome endOf(PlatformError error) {
+    private static WriteOutcome toOutcome(PlatformError error) {
         if (error instanceof PlatformError.Conflict) {
             return WriteOutcome.CONFLICT;
         }
@@ -57,7 +60,7 @@
         return WriteOutcome.UNAVAILABLE;
     }
 
-    /** One confirmation with the head that it last read. */
+    /** A running confirmation with the head that it read last. */
     private final class Run {
 
         private final Plan mPlan;
@@ -70,17 +73,18 @@
         }
 
         CompletableFuture<ConfirmationStep> start() {
-            return follow(mConfirmation.start());
+            return execute(mConfirmation.start());
         }
 
-        private CompletableFuture<ConfirmationStep> follow(ConfirmationStep step) {
+        private CompletableFuture<ConfirmationStep> execute(ConfirmationStep step) {
             if (step instanceof ReadHead) {
                 return mChain.readHead()
-                        .thenComposeAsync(read -> follow(afterRead(read)), mExecutor);
+                        .thenComposeAsync(read -> execute(afterRead(read)), mExecutor);
             }
             if (step instanceof WriteHead write) {
                 return write(write)
-                        .thenComposeAsync(end -> follow(mConfirmation.onWrite(end)), mExecutor);
+                        .thenComposeAsync(
+                                outcome -> execute(mConfirmation.onWrite(outcome)), mExecutor);
             }
             return CompletableFuture.completedFuture(step);
         }
@@ -124,7 +128,7 @@
                                             mHead.checkpoint().version().number());
                                 }
                                 return written.fold(
-                                        ConfirmationRunner::endOf, v -> WriteOutcome.WRITTEN);
+                                        ConfirmationRunner::toOutcome, v -> WriteOutcome.WRITTEN);
                             });
         }
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/DefaultConfigurationCommands.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/DefaultConfigurationCommands.java
@@ -31,24 +31,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries out operators' commands on the configuration's duty.
+ * Default implementation of {@link ConfigurationCommands}, which runs on the event loop of the
+ * configuration.
  *
  * @since 0.1
  */
 public final class DefaultConfigurationCommands implements ConfigurationCommands {
 
-    /** How long a plan can be confirmed. */
+    /** The time for which a plan can be confirmed after its creation. */
     public static final Duration PLAN_LIFETIME = Duration.ofHours(1);
 
-    /** Allows for clocks that differ: who confirms looks at its own clock. */
+    /**
+     * The allowance for differing clocks, since the confirming instance compares the expiry with
+     * its own clock.
+     */
     private static final Duration CLOCK_ERROR = Duration.ofMinutes(5);
 
-    private static final Duration DELETION_PAUSE = Duration.ofMinutes(10);
+    private static final Duration DELETION_INTERVAL = Duration.ofMinutes(10);
 
     private static final Logger sLogger =
             LoggerFactory.getLogger(DefaultConfigurationCommands.class);
 
-    private final ConfigurationService mDuty;
+    private final ConfigurationService mService;
     private final ConfigurationHolder mHolder;
     private final ConfigurationPlanner mPlanner;
     private final PlanStore mPlans;
@@ -60,40 +64,40 @@
     private Instant mNextDeletion = Instant.EPOCH;
 
     /**
-     * Makes the commands.
+     * Creates the commands.
      *
-     * @param duty the configuration's duty
+     * @param service the service that follows the configuration
      * @param holder the configuration in force
-     * @param planner makes plans
+     * @param planner the planner that creates plans
      * @param store the platform's object API
-     * @param codec reads and writes documents
+     * @param codec the codec of documents
      * @param timeSource the clocks
-     * @param timeline takes the events
+     * @param timeline the timeline that events are recorded in
      */
     public DefaultConfigurationCommands(
-            ConfigurationService duty,
+            ConfigurationService service,
             ConfigurationHolder holder,
             ConfigurationPlanner planner,
             ObjectStore store,
             ConfigurationCodec codec,
             TimeSource timeSource,
             Timeline timeline) {
-        mDuty = Assert.notNull(duty, "A configuration duty");
+        mService = Assert.notNull(service, "A configuration service");
         mHolder = Assert.notNull(holder, "A configuration holder");
         mPlanner = Assert.notNull(planner, "A planner");
         mTimeSource = Assert.notNull(timeSource, "A time source");
-        mTimeline = Assert.notNull(timeline, "A time line");
-        mExecutor = duty.executor();
-        mChain = duty.chain();
+        mTimeline = Assert.notNull(timeline, "A timeline");
+        mExecutor = service.executor();
+        mChain = service.chain();
         mPlans = new PlanStore(store, codec, mExecutor);
-        mRunner = new ConfirmationRunner(mChain, duty.limits(), duty::known, mExecutor);
+        mRunner = new ConfirmationRunner(mChain, service.limits(), service::known, mExecutor);
     }
 
     @Override
     public CompletableFuture<Either<ConfigurationError, Plan>> plan(
             ConfigurationIntent intent, String operator) {
-        return settled(
-                readNewest()
+        return withFailureAsBusy(
+                readNewestConfiguration()
                         .thenComposeAsync(
                                 base ->
                                         base.isLeft()
@@ -104,22 +108,22 @@
 
     @Override
     public CompletableFuture<Either<ConfigurationError, Plan>> find(PlanId id) {
-        return settled(
+        return withFailureAsBusy(
                 mPlans.read(id)
                         .thenApply(
                                 read ->
-                                        read.mapLeft(DefaultConfigurationCommands::away)
-                                                .flatMap(plan -> present(id, plan))));
+                                        read.mapLeft(DefaultConfigurationCommands::unavailable)
+                                                .flatMap(plan -> checkPlan(id, plan))));
     }
 
     @Override
     public CompletableFuture<Either<ConfigurationError, ConfigurationVersion>> confirm(
             PlanId id, String operator) {
-        return settled(
+        return withFailureAsBusy(
                 find(id).thenComposeAsync(
                                 plan ->
                                         plan.isLeft()
-                                                ? acceptedBefore(id, plan.getLeft())
+                                                ? findAcceptedVersion(id, plan.getLeft())
                                                 : confirm(plan.get(), operator),
                                 mExecutor));
     }
@@ -129,8 +133,11 @@
         return mHolder.current();
     }
 
-    /** A plan that is gone or has expired may have been accepted while it stood. */
-    private CompletableFuture<Either<ConfigurationError, ConfigurationVersion>> acceptedBefore(
+    /**
+     * Returns the version that a deleted or expired plan became, since it may have been accepted
+     * while it was valid, or else the given error.
+     */
+    private CompletableFuture<Either<ConfigurationError, ConfigurationVersion>> findAcceptedVersion(
             PlanId id, ConfigurationError error) {
         return mChain.readHead()
                 .thenApply(
@@ -144,24 +151,24 @@
         return object.head().versionOf(id);
     }
 
-    private CompletableFuture<Either<ConfigurationError, Configuration>> readNewest() {
+    private CompletableFuture<Either<ConfigurationError, Configuration>> readNewestConfiguration() {
         return mChain.readHead()
                 .thenComposeAsync(
                         read ->
                                 read.isLeft()
-                                        ? failed(away(read.getLeft()))
+                                        ? failed(unavailable(read.getLeft()))
                                         : load(read.get().head()),
                         mExecutor);
     }
 
     private CompletableFuture<Either<ConfigurationError, Configuration>> load(
             ConfigurationHead head) {
-        Configuration known = mDuty.known();
+        Configuration known = mService.known();
         if (known.version().isAfter(head.version())) {
             return failed(new ConfigurationError.ChainBehind(head.version(), known.version()));
         }
         return mChain.load(head, known)
-                .thenApply(loaded -> loaded.mapLeft(DefaultConfigurationCommands::away));
+                .thenApply(loaded -> loaded.mapLeft(DefaultConfigurationCommands::unavailable));
     }
 
     private CompletableFuture<Either<ConfigurationError, Plan>> plan(
@@ -178,27 +185,30 @@
                                                 written ->
                                                         written.mapLeft(
                                                                 DefaultConfigurationCommands
-                                                                        ::away)));
+                                                                        ::unavailable)));
     }
 
-    /** Plans are kept for a while after they expired, so that the answer can say so. */
+    /**
+     * Deletes old plans. Plans are kept for some time after they expired, so that confirming one is
+     * answered with the reason.
+     */
     private void deleteOldPlans(Instant now) {
         if (now.isBefore(mNextDeletion)) {
             return;
         }
-        mNextDeletion = now.plus(DELETION_PAUSE);
+        mNextDeletion = now.plus(DELETION_INTERVAL);
         mPlans.deleteBefore(now.minus(PLAN_LIFETIME).minus(PLAN_LIFETIME));
     }
 
     private CompletableFuture<Either<ConfigurationError, ConfigurationVersion>> confirm(
             Plan plan, String operator) {
-        return mRunner.run(plan).thenApplyAsync(step -> ended(plan, operator, step), mExecutor);
+        return mRunner.run(plan).thenApplyAsync(step -> toResult(plan, operator, step), mExecutor);
     }
 
-    private Either<ConfigurationError, ConfigurationVersion> ended(
+    private Either<ConfigurationError, ConfigurationVersion> toResult(
             Plan plan, String operator, ConfirmationStep step) {
         if (step instanceof ConfirmationStep.Accepted accepted) {
-            accepted(plan, operator, accepted.version());
+            onAccepted(plan, operator, accepted.version());
             return Either.right(accepted.version());
         }
         if (step instanceof ConfirmationStep.BaseChanged changed) {
@@ -216,7 +226,7 @@
                         "It is not known yet whether the plan was accepted; confirm it again."));
     }
 
-    private void accepted(Plan plan, String operator, ConfigurationVersion version) {
+    private void onAccepted(Plan plan, String operator, ConfigurationVersion version) {
         sLogger.info(
                 "CONFIG  Operator {} confirmed {} as version {}.", operator, plan.id(), version);
         mTimeline.record(
@@ -225,23 +235,26 @@
                 "",
                 plan.id().value(),
                 "version " + version + " by " + operator);
-        Configuration known = mDuty.known();
+        Configuration known = mService.known();
         if (known.version().next().equals(version)) {
             ConfigurationLogEntry entry =
                     new ConfigurationLogEntry(version, plan.id(), plan.change());
-            mDuty.caughtUp(entry.applyTo(known), ConfigurationUpdate.of(List.of(entry)));
+            mService.applyAccepted(entry.applyTo(known), ConfigurationUpdate.of(List.of(entry)));
         } else {
-            mDuty.onVersionSeen(version.number());
+            mService.onVersionSeen(version.number());
         }
     }
 
-    /** If the content of the base is not kept any more, the changes alone are told. */
+    /**
+     * Returns the differences between the base of a plan and the current version. If the content of
+     * the base is no longer held in memory, they consist of the changes alone.
+     */
     private List<ConfigurationDifference> differences(
             Plan plan, ConfirmationStep.BaseChanged changed) {
         Optional<Configuration> base =
-                mDuty.known().version().equals(plan.base())
-                        ? Optional.of(mDuty.known())
-                        : mDuty.recent(plan.base());
+                mService.known().version().equals(plan.base())
+                        ? Optional.of(mService.known())
+                        : mService.recentVersion(plan.base());
         if (base.isEmpty() || changed.entries().isEmpty()) {
             return ConfigurationDifferences.of(changed.entries());
         }
@@ -252,7 +265,7 @@
         return ConfigurationDifferences.between(base.get().content(), content);
     }
 
-    private Either<ConfigurationError, Plan> present(PlanId id, Optional<Plan> plan) {
+    private Either<ConfigurationError, Plan> checkPlan(PlanId id, Optional<Plan> plan) {
         if (plan.isEmpty()) {
             return Either.left(new ConfigurationError.UnknownPlan(id));
         }
@@ -262,7 +275,7 @@
         return Either.right(plan.get());
     }
 
-    private static ConfigurationError away(PlatformError error) {
+    private static ConfigurationError unavailable(PlatformError error) {
         return new ConfigurationError.PlatformUnavailable(error.message());
     }
 
@@ -271,12 +284,15 @@
         return CompletableFuture.completedFuture(Either.left(error));
     }
 
-    /** A step that found the ring of the duty full fails its future; that is told as busy. */
-    private static <T> CompletableFuture<Either<ConfigurationError, T>> settled(
+    /**
+     * Converts an exceptional completion, which follows from a full queue of the event loop, to a
+     * {@link ConfigurationError.Busy}.
+     */
+    private static <T> CompletableFuture<Either<ConfigurationError, T>> withFailureAsBusy(
             CompletableFuture<Either<ConfigurationError, T>> result) {
         return result.exceptionally(
                 error -> {
-                    sLogger.warn("CONFIG  A command of an operator was given up.", error);
+                    sLogger.warn("CONFIG  Gave up a command of an operator.", error);
                     return Either.left(
                             new ConfigurationError.Busy("The instance has too much to do."));
                 });
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/DeflatedDocument.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/DeflatedDocument.java
@@ -6,10 +6,13 @@
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
 
-/** Makes documents small for links and the platform (RFC 1950), and bounds what they grow to. */
+/**
+ * Compression of documents for links and the platform (RFC 1950), with a bound on the inflated
+ * size.
+ */
 final class DeflatedDocument {
 
-    /** The greatest document that is inflated, in bytes. */
+    /** The maximum size of an inflated document, in bytes. */
     static final int MAXIMUM_BYTES = 128 << 20;
 
     private static final int BUFFER_BYTES = 16 << 10;
@@ -32,7 +35,7 @@
         }
     }
 
-    /** Gives the document, or one sentence that says why it cannot be inflated. */
+    /** Returns the inflated document, or the reason why it cannot be inflated, as one sentence. */
     static Either<String, byte[]> inflate(byte[] deflated, int maximumBytes) {
         Inflater inflater = new Inflater();
         try {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/EventLoopExecutor.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/EventLoopExecutor.java
@@ -9,36 +9,41 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Runs the steps of futures on a duty; a step that finds the ring full fails its future. */
+/**
+ * Executor that runs the continuations of futures on an event loop. If the queue of the event loop
+ * is full, the future of the continuation completes exceptionally.
+ */
 final class EventLoopExecutor implements Executor {
 
     private static final Logger sLogger = LoggerFactory.getLogger(EventLoopExecutor.class);
 
-    private final EventLoop mDuty;
+    private final EventLoop mEventLoop;
 
-    EventLoopExecutor(EventLoop duty) {
-        mDuty = Assert.notNull(duty, "A duty");
+    EventLoopExecutor(EventLoop eventLoop) {
+        mEventLoop = Assert.notNull(eventLoop, "An event loop");
     }
 
     @Override
     public void execute(Runnable task) {
-        if (!mDuty.offer(task)) {
-            throw new RejectedExecutionException("The ring of the duty is full.");
+        if (!mEventLoop.offer(task)) {
+            throw new RejectedExecutionException("The queue of the event loop is full.");
         }
     }
 
     /**
-     * Runs a last step on the duty; if the ring is full it is dropped, so its owner must not wait
-     * for it without a limit.
+     * Runs a final continuation on the event loop. It is dropped if the queue is full, so the
+     * caller must not wait for it without a time limit.
      */
-    <T> void whenDone(CompletableFuture<T> future, Consumer<T> step) {
+    <T> void whenDone(CompletableFuture<T> future, Consumer<T> continuation) {
         var unused =
-                future.thenAcceptAsync(step, this).exceptionally(EventLoopExecutor::logDropped);
+                future.thenAcceptAsync(continuation, this)
+                        .exceptionally(EventLoopExecutor::logDropped);
     }
 
     private static Void logDropped(Throwable error) {
         sLogger.debug(
-                "CONFIG  A step of the configuration's duty was dropped: {}", error.toString());
+                "CONFIG  A task of the configuration's event loop was dropped: {}",
+                error.toString());
         return null;
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/HeadObject.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/HeadObject.java
@@ -3,9 +3,9 @@
 import io.masticpond.core.configuration.ConfigurationHead;
 
 /**
- * The head of the chain as it stands at the platform.
+ * Head of the chain as stored at the platform.
  *
  * @param head the head
- * @param objectVersion the version of its object, 0 if there is none
+ * @param objectVersion the version of the object that holds it, or 0 if there is none
  */
 record HeadObject(ConfigurationHead head, long objectVersion) {}
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/MultipartObjects.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/MultipartObjects.java
@@ -17,14 +17,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes documents above a megabyte as several objects under new names, deflated.
+ * Reader and writer of documents above a megabyte, which are deflated and split into several
+ * objects with new names.
  *
- * <p>A part is written once and never changed, so a part that is there already, from an attempt
- * whose answer was lost, is as good as written.
+ * <p>A part is written once and never changed. A part that exists already comes from an attempt
+ * whose answer was lost, and counts as written.
  */
 final class MultipartObjects {
 
-    /** The greatest part, below the megabyte that the platform takes, in bytes. */
+    /** The maximum size of a part in bytes, below the megabyte that the platform accepts. */
     static final int PART_BYTES = 900_000;
 
     private static final Logger sLogger = LoggerFactory.getLogger(MultipartObjects.class);
@@ -59,7 +60,8 @@
         for (String name : names) {
             bytes =
                     bytes.thenComposeAsync(
-                            so -> readNext(so, new ObjectKey(kind, name)), mExecutor);
+                            accumulated -> readNext(accumulated, new ObjectKey(kind, name)),
+                            mExecutor);
         }
         return bytes.thenApplyAsync(
                 read ->
@@ -72,7 +74,9 @@
                 mExecutor);
     }
 
-    /** Deletes the parts whose names come before another; failures are left to the next time. */
+    /**
+     * Deletes the parts whose names sort before the given one; the next call retries what failed.
+     */
     void deleteBefore(ObjectKind kind, String prefix, String firstKept) {
         mExecutor.whenDone(
                 mStore.list(kind, prefix),
@@ -91,7 +95,7 @@
     private void delete(ObjectKey key) {
         mExecutor.whenDone(
                 mStore.read(key),
-                read -> read.peek(object -> object.ifPresent(found -> delete(found))));
+                read -> read.peek(object -> object.ifPresent(stored -> delete(stored))));
     }
 
     private void delete(StoredObject object) {
@@ -101,7 +105,7 @@
                         deleted.peekLeft(
                                 error ->
                                         sLogger.debug(
-                                                "CONFIG  {} was not deleted: {}",
+                                                "CONFIG  Could not delete {}: {}",
                                                 object.key(),
                                                 error.message())));
     }
@@ -116,9 +120,9 @@
                         written ->
                                 written.map(
                                         version -> {
-                                            List<String> grown = new ArrayList<>(names.get());
-                                            grown.add(key.name());
-                                            return List.copyOf(grown);
+                                            List<String> extended = new ArrayList<>(names.get());
+                                            extended.add(key.name());
+                                            return List.copyOf(extended);
                                         }));
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PeerFollower.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PeerFollower.java
@@ -20,56 +20,59 @@
 import java.util.function.Predicate;
 
 /**
- * Fetches from a peer that says it has a higher version; owned by the configuration's duty.
+ * Fetches updates from peers that report a higher version. Confined to the thread of the
+ * configuration's event loop.
  *
- * <p>One fetch runs at a time. A peer that gave nothing is left alone for a while, so that another
- * is asked.
+ * <p>One fetch runs at a time. A peer whose answer brought no higher version is avoided for some
+ * time, so that another one is queried.
  */
 final class PeerFollower {
 
-    private static final long AVOID_NANOS = Duration.ofSeconds(1).toNanos();
+    private static final long AVOIDANCE_NANOS = Duration.ofSeconds(1).toNanos();
 
-    private static final Duration LONGEST_FETCH = Duration.ofSeconds(5);
+    private static final Duration MAXIMUM_FETCH_DURATION = Duration.ofSeconds(5);
 
     private final ConfigurationPeers mPeers;
     private final ConfigurationReplica mReplica;
     private final ZoneId mZone;
-    private final BiConsumer<InstanceId, ConfigurationPush> mTake;
+    private final BiConsumer<InstanceId, ConfigurationPush> mUpdateHandler;
     private final EventLoopExecutor mExecutor;
     private final TimeSource mTimeSource;
     private final Map<InstanceId, Long> mAvoided = new HashMap<>();
     private final Set<InstanceId> mAnswered = new HashSet<>();
-    private final CallLimit mCall = new CallLimit(LONGEST_FETCH);
+    private final CallLimit mCall = new CallLimit(MAXIMUM_FETCH_DURATION);
 
     PeerFollower(
             ConfigurationPeers peers,
             ConfigurationReplica replica,
             ZoneId zone,
-            BiConsumer<InstanceId, ConfigurationPush> take,
+            BiConsumer<InstanceId, ConfigurationPush> updateHandler,
             EventLoopExecutor executor,
             TimeSource timeSource) {
         mPeers = peers;
         mReplica = replica;
         mZone = zone;
-        mTake = take;
+        mUpdateHandler = updateHandler;
         mExecutor = executor;
         mTimeSource = timeSource;
     }
 
-    /** Fetches from the nearest peer that has a higher version, if there is one. */
+    /** Fetches from the nearest peer that reports a higher version, if there is one. */
     void follow() {
         ConfigurationVersion current = mReplica.current().version();
-        candidate(member -> member.configuration().isAfter(current))
+        findCandidate(member -> member.configuration().isAfter(current))
                 .ifPresent(member -> fetch(member.id(), current));
     }
 
-    /** Asks the next peer that has not answered yet, whatever version it says it has. */
+    /**
+     * Queries the next peer that has not answered yet, regardless of the version that it reports.
+     */
     void queryNext() {
-        candidate(member -> !mAnswered.contains(member.id()))
+        findCandidate(member -> !mAnswered.contains(member.id()))
                 .ifPresent(member -> fetch(member.id(), mReplica.current().version()));
     }
 
-    /** Tells whether at least one peer answered, and all reachable ones did. */
+    /** Determines whether at least one peer has answered, and all reachable peers have. */
     boolean allAnswered() {
         return !mAnswered.isEmpty()
                 && mPeers.members().stream()
@@ -77,12 +80,12 @@
                         .allMatch(member -> mAnswered.contains(member.id()));
     }
 
-    /** Asks a peer for the whole, since changes are missing. */
+    /** Fetches from a peer whose update left a gap. */
     void fetchFrom(InstanceId peer) {
         fetch(peer, mReplica.current().version());
     }
 
-    private Optional<Member> candidate(Predicate<Member> condition) {
+    private Optional<Member> findCandidate(Predicate<Member> condition) {
         long now = mTimeSource.monotonicNanos();
         mAvoided.values().removeIf(until -> until - now <= 0);
         return mPeers.members().stream()
@@ -97,21 +100,21 @@
         if (mCall.isRunning(now)) {
             return;
         }
-        mCall.started(now);
+        mCall.recordStart(now);
         ConfigurationFetch fetch =
                 ConfigurationFetch.newBuilder().setKnownVersion(known.number()).build();
         mExecutor.whenDone(mPeers.fetch(peer, fetch), answer -> onAnswer(peer, answer));
     }
 
     private void onAnswer(InstanceId peer, Optional<ConfigurationPush> answer) {
-        mCall.ended();
+        mCall.recordEnd();
         Configuration before = mReplica.current();
         if (answer.isPresent()) {
             mAnswered.add(peer);
-            mTake.accept(peer, answer.get());
+            mUpdateHandler.accept(peer, answer.get());
         }
         if (mReplica.current().equals(before)) {
-            mAvoided.put(peer, mTimeSource.monotonicNanos() + AVOID_NANOS);
+            mAvoided.put(peer, mTimeSource.monotonicNanos() + AVOIDANCE_NANOS);
         }
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PlanStore.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PlanStore.java
@@ -14,7 +14,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** Keeps plans at the platform, where every instance finds them. */
+/** Store of plans at the platform, where every instance can read them. */
 final class PlanStore {
 
     private static final String ID_PREFIX = "plan-";
@@ -31,12 +31,15 @@
         mParts = new MultipartObjects(store, executor);
     }
 
-    /** Names a plan so that names are in order of time, which is how old ones are found. */
+    /** Returns a new plan id. Ids sort by time, so that old plans can be found by their ids. */
     static PlanId newId(Instant now, int random) {
         return new PlanId(String.format("%s%013d-%08x", ID_PREFIX, now.toEpochMilli(), random));
     }
 
-    /** Writes a plan; a plan whose answer was lost is not given out, so that is just a failure. */
+    /**
+     * Writes a plan. A lost answer counts as a failure, since the plan is not returned to the
+     * operator then.
+     */
     CompletableFuture<Either<PlatformError, Plan>> write(Plan plan) {
         byte[] document = mCodec.encode(new StoredPlan(Optional.of(plan), List.of()));
         if (document.length <= MultipartObjects.PART_BYTES) {
@@ -64,12 +67,12 @@
                                 return CompletableFuture.completedFuture(
                                         read.map(object -> Optional.empty()));
                             }
-                            return open(read.get().get());
+                            return load(read.get().get());
                         },
                         mExecutor);
     }
 
-    /** Deletes the plans made before a time; what fails is left to the next time. */
+    /** Deletes the plans that were created before a time; the next call retries what failed. */
     void deleteBefore(Instant time) {
         mParts.deleteBefore(
                 ObjectKind.PLAN,
@@ -85,7 +88,7 @@
                 .thenApply(written -> written.map(version -> plan));
     }
 
-    private CompletableFuture<Either<PlatformError, Optional<Plan>>> open(StoredObject object) {
+    private CompletableFuture<Either<PlatformError, Optional<Plan>>> load(StoredObject object) {
         Either<PlatformError, StoredPlan> stored = decode(object.value());
         if (stored.isRight() && !stored.get().parts().isEmpty()) {
             return mParts.read(ObjectKind.PLAN, stored.get().parts())
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PlatformFollower.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PlatformFollower.java
@@ -16,9 +16,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the head at the platform: by a read when asked, by a watch when this instance watches.
+ * Follows the head at the platform: by a read on request, or by a watch if this instance is a
+ * watcher.
  *
- * <p>Its owner is the configuration's duty, which calls it and which it calls back.
+ * <p>Confined to the thread of the configuration's event loop, on which it is called and calls
+ * back.
  */
 final class PlatformFollower {
 
@@ -27,63 +29,66 @@
 
     private final ChainStore mChain;
     private final ConfigurationReplica mReplica;
-    private final Consumer<ConfigurationUpdate> mTake;
+    private final Consumer<ConfigurationUpdate> mUpdateHandler;
     private final EventLoopExecutor mExecutor;
     private final TimeSource mTimeSource;
     private final Backoff mBackoff;
     private final CallLimit mCall = new CallLimit(WATCH_TIMEOUT.multipliedBy(2));
     private long mObjectVersion = ObjectStore.ABSENT;
-    private boolean mReached;
+    private boolean mWasReached;
 
     PlatformFollower(
             ChainStore chain,
             ConfigurationReplica replica,
-            Consumer<ConfigurationUpdate> take,
+            Consumer<ConfigurationUpdate> updateHandler,
             EventLoopExecutor executor,
             TimeSource timeSource,
             DoubleSupplier random) {
         mChain = chain;
         mReplica = replica;
-        mTake = take;
+        mUpdateHandler = updateHandler;
         mExecutor = executor;
         mTimeSource = timeSource;
         mBackoff = new Backoff(random);
     }
 
-    /** Tells whether the platform was read at least once. */
+    /** Determines whether the platform has been read at least once. */
     boolean wasReached() {
-        return mReached;
+        return mWasReached;
     }
 
-    /** Reads the head unless a call is running or the platform is away. */
+    /** Reads the head unless a call is running or the backoff after a failure has not passed. */
     void read() {
-        if (mayCall()) {
-            mCall.started(mTimeSource.monotonicNanos());
+        if (canCall()) {
+            mCall.recordStart(mTimeSource.monotonicNanos());
             mExecutor.whenDone(mChain.readHead(), read -> onHead(read.map(Optional::of)));
         }
     }
 
-    /** Waits for the next head unless a call is running or the platform is away. */
+    /**
+     * Waits for the next head unless a call is running or the backoff after a failure has not
+     * passed.
+     */
     void watch() {
-        if (mayCall()) {
-            mCall.started(mTimeSource.monotonicNanos());
+        if (canCall()) {
+            mCall.recordStart(mTimeSource.monotonicNanos());
             mExecutor.whenDone(mChain.watchHead(mObjectVersion, WATCH_TIMEOUT), this::onHead);
         }
     }
 
-    private boolean mayCall() {
+    private boolean canCall() {
         long now = mTimeSource.monotonicNanos();
         return !mCall.isRunning(now) && !mBackoff.isPausing(now);
     }
 
     private void onHead(Either<PlatformError, Optional<HeadObject>> read) {
-        mCall.ended();
+        mCall.recordEnd();
         if (read.isLeft()) {
-            failed(read.getLeft());
+            onFailure(read.getLeft());
             return;
         }
-        mReached = true;
-        mBackoff.succeeded();
+        mWasReached = true;
+        mBackoff.recordSuccess();
         read.get().ifPresent(this::onHead);
     }
 
@@ -96,25 +101,27 @@
         }
         if (head.advance(current).isPresent()) {
             mObjectVersion = object.objectVersion();
-            mTake.accept(ConfigurationUpdate.of(head.since(current.version()).orElseThrow()));
+            mUpdateHandler.accept(
+                    ConfigurationUpdate.of(head.since(current.version()).orElseThrow()));
             return;
         }
-        mCall.started(mTimeSource.monotonicNanos());
+        mCall.recordStart(mTimeSource.monotonicNanos());
         mExecutor.whenDone(mChain.load(head, current), load -> onLoad(object, load));
     }
 
     private void onLoad(HeadObject object, Either<PlatformError, Configuration> load) {
-        mCall.ended();
+        mCall.recordEnd();
         if (load.isLeft()) {
-            failed(load.getLeft());
+            onFailure(load.getLeft());
             return;
         }
         mObjectVersion = object.objectVersion();
-        mTake.accept(ConfigurationUpdate.of(load.get()));
+        mUpdateHandler.accept(ConfigurationUpdate.of(load.get()));
     }
 
-    private void failed(PlatformError error) {
-        sLogger.debug("CONFIG  The platform gave no configuration: {}", error.message());
-        mBackoff.failed(mTimeSource.monotonicNanos());
+    private void onFailure(PlatformError error) {
+        sLogger.debug(
+                "CONFIG  Could not read the configuration from the platform: {}", error.message());
+        mBackoff.recordFailure(mTimeSource.monotonicNanos());
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/StoredPlan.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/StoredPlan.java
@@ -5,10 +5,10 @@
 import java.util.Optional;
 
 /**
- * A plan as it stands at the platform: in its object, or in parts if it is above a megabyte.
+ * Plan as stored at the platform: in its own object, or in parts if it is above a megabyte.
  *
- * @param plan the plan, if it fits the object
- * @param parts the names of its parts, if it does not
+ * @param plan the plan, if it fits into the object
+ * @param parts the names of its parts, if it does not fit
  */
 record StoredPlan(Optional<Plan> plan, List<String> parts) {
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/UpdateCodec.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/UpdateCodec.java
@@ -7,7 +7,7 @@
 import io.masticpond.protocol.generated.ConfigurationPush;
 import io.vavr.control.Either;
 
-/** Turns news of the configuration into messages between instances, and back. */
+/** Codec between updates of the configuration and messages between instances. */
 final class UpdateCodec {
 
     private final ConfigurationCodec mCodec;
@@ -16,19 +16,19 @@
         mCodec = Assert.notNull(codec, "A configuration codec");
     }
 
-    ConfigurationPush encode(ConfigurationVersion version, ConfigurationUpdate news) {
+    ConfigurationPush encode(ConfigurationVersion version, ConfigurationUpdate update) {
         return ConfigurationPush.newBuilder()
                 .setVersion(version.number())
-                .setDocument(ByteString.copyFrom(DeflatedDocument.deflate(mCodec.encode(news))))
+                .setDocument(ByteString.copyFrom(DeflatedDocument.deflate(mCodec.encode(update))))
                 .build();
     }
 
-    /** Makes the message that says that there is nothing newer. */
+    /** Creates the message which states that there is no newer version. */
     static ConfigurationPush nothingNewer(ConfigurationVersion version) {
         return ConfigurationPush.newBuilder().setVersion(version.number()).build();
     }
 
-    /** Gives the news, or one sentence that says why the message cannot be read. */
+    /** Returns the update, or the reason why the message cannot be read, as one sentence. */
     Either<String, ConfigurationUpdate> decode(ConfigurationPush push) {
         return DeflatedDocument.inflate(
                         push.getDocument().toByteArray(), DeflatedDocument.MAXIMUM_BYTES)
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/VersionDeserializer.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/VersionDeserializer.java
@@ -6,7 +6,7 @@
 import io.masticpond.core.id.ConfigurationVersion;
 import java.io.IOException;
 
-/** Reads a configuration version from a number. */
+/** Deserializer of a configuration version from a number. */
 final class VersionDeserializer extends StdDeserializer<ConfigurationVersion> {
 
     private static final long serialVersionUID = 1;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/VersionSerializer.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/VersionSerializer.java
@@ -6,7 +6,7 @@
 import io.masticpond.core.id.ConfigurationVersion;
 import java.io.IOException;
 
-/** Writes a configuration version as a number. */
+/** Serializer of a configuration version as a number. */
 final class VersionSerializer extends StdSerializer<ConfigurationVersion> {
 
     private static final long serialVersionUID = 1;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/package-info.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/package-info.java
@@ -1,2 +1,5 @@
-/** Configurations: their documents, the chain at the platform and the spread to all instances. */
+/**
+ * Support for configurations: their documents, the chain at the platform and the distribution to
+ * all instances.
+ */
 package io.masticpond.daemon.configuration;
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/ConfigurationCodecTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/ConfigurationCodecTest.java
@@ -13,13 +13,15 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Checks that documents are taken as a whole or refused with every fault and its path. */
+/**
+ * Tests that a document is either accepted as a whole or rejected with all faults and their paths.
+ */
 class ConfigurationCodecTest {
 
     private final ConfigurationCodec mCodec = new ConfigurationCodec();
 
     @Example
-    void theExamplesAreValidAndSurviveWritingAndReading() throws IOException {
+    void acceptsExamplesAndRoundTripsThem() throws IOException {
         for (String name : List.of("atlas", "tankround")) {
             byte[] document = Files.readAllBytes(Path.of("../examples/" + name + ".json"));
             ConfigurationContent content =
@@ -31,12 +33,12 @@
                     mCodec.decodeContent(written).get().equals(content), "The content changed.");
             Assert.isTrue(
                     mCodec.decode(written, ConfigurationContent.class).get().equals(content),
-                    "The content of an instance changed.");
+                    "The content decoded as a record of an instance changed.");
         }
     }
 
     @Example
-    void everyFaultIsToldAtOnceWithItsPath() {
+    void reportsAllFaultsAtOnceWithTheirPaths() {
         List<ConfigurationFault> faults =
                 mCodec.decodeIntent(
                                 text(
@@ -68,34 +70,35 @@
     }
 
     @Example
-    void plainContentsAreIntentsButNothingAtAllIsNot() {
+    void acceptsPlainContentAsIntentButRejectsEmptyDocument() {
         ConfigurationIntent intent =
                 mCodec.decodeIntent(text("{\"regions\":[{\"id\":\"a\",\"zones\":[\"b\"]}]}")).get();
-        Assert.isTrue(intent instanceof ConfigurationIntent.Replace, "It was %s.", intent);
+        Assert.isTrue(intent instanceof ConfigurationIntent.Replace, "The intent was %s.", intent);
         List<ConfigurationFault> faults =
                 mCodec.decodeIntent(text("{\"regions\":[{\"id\":\"a\"}]}")).getLeft();
         Assert.isTrue(faults.get(0).path().equals("$.regions[0]"), "The faults are %s.", faults);
         Assert.isTrue(
                 mCodec.decodeIntent(text("{}")).isLeft(),
-                "An empty document would take everything away.");
+                "An empty object would remove all content.");
     }
 
     @Example
-    void duplicateFieldsTrailingTextAndDeepNestingAreRefused() {
+    void rejectsDuplicateFieldsTrailingTextAndDeepNesting() {
         Assert.isTrue(
                 mCodec.decodeIntent(text("{\"content\":{},\"content\":{}}")).isLeft(),
-                "A duplicate field was taken.");
+                "A duplicate field was accepted.");
         Assert.isTrue(
                 mCodec.decodeIntent(text("{\"content\":{}} {}")).isLeft(),
-                "Text after the document was taken.");
+                "Text after the document was accepted.");
         Assert.isTrue(
-                mCodec.decodeIntent(text("[".repeat(100_000))).isLeft(), "Deep nesting was taken.");
-        Assert.isTrue(mCodec.decodeIntent(new byte[0]).isLeft(), "Nothing was taken.");
-        Assert.isTrue(mCodec.decodeIntent(text("null")).isLeft(), "Null was taken.");
+                mCodec.decodeIntent(text("[".repeat(100_000))).isLeft(),
+                "Deep nesting was accepted.");
+        Assert.isTrue(mCodec.decodeIntent(new byte[0]).isLeft(), "An empty document was accepted.");
+        Assert.isTrue(mCodec.decodeIntent(text("null")).isLeft(), "Null was accepted.");
     }
 
     @Example
-    void commentsAreAllowedAndChangesNeedNoContent() {
+    void acceptsCommentsAndChangesWithoutContent() {
         ConfigurationIntent intent =
                 mCodec.decodeIntent(
                                 text(
@@ -110,7 +113,7 @@
     }
 
     @Property(seed = "5")
-    void noTextMakesTheCodecThrow(@ForAll String document) {
+    void doesNotThrowForAnyText(@ForAll String document) {
         mCodec.decodeIntent(text(document));
         mCodec.decode(text(document), ConfigurationContent.class);
     }
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/ConfigurationServiceTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/ConfigurationServiceTest.java
@@ -23,7 +23,10 @@
 import net.jqwik.api.Example;
 import net.jqwik.api.lifecycle.AfterTry;
 
-/** Checks the spread and the confirmation of configurations under failures, with real duties. */
+/**
+ * Tests of the distribution and the confirmation of configurations under failures, with real
+ * services.
+ */
 class ConfigurationServiceTest {
 
     private final FakeObjectStore mStore = new FakeObjectStore();
@@ -35,44 +38,48 @@
     }
 
     @Example
-    void aLostAnswerIsSettledAndConfirmingAgainGivesTheSameVersion() {
+    void resolvesLostAnswerAndReturnsSameVersionOnSecondConfirmation() {
         Node node = mFleet.start("a", "casa-1");
         Node other = mFleet.start("b", "fes-1");
-        Plan plan = got(plan(node, region("casa")));
+        Plan plan = expectSuccess(plan(node, region("casa")));
         mStore.loseAnswersOf(key -> key.equals(ChainStore.HEAD));
-        Assert.isTrue(got(confirm(node, plan)).number() == 1, "It became another version.");
+        Assert.isTrue(
+                expectSuccess(confirm(node, plan)).number() == 1,
+                "The plan became a different version.");
         long writes = mStore.writes();
         Assert.isTrue(
-                got(confirm(other, plan)).number() == 1, "Elsewhere it became another version.");
+                expectSuccess(confirm(other, plan)).number() == 1,
+                "The other instance returned a different version.");
         Assert.isTrue(mStore.writes() == writes, "The plan was written again.");
     }
 
     @Example
-    void ofTwoPlansOnOneBaseTheSecondIsToldTheDifferences() {
+    void rejectsSecondPlanOnSameBaseWithDifferences() {
         Node first = mFleet.start("a", "casa-1");
         Node second = mFleet.start("b", "fes-1");
-        Plan winner = got(plan(first, region("casa")));
-        Plan loser = got(plan(second, region("fes")));
-        got(confirm(first, winner));
+        Plan winner = expectSuccess(plan(first, region("casa")));
+        Plan loser = expectSuccess(plan(second, region("fes")));
+        expectSuccess(confirm(first, winner));
         ConfigurationError error = confirm(second, loser).getLeft();
         Assert.isTrue(
                 error instanceof ConfigurationError.BaseChanged changed
                         && changed.differences().toString().contains("regions[casa]"),
-                "It was told %s.",
+                "The error was %s.",
                 error);
     }
 
     @Example
-    void aPlanOutlivesTheInstanceThatMadeIt() {
+    void confirmsPlanOfStoppedInstance() {
         Node maker = mFleet.start("a", "casa-1");
-        Plan plan = got(plan(maker, region("casa")));
+        Plan plan = expectSuccess(plan(maker, region("casa")));
         mFleet.stop(maker);
         Node other = mFleet.start("b", "fes-1");
-        Assert.isTrue(got(confirm(other, plan)).number() == 1, "It was not accepted.");
+        Assert.isTrue(
+                expectSuccess(confirm(other, plan)).number() == 1, "The plan was not accepted.");
     }
 
     @Example
-    void everyInstanceGetsEachVersionAndZonesCutOffGetItByRelay() {
+    void distributesEachVersionToAllInstancesAndRelaysToDisconnectedZones() {
         mFleet.cutFromPlatform("agadir-1");
         mFleet.cut("agadir-1", "casa-1");
         List<Node> nodes = new ArrayList<>();
@@ -82,8 +89,8 @@
             }
         }
         for (int i = 1; i <= 5; i++) {
-            Plan plan = got(plan(nodes.get(i % 8), region("r" + i)));
-            got(confirm(nodes.get(i % 8), plan));
+            Plan plan = expectSuccess(plan(nodes.get(i % 8), region("r" + i)));
+            expectSuccess(confirm(nodes.get(i % 8), plan));
             int version = i;
             nodes.forEach(node -> node.await(version));
         }
@@ -94,9 +101,9 @@
     }
 
     @Example
-    void withThePlatformAwayNewInstancesGetTheHighestOfTheirPeers() {
+    void newInstanceFetchesHighestVersionOfPeersWhenPlatformIsUnavailable() {
         Node old = mFleet.start("a", "casa-1");
-        got(confirm(old, got(plan(old, region("casa")))));
+        expectSuccess(confirm(old, expectSuccess(plan(old, region("casa")))));
         mStore.setUnavailable(true);
         Node fresh = mFleet.start("b", "casa-1");
         fresh.await(1);
@@ -104,28 +111,31 @@
         Node next = mFleet.start("a", "casa-1");
         next.await(1);
         ConfigurationError error = plan(next, region("fes")).getLeft();
-        Assert.isTrue(error instanceof ConfigurationError.PlatformUnavailable, "It was %s.", error);
+        Assert.isTrue(
+                error instanceof ConfigurationError.PlatformUnavailable,
+                "The error was %s.",
+                error);
     }
 
     @Example
-    void anInstanceAloneWithThePlatformAwayIsNotReady() {
+    void soleInstanceIsNotReadyWhenPlatformIsUnavailable() {
         mStore.setUnavailable(true);
         Node node = mFleet.start("a", "casa-1");
         Assert.isTrue(plan(node, region("casa")).isLeft(), "A plan was made.");
-        Assert.isTrue(!node.duty().isReady(), "It said it was ready.");
+        Assert.isTrue(!node.service().isReady(), "The instance reported that it was ready.");
         mStore.setUnavailable(false);
         Node other = mFleet.start("b", "casa-1");
-        got(confirm(other, got(plan(other, region("casa")))));
+        expectSuccess(confirm(other, expectSuccess(plan(other, region("casa")))));
         node.await(1);
     }
 
     @Example
-    void aLargeContentIsSplitAndReadBackByAnotherInstance() {
+    void splitsLargeContentIntoPartsThatAnotherInstanceReads() {
         Node node = mFleet.start("a", "casa-1");
         ConfigurationContent content = large();
         Either<ConfigurationError, Plan> plan =
                 plan(node, new ConfigurationIntent.Replace(content));
-        got(confirm(node, got(plan)));
+        expectSuccess(confirm(node, expectSuccess(plan)));
         long parts =
                 mStore.names(ObjectKind.CONFIGURATION).stream()
                         .filter(name -> name.startsWith("checkpoint-"))
@@ -134,19 +144,18 @@
         mFleet.stop(node);
         Node other = mFleet.start("b", "casa-1");
         other.await(1);
-        Assert.isTrue(
-                other.holder().current().content().equals(content), "The content is another.");
+        Assert.isTrue(other.holder().current().content().equals(content), "The content differs.");
     }
 
     @Example
-    void platformsThatLostVersionsGetNoPlansAndNothingGoesBack() {
+    void rejectsPlanWhenPlatformLostVersionsAndKeepsVersionInForce() {
         Node node = mFleet.start("a", "casa-1");
-        got(confirm(node, got(plan(node, region("casa")))));
+        expectSuccess(confirm(node, expectSuccess(plan(node, region("casa")))));
         byte[] first = mStore.valueOf(ChainStore.HEAD);
-        got(confirm(node, got(plan(node, region("fes")))));
+        expectSuccess(confirm(node, expectSuccess(plan(node, region("fes")))));
         mStore.replace(ChainStore.HEAD, first);
         ConfigurationError error = plan(node, region("agadir")).getLeft();
-        Assert.isTrue(error instanceof ConfigurationError.ChainBehind, "It was %s.", error);
+        Assert.isTrue(error instanceof ConfigurationError.ChainBehind, "The error was %s.", error);
         Assert.isTrue(
                 node.holder().current().version().number() == 2,
                 "Version %s is in force.",
@@ -154,27 +163,33 @@
     }
 
     @Example
-    void partsOfOldCheckpointsAreDeleted() {
+    void deletesPartsOfOldCheckpoints() {
         Node node = mFleet.start("a", "casa-1");
         for (int i = 0; i < 5; i++) {
-            got(confirm(node, got(plan(node, new ConfigurationIntent.Replace(blocks(i, 3_000))))));
+            expectSuccess(
+                    confirm(
+                            node,
+                            expectSuccess(
+                                    plan(
+                                            node,
+                                            new ConfigurationIntent.Replace(blocks(i, 3_000))))));
         }
         node.await(5);
-        List<String> left =
+        List<String> remaining =
                 mStore.names(ObjectKind.CONFIGURATION).stream()
                         .filter(name -> name.startsWith("checkpoint-"))
                         .map(name -> name.substring(0, "checkpoint-000000000000000".length()))
                         .distinct()
                         .toList();
-        Assert.isTrue(left.size() <= 2, "The parts left are %s.", left);
+        Assert.isTrue(remaining.size() <= 2, "The remaining checkpoints are %s.", remaining);
     }
 
     @Example
-    void anUnknownPlanIsToldAsSuch() {
+    void reportsUnknownPlan() {
         Node node = mFleet.start("a", "casa-1");
         ConfigurationError error =
                 node.commands().confirm(new PlanId("none"), "ops").join().getLeft();
-        Assert.isTrue(error instanceof ConfigurationError.UnknownPlan, "It was %s.", error);
+        Assert.isTrue(error instanceof ConfigurationError.UnknownPlan, "The error was %s.", error);
     }
 
     private static ConfigurationIntent region(String name) {
@@ -191,7 +206,7 @@
                 new ConfigurationChange(put, ConfigurationRemoval.NONE));
     }
 
-    /** Client blocks that do not deflate well, so that several parts are needed. */
+    /** Returns client blocks that compress badly, so that several parts are needed. */
     private static ConfigurationContent large() {
         return blocks(5, 150_000);
     }
@@ -214,7 +229,7 @@
                 blocks);
     }
 
-    private static <T> T got(Either<ConfigurationError, T> result) {
+    private static <T> T expectSuccess(Either<ConfigurationError, T> result) {
         return result.getOrElseThrow(error -> new AssertionError(error.toString()));
     }
 
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/FakeFleet.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/FakeFleet.java
@@ -25,7 +25,9 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** Instances in one process, with real duties, a platform in memory and links that can be cut. */
+/**
+ * Instances in one process, with real services, an in-memory platform and links that can be cut.
+ */
 final class FakeFleet implements AutoCloseable {
 
     private final FakeObjectStore mStore;
@@ -42,7 +44,7 @@
         mCut.add(Set.of(new ZoneId(first), new ZoneId(second)));
     }
 
-    /** Keeps an availability zone away from the platform. */
+    /** Cuts an availability zone off from the platform. */
     void cutFromPlatform(String zone) {
         mZonesWithoutPlatform.add(new ZoneId(zone));
     }
@@ -50,27 +52,27 @@
     Node start(String id, String zone) {
         Node node = new Node(new InstanceId(id), new ZoneId(zone));
         mNodes.put(node.mId, node);
-        node.mDuty.start();
+        node.mService.start();
         return node;
     }
 
     void stop(Node node) {
         mNodes.remove(node.mId);
-        node.mDuty.close();
+        node.mService.close();
     }
 
     @Override
     public void close() {
-        mNodes.values().forEach(node -> node.mDuty.close());
+        mNodes.values().forEach(node -> node.mService.close());
     }
 
-    /** One instance. */
+    /** An instance of the fleet. */
     final class Node implements ConfigurationPeers {
 
         private final InstanceId mId;
         private final ZoneId mZone;
         private final ConfigurationHolder mHolder = new ConfigurationHolder();
-        private final ConfigurationService mDuty;
+        private final ConfigurationService mService;
         private final ConfigurationCommands mCommands;
         private Handler mHandler;
 
@@ -78,16 +80,17 @@
             mId = id;
             mZone = zone;
             ConfigurationCodec codec = new ConfigurationCodec();
-            FakeObjectStore none = new FakeObjectStore();
-            none.setUnavailable(true);
-            FakeObjectStore store = mZonesWithoutPlatform.contains(zone) ? none : mStore;
+            FakeObjectStore unavailableStore = new FakeObjectStore();
+            unavailableStore.setUnavailable(true);
+            FakeObjectStore store =
+                    mZonesWithoutPlatform.contains(zone) ? unavailableStore : mStore;
             SystemTimeSource time = new SystemTimeSource();
-            mDuty =
+            mService =
                     new ConfigurationService(
                             id, zone, store, this, mHolder, codec, time, Timeline.NONE);
             mCommands =
                     new DefaultConfigurationCommands(
-                            mDuty,
+                            mService,
                             mHolder,
                             new ConfigurationPlanner(PlanObservations.NONE),
                             store,
@@ -100,8 +103,8 @@
             return mCommands;
         }
 
-        ConfigurationService duty() {
-            return mDuty;
+        ConfigurationService service() {
+            return mService;
         }
 
         ConfigurationHolder holder() {
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/FakeObjectStore.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/FakeObjectStore.java
@@ -17,29 +17,32 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 
-/** The platform in memory, which can be away and can lose the answers to writes. */
+/**
+ * In-memory stand-in for the platform, which can be made unavailable and can lose the answers to
+ * writes.
+ */
 final class FakeObjectStore implements ObjectStore {
 
-    /** The greatest value that the platform takes. */
+    /** The maximum size of a value that the platform accepts, in bytes. */
     static final int MAXIMUM_BYTES = 1_000_000;
 
     private final Map<String, StoredObject> mObjects = new TreeMap<>();
     private final List<Watch> mWatches = new ArrayList<>();
-    private Predicate<ObjectKey> mLosesAnswer = key -> false;
-    private boolean mAway;
+    private Predicate<ObjectKey> mLostAnswers = key -> false;
+    private boolean mUnavailable;
     private long mWrites;
 
-    synchronized void setUnavailable(boolean away) {
-        mAway = away;
-        if (away) {
-            mWatches.forEach(watch -> watch.mFuture.complete(gone()));
+    synchronized void setUnavailable(boolean unavailable) {
+        mUnavailable = unavailable;
+        if (unavailable) {
+            mWatches.forEach(watch -> watch.mFuture.complete(unavailableError()));
             mWatches.clear();
         }
     }
 
-    /** Lets writes take effect whose answers are lost. */
+    /** Makes the next write to a matching key take effect while its answer is lost. */
     synchronized void loseAnswersOf(Predicate<ObjectKey> condition) {
-        mLosesAnswer = condition;
+        mLostAnswers = condition;
     }
 
     synchronized long writes() {
@@ -50,7 +53,7 @@
         return mObjects.get(key.toString()).value();
     }
 
-    /** Puts back an old value under a new version, as a restored backup does. */
+    /** Restores an old value under a new version, as the restore of a backup does. */
     synchronized void replace(ObjectKey key, byte[] value) {
         long version = mObjects.get(key.toString()).version() + 1;
         mObjects.put(key.toString(), new StoredObject(key, version, value));
@@ -68,14 +71,14 @@
     @Override
     public synchronized CompletableFuture<Either<PlatformError, Optional<StoredObject>>> read(
             ObjectKey key) {
-        return mAway ? done(gone()) : done(Either.right(find(key)));
+        return mUnavailable ? done(unavailableError()) : done(Either.right(find(key)));
     }
 
     @Override
     public synchronized CompletableFuture<Either<PlatformError, Long>> write(
             ObjectKey key, long expectedVersion, byte[] value) {
-        if (mAway) {
-            return done(gone());
+        if (mUnavailable) {
+            return done(unavailableError());
         }
         if (value.length > MAXIMUM_BYTES) {
             return done(Either.left(new PlatformError.Rejected("The value is too large.")));
@@ -88,8 +91,8 @@
         StoredObject written = new StoredObject(key, expectedVersion + 1, value);
         mObjects.put(key.toString(), written);
         wakeWatches(written);
-        if (mLosesAnswer.test(key)) {
-            mLosesAnswer = each -> false;
+        if (mLostAnswers.test(key)) {
+            mLostAnswers = each -> false;
             return done(Either.left(new PlatformError.Uncertain("The answer was lost.")));
         }
         return done(Either.right(written.version()));
@@ -99,7 +102,7 @@
     public synchronized CompletableFuture<Either<PlatformError, Optional<StoredObject>>> watch(
             ObjectKey key, long afterVersion, Duration timeout) {
         Optional<StoredObject> current = find(key);
-        if (mAway || current.filter(object -> object.version() > afterVersion).isPresent()) {
+        if (mUnavailable || current.filter(object -> object.version() > afterVersion).isPresent()) {
             return read(key);
         }
         Watch watch = new Watch(key);
@@ -111,8 +114,8 @@
     @Override
     public synchronized CompletableFuture<Either<PlatformError, List<String>>> list(
             ObjectKind kind, String prefix) {
-        return mAway
-                ? done(gone())
+        return mUnavailable
+                ? done(unavailableError())
                 : done(
                         Either.right(
                                 names(kind).stream()
@@ -145,15 +148,15 @@
         }
     }
 
-    private static <T> Either<PlatformError, T> gone() {
-        return Either.left(new PlatformError.Away("The platform is away."));
+    private static <T> Either<PlatformError, T> unavailableError() {
+        return Either.left(new PlatformError.Away("The platform is unavailable."));
     }
 
     private static <T> CompletableFuture<T> done(T value) {
         return CompletableFuture.completedFuture(value);
     }
 
-    /** A watch that waits. */
+    /** A pending watch. */
     private static final class Watch {
 
         private final ObjectKey mKey;
