--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendClient.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendClient.java
@@ -29,11 +29,12 @@
 import okhttp3.internal.http.HttpMethod;
 
 /**
- * Sends requests to backend servers over kept connections, and takes whole answers only.
+ * HTTP client that sends requests to backend servers over persistent connections. Only complete
+ * responses count as answers.
  *
- * <p>Says truthfully what it knows: an attempt that failed before the first byte of the request was
- * written did not run; after that it may have run, unless the server declared that it shed it. Safe
- * for all threads.
+ * <p>The result states whether the request may have run: an attempt that failed before the first
+ * byte of the request was written did not run; after that it may have run, unless the server
+ * declared that it shed the request. Thread-safe.
  *
  * @since 0.1
  */
@@ -47,16 +48,17 @@
     private static final int SERVICE_UNAVAILABLE = 503;
     private static final int NO_CONTENT = 204;
     private static final int NOT_MODIFIED = 304;
-    private static final long MAXIMUM_ANSWER_BYTES = 16L << 20;
+    private static final long MAXIMUM_RESPONSE_BYTES = 16L << 20;
 
     private final TimeSource mTimeSource;
     private final OkHttpClient mClient;
 
     /**
-     * Makes a client without connections.
+     * Creates a client without connections.
      *
      * @param timeSource the clocks
-     * @param executor runs the attempts, one thread for each in flight
+     * @param executor the executor of the attempts, which uses one thread for each attempt in
+     *     flight
      */
     public BackendClient(TimeSource timeSource, ExecutorService executor) {
         mTimeSource = timeSource;
@@ -67,7 +69,7 @@
                                 MAXIMUM_IDLE_CONNECTIONS,
                                 KEEP_ALIVE,
                                 CONNECT_TIMEOUT)
-                        .eventListenerFactory(BackendClient::listenerOf)
+                        .eventListenerFactory(BackendClient::findListener)
                         .build();
     }
 
@@ -79,19 +81,19 @@
         long remaining = request.head().deadlineNanos() - mTimeSource.monotonicNanos();
         if (remaining <= 0) {
             listener.accept(
-                    result(
+                    refused(
                             AttemptOutcome.UNREACHABLE,
                             Refusal.didNotRun(
                                     RefusalCause.DEADLINE, "The deadline passed before sending.")));
             return () -> {};
         }
-        SendWatch watch = new SendWatch();
+        SendListener sendListener = new SendListener();
         Call call;
         try {
-            call = mClient.newCall(toHttp(request, server, remaining, watch));
+            call = mClient.newCall(toHttp(request, server, remaining, sendListener));
         } catch (IllegalArgumentException e) {
             listener.accept(
-                    result(
+                    refused(
                             AttemptOutcome.UNREACHABLE,
                             Refusal.didNotRun(
                                     RefusalCause.BAD_REQUEST,
@@ -99,9 +101,9 @@
             return () -> {};
         }
         call.timeout().timeout(remaining, TimeUnit.NANOSECONDS);
-        call.enqueue(new AttemptCallback(request, server, watch, listener));
+        call.enqueue(new AttemptCallback(request, server, sendListener, listener));
         return () -> {
-            watch.mCancelled.set(true);
+            sendListener.mCancelled.set(true);
             call.cancel();
         };
     }
@@ -112,20 +114,20 @@
         mClient.connectionPool().evictAll();
     }
 
-    private static EventListener listenerOf(Call call) {
-        SendWatch watch = call.request().tag(SendWatch.class);
-        return watch == null ? EventListener.NONE : watch;
+    private static EventListener findListener(Call call) {
+        SendListener sendListener = call.request().tag(SendListener.class);
+        return sendListener == null ? EventListener.NONE : sendListener;
     }
 
     private static Request toHttp(
             SteeredRequest request,
             BackendServerSpecification server,
             long remainingNanos,
-            SendWatch watch) {
+            SendListener sendListener) {
         Request.Builder builder =
                 new Request.Builder()
                         .url("http://" + server.address() + request.path())
-                        .tag(SendWatch.class, watch);
+                        .tag(SendListener.class, sendListener);
         for (HeaderField field : request.headers()) {
             if (HeaderNames.isForwarded(field.name())) {
                 builder.addHeader(field.name(), field.value());
@@ -146,59 +148,62 @@
                 .build();
     }
 
-    private static AttemptResult result(AttemptOutcome outcome, Refusal refusal) {
+    private static AttemptResult refused(AttemptOutcome outcome, Refusal refusal) {
         return new AttemptResult(outcome, new RequestCompletion.Refused(refusal), false);
     }
 
-    /** Watches whether a byte of the request was written. */
-    private static final class SendWatch extends EventListener {
+    /**
+     * Listener that records whether the writing of a request has started, and whether the attempt
+     * was cancelled.
+     */
+    private static final class SendListener extends EventListener {
 
-        private final AtomicBoolean mStarted = new AtomicBoolean();
+        private final AtomicBoolean mWritingStarted = new AtomicBoolean();
         private final AtomicBoolean mCancelled = new AtomicBoolean();
 
         @Override
         public void requestHeadersStart(Call call) {
-            mStarted.set(true);
+            mWritingStarted.set(true);
         }
     }
 
-    /** Turns the end of a call into the end of an attempt. */
+    /** Callback that converts the outcome of a call to the result of an attempt. */
     private static final class AttemptCallback implements Callback {
 
         private final SteeredRequest mRequest;
         private final BackendServerSpecification mServer;
-        private final SendWatch mWatch;
+        private final SendListener mSendListener;
         private final Consumer<AttemptResult> mListener;
 
         AttemptCallback(
                 SteeredRequest request,
                 BackendServerSpecification server,
-                SendWatch watch,
+                SendListener sendListener,
                 Consumer<AttemptResult> listener) {
             mRequest = request;
             mServer = server;
-            mWatch = watch;
+            mSendListener = sendListener;
             mListener = listener;
         }
 
         @Override
         public void onFailure(Call call, IOException e) {
-            mListener.accept(failure(e));
+            mListener.accept(toFailure(e));
         }
 
         @Override
         public void onResponse(Call call, Response response) {
             AttemptResult result;
             try (response) {
-                result = answer(response);
+                result = toResult(response);
             } catch (IOException | RuntimeException e) {
-                result = failure(e);
+                result = toFailure(e);
             }
             mListener.accept(result);
         }
 
-        private AttemptResult answer(Response response) throws IOException {
-            boolean leaving = "true".equals(response.header(HeaderNames.LEAVING));
+        private AttemptResult toResult(Response response) throws IOException {
+            boolean isLeaving = "true".equals(response.header(HeaderNames.LEAVING));
             String echoed = response.header(HeaderNames.REQUEST_ID);
             if (echoed != null && !echoed.equals(mRequest.head().id().value())) {
                 throw new IOException("The answer is to another request, " + echoed + ".");
@@ -215,7 +220,7 @@
                                 Refusal.didNotRun(
                                         RefusalCause.BACKEND_SHED,
                                         "The backend server " + mServer.id() + " shed it.")),
-                        leaving);
+                        isLeaving);
             }
             List<HeaderField> headers = new ArrayList<>();
             response.headers()
@@ -231,7 +236,7 @@
                             : AttemptOutcome.ANSWERED,
                     new RequestCompletion.Answered(
                             response.code(), headers, body, mServer.id().value()),
-                    leaving);
+                    isLeaving);
         }
 
         private boolean hasKnownEnd(Response response) {
@@ -243,46 +248,46 @@
         }
 
         private static byte[] readWhole(Response response) throws IOException {
-            if (response.body().contentLength() > MAXIMUM_ANSWER_BYTES) {
-                throw new IOException("The answer is larger than " + MAXIMUM_ANSWER_BYTES + ".");
+            if (response.body().contentLength() > MAXIMUM_RESPONSE_BYTES) {
+                throw new IOException("The answer is larger than " + MAXIMUM_RESPONSE_BYTES + ".");
             }
-            if (response.body().source().request(MAXIMUM_ANSWER_BYTES + 1)) {
-                throw new IOException("The answer is larger than " + MAXIMUM_ANSWER_BYTES + ".");
+            if (response.body().source().request(MAXIMUM_RESPONSE_BYTES + 1)) {
+                throw new IOException("The answer is larger than " + MAXIMUM_RESPONSE_BYTES + ".");
             }
             return response.body().source().readByteArray();
         }
 
-        private AttemptResult failure(Exception e) {
-            if (!mWatch.mStarted.get()) {
+        private AttemptResult toFailure(Exception e) {
+            if (!mSendListener.mWritingStarted.get()) {
                 RefusalCause cause =
-                        mWatch.mCancelled.get()
+                        mSendListener.mCancelled.get()
                                 ? RefusalCause.CANCELLED
                                 : RefusalCause.NO_BACKEND_SERVER;
-                return result(
+                return refused(
                         AttemptOutcome.UNREACHABLE,
                         Refusal.didNotRun(
-                                cause, "The backend server " + mServer.id() + ": " + reason(e)));
+                                cause, "The backend server " + mServer.id() + ": " + messageOf(e)));
             }
-            if (mWatch.mCancelled.get()) {
-                return result(
+            if (mSendListener.mCancelled.get()) {
+                return refused(
                         AttemptOutcome.CANCELLED,
                         Refusal.mayHaveRun(RefusalCause.CANCELLED, "The caller gave up."));
             }
             if (e instanceof java.io.InterruptedIOException) {
-                return result(
+                return refused(
                         AttemptOutcome.TIMED_OUT,
                         Refusal.mayHaveRun(
                                 RefusalCause.DEADLINE,
                                 "The backend server " + mServer.id() + " had not answered."));
             }
-            return result(
+            return refused(
                     AttemptOutcome.BROKEN,
                     Refusal.mayHaveRun(
                             RefusalCause.BACKEND_FAILED,
-                            "The backend server " + mServer.id() + ": " + reason(e)));
+                            "The backend server " + mServer.id() + ": " + messageOf(e)));
         }
 
-        private static String reason(Exception e) {
+        private static String messageOf(Exception e) {
             String message = e.getMessage();
             return message == null ? e.getClass().getSimpleName() + "." : message;
         }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendHealthChecker.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendHealthChecker.java
@@ -13,72 +13,73 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Asks backend servers about their health and load, and passes on what they say.
+ * Service that probes the health and the load of backend servers, and reports the resulting
+ * signals.
  *
- * <p>It asks only the servers that this instance admits work to, so that a server is asked by one
- * instance, or two while the admitter changes. At most one call to a server is in flight; the times
- * of the calls are spread at random. A server that is not watched any more is forgotten, and an
- * answer that comes from it afterwards is dropped.
+ * <p>It probes only the servers that this instance admits work to, so that a server is probed by
+ * one instance, or by two while its admitter changes. At most one probe of a server is in flight;
+ * the times of the probes have random jitter. The state of a server that is no longer watched is
+ * removed, and a response that it sends afterwards is dropped.
  *
  * @since 0.1
  */
 public final class BackendHealthChecker implements AutoCloseable {
 
-    private static final int RING_CAPACITY = 1_024;
+    private static final int QUEUE_CAPACITY = 1_024;
     private static final Duration CHECK_PERIOD = Duration.ofMillis(20);
-    private static final double LEAST_SHARE = 0.8;
-    private static final double SPREAD_SHARE = 0.4;
+    private static final double MINIMUM_PERIOD_SHARE = 0.8;
+    private static final double PERIOD_SHARE_RANGE = 0.4;
 
     private final BackendHealthSettings mSettings;
     private final TimeSource mTimeSource;
     private final UniformRandomProvider mRandom;
     private final BackendSignalListener mListener;
     private final ProbeClient mClient;
-    private final EventLoop mDuty;
+    private final EventLoop mEventLoop;
     private final Map<BackendServerId, WatchedServer> mServers = new HashMap<>();
 
     /**
-     * Starts the duty with no servers to watch.
+     * Creates a checker without servers to watch, and starts its event loop.
      *
-     * @param settings how often servers are asked
+     * @param settings the periods and timeouts of probes
      * @param timeSource the clock
-     * @param random the source of the jitter, for this object alone
-     * @param listener takes what servers say
+     * @param random the source of the jitter, which must not be shared with other objects
+     * @param listener the listener of the signals of servers
      */
     public BackendHealthChecker(
             BackendHealthSettings settings,
             TimeSource timeSource,
             UniformRandomProvider random,
             BackendSignalListener listener) {
-        mSettings = Assert.notNull(settings, "The settings of health calls");
+        mSettings = Assert.notNull(settings, "The settings of health checks");
         mTimeSource = Assert.notNull(timeSource, "A time source");
         mRandom = Assert.notNull(random, "A source of random numbers");
         mListener = Assert.notNull(listener, "A listener");
         mClient = new ProbeClient(settings.timeout());
-        mDuty = new EventLoop("health", RING_CAPACITY, timeSource);
-        mDuty.every(CHECK_PERIOD, this::probeDue);
-        mDuty.start();
+        mEventLoop = new EventLoop("health", QUEUE_CAPACITY, timeSource);
+        mEventLoop.every(CHECK_PERIOD, this::probeDue);
+        mEventLoop.start();
     }
 
     /**
-     * Watches these servers from now on, and no others.
+     * Replaces the servers that are watched.
      *
      * @param servers the servers that this instance admits work to
-     * @return whether the change was taken; if not, the duty's ring is full and the caller tries
-     *     again
+     * @return {@code true} if the change was accepted; {@code false} if the queue of the event loop
+     *     is full and the calling code must retry
      */
     public boolean watch(List<BackendServerSpecification> servers) {
         List<BackendServerSpecification> copy = List.copyOf(servers);
-        return mDuty.offer(() -> replace(copy));
+        return mEventLoop.offer(() -> replaceServers(copy));
     }
 
     @Override
     public void close() {
-        mDuty.close();
+        mEventLoop.close();
         mClient.close();
     }
 
-    private void replace(List<BackendServerSpecification> servers) {
+    private void replaceServers(List<BackendServerSpecification> servers) {
         Map<BackendServerId, WatchedServer> before = new HashMap<>(mServers);
         mServers.clear();
         for (BackendServerSpecification server : servers) {
@@ -91,59 +92,62 @@
     private void probeDue() {
         long now = mTimeSource.monotonicNanos();
         for (WatchedServer server : mServers.values()) {
-            if (!server.mCalling && server.mNextNanos - now <= 0) {
+            if (!server.mProbeInFlight && server.mNextProbeNanos - now <= 0) {
                 probe(server, now);
             }
         }
     }
 
     private void probe(WatchedServer server, long now) {
-        double share = LEAST_SHARE + SPREAD_SHARE * mRandom.nextDouble();
-        server.mNextNanos = now + (long) (mSettings.period().toNanos() * share);
-        server.mCalling = true;
+        double share = MINIMUM_PERIOD_SHARE + PERIOD_SHARE_RANGE * mRandom.nextDouble();
+        server.mNextProbeNanos = now + (long) (mSettings.period().toNanos() * share);
+        server.mProbeInFlight = true;
         server.mProbes++;
-        if (server.mProbes % (mSettings.loadEvery() + 1) == 0) {
-            mClient.load(server.mAddress, end -> handOver(server, end));
-            server.mNextNanos = now;
+        if (server.mProbes % (mSettings.healthProbesPerLoadProbe() + 1) == 0) {
+            mClient.load(server.mAddress, result -> enqueueResult(server, result));
+            server.mNextProbeNanos = now;
         } else {
-            mClient.health(server.mAddress, end -> handOver(server, end));
+            mClient.health(server.mAddress, result -> enqueueResult(server, result));
         }
     }
 
-    /** Takes an end from a thread of the client; if the ring is full, the call counts as lost. */
-    private void handOver(WatchedServer server, ProbeResult end) {
-        if (!mDuty.offer(() -> ended(server, end))) {
-            server.mCalling = false;
+    /**
+     * Passes a result from a thread of the client to the event loop. If its queue is full, the
+     * result is dropped.
+     */
+    private void enqueueResult(WatchedServer server, ProbeResult result) {
+        if (!mEventLoop.offer(() -> processResult(server, result))) {
+            server.mProbeInFlight = false;
         }
     }
 
-    private void ended(WatchedServer server, ProbeResult end) {
-        server.mCalling = false;
+    private void processResult(WatchedServer server, ProbeResult result) {
+        server.mProbeInFlight = false;
         if (mServers.get(server.mId) != server) {
             return;
         }
-        for (BackendServerSignal sign : server.mJudge.evaluate(end)) {
-            mListener.observe(server.mId, sign);
+        for (BackendServerSignal signal : server.mEvaluator.evaluate(result)) {
+            mListener.observe(server.mId, signal);
         }
     }
 
-    /** A server with the state of its calls. */
+    /** A watched server with the state of its probes. */
     private final class WatchedServer {
 
         private final BackendServerId mId;
         private final String mAddress;
-        private final ProbeEvaluator mJudge = new ProbeEvaluator();
-        private long mNextNanos;
+        private final ProbeEvaluator mEvaluator = new ProbeEvaluator();
+        private long mNextProbeNanos;
         private long mProbes;
 
-        /** Whether a call is in flight; also cleared by threads of the client. */
-        private volatile boolean mCalling;
+        /** Whether a probe is in flight; also cleared by threads of the client. */
+        private volatile boolean mProbeInFlight;
 
         WatchedServer(BackendServerSpecification server) {
             mId = server.id();
             mAddress = server.address();
-            long spread = (long) (mSettings.period().toNanos() * mRandom.nextDouble());
-            mNextNanos = mTimeSource.monotonicNanos() + spread;
+            long initialDelay = (long) (mSettings.period().toNanos() * mRandom.nextDouble());
+            mNextProbeNanos = mTimeSource.monotonicNanos() + initialDelay;
         }
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendSignalListener.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendSignalListener.java
@@ -4,7 +4,7 @@
 import io.masticpond.core.id.BackendServerId;
 
 /**
- * Takes what backend servers say about themselves.
+ * Callback interface for signals that backend servers give about themselves.
  *
  * @since 0.1
  */
@@ -12,10 +12,11 @@
 public interface BackendSignalListener {
 
     /**
-     * Takes a sign, on the thread of the health duty; must be short.
+     * Handles a signal. Called on the thread of the health checker's event loop, so implementations
+     * must return quickly.
      *
      * @param server the backend server
-     * @param sign the sign
+     * @param signal the signal
      */
-    void observe(BackendServerId server, BackendServerSignal sign);
+    void observe(BackendServerId server, BackendServerSignal signal);
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/ProbeClient.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/ProbeClient.java
@@ -18,12 +18,12 @@
 import okhttp3.Request;
 import okhttp3.Response;
 
-/** Calls the health and load routes of backend servers; safe for all threads. */
+/** HTTP client of the health and load routes of backend servers. Thread-safe. */
 final class ProbeClient implements AutoCloseable {
 
     private static final int MAXIMUM_IN_FLIGHT = 32;
     private static final int MAXIMUM_IDLE_CONNECTIONS = 128;
-    private static final long MAXIMUM_ANSWER_BYTES = 4_096;
+    private static final long MAXIMUM_RESPONSE_BYTES = 4_096;
     private static final int OK = 200;
     private static final Duration KEEP_ALIVE = Duration.ofSeconds(20);
     private static final ObjectMapper MAPPER =
@@ -58,7 +58,7 @@
     }
 
     private void call(
-            String address, String path, Consumer<ProbeResult> listener, AnswerReader reader) {
+            String address, String path, Consumer<ProbeResult> listener, ResponseReader reader) {
         Request request = new Request.Builder().url("http://" + address + path).build();
         Call call = mClient.newCall(request);
         call.timeout().timeout(mTimeout.toNanos(), TimeUnit.NANOSECONDS);
@@ -66,9 +66,9 @@
                 new Callback() {
                     @Override
                     public void onFailure(Call failed, IOException e) {
-                        boolean refused = e instanceof ConnectException;
+                        boolean isRefused = e instanceof ConnectException;
                         listener.accept(
-                                refused ? new ProbeResult.Refused() : new ProbeResult.Failed());
+                                isRefused ? new ProbeResult.Refused() : new ProbeResult.Failed());
                     }
 
                     @Override
@@ -78,10 +78,10 @@
                 });
     }
 
-    private static ProbeResult read(Response response, AnswerReader reader) {
+    private static ProbeResult read(Response response, ResponseReader reader) {
         try (response) {
-            boolean tooLong = response.body().source().request(MAXIMUM_ANSWER_BYTES + 1);
-            if (response.code() != OK || tooLong) {
+            boolean isTooLong = response.body().source().request(MAXIMUM_RESPONSE_BYTES + 1);
+            if (response.code() != OK || isTooLong) {
                 return new ProbeResult.Failed();
             }
             return reader.read(response, response.body().source().readByteArray());
@@ -92,38 +92,39 @@
 
     private static ProbeResult readHealth(Response response, byte[] body) throws IOException {
         HealthBody health = MAPPER.readValue(body, HealthBody.class);
-        boolean leaving = "true".equals(response.header(HeaderNames.LEAVING));
-        boolean closes = "close".equalsIgnoreCase(response.header("Connection"));
-        Status status = leaving ? Status.LEAVING : health.toStatus();
-        return new ProbeResult.Health(status, countOrNotTold(health.inFlight()), closes);
+        boolean isLeaving = "true".equals(response.header(HeaderNames.LEAVING));
+        boolean closesConnection = "close".equalsIgnoreCase(response.header("Connection"));
+        Status status = isLeaving ? Status.LEAVING : health.toStatus();
+        return new ProbeResult.Health(
+                status, countOrUnreported(health.inFlight()), closesConnection);
     }
 
     private static ProbeResult readLoad(Response response, byte[] body) throws IOException {
         LoadBody load = MAPPER.readValue(body, LoadBody.class);
-        return new ProbeResult.Load(countOrNotTold(load.inFlight()));
+        return new ProbeResult.Load(countOrUnreported(load.inFlight()));
     }
 
-    private static int countOrNotTold(Integer count) {
+    private static int countOrUnreported(Integer count) {
         return count == null || count < 0 ? ProbeResult.UNREPORTED : count;
     }
 
-    /** Reads the answer of one route. */
+    /** Strategy interface for reading the response of a route. */
     @FunctionalInterface
-    private interface AnswerReader {
+    private interface ResponseReader {
         ProbeResult read(Response response, byte[] body) throws IOException;
     }
 
-    /** The body of a health answer. */
+    /** The body of a health response. */
     private record HealthBody(String status, Integer inFlight) {
 
         Status toStatus() {
             if (status == null) {
-                throw new IllegalArgumentException("A health answer has a status.");
+                throw new IllegalArgumentException("A health response must have a status.");
             }
             return Status.valueOf(status.toUpperCase(Locale.ROOT));
         }
     }
 
-    /** The body of a load answer. */
+    /** The body of a load response. */
     private record LoadBody(Integer inFlight) {}
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/ProbeEvaluator.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/ProbeEvaluator.java
@@ -6,59 +6,61 @@
 import java.util.List;
 
 /**
- * Turns the answers of one backend server to probes into signs; a state machine for one thread.
+ * State machine that converts the probe results of one backend server to signals, for use by a
+ * single thread.
  *
- * <p>A refused connection means that the process is gone, so the next answer is one of a new
- * process. A lost or late answer means little by itself: only several in a row count. A server that
- * begins to close its connections after each answer is leaving; one that always did is not. A
- * server that said it was leaving and then answers well several times in a row is staying.
+ * <p>A refused connection means that the process has terminated, so the next response comes from a
+ * new process. A single lost or late response is ignored: only several in a row count. A server
+ * that begins to close its connections after each response is leaving; one that has always closed
+ * them is not. A server that reported that it was leaving and then reports several times in a row
+ * that it is healthy is staying.
  */
 final class ProbeEvaluator {
 
-    private static final int FAILURES_TO_TELL = 3;
-    private static final int CLOSES_TO_TELL = 2;
-    private static final int ANSWERS_TO_STAY = 3;
+    private static final int UNHEALTHY_FAILURES = 3;
+    private static final int LEAVING_CLOSES = 2;
+    private static final int STAYING_ANSWERS = 3;
 
     private Kind mLastKind = Kind.HEALTHY;
-    private boolean mGone;
-    private boolean mKeptConnections;
-    private int mCloses;
-    private int mFailures;
+    private boolean mTerminated;
+    private boolean mHasKeptConnections;
+    private int mConsecutiveCloses;
+    private int mConsecutiveFailures;
     private boolean mLeaving;
-    private int mStays;
+    private int mConsecutiveHealthyAnswers;
 
-    List<BackendServerSignal> evaluate(ProbeResult end) {
-        if (end instanceof ProbeResult.Health health) {
-            return answered(health);
+    List<BackendServerSignal> evaluate(ProbeResult result) {
+        if (result instanceof ProbeResult.Health health) {
+            return onHealth(health);
         }
-        if (end instanceof ProbeResult.Load load) {
+        if (result instanceof ProbeResult.Load load) {
             return List.of(new BackendServerSignal(mLastKind, load.inFlight()));
         }
-        return failed(end instanceof ProbeResult.Refused);
+        return onFailure(result instanceof ProbeResult.Refused);
     }
 
-    private List<BackendServerSignal> answered(ProbeResult.Health health) {
-        List<BackendServerSignal> signs = new ArrayList<>();
-        mFailures = 0;
-        if (mGone) {
-            mGone = false;
-            mKeptConnections = false;
-            mCloses = 0;
+    private List<BackendServerSignal> onHealth(ProbeResult.Health health) {
+        List<BackendServerSignal> signals = new ArrayList<>();
+        mConsecutiveFailures = 0;
+        if (mTerminated) {
+            mTerminated = false;
+            mHasKeptConnections = false;
+            mConsecutiveCloses = 0;
             mLeaving = false;
-            signs.add(BackendServerSignal.of(Kind.STARTED));
+            signals.add(BackendServerSignal.of(Kind.STARTED));
         }
         mLastKind = kind(health);
-        if (staysAfterAll()) {
-            signs.add(BackendServerSignal.of(Kind.STAYING));
+        if (updateStaying()) {
+            signals.add(BackendServerSignal.of(Kind.STAYING));
         }
-        signs.add(new BackendServerSignal(mLastKind, health.inFlight()));
-        return signs;
+        signals.add(new BackendServerSignal(mLastKind, health.inFlight()));
+        return signals;
     }
 
     private Kind kind(ProbeResult.Health health) {
-        mCloses = health.closes() ? mCloses + 1 : 0;
-        mKeptConnections |= !health.closes();
-        if (mKeptConnections && mCloses >= CLOSES_TO_TELL) {
+        mConsecutiveCloses = health.closes() ? mConsecutiveCloses + 1 : 0;
+        mHasKeptConnections |= !health.closes();
+        if (mHasKeptConnections && mConsecutiveCloses >= LEAVING_CLOSES) {
             return Kind.LEAVING;
         }
         return switch (health.status()) {
@@ -68,21 +70,24 @@
         };
     }
 
-    /** Tells whether a server that said it was leaving has said otherwise for long enough. */
-    private boolean staysAfterAll() {
-        mStays = mLastKind == Kind.HEALTHY ? mStays + 1 : 0;
+    /**
+     * Records the last kind and determines whether a server that was leaving has been healthy for
+     * enough responses in a row to count as staying.
+     */
+    private boolean updateStaying() {
+        mConsecutiveHealthyAnswers = mLastKind == Kind.HEALTHY ? mConsecutiveHealthyAnswers + 1 : 0;
         mLeaving |= mLastKind == Kind.LEAVING;
-        if (!mLeaving || mStays < ANSWERS_TO_STAY) {
+        if (!mLeaving || mConsecutiveHealthyAnswers < STAYING_ANSWERS) {
             return false;
         }
         mLeaving = false;
         return true;
     }
 
-    private List<BackendServerSignal> failed(boolean refused) {
-        mGone |= refused;
-        mFailures++;
-        if (!refused && mFailures < FAILURES_TO_TELL) {
+    private List<BackendServerSignal> onFailure(boolean refused) {
+        mTerminated |= refused;
+        mConsecutiveFailures++;
+        if (!refused && mConsecutiveFailures < UNHEALTHY_FAILURES) {
             return List.of();
         }
         mLastKind = Kind.UNHEALTHY;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/ProbeResult.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/ProbeResult.java
@@ -1,27 +1,27 @@
 package io.masticpond.daemon.backend;
 
-/** How one health or load call to a backend server ended. */
+/** Result of a health or load probe of a backend server. */
 sealed interface ProbeResult {
 
-    /** The number of requests that stands for "not told". */
+    /** The number of requests that stands for "not reported". */
     int UNREPORTED = -1;
 
-    /** What a backend server says about its health. */
+    /** The health that a backend server reports. */
     enum Status {
         HEALTHY,
         UNHEALTHY,
         LEAVING
     }
 
-    /** An answer to a health call, with the signs that its head carries. */
+    /** A response to a health probe, with the signals in its headers. */
     record Health(Status status, int inFlight, boolean closes) implements ProbeResult {}
 
-    /** An answer to a load call. */
+    /** A response to a load probe. */
     record Load(int inFlight) implements ProbeResult {}
 
-    /** The server takes no connections: no process listens there. */
+    /** The server refused the connection: no process is listening at its address. */
     record Refused() implements ProbeResult {}
 
-    /** No proper answer came in time. */
+    /** No valid response arrived in time. */
     record Failed() implements ProbeResult {}
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/package-info.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/package-info.java
@@ -1,2 +1,5 @@
-/** The client of backend servers, over HTTP; it must not know how they are chosen. */
+/**
+ * HTTP client of backend servers and their health checks. Must not depend on how servers are
+ * chosen.
+ */
 package io.masticpond.daemon.backend;
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/backend/BackendHealthCheckerTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/backend/BackendHealthCheckerTest.java
@@ -23,12 +23,12 @@
 import net.jqwik.api.lifecycle.AfterTry;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Watches stand-in backend servers that leave, fail and mislead. */
+/** Tests with stand-in backend servers that leave, fail or report a wrong health. */
 class BackendHealthCheckerTest {
 
     private static final long WAIT_SECONDS = 60;
-    private static final Duration LONG = Duration.ofSeconds(WAIT_SECONDS);
-    private static final Duration SHORT = Duration.ofMillis(500);
+    private static final Duration LONG_TIMEOUT = Duration.ofSeconds(WAIT_SECONDS);
+    private static final Duration SHORT_TIMEOUT = Duration.ofMillis(500);
     private static final int ROUNDS = 10;
 
     private final BackendFleet mFleet =
@@ -38,54 +38,54 @@
                             BackendServerSettings.of("view-2", "127.0.0.1:0", 2, 1, 0, 7)));
     private final BackendServerStandIn mServer = mFleet.server("view-1").orElseThrow();
     private final BackendServerStandIn mOther = mFleet.server("view-2").orElseThrow();
-    private final BlockingQueue<BackendServerSignal> mSigns = new LinkedBlockingQueue<>();
-    private final BlockingQueue<BackendServerSignal> mOtherSigns = new LinkedBlockingQueue<>();
-    private BackendHealthChecker mDuty = duty(LONG);
+    private final BlockingQueue<BackendServerSignal> mSignals = new LinkedBlockingQueue<>();
+    private final BlockingQueue<BackendServerSignal> mOtherSignals = new LinkedBlockingQueue<>();
+    private BackendHealthChecker mChecker = startChecker(LONG_TIMEOUT);
 
-    private BackendHealthChecker duty(Duration timeout) {
-        BackendHealthChecker duty =
+    private BackendHealthChecker startChecker(Duration timeout) {
+        BackendHealthChecker checker =
                 new BackendHealthChecker(
                         new BackendHealthSettings(Duration.ofMillis(30), 4, timeout),
                         new SystemTimeSource(),
                         RandomSource.XO_RO_SHI_RO_128_PP.create(5),
-                        (server, sign) -> signs(server).add(sign));
-        assertThat(duty.watch(List.of(specification(mServer)))).isTrue();
-        return duty;
+                        (server, signal) -> signals(server).add(signal));
+        assertThat(checker.watch(List.of(specification(mServer)))).isTrue();
+        return checker;
     }
 
-    private BlockingQueue<BackendServerSignal> signs(BackendServerId server) {
-        return server.value().equals(mServer.id()) ? mSigns : mOtherSigns;
+    private BlockingQueue<BackendServerSignal> signals(BackendServerId server) {
+        return server.value().equals(mServer.id()) ? mSignals : mOtherSignals;
     }
 
     @AfterTry
     void close() {
-        mDuty.close();
+        mChecker.close();
         mFleet.close();
     }
 
     @Example
-    void leavingIsSeenInHealthAnswers() throws InterruptedException {
+    void detectsLeavingInHealthResponses() throws InterruptedException {
         await(Kind.HEALTHY);
         mServer.drain(new DrainPlan(0, DrainPlan.NEVER, DrainPlan.NEVER));
         await(Kind.LEAVING);
     }
 
     @Example
-    void leavingIsSeenInTheHeaderThoughHealthIsClaimed() throws InterruptedException {
-        mServer.setFaults(claiming(HealthClaim.HEALTHY));
+    void detectsLeavingInHeaderOfHealthyResponse() throws InterruptedException {
+        mServer.setFaults(faultsWithClaim(HealthClaim.HEALTHY));
         mServer.drain(new DrainPlan(0, 0, DrainPlan.NEVER));
         await(Kind.LEAVING);
     }
 
     @Example
-    void leavingIsSeenWhenConnectionsBeginToClose() throws InterruptedException {
+    void detectsLeavingWhenServerBeginsToCloseConnections() throws InterruptedException {
         await(Kind.HEALTHY);
         mServer.drain(new DrainPlan(DrainPlan.NEVER, DrainPlan.NEVER, 0));
         await(Kind.LEAVING);
     }
 
     @Example
-    void restartsAreSeen() throws InterruptedException {
+    void detectsRestart() throws InterruptedException {
         await(Kind.HEALTHY);
         mServer.crash();
         await(Kind.UNHEALTHY);
@@ -95,60 +95,62 @@
     }
 
     @Example
-    void frozenServersAreUnwellAndNotRestarted() throws InterruptedException {
-        mDuty.close();
-        mSigns.clear();
-        mDuty = duty(SHORT);
+    void reportsFrozenServerAsUnhealthyAndNotAsRestarted() throws InterruptedException {
+        mChecker.close();
+        mSignals.clear();
+        mChecker = startChecker(SHORT_TIMEOUT);
         await(Kind.HEALTHY);
         mServer.setFaults(new BackendServerFaults(null, 0, false, true, 0, 0, 0, 0, 1));
         await(Kind.UNHEALTHY);
         mServer.setFaults(BackendServerFaults.NONE);
-        mSigns.clear();
+        mSignals.clear();
         await(Kind.HEALTHY);
-        assertThat(mSigns).extracting(BackendServerSignal::kind).doesNotContain(Kind.STARTED);
+        assertThat(mSignals).extracting(BackendServerSignal::kind).doesNotContain(Kind.STARTED);
     }
 
     @Example
-    void serversThatAreNotWatchedAreNotAsked() throws InterruptedException {
+    void doesNotProbeServersThatAreNotWatched() throws InterruptedException {
         await(Kind.HEALTHY);
-        assertThat(mDuty.watch(List.of(specification(mOther)))).isTrue();
-        await(mOtherSigns);
+        assertThat(mChecker.watch(List.of(specification(mOther)))).isTrue();
+        await(mOtherSignals);
         long probes = mServer.counts().probes();
         for (int round = 0; round < ROUNDS; round++) {
-            await(mOtherSigns);
+            await(mOtherSignals);
         }
-        assertThat(mServer.counts().probes()).as("one was under way").isBetween(probes, probes + 1);
+        assertThat(mServer.counts().probes())
+                .as("one probe was in flight")
+                .isBetween(probes, probes + 1);
     }
 
     @Example
-    void oneLostAnswerSaysNothing() {
-        ProbeEvaluator judge = new ProbeEvaluator();
-        assertThat(judge.evaluate(new ProbeResult.Failed())).isEmpty();
-        assertThat(judge.evaluate(new ProbeResult.Failed())).isEmpty();
-        assertThat(judge.evaluate(new ProbeResult.Failed()))
+    void ignoresFewerThanThreeLostResponses() {
+        ProbeEvaluator evaluator = new ProbeEvaluator();
+        assertThat(evaluator.evaluate(new ProbeResult.Failed())).isEmpty();
+        assertThat(evaluator.evaluate(new ProbeResult.Failed())).isEmpty();
+        assertThat(evaluator.evaluate(new ProbeResult.Failed()))
                 .containsExactly(BackendServerSignal.of(Kind.UNHEALTHY));
     }
 
     @Example
-    void serversThatAlwaysCloseConnectionsAreNotLeaving() {
-        ProbeEvaluator judge = new ProbeEvaluator();
+    void serverThatAlwaysClosesConnectionsIsNotLeaving() {
+        ProbeEvaluator evaluator = new ProbeEvaluator();
         ProbeResult closing = new ProbeResult.Health(ProbeResult.Status.HEALTHY, 1, true);
         for (int answer = 0; answer < 5; answer++) {
-            assertThat(judge.evaluate(closing))
+            assertThat(evaluator.evaluate(closing))
                     .containsExactly(new BackendServerSignal(Kind.HEALTHY, 1));
         }
         ProbeResult keeping = new ProbeResult.Health(ProbeResult.Status.HEALTHY, 1, false);
-        assertThat(judge.evaluate(keeping)).hasSize(1);
-        assertThat(judge.evaluate(closing))
+        assertThat(evaluator.evaluate(keeping)).hasSize(1);
+        assertThat(evaluator.evaluate(closing))
                 .extracting(BackendServerSignal::kind)
                 .containsExactly(Kind.HEALTHY);
-        assertThat(judge.evaluate(closing))
+        assertThat(evaluator.evaluate(closing))
                 .extracting(BackendServerSignal::kind)
                 .containsExactly(Kind.LEAVING);
     }
 
     @Example
-    void drainsThatAreTakenBackAreSeen() throws InterruptedException {
+    void detectsWithdrawnDrain() throws InterruptedException {
         await(Kind.HEALTHY);
         mServer.drain(DrainPlan.atOnce());
         await(Kind.LEAVING);
@@ -157,37 +159,37 @@
     }
 
     @Example
-    void oneGoodAnswerTakesNoDrainBack() {
-        ProbeEvaluator judge = new ProbeEvaluator();
+    void requiresThreeHealthyResponsesToWithdrawDrain() {
+        ProbeEvaluator evaluator = new ProbeEvaluator();
         ProbeResult leaving = new ProbeResult.Health(ProbeResult.Status.LEAVING, 1, false);
-        ProbeResult well = new ProbeResult.Health(ProbeResult.Status.HEALTHY, 1, false);
-        for (ProbeResult end : List.of(leaving, well, well, leaving, well, well)) {
-            assertThat(judge.evaluate(end))
+        ProbeResult healthy = new ProbeResult.Health(ProbeResult.Status.HEALTHY, 1, false);
+        for (ProbeResult result : List.of(leaving, healthy, healthy, leaving, healthy, healthy)) {
+            assertThat(evaluator.evaluate(result))
                     .extracting(BackendServerSignal::kind)
                     .doesNotContain(Kind.STAYING);
         }
-        assertThat(judge.evaluate(well)).contains(BackendServerSignal.of(Kind.STAYING));
+        assertThat(evaluator.evaluate(healthy)).contains(BackendServerSignal.of(Kind.STAYING));
     }
 
     private void await(Kind kind) throws InterruptedException {
-        BackendServerSignal sign = next();
-        while (sign.kind() != kind) {
-            sign = next();
+        BackendServerSignal signal = next();
+        while (signal.kind() != kind) {
+            signal = next();
         }
     }
 
     private BackendServerSignal next() throws InterruptedException {
-        return await(mSigns);
+        return await(mSignals);
     }
 
-    private static BackendServerSignal await(BlockingQueue<BackendServerSignal> signs)
+    private static BackendServerSignal await(BlockingQueue<BackendServerSignal> signals)
             throws InterruptedException {
-        BackendServerSignal sign = signs.poll(WAIT_SECONDS, TimeUnit.SECONDS);
-        assertThat(sign).as("a sign within %d s", WAIT_SECONDS).isNotNull();
-        return sign;
+        BackendServerSignal signal = signals.poll(WAIT_SECONDS, TimeUnit.SECONDS);
+        assertThat(signal).as("a signal within %d s", WAIT_SECONDS).isNotNull();
+        return signal;
     }
 
-    private static BackendServerFaults claiming(HealthClaim claim) {
+    private static BackendServerFaults faultsWithClaim(HealthClaim claim) {
         return new BackendServerFaults(claim, 0, false, false, 0, 0, 0, 0, 1);
     }
 
