--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/CallerServer.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/CallerServer.java
@@ -36,7 +36,8 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
 /**
- * Serves callers: look-ups, and requests of any method; see docs/CALLER_API.md.
+ * HTTP server for callers, which accepts look-ups and requests of any method; see
+ * docs/CALLER_API.md.
  *
  * @since 0.1
  */
@@ -64,11 +65,11 @@
     private final AtomicInteger mInFlight = new AtomicInteger();
 
     /**
-     * Makes a server that does not listen yet.
+     * Creates a server that does not listen yet.
      *
-     * @param settings addresses and limits
-     * @param service the rest of the daemon
-     * @param ids gives each request its id
+     * @param settings the addresses and limits
+     * @param service the service that look-ups and requests are passed to
+     * @param ids the source of request ids
      * @param timeSource the clocks
      */
     public CallerServer(
@@ -84,15 +85,15 @@
         mServer = Javalin.create(this::configure);
     }
 
-    /** Starts to listen. */
+    /** Starts listening. */
     public void start() {
         mServer.start();
     }
 
     /**
-     * Counts the requests that have not ended.
+     * Returns the number of requests in flight.
      *
-     * @return the count
+     * @return the number of requests
      */
     public int inFlight() {
         return mInFlight.get();
@@ -118,15 +119,15 @@
                                 new NetworkConnectionLimit(
                                         mSettings.maximumConnections(), server)));
         config.routes.get("/health", context -> context.result("healthy\n"));
-        config.routes.get("/ready", this::ready);
+        config.routes.get("/ready", this::handleReadiness);
         config.routes.get("/v1/lookup", mLookup);
         for (HandlerType method : METHODS) {
             config.routes.addHttpHandler(
-                    method, RequestReader.SERVICES_PATH + "{service}", this::request);
+                    method, RequestReader.SERVICES_PATH + "{service}", this::handleRequest);
             config.routes.addHttpHandler(
-                    method, RequestReader.SERVICES_PATH + "{service}/<path>", this::request);
+                    method, RequestReader.SERVICES_PATH + "{service}/<path>", this::handleRequest);
         }
-        config.routes.exception(HttpResponseException.class, CallerServer::fault);
+        config.routes.exception(HttpResponseException.class, CallerServer::writeHttpError);
         config.routes.exception(
                 IllegalArgumentException.class,
                 (e, context) ->
@@ -134,9 +135,9 @@
                                 context,
                                 Refusal.didNotRun(RefusalCause.BAD_REQUEST, e.getMessage()),
                                 ""));
-        config.routes.exception(IOException.class, CallerServer::brokenBody);
-        config.routes.exception(BadMessageException.class, CallerServer::brokenBody);
-        config.routes.error(404, CallerServer::notFound);
+        config.routes.exception(IOException.class, CallerServer::writeUnreadableBody);
+        config.routes.exception(BadMessageException.class, CallerServer::writeUnreadableBody);
+        config.routes.error(404, CallerServer::writeNotFound);
     }
 
     private ServerConnector connector(Server server, HttpConfiguration configuration) {
@@ -153,27 +154,30 @@
         return connector;
     }
 
-    /** Bodies are read before a request is steered, so it did not run. */
-    private static void brokenBody(Exception error, Context context) {
+    /**
+     * Writes the refusal of a request whose body cannot be read. Bodies are read before a request
+     * is steered, so the request did not run.
+     */
+    private static void writeUnreadableBody(Exception error, Context context) {
         ProblemWriter.write(
                 context,
                 Refusal.didNotRun(RefusalCause.BAD_REQUEST, "The body was cut short or malformed."),
                 "");
     }
 
-    private void ready(Context context) {
+    private void handleReadiness(Context context) {
         Optional<String> reason = mService.notReady();
         context.status(reason.isEmpty() ? 200 : 503).result(reason.orElse("ready") + "\n");
     }
 
-    private void request(Context context) {
+    private void handleRequest(Context context) {
         RequestId id = mIds.next();
         Optional<String> notReady = mService.notReady();
         if (notReady.isPresent()) {
             refuse(context, id, RefusalCause.NOT_READY, notReady.get());
             return;
         }
-        Optional<ServiceSpecification> service = service(context);
+        Optional<ServiceSpecification> service = findService(context);
         if (service.isEmpty()) {
             refuse(
                     context,
@@ -203,22 +207,22 @@
         context.future(
                 () ->
                         future.thenAcceptAsync(
-                                end -> {
+                                completion -> {
                                     mInFlight.decrementAndGet();
-                                    write(context, request, end);
+                                    write(context, request, completion);
                                 },
                                 mServer.jettyServer().threadPool()));
     }
 
-    private void write(Context context, SteeredRequest request, RequestCompletion end) {
+    private void write(Context context, SteeredRequest request, RequestCompletion completion) {
         String id = request.head().id().value();
         context.header(
                 HeaderNames.CONFIGURATION_VERSION, mService.configuration().version().toString());
-        if (end instanceof RequestCompletion.Refused refused) {
+        if (completion instanceof RequestCompletion.Refused refused) {
             ProblemWriter.write(context, refused.refusal(), id);
             return;
         }
-        RequestCompletion.Answered answer = (RequestCompletion.Answered) end;
+        RequestCompletion.Answered answer = (RequestCompletion.Answered) completion;
         context.status(answer.status());
         Set<String> seen = new HashSet<>();
         for (HeaderField field : answer.headers()) {
@@ -233,7 +237,7 @@
         context.result(answer.body());
     }
 
-    private Optional<ServiceSpecification> service(Context context) {
+    private Optional<ServiceSpecification> findService(Context context) {
         return mService.configuration().service(new ServiceId(context.pathParam("service")));
     }
 
@@ -241,14 +245,14 @@
         ProblemWriter.write(context, Refusal.didNotRun(cause, detail), id.value());
     }
 
-    private static void fault(HttpResponseException e, Context context) {
+    private static void writeHttpError(HttpResponseException e, Context context) {
         RefusalCause cause =
                 e.getStatus() == 404 ? RefusalCause.NOT_FOUND : RefusalCause.BAD_REQUEST;
         ProblemWriter.write(context, Refusal.didNotRun(cause, e.getMessage()), "");
         context.status(e.getStatus());
     }
 
-    private static void notFound(Context context) {
+    private static void writeNotFound(Context context) {
         if (context.result() == null || context.result().isEmpty()) {
             ProblemWriter.write(
                     context,
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/CallerService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/CallerService.java
@@ -10,23 +10,24 @@
 import java.util.function.Consumer;
 
 /**
- * What the caller interface needs of the rest of the daemon; safe for all threads.
+ * Strategy interface through which the caller interface uses the rest of the daemon.
+ * Implementations must be thread-safe.
  *
  * @since 0.1
  */
 public interface CallerService {
 
     /**
-     * Gives the configuration in force.
+     * Returns the configuration in force.
      *
      * @return the configuration
      */
     Configuration configuration();
 
     /**
-     * Says why this instance takes no requests now.
+     * Returns the reason why this instance accepts no requests at present.
      *
-     * @return one sentence, or empty if it is ready
+     * @return the reason as one sentence, or empty if the instance is ready
      */
     Optional<String> notReady();
 
@@ -41,35 +42,35 @@
     LookupDecision lookup(ServiceId service, String clientAddress, long seenVersion);
 
     /**
-     * Makes an operation key for a caller that is about to ask for a once-only operation.
+     * Issues an operation key to a caller that is about to request a once-only operation.
      *
      * @param service the service
-     * @return the key, or empty if no more can be given out now
+     * @return the key, or empty if none can be issued at present
      */
     Optional<String> operationKey(ServiceId service);
 
     /**
-     * Steers a request to its end.
+     * Steers a request until it completes.
      *
      * @param request the request
-     * @param keys the operation keys that the caller gave
-     * @param listener takes the one end, on any thread
+     * @param keys the operation keys that the caller sent
+     * @param listener the listener of the completion, called exactly once and on any thread
      */
     void submit(SteeredRequest request, OperationKeys keys, Consumer<RequestCompletion> listener);
 
     /**
-     * Gives up a request because its caller went away.
+     * Cancels a request whose caller has disconnected.
      *
      * @param request the request
      */
     void cancel(RequestId request);
 
     /**
-     * The operation keys of a request, of which at most one may be given.
+     * Operation keys of a request, of which at most one may be present.
      *
-     * @param operationKey the key that a look-up gave
+     * @param operationKey the key that a look-up returned
      * @param idempotencyKey the caller's own key
-     * @param firstAttempt whether the caller says that it never sent the key before
+     * @param firstAttempt whether the caller states that it has not sent the key before
      */
     record OperationKeys(
             Optional<String> operationKey, Optional<String> idempotencyKey, boolean firstAttempt) {}
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/LookupRoute.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/LookupRoute.java
@@ -17,7 +17,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Answers look-ups: which instances a client should use for a service. */
+/** Handler of look-ups, which returns the instances that a client should use for a service. */
 final class LookupRoute implements Handler {
 
     private static final Set<String> PARAMETERS = Set.of("service", "client", "version");
@@ -31,7 +31,7 @@
 
     @Override
     public void handle(Context context) throws JsonProcessingException {
-        Optional<String> fault = fault(context);
+        Optional<String> fault = findParameterFault(context);
         if (fault.isPresent()) {
             refuse(context, RefusalCause.BAD_REQUEST, fault.get());
             return;
@@ -48,12 +48,14 @@
             return;
         }
         String client = Optional.ofNullable(context.queryParam("client")).orElse(context.ip());
-        LookupDecision decision = mService.lookup(id, client, version(context));
-        if (decision.configuration().number() < version(context)) {
+        LookupDecision decision = mService.lookup(id, client, seenVersion(context));
+        if (decision.configuration().number() < seenVersion(context)) {
             refuse(
                     context,
                     RefusalCause.NOT_READY,
-                    "Version " + version(context) + " is not in force here yet; ask again soon.");
+                    "Version "
+                            + seenVersion(context)
+                            + " is not in force here yet; ask again soon.");
             return;
         }
         answer(context, service.get(), decision);
@@ -86,7 +88,7 @@
         context.result(mMapper.writeValueAsString(answer));
     }
 
-    private static Optional<String> fault(Context context) {
+    private static Optional<String> findParameterFault(Context context) {
         for (String name : context.queryParamMap().keySet()) {
             if (!PARAMETERS.contains(name)) {
                 return Optional.of("There is no parameter '" + name + "'.");
@@ -95,13 +97,13 @@
         if (context.queryParam("service") == null) {
             return Optional.of("The parameter 'service' must be given.");
         }
-        if (version(context) < 0) {
+        if (seenVersion(context) < 0) {
             return Optional.of("The parameter 'version' must be a number from 0.");
         }
         return Optional.empty();
     }
 
-    private static long version(Context context) {
+    private static long seenVersion(Context context) {
         String text = context.queryParam("version");
         if (text == null) {
             return 0;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/ProblemWriter.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/ProblemWriter.java
@@ -10,7 +10,7 @@
 import java.time.Duration;
 
 /**
- * Writes refusals as problem details (RFC 9457); see docs/CALLER_API.md.
+ * Writer of refusals as problem details (RFC 9457); see docs/CALLER_API.md.
  *
  * @since 0.1
  */
@@ -25,7 +25,7 @@
     private ProblemWriter() {}
 
     /**
-     * Writes a refusal as the answer of an exchange.
+     * Writes a refusal as the response of an exchange.
      *
      * @param context the exchange
      * @param refusal the refusal
@@ -45,7 +45,7 @@
                 .ifPresent(
                         after -> {
                             problem.put("retryAfterMillis", after.toMillis());
-                            context.header("Retry-After", Long.toString(wholeSeconds(after)));
+                            context.header("Retry-After", Long.toString(roundUpToSeconds(after)));
                         });
         context.status(refusal.cause().status());
         context.header(HeaderNames.VERDICT, refusal.verdict().text());
@@ -53,18 +53,18 @@
             context.header(HeaderNames.REQUEST_ID, requestId);
         }
         context.contentType(MEDIA_TYPE);
-        context.result(text(problem));
+        context.result(toJson(problem));
     }
 
-    private static long wholeSeconds(Duration duration) {
+    private static long roundUpToSeconds(Duration duration) {
         return duration.plusMillis(999).toSeconds();
     }
 
-    private static String text(ObjectNode problem) {
+    private static String toJson(ObjectNode problem) {
         try {
             return MAPPER.writeValueAsString(problem);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("A problem cannot be written as JSON.", e);
+            throw new IllegalStateException("Could not encode a problem as JSON.", e);
         }
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/RequestIdSource.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/RequestIdSource.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Gives each request an id that no other request of any instance has.
+ * Generator of request ids that are unique among the requests of all instances.
  *
  * @since 0.1
  */
@@ -16,16 +16,17 @@
     private final AtomicLong mNext = new AtomicLong();
 
     /**
-     * Makes a source.
+     * Creates a source of ids.
      *
-     * @param processNumber a random number that tells this run of this process from all others
+     * @param processNumber a random number that distinguishes this run of this process from all
+     *     others
      */
     public RequestIdSource(long processNumber) {
         mPrefix = Long.toUnsignedString(processNumber, RADIX) + "-";
     }
 
     /**
-     * Gives the next id.
+     * Returns the next id.
      *
      * @return the id
      */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/RequestReader.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/RequestReader.java
@@ -21,13 +21,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Reads a caller's request and refuses what is malformed.
+ * Reader of the requests of callers, which rejects malformed requests.
  *
  * @since 0.1
  */
 final class RequestReader {
 
-    /** The start of the path of every request to a service. */
+    /** The path prefix of every request to a service. */
     static final String SERVICES_PATH = "/v1/services/";
 
     private static final long MAXIMUM_DEADLINE_MILLIS = 600_000;
@@ -43,9 +43,9 @@
      * Reads a request.
      *
      * @param context the exchange
-     * @param id the id that the request gets
-     * @param service the service, as configured
-     * @return the request, or the refusal that names the fault
+     * @param id the id of the request
+     * @param service the specification of the service
+     * @return the request, or the refusal that names the error
      */
     Either<Refusal, SteeredRequest> read(
             Context context, RequestId id, ServiceSpecification service) {
@@ -55,7 +55,7 @@
         }
         String method = context.req().getMethod();
         String path = path(context, service.id());
-        Optional<OperationSpecification> operation = service.operation(method, pathOnly(path));
+        Optional<OperationSpecification> operation = service.operation(method, withoutQuery(path));
         RequestHead head =
                 new RequestHead(
                         id,
@@ -79,22 +79,31 @@
      * Reads the operation keys of a request.
      *
      * @param context the exchange
-     * @return the keys, or the refusal that names the fault
+     * @return the keys, or the refusal that names the error
      */
     Either<Refusal, CallerService.OperationKeys> keys(Context context) {
-        Optional<String> homed = Optional.ofNullable(context.header(HeaderNames.OPERATION_KEY));
-        Optional<String> claimed = Optional.ofNullable(context.header(HeaderNames.IDEMPOTENCY_KEY));
-        String first = context.header(HeaderNames.FIRST_ATTEMPT);
-        if (homed.isPresent() && claimed.isPresent()) {
-            return fault("Only one of Masticpond-Operation-Key and Idempotency-Key may be given.");
+        Optional<String> operationKey =
+                Optional.ofNullable(context.header(HeaderNames.OPERATION_KEY));
+        Optional<String> idempotencyKey =
+                Optional.ofNullable(context.header(HeaderNames.IDEMPOTENCY_KEY));
+        String firstAttempt = context.header(HeaderNames.FIRST_ATTEMPT);
+        if (operationKey.isPresent() && idempotencyKey.isPresent()) {
+            return badRequest(
+                    "Only one of Masticpond-Operation-Key and Idempotency-Key may be given.");
         }
-        if (claimed.filter(key -> key.isBlank() || key.length() > MAXIMUM_KEY_LENGTH).isPresent()) {
-            return fault("An Idempotency-Key must have from 1 to 255 characters.");
+        if (idempotencyKey
+                .filter(key -> key.isBlank() || key.length() > MAXIMUM_KEY_LENGTH)
+                .isPresent()) {
+            return badRequest("An Idempotency-Key must have from 1 to 255 characters.");
         }
-        if (homed.filter(key -> key.isBlank() || key.length() > MAXIMUM_KEY_LENGTH).isPresent()) {
-            return fault("A Masticpond-Operation-Key must have from 1 to 255 characters.");
+        if (operationKey
+                .filter(key -> key.isBlank() || key.length() > MAXIMUM_KEY_LENGTH)
+                .isPresent()) {
+            return badRequest("A Masticpond-Operation-Key must have from 1 to 255 characters.");
         }
-        return Either.right(new CallerService.OperationKeys(homed, claimed, "true".equals(first)));
+        return Either.right(
+                new CallerService.OperationKeys(
+                        operationKey, idempotencyKey, "true".equals(firstAttempt)));
     }
 
     private static Either<Refusal, Long> deadlineMillis(
@@ -110,7 +119,7 @@
             millis = -1;
         }
         if (millis < 1 || millis > MAXIMUM_DEADLINE_MILLIS) {
-            return fault(
+            return badRequest(
                     "The header Masticpond-Deadline-Millis must be a number from 1 to "
                             + MAXIMUM_DEADLINE_MILLIS
                             + ".");
@@ -125,9 +134,9 @@
         return (path.isEmpty() ? "/" : path) + (query == null ? "" : "?" + query);
     }
 
-    private static String pathOnly(String path) {
-        int mark = path.indexOf('?');
-        return mark < 0 ? path : path.substring(0, mark);
+    private static String withoutQuery(String path) {
+        int queryStart = path.indexOf('?');
+        return queryStart < 0 ? path : path.substring(0, queryStart);
     }
 
     private static List<HeaderField> headers(Context context) {
@@ -143,7 +152,7 @@
         return fields;
     }
 
-    private static <T> Either<Refusal, T> fault(String detail) {
+    private static <T> Either<Refusal, T> badRequest(String detail) {
         return Either.left(Refusal.didNotRun(RefusalCause.BAD_REQUEST, detail));
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/package-info.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/package-info.java
@@ -1,2 +1,2 @@
-/** The interface towards callers, over HTTP; it must not know how requests are steered. */
+/** HTTP interface for callers. Must not depend on how requests are steered. */
 package io.masticpond.daemon.caller;
