--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/ForwardCodec.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/ForwardCodec.java
@@ -28,31 +28,36 @@
 import java.util.Optional;
 
 /**
- * Turns requests and their ends into messages between instances and back.
+ * Codec between requests or their completions and messages between instances.
  *
- * <p>Reading throws {@link IllegalArgumentException} for a message that no instance of ours sends.
+ * <p>Decoding throws {@link IllegalArgumentException} for a message that no instance of this system
+ * sends.
  *
  * @since 0.1
  */
 public final class ForwardCodec {
 
     /**
-     * The shard number of a request that the receiver is asked to steer and to pay for. An instance
-     * of an earlier build cannot read it and declines the message, so nothing runs unpaid.
+     * The shard number of a request that the receiver is to steer and to charge to its own budget.
+     * An instance of an earlier build cannot decode it and declines the message, so that no request
+     * runs uncharged.
      */
     private static final int ANY_SHARD = -1;
 
-    /** The region of such a request, which the receiver chooses itself. */
+    /**
+     * The placeholder for the region of such a request, since the receiver chooses the region
+     * itself.
+     */
     private static final RegionId ANY_REGION = new RegionId("any");
 
     private ForwardCodec() {}
 
     /**
-     * Writes a request.
+     * Encodes a request that the sender has charged already.
      *
      * @param request the request
-     * @param shard the shard that the receiver is asked to admit to
-     * @param remainingNanos the time that remains, in nanoseconds
+     * @param shard the shard that the receiver is to admit the request to
+     * @param remainingNanos the time until the deadline, in nanoseconds
      * @return the message
      */
     public static Forward toForward(SteeredRequest request, Shard shard, long remainingNanos) {
@@ -77,10 +82,10 @@
     }
 
     /**
-     * Writes a request that the receiver is asked to steer and to pay for.
+     * Encodes a request that the receiver is to steer and to charge to its own budget.
      *
      * @param request the request
-     * @param remainingNanos the time that remains, in nanoseconds
+     * @param remainingNanos the time until the deadline, in nanoseconds
      * @return the message
      */
     public static Forward toUnchargedForward(SteeredRequest request, long remainingNanos) {
@@ -89,20 +94,21 @@
     }
 
     /**
-     * Tells whether the receiver is asked to steer a request and to pay for it.
+     * Determines whether the receiver is to steer a request and to charge it to its own budget.
      *
      * @param forward the message
-     * @return whether it is; else it is asked to admit to a shard, and the sender has paid
+     * @return {@code true} if it is; {@code false} if the receiver is to admit the request to a
+     *     shard and the sender has charged it
      */
     public static boolean isUncharged(Forward forward) {
         return forward.getShard() == ANY_SHARD;
     }
 
     /**
-     * Reads a request.
+     * Decodes a request.
      *
      * @param forward the message
-     * @param nowNanos the time now, in nanoseconds of the monotonic clock
+     * @param nowNanos the current time, in nanoseconds of the monotonic clock
      * @return the request
      */
     public static SteeredRequest toRequest(Forward forward, long nowNanos) {
@@ -115,16 +121,16 @@
                         OperationKind.valueOf(forward.getKind()));
         return new SteeredRequest(
                 head,
-                optional(forward.getOperation()).map(OperationName::new),
+                nonEmpty(forward.getOperation()).map(OperationName::new),
                 forward.getMethod(),
                 forward.getPath(),
-                fields(forward.getHeadersList()),
+                toFields(forward.getHeadersList()),
                 forward.getBody().toByteArray(),
-                optional(forward.getOperationId()));
+                nonEmpty(forward.getOperationId()));
     }
 
     /**
-     * Reads the shard of a request.
+     * Decodes the shard of a request.
      *
      * @param forward the message
      * @return the shard
@@ -137,15 +143,15 @@
     }
 
     /**
-     * Writes the end of a request.
+     * Encodes the completion of a request.
      *
      * @param request the request
-     * @param end the end
+     * @param completion the completion
      * @return the message, without headroom
      */
-    public static ForwardAnswer.Builder toAnswer(RequestId request, RequestCompletion end) {
+    public static ForwardAnswer.Builder toAnswer(RequestId request, RequestCompletion completion) {
         ForwardAnswer.Builder builder = ForwardAnswer.newBuilder().setRequest(request.value());
-        if (end instanceof RequestCompletion.Refused refused) {
+        if (completion instanceof RequestCompletion.Refused refused) {
             Refusal refusal = refused.refusal();
             return builder.setRefusal(
                     RefusalEntry.newBuilder()
@@ -155,7 +161,7 @@
                             .setRetryAfterMillis(
                                     refusal.retryAfter().map(Duration::toMillis).orElse(0L)));
         }
-        RequestCompletion.Answered answered = (RequestCompletion.Answered) end;
+        RequestCompletion.Answered answered = (RequestCompletion.Answered) completion;
         Answer.Builder answer =
                 Answer.newBuilder()
                         .setStatus(answered.status())
@@ -168,18 +174,18 @@
     }
 
     /**
-     * Reads the end of a request.
+     * Decodes the completion of a request.
      *
      * @param answer the message
-     * @return the end
+     * @return the completion
      */
     public static RequestCompletion toCompletion(ForwardAnswer answer) {
         return switch (answer.getEndCase()) {
             case ANSWER ->
                     new RequestCompletion.Answered(
                             answer.getAnswer().getStatus(),
-                            fields(answer.getAnswer().getHeadersList()),
-                            bytes(answer.getAnswer().getBody()),
+                            toFields(answer.getAnswer().getHeadersList()),
+                            toBytes(answer.getAnswer().getBody()),
                             answer.getAnswer().getBackendServer());
             case REFUSAL -> new RequestCompletion.Refused(toRefusal(answer.getRefusal()));
             default ->
@@ -188,10 +194,10 @@
     }
 
     /**
-     * Writes the counts of a shard.
+     * Encodes the headroom of a shard.
      *
      * @param shard the shard
-     * @param headroom the counts
+     * @param headroom the headroom
      * @return the message
      */
     public static HeadroomEntry toEntry(Shard shard, Headroom headroom) {
@@ -208,7 +214,7 @@
     }
 
     /**
-     * Reads the shard that counts are of.
+     * Decodes the shard that a headroom belongs to.
      *
      * @param entry the message
      * @return the shard
@@ -221,10 +227,10 @@
     }
 
     /**
-     * Reads the counts of a shard.
+     * Decodes the headroom of a shard.
      *
      * @param entry the message
-     * @return the counts
+     * @return the headroom
      */
     public static Headroom toHeadroom(HeadroomEntry entry) {
         return new Headroom(
@@ -249,17 +255,17 @@
         return Header.newBuilder().setName(field.name()).setValue(field.value()).build();
     }
 
-    private static List<HeaderField> fields(List<Header> headers) {
+    private static List<HeaderField> toFields(List<Header> headers) {
         return headers.stream()
                 .map(header -> new HeaderField(header.getName(), header.getValue()))
                 .toList();
     }
 
-    private static Optional<String> optional(String text) {
+    private static Optional<String> nonEmpty(String text) {
         return text.isEmpty() ? Optional.empty() : Optional.of(text);
     }
 
-    private static byte[] bytes(ByteString string) {
+    private static byte[] toBytes(ByteString string) {
         return string.toByteArray();
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/ForwardReceiver.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/ForwardReceiver.java
@@ -18,42 +18,45 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Takes requests that other instances forward, and hands them to the admitter side, or to the entry
- * side if this instance is asked to pay for them.
+ * Receiver of requests that other instances forward. It passes them to the admitter side, or to the
+ * entry side if this instance is to charge them to its own budget.
  *
- * <p>When the ring of the steering duty is full, a request is declined, which says truthfully that
- * it did not run.
+ * <p>When the queue of the steering event loop is full, a request is declined, which correctly
+ * states that it did not run.
  *
  * @since 0.1
  */
 public final class ForwardReceiver {
 
-    private final EventLoop mDuty;
+    private final EventLoop mEventLoop;
     private final AdmitterSteering mAdmitter;
     private final EntrySteering mEntry;
     private final TimeSource mTimeSource;
 
-    /** The requests that this instance steers for others. */
-    private final Set<RequestId> mSteered = ConcurrentHashMap.newKeySet();
+    /** The requests that this instance steers for other instances. */
+    private final Set<RequestId> mSteeredRequests = ConcurrentHashMap.newKeySet();
 
     /**
-     * Makes a receiver.
+     * Creates a receiver.
      *
-     * @param duty the steering duty
+     * @param eventLoop the steering event loop
      * @param admitter the admitter side
-     * @param entry the entry side, which passes nothing on that it cannot pay for
+     * @param entry the entry side, which passes on no request that it cannot charge
      * @param timeSource the clocks
      */
     public ForwardReceiver(
-            EventLoop duty, AdmitterSteering admitter, EntrySteering entry, TimeSource timeSource) {
-        mDuty = duty;
+            EventLoop eventLoop,
+            AdmitterSteering admitter,
+            EntrySteering entry,
+            TimeSource timeSource) {
+        mEventLoop = eventLoop;
         mAdmitter = admitter;
         mEntry = entry;
         mTimeSource = timeSource;
     }
 
     /**
-     * Takes the messages of its kinds from now on.
+     * Registers this receiver for its kinds of messages.
      *
      * @param links the links
      */
@@ -63,56 +66,64 @@
     }
 
     /**
-     * Counts the requests that this instance steers for others now; safe for all threads.
+     * Returns the number of requests that this instance steers for other instances at present.
+     * Thread-safe.
      *
-     * @return the count
+     * @return the number of requests
      */
     public int steered() {
-        return mSteered.size();
+        return mSteeredRequests.size();
     }
 
     private void forward(InstanceId from, Envelope envelope, Responder responder) {
         Runnable task;
         try {
-            task = task(envelope.getForward(), responder);
+            task = createTask(envelope.getForward(), responder);
         } catch (IllegalArgumentException e) {
             responder.refuse("The request cannot be read: " + e.getMessage());
             return;
         }
-        if (!mDuty.offer(task)) {
+        if (!mEventLoop.offer(task)) {
             responder.refuse("The ring of the steering duty is full.");
         }
     }
 
-    private Runnable task(Forward forward, Responder responder) {
+    private Runnable createTask(Forward forward, Responder responder) {
         SteeredRequest request = ForwardCodec.toRequest(forward, mTimeSource.monotonicNanos());
         if (ForwardCodec.isUncharged(forward)) {
             return () -> steer(request, responder);
         }
         Shard shard = ForwardCodec.toShard(forward);
-        return () -> mAdmitter.offer(shard, request, end -> answer(responder, shard, request, end));
+        return () ->
+                mAdmitter.offer(
+                        shard,
+                        request,
+                        completion -> answer(responder, shard, request, completion));
     }
 
     private void steer(SteeredRequest request, Responder responder) {
         RequestId id = request.head().id();
-        if (!mSteered.add(id)) {
+        if (!mSteeredRequests.add(id)) {
             responder.refuse("The request id is in use.");
             return;
         }
         mEntry.submit(
                 request,
-                end -> {
-                    mSteered.remove(id);
+                completion -> {
+                    mSteeredRequests.remove(id);
                     responder.answer(
                             Envelope.newBuilder()
-                                    .setForwardAnswer(ForwardCodec.toAnswer(id, end))
+                                    .setForwardAnswer(ForwardCodec.toAnswer(id, completion))
                                     .build());
                 });
     }
 
     private void answer(
-            Responder responder, Shard shard, SteeredRequest request, RequestCompletion end) {
-        ForwardAnswer.Builder answer = ForwardCodec.toAnswer(request.head().id(), end);
+            Responder responder,
+            Shard shard,
+            SteeredRequest request,
+            RequestCompletion completion) {
+        ForwardAnswer.Builder answer = ForwardCodec.toAnswer(request.head().id(), completion);
         mAdmitter
                 .headroom(shard)
                 .ifPresent(headroom -> answer.setHeadroom(ForwardCodec.toEntry(shard, headroom)));
@@ -126,12 +137,12 @@
         } catch (IllegalArgumentException e) {
             return;
         }
-        mDuty.offer(() -> cancel(request));
+        mEventLoop.offer(() -> cancel(request));
     }
 
     private void cancel(RequestId request) {
         mAdmitter.cancel(request);
-        if (mSteered.contains(request)) {
+        if (mSteeredRequests.contains(request)) {
             mEntry.cancel(request);
         }
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/LinkRemoteAdmitter.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/LinkRemoteAdmitter.java
@@ -22,7 +22,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Forwards requests over the links; safe for all threads.
+ * {@link RemoteAdmitter} that forwards requests over the links between instances. Thread-safe.
  *
  * @since 0.1
  */
@@ -30,14 +30,17 @@
 
     private static final Logger sLogger = LoggerFactory.getLogger(LinkRemoteAdmitter.class);
 
-    /** How much longer than the deadline to wait, so that the admitter's own word arrives first. */
+    /**
+     * The time to wait beyond the deadline, so that the admitter's own answer arrives before the
+     * timeout.
+     */
     private static final Duration ANSWER_MARGIN = Duration.ofMillis(100);
 
     private final InstanceLinks mLinks;
     private final TimeSource mTimeSource;
 
     /**
-     * Makes a forwarder.
+     * Creates a forwarder.
      *
      * @param links the links
      * @param timeSource the clocks
@@ -77,9 +80,15 @@
                         .exceptionally(error -> logFailed(request.head().id(), error));
     }
 
-    /** Shows the failure of a listener, which nobody else would hear of. */
+    /**
+     * Logs a failure to deliver a completion, such as that of a listener, which would otherwise go
+     * unnoticed.
+     */
     private static Void logFailed(RequestId request, Throwable error) {
-        sLogger.error("INSTANCE  The end of the forwarded request {} was lost.", request, error);
+        sLogger.error(
+                "INSTANCE  Could not deliver the completion of the forwarded request {}.",
+                request,
+                error);
         return null;
     }
 
@@ -93,15 +102,15 @@
     }
 
     /**
-     * Turns the answer to a message with a request into its result.
+     * Converts the answer to a forwarded request to a result.
      *
-     * @param answer the answer, or why there is none
+     * @param answer the answer, or the reason why there is none
      * @param request the request
      * @return the result
      */
     public static ForwardResult result(Either<LinkError, Envelope> answer, RequestId request) {
         if (answer.isLeft()) {
-            return failure(answer.getLeft());
+            return toFailure(answer.getLeft());
         }
         Envelope envelope = answer.get();
         if (!envelope.hasForwardAnswer()
@@ -109,10 +118,10 @@
             return new ForwardResult.Lost(
                     RefusalCause.INSTANCE_LOST, "The answer is not to this request.");
         }
-        return ended(envelope.getForwardAnswer());
+        return toEnded(envelope.getForwardAnswer());
     }
 
-    private static ForwardResult ended(ForwardAnswer answer) {
+    private static ForwardResult toEnded(ForwardAnswer answer) {
         try {
             Optional<Headroom> headroom =
                     answer.hasHeadroom()
@@ -125,7 +134,7 @@
         }
     }
 
-    private static ForwardResult failure(LinkError error) {
+    private static ForwardResult toFailure(LinkError error) {
         if (!error.mayHaveArrived()) {
             return new ForwardResult.NotSent(error.message());
         }
