--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/LookupTable.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/LookupTable.java
@@ -16,7 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Answers look-ups from the newest snapshot; readers are never held up by a change of it.
+ * Table that answers look-ups from the newest snapshot. Thread-safe; a change of the snapshot never
+ * blocks readers.
  *
  * @since 0.1
  */
@@ -25,21 +26,21 @@
     private static final Logger sLogger = LoggerFactory.getLogger(LookupTable.class);
 
     private final ZoneId mZone;
-    private final LookupParameters mKnobs;
+    private final LookupParameters mParameters;
     private Configuration mConfiguration = Configuration.EMPTY;
     private ClientBlockTable mBlocks = ClientBlockTable.EMPTY;
     private List<Member> mMembers = List.of();
     private volatile LookupDecider mDecider;
 
     /**
-     * Makes a table that knows nobody yet.
+     * Creates a table without members and with an empty configuration.
      *
      * @param zone the availability zone of this instance
-     * @param cacheFor how long answers may be cached
+     * @param cacheFor the time for which answers may be cached
      */
     public LookupTable(ZoneId zone, Duration cacheFor) {
         mZone = zone;
-        mKnobs =
+        mParameters =
                 new LookupParameters(
                         LookupParameters.DEFAULT.maximumInstances(),
                         LookupParameters.DEFAULT.nearestZoneInstances(),
@@ -48,7 +49,7 @@
     }
 
     /**
-     * Takes a configuration that came into force.
+     * Applies a configuration that came into force.
      *
      * @param configuration the configuration
      */
@@ -68,7 +69,7 @@
     }
 
     /**
-     * Takes the members as they are seen now.
+     * Replaces the members by those in the current membership view.
      *
      * @param members the members
      */
@@ -81,7 +82,7 @@
     }
 
     /**
-     * Decides for a client.
+     * Decides which instances a client should use.
      *
      * @param client the numeric address or block of the client
      * @return the decision
@@ -99,6 +100,6 @@
     }
 
     private synchronized void refresh() {
-        mDecider = new LookupDecider(mConfiguration, mBlocks, mMembers, mZone, mKnobs);
+        mDecider = new LookupDecider(mConfiguration, mBlocks, mMembers, mZone, mParameters);
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/MeteredCallerService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/MeteredCallerService.java
@@ -14,7 +14,8 @@
 import java.util.function.Consumer;
 
 /**
- * Counts and measures what goes through another caller service, and changes nothing.
+ * Decorator of a {@link CallerService} that records metrics of its look-ups and requests without
+ * changing them.
  *
  * @since 0.1
  */
@@ -25,10 +26,10 @@
     private final TimeSource mTimeSource;
 
     /**
-     * Makes the service.
+     * Creates the service.
      *
-     * @param delegate does the work
-     * @param metrics takes the counts and times
+     * @param delegate the service that calls are passed to
+     * @param metrics the metrics that are recorded
      * @param timeSource the clocks
      */
     public MeteredCallerService(
@@ -64,13 +65,13 @@
     public void submit(
             SteeredRequest request, OperationKeys keys, Consumer<RequestCompletion> listener) {
         ServiceId service = request.head().service();
-        long start = mTimeSource.monotonicNanos();
+        long startNanos = mTimeSource.monotonicNanos();
         mDelegate.submit(
                 request,
                 keys,
-                end -> {
-                    measure(service, start, end);
-                    listener.accept(end);
+                completion -> {
+                    recordCompletion(service, startNanos, completion);
+                    listener.accept(completion);
                 });
     }
 
@@ -79,11 +80,12 @@
         mDelegate.cancel(request);
     }
 
-    private void measure(ServiceId service, long start, RequestCompletion end) {
-        if (end instanceof RequestCompletion.Refused refused) {
+    private void recordCompletion(
+            ServiceId service, long startNanos, RequestCompletion completion) {
+        if (completion instanceof RequestCompletion.Refused refused) {
             mMetrics.recordRefusal(service, refused.refusal());
         } else {
-            mMetrics.recordAnswer(service, mTimeSource.monotonicNanos() - start);
+            mMetrics.recordAnswer(service, mTimeSource.monotonicNanos() - startNanos);
         }
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/RequestGateway.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/RequestGateway.java
@@ -21,7 +21,8 @@
 import java.util.function.Supplier;
 
 /**
- * The daemon as the caller interface sees it; safe for all threads.
+ * Default implementation of {@link CallerService}, which connects the caller interface with the
+ * rest of the daemon. Thread-safe.
  *
  * @since 0.1
  */
@@ -37,15 +38,15 @@
     private volatile boolean mStopping;
 
     /**
-     * Makes a gateway.
+     * Creates a gateway.
      *
-     * @param steering the steering duty
+     * @param steering the steering event loop
      * @param zone the availability zone of this instance
-     * @param configuration gives the configuration in force
-     * @param lookups answers look-ups
+     * @param configuration the supplier of the configuration in force
+     * @param lookups the table that answers look-ups
      * @param entry the entry side
-     * @param guard lets once-only operations run at most once
-     * @param seenVersion takes configuration versions that callers have seen
+     * @param guard the guard that lets once-only operations run at most once
+     * @param seenVersion the consumer of configuration versions that callers have seen
      */
     public RequestGateway(
             EventLoop steering,
@@ -64,7 +65,10 @@
         mSeenVersion = seenVersion;
     }
 
-    /** Answers look-ups and requests with "not ready" from now on, for a planned stop's end. */
+    /**
+     * Makes the gateway answer all further look-ups and requests with "not ready". Called at the
+     * end of a planned stop.
+     */
     public void stop() {
         mStopping = true;
     }
@@ -105,8 +109,8 @@
     @Override
     public void submit(
             SteeredRequest request, OperationKeys keys, Consumer<RequestCompletion> listener) {
-        boolean taken = mSteering.offer(() -> steer(request, keys, listener));
-        if (!taken) {
+        boolean accepted = mSteering.offer(() -> steer(request, keys, listener));
+        if (!accepted) {
             listener.accept(
                     new RequestCompletion.Refused(
                             Refusal.didNotRun(
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/gateway/MeteredCallerServiceTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/gateway/MeteredCallerServiceTest.java
@@ -32,10 +32,14 @@
 import okhttp3.Request;
 import okhttp3.Response;
 
+/** Tests that {@link MeteredCallerService} records refusals and answers. */
 class MeteredCallerServiceTest {
 
-    /** Only bounds a hang: the scrape may take as long as the machine needs. */
-    private static final OkHttpClient sPatient =
+    /**
+     * HTTP client whose long timeouts only bound a hang, since the scrape may be slow on a busy
+     * machine.
+     */
+    private static final OkHttpClient sHttpClient =
             new OkHttpClient.Builder()
                     .connectTimeout(Duration.ofSeconds(60))
                     .readTimeout(Duration.ofSeconds(60))
@@ -54,13 +58,13 @@
     void refusalIsCountedByCauseAndNotAsAnswer() throws IOException {
         submit();
         mTime.stepWallClock(Duration.ofDays(-2));
-        mDelegate.end(
+        mDelegate.complete(
                 new RequestCompletion.Refused(
                         Refusal.mayHaveRun(RefusalCause.INSTANCE_LOST, "Lost.")));
         submit();
         mTime.advance(Duration.ofMillis(30));
         mTime.stepWallClock(Duration.ofDays(5));
-        mDelegate.end(new RequestCompletion.Answered(200, List.of(), new byte[0], "bk-1"));
+        mDelegate.complete(new RequestCompletion.Answered(200, List.of(), new byte[0], "bk-1"));
         assertThat(scrape())
                 .contains(
                         "masticpond_refusals_total{cause=\"instance-lost\",service=\"booking\","
@@ -93,7 +97,7 @@
         mService.submit(
                 request,
                 new CallerService.OperationKeys(Optional.empty(), Optional.empty(), false),
-                end -> {});
+                completion -> {});
     }
 
     private String scrape() throws IOException {
@@ -101,20 +105,20 @@
         Javalin server = Javalin.create(routes::addTo).start("127.0.0.1", 0);
         Request request =
                 new Request.Builder().url("http://127.0.0.1:" + server.port() + "/metrics").build();
-        try (Response response = sPatient.newCall(request).execute()) {
+        try (Response response = sHttpClient.newCall(request).execute()) {
             return response.body().string();
         } finally {
             server.stop();
         }
     }
 
-    /** Keeps the listeners until told how their requests end. */
+    /** Stand-in that holds the listeners until the test completes their requests. */
     private static final class FakeCallerService implements CallerService {
 
         private final Queue<Consumer<RequestCompletion>> mListeners = new ArrayDeque<>();
 
-        void end(RequestCompletion end) {
-            mListeners.remove().accept(end);
+        void complete(RequestCompletion completion) {
+            mListeners.remove().accept(completion);
         }
 
         @Override
