--- a/masticpond-testing/src/main/java/io/masticpond/testing/BackendsCommand.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/BackendsCommand.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Runs many stand-in backend servers. */
+/** Command that runs stand-in backend servers. */
 @Command(
         name = "backends",
         description = "Runs backend servers, all in this process, and control routes.",
--- a/masticpond-testing/src/main/java/io/masticpond/testing/PlatformCommand.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/PlatformCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Runs a stand-in platform. */
+/** Command that runs a stand-in platform. */
 @Command(
         name = "platform",
         description = "Runs a platform: object API, list of instances and control routes.",
--- a/masticpond-testing/src/main/java/io/masticpond/testing/StandInMain.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/StandInMain.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Starts stand-ins for the outside systems, for tests and for trying by hand.
+ * Main class that runs stand-ins for external systems, for tests and manual trials.
  *
  * @since 0.1
  */
@@ -27,9 +27,9 @@
     private StandInMain() {}
 
     /**
-     * Runs the program until it is ended by a signal.
+     * Runs the program until it is terminated by a signal.
      *
-     * @param arguments the arguments of the command line
+     * @param arguments command line arguments
      */
     public static void main(String[] arguments) {
         if (System.getProperty(LOGGING) == null) {
--- a/masticpond-testing/src/main/java/io/masticpond/testing/backend/BackendAnswers.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/backend/BackendAnswers.java
@@ -20,7 +20,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Writes the answers of a stand-in backend server, also those that break the rules. */
+/** Writer of the responses of a stand-in backend server, including faulty ones. */
 final class BackendAnswers {
 
     private static final Logger sLogger = LoggerFactory.getLogger(BackendAnswers.class);
@@ -28,53 +28,53 @@
 
     private BackendAnswers() {}
 
-    /** What the head of an answer shows: signs of leaving, and whose request it answers. */
-    record AnswerHead(boolean leaving, boolean close, String requestId) {
+    /** Header values of a response: leaving, connection close, and the request id. */
+    record ResponseHead(boolean leaving, boolean close, String requestId) {
 
-        /** Shows nothing. */
-        static final AnswerHead PLAIN = new AnswerHead(false, false, null);
+        /** Head without optional headers. */
+        static final ResponseHead PLAIN = new ResponseHead(false, false, null);
 
-        AnswerHead to(Exchange exchange) {
-            return new AnswerHead(leaving, close, exchange.requestId());
+        ResponseHead to(Exchange exchange) {
+            return new ResponseHead(leaving, close, exchange.requestId());
         }
     }
 
-    static void send(Channel channel, HttpResponseStatus status, String json, AnswerHead head) {
+    static void send(Channel channel, HttpResponseStatus status, String json, ResponseHead head) {
         byte[] body = json.getBytes(StandardCharsets.UTF_8);
-        DefaultFullHttpResponse answer =
+        DefaultFullHttpResponse response =
                 new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
-        setHeaders(answer.headers(), body.length, head);
-        finish(channel.writeAndFlush(answer), head);
+        setHeaders(response.headers(), body.length, head);
+        finish(channel.writeAndFlush(response), head);
     }
 
-    static void sendShed(Channel channel, AnswerHead head) {
-        DefaultFullHttpResponse answer =
+    static void sendShed(Channel channel, ResponseHead head) {
+        DefaultFullHttpResponse response =
                 new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1, HttpResponseStatus.SERVICE_UNAVAILABLE);
-        setHeaders(answer.headers(), 0, head);
-        answer.headers().set(BackendHeaders.SHED, "true");
-        finish(channel.writeAndFlush(answer), head);
+        setHeaders(response.headers(), 0, head);
+        response.headers().set(BackendHeaders.SHED, "true");
+        finish(channel.writeAndFlush(response), head);
     }
 
-    /** Sends the head and the first half of the body, then closes the connection. */
+    /** Sends the headers and the first half of the body, then closes the connection. */
     static void sendTruncated(Channel channel, String json) {
         byte[] body = json.getBytes(StandardCharsets.UTF_8);
-        DefaultHttpResponse answer =
+        DefaultHttpResponse response =
                 new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-        setHeaders(answer.headers(), body.length, AnswerHead.PLAIN);
-        channel.write(answer);
+        setHeaders(response.headers(), body.length, ResponseHead.PLAIN);
+        channel.write(response);
         channel.writeAndFlush(
                         new DefaultHttpContent(Unpooled.wrappedBuffer(body, 0, body.length / 2)))
                 .addListener(ChannelFutureListener.CLOSE);
     }
 
-    /** Closes a connection at once, with a reset unless the other side was faster. */
+    /** Closes a connection at once, with a TCP reset unless the peer has closed it before. */
     static void reset(Channel channel) {
         try {
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
         } catch (ChannelException e) {
-            sLogger.debug("A connection was closed before it could be reset.", e);
+            sLogger.debug("The connection was closed before it could be reset.", e);
         }
         channel.close();
     }
@@ -90,11 +90,11 @@
                             exchange.digest(),
                             exchange.execution()));
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("An answer could not be written as JSON.", e);
+            throw new IllegalStateException("The response could not be serialized as JSON.", e);
         }
     }
 
-    private static void setHeaders(HttpHeaders headers, int length, AnswerHead head) {
+    private static void setHeaders(HttpHeaders headers, int length, ResponseHead head) {
         headers.set(HttpHeaderNames.CONTENT_TYPE, JSON);
         headers.set(HttpHeaderNames.CONTENT_LENGTH, length);
         if (head.leaving()) {
@@ -108,13 +108,13 @@
         }
     }
 
-    private static void finish(ChannelFuture written, AnswerHead head) {
+    private static void finish(ChannelFuture written, ResponseHead head) {
         if (head.close()) {
             written.addListener(ChannelFutureListener.CLOSE);
         }
     }
 
-    /** The body of an answer, which shows whose request was answered. */
+    /** Body of a response, which identifies the request that was answered. */
     private record Echo(
             String server,
             String requestId,
--- a/masticpond-testing/src/main/java/io/masticpond/testing/backend/BackendControl.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/backend/BackendControl.java
@@ -13,7 +13,7 @@
 import java.util.function.Consumer;
 
 /**
- * The HTTP routes that steer stand-in backend servers and tell what they have seen.
+ * HTTP control routes of a fleet of stand-in backend servers, for faults, drains and counters.
  *
  * @since 0.1
  */
@@ -26,10 +26,10 @@
     private final Javalin mServer;
 
     /**
-     * Starts to listen on loopback.
+     * Creates the routes and starts to listen on loopback.
      *
      * @param fleet the servers
-     * @param port the port, or 0 for any that is free
+     * @param port the port, or 0 for a free port
      */
     public BackendControl(BackendFleet fleet, int port) {
         mFleet = Assert.notNull(fleet, "A fleet");
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Tells where the routes are.
+     * Returns the address of the routes.
      *
      * @return the address as "ip:port"
      */
@@ -109,7 +109,7 @@
                 .orElseThrow(() -> new NotFoundResponse("There is no such backend server."));
     }
 
-    /** What all servers have seen. */
+    /** Counters of all servers. */
     private record FleetCounts(
             long executions,
             int operations,
--- a/masticpond-testing/src/main/java/io/masticpond/testing/backend/BackendFleet.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/backend/BackendFleet.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Many stand-in backend servers in one process on few threads, with one log of executions.
+ * Set of stand-in backend servers in one process that share two event loops and one execution log.
  *
  * @since 0.1
  */
@@ -26,21 +26,21 @@
     private final Map<String, BackendServerStandIn> mServers = new LinkedHashMap<>();
 
     /**
-     * Starts the servers.
+     * Creates a fleet and starts its servers.
      *
-     * @param settings the settings of each server; ids must differ
+     * @param settings settings of each server, with distinct ids
      */
     public BackendFleet(List<BackendServerSettings> settings) {
         for (BackendServerSettings each : settings) {
             BackendServerStandIn server = new BackendServerStandIn(each, mEventLoops.next(), mLog);
             BackendServerStandIn before = mServers.put(each.id(), server);
-            Assert.isTrue(before == null, "The backend server %s is there twice.", each.id());
+            Assert.isTrue(before == null, "The backend server id %s is used twice.", each.id());
         }
         mServers.values().forEach(BackendServerStandIn::start);
     }
 
     /**
-     * Lists the servers in the order of their settings.
+     * Returns the servers in the order of their settings.
      *
      * @return the servers
      */
@@ -49,9 +49,9 @@
     }
 
     /**
-     * Finds a server.
+     * Returns the server with an id.
      *
-     * @param id the backend server
+     * @param id id of the backend server
      * @return the server, or empty if there is none
      */
     public Optional<BackendServerStandIn> server(String id) {
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Gives the log that all servers share.
+     * Returns the log that all servers share.
      *
      * @return the log
      */
--- a/masticpond-testing/src/main/java/io/masticpond/testing/backend/BackendServerCounts.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/backend/BackendServerCounts.java
@@ -1,22 +1,22 @@
 package io.masticpond.testing.backend;
 
 /**
- * What a stand-in backend server has seen.
+ * Counters of a stand-in backend server.
  *
- * @param requests the requests that arrived
- * @param executions the requests that it ran
- * @param shed the requests that it shed
- * @param withdrawn the requests whose connection closed before they ran
- * @param abandoned the requests whose connection closed while they ran
- * @param probes the health and load calls
- * @param inFlight the requests that run or wait now
- * @param highestInFlight the most requests that ran or waited at a time
- * @param slots the slots
- * @param connections the connections that were opened
- * @param highestConnections the most connections at a time
- * @param drainingMillis the time since the drain began, or -1 if it is not leaving
- * @param lastNewWorkMillis the time from the start of the drain to the last request that arrived in
- *     it, or -1 if none did
+ * @param requests requests that arrived
+ * @param executions requests that ran
+ * @param shed requests that were shed
+ * @param withdrawn requests whose connection closed before they ran
+ * @param abandoned requests whose connection closed while they ran
+ * @param probes health and load calls
+ * @param inFlight requests that run or wait now
+ * @param highestInFlight maximum number of requests that ran or waited at once
+ * @param slots number of slots
+ * @param connections connections that were opened
+ * @param highestConnections maximum number of connections at once
+ * @param drainingMillis time since the start of the drain, or -1 if the server is not leaving
+ * @param lastNewWorkMillis time from the start of the drain to the last request that arrived during
+ *     it, or -1 for none
  * @since 0.1
  */
 public record BackendServerCounts(
@@ -35,9 +35,9 @@
         long lastNewWorkMillis) {
 
     /**
-     * Tells the highest use of the slots.
+     * Returns the highest utilization of the slots.
      *
-     * @return the most requests at a time for each slot; above 1 the server was overloaded
+     * @return maximum number of requests at once per slot; above 1 the server was overloaded
      */
     public double highestSlotUse() {
         return (double) highestInFlight / slots;
--- a/masticpond-testing/src/main/java/io/masticpond/testing/backend/BackendServerFaults.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/backend/BackendServerFaults.java
@@ -3,17 +3,18 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * The faults that a stand-in backend server shows, all off in {@link #NONE}.
+ * Faults of a stand-in backend server, all off in {@link #NONE}.
  *
- * @param health what it says about its health
- * @param reportLagMillis how old its health and load answers are
- * @param hidesLoad whether its load answer says that nothing is in flight
- * @param frozen whether it answers nothing at all; requests that it has run keep their answers
- * @param resetShare the share of requests that run and whose connection is then reset
- * @param refuseShare the share of requests whose connection is reset before they run
- * @param truncateShare the share of answers that are cut short
- * @param errorShare the share of requests that run and are answered with status 500
- * @param slowFactor how many times longer it works on a request
+ * @param health statement of the server about its health
+ * @param reportLagMillis age of the health and load reports in milliseconds
+ * @param hidesLoad whether the load report states that nothing is in flight
+ * @param frozen whether the server sends no responses; those of completed requests are sent
+ *     afterwards
+ * @param resetShare share of requests that run and whose connection is then reset, from 0 to 1
+ * @param refuseShare share of requests whose connection is reset before they run, from 0 to 1
+ * @param truncateShare share of responses that are truncated, from 0 to 1
+ * @param errorShare share of requests that run and are answered with status 500, from 0 to 1
+ * @param slowFactor factor of the service time
  * @since 0.1
  */
 public record BackendServerFaults(
@@ -31,17 +32,19 @@
     public static final BackendServerFaults NONE =
             new BackendServerFaults(HealthClaim.TRUE, 0, false, false, 0, 0, 0, 0, 1);
 
-    /** What a backend server says about its health. */
+    /** Statement of a backend server about its health. */
     public enum HealthClaim {
-        /** The truth. */
+        /** The actual state. */
         TRUE,
-        /** Always that it is well. */
+        /** Always healthy. */
         HEALTHY,
-        /** Always that it is not well. */
+        /** Always unhealthy. */
         UNHEALTHY
     }
 
-    /** Checks the parts; a missing claim means the truth, and no factor means 1. */
+    /**
+     * Validates the components; a missing claim means {@code TRUE}, and a missing factor means 1.
+     */
     public BackendServerFaults {
         health = health == null ? HealthClaim.TRUE : health;
         slowFactor = slowFactor == 0 ? 1 : slowFactor;
--- a/masticpond-testing/src/main/java/io/masticpond/testing/backend/BackendServerHandler.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/backend/BackendServerHandler.java
@@ -4,7 +4,7 @@
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.handler.codec.http.FullHttpRequest;
 
-/** Hands the requests of one connection to its stand-in backend server, one at a time. */
+/** Channel handler that passes the requests of one connection to its stand-in backend server. */
 final class BackendServerHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
     private static final String HEALTH = "/health";
@@ -19,12 +19,12 @@
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        mWork.connected(context.channel());
+        mWork.addConnection(context.channel());
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        mWork.disconnected(context.channel());
+        mWork.removeConnection(context.channel());
         if (mExchange != null) {
             mWork.abandon(mExchange);
         }
--- a/masticpond-testing/src/main/java/io/masticpond/testing/backend/BackendServerReport.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/backend/BackendServerReport.java
@@ -1,6 +1,6 @@
 package io.masticpond.testing.backend;
 
-/** What the health and load routes tell; a claim, which may be old or untrue. */
+/** Report of the health and load routes, which may be outdated or false by injected faults. */
 record BackendServerReport(String status, int inFlight, int slots, long takenNanos) {
 
     private static final String HEALTHY = "healthy";
--- a/masticpond-testing/src/main/java/io/masticpond/testing/backend/BackendServerSettings.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/backend/BackendServerSettings.java
@@ -3,18 +3,17 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * What a stand-in backend server is like.
+ * Settings of a stand-in backend server.
  *
- * @param id the backend server
- * @param address where it listens, as "ip:port"; port 0 takes any that is free
- * @param slots how many requests it works on at a time
- * @param queue how many requests wait for a slot before it sheds
- * @param meanMillis the mean of the lognormal service time
- * @param sigma the standard deviation of the logarithm of the service time; 0 for constant times
- * @param seed the seed of the service times and faults
- * @param coldMillis how long it is cold after a start
- * @param coldFactor how many times longer it works on a request just after a start; the factor
- *     falls to 1 in a straight line
+ * @param id id of the backend server
+ * @param address listen address as "ip:port"; port 0 selects a free port
+ * @param slots maximum number of requests that run at once
+ * @param queue maximum number of requests that wait for a slot; further requests are shed
+ * @param meanMillis mean of the lognormal service time in milliseconds
+ * @param sigma standard deviation of the logarithm of the service time; 0 for constant times
+ * @param seed seed of the service times and faults
+ * @param coldMillis time that the server is cold after a start, in milliseconds
+ * @param coldFactor factor of the service time just after a start; it falls linearly to 1
  * @since 0.1
  */
 public record BackendServerSettings(
@@ -28,7 +27,9 @@
         long coldMillis,
         double coldFactor) {
 
-    /** Checks the parts; a missing cold factor means that it does not start cold. */
+    /**
+     * Validates the components; a missing cold factor means that the server does not start cold.
+     */
     public BackendServerSettings {
         Assert.hasText(id, "The id of a backend server");
         Assert.hasText(address, "The address of a backend server");
@@ -41,13 +42,13 @@
     }
 
     /**
-     * Makes a server with as long a queue as it has slots, which does not start cold.
+     * Creates settings with a queue as long as the number of slots and without a cold start.
      *
-     * @param id the backend server
-     * @param address where it listens
-     * @param slots how many requests it works on at a time
-     * @param meanMillis the mean service time
-     * @param sigma the standard deviation of its logarithm
+     * @param id id of the backend server
+     * @param address listen address as "ip:port"
+     * @param slots maximum number of requests that run at once
+     * @param meanMillis mean service time in milliseconds
+     * @param sigma standard deviation of its logarithm
      * @param seed the seed
      * @return the settings
      */
--- a/masticpond-testing/src/main/java/io/masticpond/testing/backend/BackendServerStandIn.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/backend/BackendServerStandIn.java
@@ -16,10 +16,10 @@
 import java.util.function.Function;
 
 /**
- * A backend server of HTTP with slots, a queue, service times, drains and faults.
+ * Stand-in for an HTTP backend server with slots, a queue, service times, drains and faults.
  *
- * <p>All its work happens on one event loop, which many servers may share; no thread waits. Safe
- * for all threads but that event loop.
+ * <p>All work runs on one event loop, which many servers may share, without blocking. Thread-safe,
+ * except that calls from the event loop itself are not allowed, as they wait for it.
  *
  * @since 0.1
  */
@@ -35,11 +35,11 @@
     private Channel mListener;
 
     /**
-     * Makes a server that does not listen yet.
+     * Creates a server that does not listen yet.
      *
-     * @param settings what it is like
-     * @param eventLoop the event loop for all its work
-     * @param log where it records executions
+     * @param settings settings of the server
+     * @param eventLoop event loop for all work of the server
+     * @param log log of executions
      */
     public BackendServerStandIn(
             BackendServerSettings settings, EventLoop eventLoop, ExecutionLog log) {
@@ -49,9 +49,9 @@
         mAddress = parse(settings.address());
     }
 
-    /** Starts to listen, cold; after a crash at the same port as before. */
+    /** Starts to listen as a cold server; after a crash, on the same port as before. */
     public synchronized void start() {
-        Assert.isTrue(mListener == null, "The backend server %s runs already.", id());
+        Assert.isTrue(mListener == null, "The backend server %s is already running.", id());
         call(
                 work -> {
                     work.start();
@@ -61,7 +61,7 @@
         mAddress = (InetSocketAddress) mListener.localAddress();
     }
 
-    /** Stops to listen, resets all connections and loses all work. */
+    /** Stops listening, resets all connections and drops all work. */
     public synchronized void crash() {
         if (mListener == null) {
             return;
@@ -72,9 +72,9 @@
     }
 
     /**
-     * Begins to leave: it goes on with work and announces as the plan says.
+     * Starts a drain: the server continues to serve requests and announces that it is leaving.
      *
-     * @param plan when and how it announces that it leaves
+     * @param plan schedule of the announcements
      */
     public void drain(DrainPlan plan) {
         Assert.notNull(plan, "A plan of a drain");
@@ -87,7 +87,7 @@
     }
 
     /**
-     * Puts faults into force in place of those before.
+     * Replaces the faults.
      *
      * @param faults the faults
      */
@@ -97,7 +97,7 @@
     }
 
     /**
-     * Tells the faults in force.
+     * Returns the current faults.
      *
      * @return the faults
      */
@@ -106,21 +106,21 @@
     }
 
     /**
-     * Tells what it has seen.
+     * Returns the counters.
      *
-     * @return the counts
+     * @return the counters
      */
     public BackendServerCounts counts() {
         return call(BackendServerWork::counts);
     }
 
-    /** Sets the counts to zero, and the highest counts to what is in flight. */
+    /** Resets the counters to zero, and the maximum counters to the current values. */
     public void resetCounts() {
         execute(BackendServerWork::resetCounts);
     }
 
     /**
-     * Tells its name.
+     * Returns the id of the server.
      *
      * @return the id
      */
@@ -129,7 +129,7 @@
     }
 
     /**
-     * Tells where it listens.
+     * Returns the listen address.
      *
      * @return the address as "ip:port"
      */
@@ -176,7 +176,8 @@
 
     private static InetSocketAddress parse(String address) {
         int colon = address.lastIndexOf(':');
-        Assert.isTrue(colon > 0, "An address is 'ip:port', but was '%s'.", address);
+        Assert.isTrue(
+                colon > 0, "The address must have the form 'ip:port', but was '%s'.", address);
         return new InetSocketAddress(
                 address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
     }
--- a/masticpond-testing/src/main/java/io/masticpond/testing/backend/BackendServerState.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/backend/BackendServerState.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** The drain, the faults and the counts of a stand-in backend server; not thread-safe. */
+/** Drain, faults and counters of a stand-in backend server. Not thread-safe. */
 final class BackendServerState {
 
     private final BackendServerSettings mSettings;
@@ -26,46 +26,46 @@
         mSettings = settings;
     }
 
-    void noteStart(long nowNanos) {
+    void recordStart(long nowNanos) {
         mStartNanos = nowNanos;
         mOpenConnections = 0;
         mReport = null;
     }
 
-    void noteConnection() {
+    void recordConnection() {
         mConnections++;
         mOpenConnections++;
         mHighestConnections = Math.max(mHighestConnections, mOpenConnections);
     }
 
-    void noteConnectionEnd() {
+    void recordConnectionEnd() {
         mOpenConnections--;
     }
 
-    void noteRequest(long nowNanos) {
+    void recordRequest(long nowNanos) {
         mRequests++;
         if (mDrain != null) {
             mLastNewWorkMillis = drainingMillis(nowNanos);
         }
     }
 
-    void noteExecution() {
+    void recordExecution() {
         mExecutions++;
     }
 
-    void noteShed() {
+    void recordShed() {
         mShed++;
     }
 
-    void noteWithdrawn() {
+    void recordWithdrawn() {
         mWithdrawn++;
     }
 
-    void noteAbandoned() {
+    void recordAbandoned() {
         mAbandoned++;
     }
 
-    void noteProbe() {
+    void recordProbe() {
         mProbes++;
     }
 
@@ -98,15 +98,16 @@
                 && DrainPlan.reached(mDrain.closeAfterMillis(), drainingMillis(nowNanos));
     }
 
-    /** Tells how many times longer work takes now than when warm and well. */
+    /** Returns the factor by which work takes longer than at a warm server without faults. */
     double workFactor(long nowNanos) {
-        double warmth =
+        double warmUpProgress =
                 mSettings.coldMillis() == 0
                         ? 1
                         : Math.min(
                                 1,
                                 (double) millis(nowNanos - mStartNanos) / mSettings.coldMillis());
-        return mFaults.slowFactor() * (mSettings.coldFactor() * (1 - warmth) + warmth);
+        return mFaults.slowFactor()
+                * (mSettings.coldFactor() * (1 - warmUpProgress) + warmUpProgress);
     }
 
     BackendServerReport report(int inFlight, long nowNanos) {
--- a/masticpond-testing/src/main/java/io/masticpond/testing/backend/BackendServerWork.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/backend/BackendServerWork.java
@@ -1,6 +1,6 @@
 package io.masticpond.testing.backend;
 
-import io.masticpond.testing.backend.BackendAnswers.AnswerHead;
+import io.masticpond.testing.backend.BackendAnswers.ResponseHead;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.FullHttpRequest;
@@ -13,7 +13,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** Runs the requests of one stand-in backend server; belongs to its event loop. */
+/** Request processing of one stand-in backend server. Confined to its event loop. */
 final class BackendServerWork {
 
     private final BackendServerSettings mSettings;
@@ -23,7 +23,7 @@
     private final ServiceTimes mTimes;
     private final SlotQueue<Exchange> mSlots;
     private final Set<Channel> mChannels = new LinkedHashSet<>();
-    private final List<Runnable> mFrozen = new ArrayList<>();
+    private final List<Runnable> mFrozenTasks = new ArrayList<>();
 
     BackendServerWork(BackendServerSettings settings, EventLoop eventLoop, ExecutionLog log) {
         mSettings = settings;
@@ -35,24 +35,24 @@
     }
 
     void start() {
-        mState.noteStart(now());
+        mState.recordStart(now());
     }
 
-    /** Loses all connections and all work, as a process that is killed does. */
+    /** Resets all connections and drops all work, like a process that is killed. */
     void crash() {
-        mFrozen.clear();
+        mFrozenTasks.clear();
         mSlots.removeWaiting().forEach(Exchange::end);
         List.copyOf(mChannels).forEach(BackendAnswers::reset);
     }
 
-    void connected(Channel channel) {
+    void addConnection(Channel channel) {
         mChannels.add(channel);
-        mState.noteConnection();
+        mState.recordConnection();
     }
 
-    void disconnected(Channel channel) {
+    void removeConnection(Channel channel) {
         mChannels.remove(channel);
-        mState.noteConnectionEnd();
+        mState.recordConnectionEnd();
     }
 
     void drain(DrainPlan plan) {
@@ -70,8 +70,8 @@
     void setFaults(BackendServerFaults faults) {
         mState.setFaults(faults);
         if (!faults.frozen()) {
-            List<Runnable> tasks = List.copyOf(mFrozen);
-            mFrozen.clear();
+            List<Runnable> tasks = List.copyOf(mFrozenTasks);
+            mFrozenTasks.clear();
             tasks.forEach(Runnable::run);
         }
     }
@@ -86,8 +86,8 @@
     }
 
     void health(Channel channel) {
-        mState.noteProbe();
-        unlessFrozen(
+        mState.recordProbe();
+        runUnlessFrozen(
                 () -> {
                     String json = mState.report(mSlots.inFlight(), now()).health();
                     BackendAnswers.send(channel, HttpResponseStatus.OK, json, head());
@@ -95,8 +95,8 @@
     }
 
     void load(Channel channel) {
-        mState.noteProbe();
-        unlessFrozen(
+        mState.recordProbe();
+        runUnlessFrozen(
                 () -> {
                     String json = mState.report(mSlots.inFlight(), now()).load();
                     BackendAnswers.send(channel, HttpResponseStatus.OK, json, head());
@@ -105,22 +105,22 @@
 
     Exchange arrive(Channel channel, FullHttpRequest request) {
         Exchange exchange = new Exchange(channel, request, now());
-        mState.noteRequest(now());
-        unlessFrozen(() -> admit(exchange));
+        mState.recordRequest(now());
+        runUnlessFrozen(() -> admit(exchange));
         return exchange;
     }
 
-    /** Gives up an exchange whose connection has closed. */
+    /** Ends an exchange whose connection has closed. */
     void abandon(Exchange exchange) {
         boolean running = exchange.isRunning();
         if (!exchange.end()) {
             return;
         }
         if (running) {
-            mState.noteAbandoned();
+            mState.recordAbandoned();
             runNext();
         } else if (mSlots.withdraw(exchange)) {
-            mState.noteWithdrawn();
+            mState.recordWithdrawn();
         }
     }
 
@@ -142,17 +142,17 @@
 
     private void shed(Exchange exchange) {
         exchange.end();
-        mState.noteShed();
+        mState.recordShed();
         BackendAnswers.sendShed(exchange.channel(), head().to(exchange));
     }
 
     private void run(Exchange exchange) {
-        mState.noteExecution();
+        mState.recordExecution();
         int execution = mLog.record(exchange.requestId(), exchange.operationId());
         double millis = mTimes.nextMillis() * mState.workFactor(now());
         Future<?> work =
                 mEventLoop.schedule(
-                        () -> unlessFrozen(() -> finish(exchange)),
+                        () -> runUnlessFrozen(() -> finish(exchange)),
                         (long) (millis * BackendHeaders.NANOS_PER_MILLI),
                         TimeUnit.NANOSECONDS);
         exchange.run(execution, work);
@@ -162,7 +162,7 @@
         if (!exchange.end()) {
             return;
         }
-        answer(exchange);
+        respond(exchange);
         runNext();
     }
 
@@ -176,7 +176,7 @@
         }
     }
 
-    private void answer(Exchange exchange) {
+    private void respond(Exchange exchange) {
         BackendServerFaults faults = mState.faults();
         String json = BackendAnswers.echo(mSettings.id(), exchange);
         if (mTimes.drawsFault(faults.resetShare())) {
@@ -192,17 +192,18 @@
         }
     }
 
-    private void unlessFrozen(Runnable task) {
+    private void runUnlessFrozen(Runnable task) {
         if (mState.faults().frozen()) {
-            mFrozen.add(task);
+            mFrozenTasks.add(task);
             return;
         }
         task.run();
     }
 
-    private AnswerHead head() {
+    private ResponseHead head() {
         long now = now();
-        return new AnswerHead(mState.showsLeavingHeader(now), mState.closesConnections(now), null);
+        return new ResponseHead(
+                mState.showsLeavingHeader(now), mState.closesConnections(now), null);
     }
 
     private static long now() {
--- a/masticpond-testing/src/main/java/io/masticpond/testing/backend/DrainPlan.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/backend/DrainPlan.java
@@ -3,19 +3,20 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * How a backend server that is leaving announces it; a time of -1 means never.
+ * Schedule by which a leaving backend server announces that it leaves. Times count from the start
+ * of the drain; -1 means never.
  *
- * @param healthAfterMillis when its health answer says so
- * @param headerAfterMillis when its answers carry the leaving header
- * @param closeAfterMillis when it closes connections after each answer
+ * @param healthAfterMillis time after which the health response states it, in milliseconds
+ * @param headerAfterMillis time after which responses carry the leaving header, in milliseconds
+ * @param closeAfterMillis time after which each response closes its connection, in milliseconds
  * @since 0.1
  */
 public record DrainPlan(long healthAfterMillis, long headerAfterMillis, long closeAfterMillis) {
 
-    /** The time of a sign that never comes. */
+    /** Time of an announcement that is never made. */
     public static final long NEVER = -1;
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public DrainPlan {
         checkTime(healthAfterMillis);
         checkTime(headerAfterMillis);
@@ -23,7 +24,7 @@
     }
 
     /**
-     * Makes a plan that announces at once by health answer and by header.
+     * Creates a plan that announces at once by health response and by header.
      *
      * @return the plan
      */
--- a/masticpond-testing/src/main/java/io/masticpond/testing/backend/Exchange.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/backend/Exchange.java
@@ -8,7 +8,7 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** A request at a stand-in backend server until its answer; belongs to the server's event loop. */
+/** Request at a stand-in backend server until its response. Confined to the event loop. */
 final class Exchange {
 
     private static final long NO_DEADLINE = Long.MAX_VALUE;
@@ -33,16 +33,16 @@
     }
 
     /**
-     * Computes the digest that an answer echoes.
+     * Computes the digest that the response echoes.
      *
-     * @param body the body of a request
+     * @param body body of a request
      * @return SHA-256 as hexadecimal digits
      */
     static String digest(byte[] body) {
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(body));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("Every Java platform has SHA-256.", e);
+            throw new IllegalStateException("SHA-256 is not available.", e);
         }
     }
 
@@ -87,7 +87,7 @@
         mWork = work;
     }
 
-    /** Ends the exchange once; returns whether this call did. */
+    /** Ends the exchange and cancels its work; returns false if it had ended before. */
     boolean end() {
         if (mEnded) {
             return false;
--- a/masticpond-testing/src/main/java/io/masticpond/testing/backend/ExecutionLog.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/backend/ExecutionLog.java
@@ -6,9 +6,9 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Counts from outside the system how often each request and each operation ran.
+ * Log of the executions of each request and each operation, kept outside the system.
  *
- * <p>Safe for all threads; one log serves many stand-in backend servers.
+ * <p>Thread-safe; one log is shared by many stand-in backend servers.
  *
  * @since 0.1
  */
@@ -23,7 +23,7 @@
      *
      * @param requestId the request id, or null if it had none
      * @param operationId the operation id, or null if it had none
-     * @return how often the operation has run, this time included; 0 without an operation id
+     * @return number of executions of the operation including this one; 0 without an operation id
      */
     public int record(String requestId, String operationId) {
         mExecutions.increment();
@@ -34,47 +34,47 @@
     }
 
     /**
-     * Counts the executions.
+     * Returns the number of executions.
      *
-     * @return the count
+     * @return number of executions
      */
     public long executions() {
         return mExecutions.sum();
     }
 
     /**
-     * Counts the operations that ran at least once.
+     * Returns the number of operations that ran at least once.
      *
-     * @return the count
+     * @return number of operations
      */
     public int operations() {
         return mOperations.size();
     }
 
     /**
-     * Counts the executions of an operation.
+     * Returns the number of executions of an operation.
      *
      * @param operationId the operation id
-     * @return the count
+     * @return number of executions
      */
     public int executionsOfOperation(String operationId) {
         return mOperations.getOrDefault(operationId, 0);
     }
 
     /**
-     * Counts the executions of a request.
+     * Returns the number of executions of a request.
      *
      * @param requestId the request id
-     * @return the count
+     * @return number of executions
      */
     public int executionsOfRequest(String requestId) {
         return mRequests.getOrDefault(requestId, 0);
     }
 
     /**
-     * Lists the operations that ran more than once.
+     * Returns the operations that ran more than once.
      *
-     * @return their ids
+     * @return ids of the operations, in order
      */
     public List<String> duplicates() {
         return mOperations.entrySet().stream()
@@ -84,7 +84,7 @@
                 .toList();
     }
 
-    /** Forgets everything. */
+    /** Removes all records. */
     public void clear() {
         mOperations.clear();
         mRequests.clear();
--- a/masticpond-testing/src/main/java/io/masticpond/testing/backend/ServiceTimes.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/backend/ServiceTimes.java
@@ -7,7 +7,7 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Draws service times and the luck of faults from one seed; not thread-safe. */
+/** Random source of service times and faults, reproducible from one seed. Not thread-safe. */
 final class ServiceTimes {
 
     private final UniformRandomProvider mRandom;
--- a/masticpond-testing/src/main/java/io/masticpond/testing/backend/SlotQueue.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/backend/SlotQueue.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The slots of a backend server and the requests that wait for one; not thread-safe. */
+/** Slots of a backend server and the queue of requests that wait for a slot. Not thread-safe. */
 final class SlotQueue<T> {
 
     private final int mSlots;
@@ -14,7 +14,7 @@
     private int mRunning;
     private int mHighestInFlight;
 
-    /** What becomes of a request that arrives. */
+    /** Result of the arrival of a request. */
     enum Arrival {
         RUNS,
         WAITS,
@@ -29,18 +29,18 @@
     Arrival arrive(T request) {
         if (mRunning < mSlots) {
             mRunning++;
-            noteInFlight();
+            recordInFlight();
             return Arrival.RUNS;
         }
         if (mWaiting.size() >= mCapacity) {
             return Arrival.SHED;
         }
         mWaiting.add(request);
-        noteInFlight();
+        recordInFlight();
         return Arrival.WAITS;
     }
 
-    /** Ends a request that ran and gives its slot to the returned one, which now runs. */
+    /** Finishes a running request and passes its slot to the returned request, which now runs. */
     Optional<T> finish() {
         T next = mWaiting.poll();
         if (next == null) {
@@ -71,7 +71,7 @@
         mHighestInFlight = inFlight();
     }
 
-    private void noteInFlight() {
+    private void recordInFlight() {
         mHighestInFlight = Math.max(mHighestInFlight, inFlight());
     }
 }
--- a/masticpond-testing/src/main/java/io/masticpond/testing/control/ControlServers.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/control/ControlServers.java
@@ -11,13 +11,13 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
 /**
- * Sets up the small HTTP servers of stand-ins and reads what control calls bring.
+ * Configuration of the HTTP servers of stand-ins and parsing of the bodies of control calls.
  *
  * @since 0.1
  */
 public final class ControlServers {
 
-    /** Reads and writes JSON; unknown fields are errors. */
+    /** JSON mapper that rejects unknown fields and trailing tokens. */
     public static final ObjectMapper MAPPER =
             JsonMapper.builder()
                     .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
@@ -30,9 +30,9 @@
     private ControlServers() {}
 
     /**
-     * Gives a server few threads, JSON, and no banner.
+     * Configures a server with 2 to 16 daemon threads, JSON, and no banner.
      *
-     * @param config the settings of the server
+     * @param config configuration of the server
      */
     public static void configure(JavalinConfig config) {
         config.startup.showJavalinBanner = false;
@@ -43,11 +43,11 @@
     }
 
     /**
-     * Reads the JSON body of a call.
+     * Parses the JSON body of a call.
      *
-     * @param <T> the type
+     * @param <T> type of the value
      * @param context the call
-     * @param type the type
+     * @param type type of the value
      * @return the value
      * @throws BadRequestResponse if the body is not JSON, or has unknown or wrong fields
      */
--- a/masticpond-testing/src/main/java/io/masticpond/testing/platform/InstanceList.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/platform/InstanceList.java
@@ -8,43 +8,45 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 
-/** The list of instances with its past, so that it can be read as it was; not thread-safe. */
+/**
+ * List of instances with its last 1000 states, so that it can be read with a lag. Not thread-safe.
+ */
 final class InstanceList {
 
-    private static final int MAXIMUM_PAST = 1_000;
+    private static final int MAXIMUM_SNAPSHOTS = 1_000;
 
     private final Map<String, PlatformInstance> mInstances = new TreeMap<>();
-    private final Deque<Snapshot> mPast = new ArrayDeque<>();
+    private final Deque<Snapshot> mSnapshots = new ArrayDeque<>();
 
     void put(PlatformInstance instance, long nowNanos) {
         mInstances.put(instance.id(), instance);
-        remember(nowNanos);
+        recordSnapshot(nowNanos);
     }
 
     boolean remove(String id, long nowNanos) {
         boolean removed = mInstances.remove(id) != null;
-        remember(nowNanos);
+        recordSnapshot(nowNanos);
         return removed;
     }
 
     List<PlatformInstance> asOf(long nowNanos, long lagMillis) {
-        long then = nowNanos - TimeUnit.MILLISECONDS.toNanos(lagMillis);
-        for (Snapshot snapshot : mPast) {
-            if (snapshot.sinceNanos() - then <= 0) {
+        long asOfNanos = nowNanos - TimeUnit.MILLISECONDS.toNanos(lagMillis);
+        for (Snapshot snapshot : mSnapshots) {
+            if (snapshot.sinceNanos() - asOfNanos <= 0) {
                 return snapshot.instances();
             }
         }
         return List.of();
     }
 
-    private void remember(long nowNanos) {
-        mPast.addFirst(new Snapshot(nowNanos, mInstances.values()));
-        if (mPast.size() > MAXIMUM_PAST) {
-            mPast.removeLast();
+    private void recordSnapshot(long nowNanos) {
+        mSnapshots.addFirst(new Snapshot(nowNanos, mInstances.values()));
+        if (mSnapshots.size() > MAXIMUM_SNAPSHOTS) {
+            mSnapshots.removeLast();
         }
     }
 
-    /** The list from a moment on. */
+    /** State of the list from a point in time on. */
     private record Snapshot(long sinceNanos, List<PlatformInstance> instances) {
 
         Snapshot(long sinceNanos, Collection<PlatformInstance> instances) {
--- a/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformAnswer.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformAnswer.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 
-/** An answer of the object API before it is sent. */
+/** Response of the object API that has not been sent yet. */
 @SuppressWarnings("ArrayRecordComponent")
 record PlatformAnswer(HttpStatus status, Optional<Long> version, String contentType, byte[] body) {
 
--- a/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformCall.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformCall.java
@@ -1,7 +1,7 @@
 package io.masticpond.testing.platform;
 
 /**
- * The kinds of calls that the platform counts.
+ * Kind of a call that the platform counts.
  *
  * @since 0.1
  */
@@ -20,9 +20,9 @@
     INSTANCES;
 
     /**
-     * Tells whether a call of this kind changes an object.
+     * Determines whether a call of this kind changes an object.
      *
-     * @return whether it does
+     * @return whether it changes an object
      */
     public boolean changes() {
         return this == WRITE || this == DELETE;
--- a/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformCallDisposition.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformCallDisposition.java
@@ -1,7 +1,7 @@
 package io.masticpond.testing.platform;
 
 /**
- * What the faults in force make of one call.
+ * Disposition of a call under the current faults.
  *
  * @since 0.1
  */
@@ -10,12 +10,12 @@
     SERVED,
     /** The call is refused before it has an effect. */
     REFUSED,
-    /** The call never gets an answer and has no effect. */
+    /** The call never gets a response and has no effect. */
     IGNORED,
-    /** The call takes effect, and its answer is lost. */
+    /** The call takes effect, and its response is lost. */
     ANSWER_LOST,
-    /** The answer is lost at once, and the call takes effect only later. */
+    /** The response is lost at once, and the call takes effect after the delay. */
     EFFECT_LATE,
-    /** The call takes effect, and its answer is not what the object API promises. */
+    /** The call takes effect, and its response violates the contract of the object API. */
     ANSWER_MALFORMED
 }
--- a/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformControl.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformControl.java
@@ -6,7 +6,7 @@
 import io.javalin.http.NotFoundResponse;
 import io.masticpond.testing.control.ControlServers;
 
-/** The routes that steer a stand-in platform and tell what it has seen. */
+/** HTTP control routes of a stand-in platform, for faults, instances and counters. */
 final class PlatformControl {
 
     private static final String FAULTS = "/control/faults";
@@ -58,6 +58,6 @@
         context.status(HttpStatus.NO_CONTENT);
     }
 
-    /** What is said about an instance. */
+    /** Request body for an instance. */
     private record InstanceBody(String zone, String linkAddress, boolean leaving) {}
 }
--- a/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformCounts.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformCounts.java
@@ -3,29 +3,29 @@
 import java.util.Map;
 
 /**
- * How many calls a stand-in platform has got.
+ * Number of calls to a stand-in platform.
  *
- * @param calls the calls by kind; a kind without calls is missing
- * @param fates the calls by what became of them; a fate without calls is missing
+ * @param calls number of calls by kind; kinds without calls are absent
+ * @param fates number of calls by disposition; dispositions without calls are absent
  * @since 0.1
  */
 public record PlatformCounts(
         Map<PlatformCall, Long> calls, Map<PlatformCallDisposition, Long> fates) {
 
     /**
-     * Counts the calls of all kinds.
+     * Returns the number of calls of all kinds.
      *
-     * @return the count
+     * @return number of calls
      */
     public long total() {
         return calls.values().stream().mapToLong(Long::longValue).sum();
     }
 
     /**
-     * Counts the calls of one kind.
+     * Returns the number of calls of one kind.
      *
      * @param call the kind
-     * @return the count
+     * @return number of calls
      */
     public long of(PlatformCall call) {
         return calls.getOrDefault(call, 0L);
--- a/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformFaults.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformFaults.java
@@ -3,16 +3,16 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * The faults that a stand-in platform shows, all off in {@link #NONE}.
+ * Faults of a stand-in platform, all off in {@link #NONE}.
  *
- * @param outage what becomes of every call, {@link PlatformCallDisposition#SERVED} for no outage
- * @param refusedShare the share of calls that are refused, from 0 to 1
- * @param lostAnswerShare the share of writes and deletions whose answer is lost, from 0 to 1
- * @param lateEffectShare the share of writes and deletions whose answer is lost and which take
- *     effect only after the delay, from 0 to 1
- * @param delayMillis how much later every answer comes
- * @param watchLagMillis how much later a watch tells of a change
- * @param listLagMillis how old the list of instances is
+ * @param outage disposition of every call, {@link PlatformCallDisposition#SERVED} for no outage
+ * @param refusedShare share of calls that are refused, from 0 to 1
+ * @param lostAnswerShare share of writes and deletions whose response is lost, from 0 to 1
+ * @param lateEffectShare share of writes and deletions whose response is lost and which take effect
+ *     only after the delay, from 0 to 1
+ * @param delayMillis delay of every response in milliseconds
+ * @param watchLagMillis delay of changes in watches in milliseconds
+ * @param listLagMillis age of the list of instances in milliseconds
  * @since 0.1
  */
 public record PlatformFaults(
@@ -28,7 +28,7 @@
     public static final PlatformFaults NONE =
             new PlatformFaults(PlatformCallDisposition.SERVED, 0, 0, 0, 0, 0, 0);
 
-    /** Checks the parts; a missing outage means none. */
+    /** Validates the components; a missing outage means none. */
     public PlatformFaults {
         outage = outage == null ? PlatformCallDisposition.SERVED : outage;
         checkShare(refusedShare, "A share of refused calls");
@@ -40,19 +40,19 @@
     }
 
     /**
-     * Makes the faults of an outage.
+     * Creates the faults of an outage.
      *
-     * @param fate what becomes of every call
+     * @param disposition disposition of every call
      * @return the faults
      */
-    public static PlatformFaults outage(PlatformCallDisposition fate) {
-        return new PlatformFaults(fate, 0, 0, 0, 0, 0, 0);
+    public static PlatformFaults outage(PlatformCallDisposition disposition) {
+        return new PlatformFaults(disposition, 0, 0, 0, 0, 0, 0);
     }
 
     /**
-     * Makes the fault that answers to writes are lost.
+     * Creates a fault that loses responses to writes and deletions.
      *
-     * @param share the share of writes and deletions, from 0 to 1
+     * @param share share of writes and deletions, from 0 to 1
      * @return the faults
      */
     public static PlatformFaults lostAnswers(double share) {
@@ -60,9 +60,9 @@
     }
 
     /**
-     * Makes the fault that every answer comes late.
+     * Creates a fault that delays every response.
      *
-     * @param millis how much later
+     * @param millis delay in milliseconds
      * @return the faults
      */
     public static PlatformFaults delay(long millis) {
@@ -70,10 +70,10 @@
     }
 
     /**
-     * Makes the fault that watches and lists lag.
+     * Creates a fault that delays watches and lists.
      *
-     * @param watchMillis the lag of watches
-     * @param listMillis the lag of the list of instances
+     * @param watchMillis lag of watches in milliseconds
+     * @param listMillis lag of the list of instances in milliseconds
      * @return the faults
      */
     public static PlatformFaults lag(long watchMillis, long listMillis) {
--- a/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformInstance.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformInstance.java
@@ -3,17 +3,17 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * An entry of the list of instances.
+ * Entry of the list of instances.
  *
- * @param id the instance
- * @param zone its availability zone
- * @param linkAddress where other instances reach it, as "ip:port"
- * @param leaving whether the platform is about to take it away
+ * @param id id of the instance
+ * @param zone availability zone of the instance
+ * @param linkAddress address at which other instances reach it, as "ip:port"
+ * @param leaving whether the platform is about to stop it
  * @since 0.1
  */
 public record PlatformInstance(String id, String zone, String linkAddress, boolean leaving) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public PlatformInstance {
         Assert.hasText(id, "The id of an instance");
         Assert.hasText(zone, "The zone of an instance");
--- a/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformObject.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformObject.java
@@ -1,11 +1,11 @@
 package io.masticpond.testing.platform;
 
 /**
- * An object that the stand-in platform holds.
+ * Object of the stand-in platform.
  *
- * @param name the name within its kind
- * @param version the version, higher with each write, also across a deletion
- * @param value the bytes; must not be changed
+ * @param name name, unique within its kind
+ * @param version version, which rises with each write, also across a deletion
+ * @param value content; must not be modified
  * @since 0.1
  */
 @SuppressWarnings("ArrayRecordComponent")
--- a/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformRequest.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformRequest.java
@@ -7,7 +7,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Reads and checks the parts of a call to the object API. */
+/** Parser and validator of the parts of a call to the object API. */
 final class PlatformRequest {
 
     static final int MAXIMUM_NAMES = 1_000;
--- a/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformServer.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformServer.java
@@ -17,9 +17,10 @@
 import org.eclipse.jetty.ee10.servlet.ServletContextRequest;
 
 /**
- * Serves a {@link PlatformState} over HTTP as docs/PLATFORM_API.md says, with its faults.
+ * HTTP server of a {@link PlatformState} with the API in docs/PLATFORM_API.md, including its
+ * faults.
  *
- * <p>A watch holds no thread while it waits.
+ * <p>A pending watch occupies no thread.
  *
  * @since 0.1
  */
@@ -35,10 +36,10 @@
     private final Javalin mServer;
 
     /**
-     * Starts to listen on loopback.
+     * Creates a server and starts to listen on loopback.
      *
-     * @param state what to serve
-     * @param port the port, or 0 for any that is free
+     * @param state state to serve
+     * @param port the port, or 0 for a free port
      */
     public PlatformServer(PlatformState state, int port) {
         mState = Assert.notNull(state, "A state");
@@ -53,7 +54,7 @@
     }
 
     /**
-     * Tells where the server listens.
+     * Returns the address of the server.
      *
      * @return the address as "ip:port"
      */
@@ -62,7 +63,7 @@
     }
 
     /**
-     * Gives the state that is served.
+     * Returns the state that is served.
      *
      * @return the state
      */
@@ -96,10 +97,11 @@
         if (request.watches()) {
             long after = request.after();
             long timeoutMillis = request.timeoutMillis();
-            answerLater(context, PlatformCall.WATCH, () -> watch(kind, name, after, timeoutMillis));
+            respondAsync(
+                    context, PlatformCall.WATCH, () -> watch(kind, name, after, timeoutMillis));
             return;
         }
-        answer(context, PlatformCall.READ, () -> PlatformAnswer.found(mState.read(kind, name)));
+        respond(context, PlatformCall.READ, () -> PlatformAnswer.found(mState.read(kind, name)));
     }
 
     private CompletableFuture<PlatformAnswer> watch(
@@ -112,7 +114,7 @@
                         PlatformAnswer.empty(HttpStatus.NO_CONTENT),
                         timeoutMillis,
                         TimeUnit.MILLISECONDS)
-                .whenComplete((answer, error) -> watch.cancel(false));
+                .whenComplete((response, error) -> watch.cancel(false));
     }
 
     private void write(Context context) {
@@ -122,7 +124,7 @@
         long expected = request.expectedVersion();
         byte[] value = request.value();
         HttpStatus changed = expected == PlatformState.ABSENT ? HttpStatus.CREATED : HttpStatus.OK;
-        answer(
+        respond(
                 context,
                 PlatformCall.WRITE,
                 () -> PlatformAnswer.of(mState.write(kind, name, expected, value), changed));
@@ -133,7 +135,7 @@
         String kind = request.kind();
         String name = request.name();
         long expected = request.expectedVersion();
-        answer(
+        respond(
                 context,
                 PlatformCall.DELETE,
                 () ->
@@ -146,7 +148,7 @@
         String kind = request.kind();
         String prefix = request.text("prefix");
         String after = request.text("after");
-        answer(
+        respond(
                 context,
                 PlatformCall.LIST,
                 () ->
@@ -156,37 +158,37 @@
     }
 
     private void instances(Context context) {
-        answer(context, PlatformCall.INSTANCES, () -> json("instances", mState.instances()));
+        respond(context, PlatformCall.INSTANCES, () -> json("instances", mState.instances()));
     }
 
-    private void answer(Context context, PlatformCall call, Supplier<PlatformAnswer> work) {
-        answerLater(context, call, () -> CompletableFuture.completedFuture(work.get()));
+    private void respond(Context context, PlatformCall call, Supplier<PlatformAnswer> work) {
+        respondAsync(context, call, () -> CompletableFuture.completedFuture(work.get()));
     }
 
-    private void answerLater(
+    private void respondAsync(
             Context context, PlatformCall call, Supplier<CompletableFuture<PlatformAnswer>> work) {
         long delayMillis = mState.faults().delayMillis();
         switch (mState.begin(call)) {
             case SERVED -> send(context, delayMillis, work.get());
-            case REFUSED -> refusal().send(context);
+            case REFUSED -> unavailable().send(context);
             case IGNORED -> abortAfter(context, HOLD_MILLIS);
-            case ANSWER_LOST -> loseAnswer(context, work);
+            case ANSWER_LOST -> loseResponse(context, work);
             case EFFECT_LATE -> delayEffect(context, delayMillis, work);
-            case ANSWER_MALFORMED -> malform(context, work);
-            default -> throw new IllegalStateException("A fate of a call is not handled.");
+            case ANSWER_MALFORMED -> sendMalformed(context, work);
+            default -> throw new IllegalStateException("The disposition of a call is not handled.");
         }
     }
 
     private void send(Context context, long delayMillis, CompletableFuture<PlatformAnswer> work) {
         context.future(
                 () ->
-                        work.thenCompose(answer -> delayed(answer, delayMillis))
-                                .thenAccept(answer -> answer.send(context)));
+                        work.thenCompose(response -> delayed(response, delayMillis))
+                                .thenAccept(response -> response.send(context)));
     }
 
-    private static void loseAnswer(
+    private static void loseResponse(
             Context context, Supplier<CompletableFuture<PlatformAnswer>> work) {
-        context.future(() -> work.get().thenAccept(answer -> abort(context)));
+        context.future(() -> work.get().thenAccept(response -> abort(context)));
     }
 
     private void delayEffect(
@@ -195,9 +197,10 @@
         mTimer.schedule(work::get, delayMillis, TimeUnit.MILLISECONDS);
     }
 
-    private static void malform(Context context, Supplier<CompletableFuture<PlatformAnswer>> work) {
+    private static void sendMalformed(
+            Context context, Supplier<CompletableFuture<PlatformAnswer>> work) {
         context.future(
-                () -> work.get().thenAccept(answer -> PlatformAnswer.malformed().send(context)));
+                () -> work.get().thenAccept(response -> PlatformAnswer.malformed().send(context)));
     }
 
     private void abortAfter(Context context, long millis) {
@@ -221,7 +224,7 @@
                 .close();
     }
 
-    private static PlatformAnswer refusal() {
+    private static PlatformAnswer unavailable() {
         return PlatformAnswer.problem(
                 HttpStatus.SERVICE_UNAVAILABLE, "The platform takes no calls now.");
     }
@@ -236,7 +239,7 @@
             return PlatformAnswer.json(
                     ControlServers.MAPPER.writeValueAsBytes(Map.of(name, value)));
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("A list could not be written as JSON.", e);
+            throw new IllegalStateException("A list could not be serialized as JSON.", e);
         }
     }
 }
--- a/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformState.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/platform/PlatformState.java
@@ -15,19 +15,19 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A platform in memory: objects with versions, conditional updates, watches, instances and faults.
+ * In-memory platform with versioned objects, conditional updates, watches, instances and faults.
  *
- * <p>Safe for all threads. It has no threads and no transport of its own: callers ask {@link
- * #begin} what becomes of a call and act on that, {@link PlatformServer} over HTTP.
+ * <p>Thread-safe. It has no threads and no transport: callers obtain the disposition of a call from
+ * {@link #begin} and apply it, as {@link PlatformServer} does over HTTP.
  *
  * @since 0.1
  */
 public final class PlatformState {
 
-    /** The greatest size of a value in bytes. */
+    /** Maximum size of a value in bytes. */
     public static final int MAXIMUM_VALUE_BYTES = 1 << 20;
 
-    /** The version to expect of an object that must not exist yet. */
+    /** Expected version of an object that must not exist yet. */
     public static final long ABSENT = 0;
 
     private final TimeSource mTimeSource;
@@ -37,15 +37,15 @@
     private final List<Watch> mWatches = new ArrayList<>();
     private final InstanceList mInstances = new InstanceList();
     private final Map<PlatformCall, Long> mCalls = new EnumMap<>(PlatformCall.class);
-    private final Map<PlatformCallDisposition, Long> mFates =
+    private final Map<PlatformCallDisposition, Long> mDispositions =
             new EnumMap<>(PlatformCallDisposition.class);
     private PlatformFaults mFaults = PlatformFaults.NONE;
 
     /**
-     * Makes a platform without objects, instances or faults.
+     * Creates a platform without objects, instances or faults.
      *
-     * @param timeSource the clock of the lags
-     * @param seed the seed of the shares of calls that fail
+     * @param timeSource clock of the lags
+     * @param seed seed of the random faults
      */
     public PlatformState(TimeSource timeSource, long seed) {
         mTimeSource = Assert.notNull(timeSource, "A time source");
@@ -53,20 +53,20 @@
     }
 
     /**
-     * Counts a call and decides what the faults in force make of it.
+     * Counts a call and determines its disposition from the current faults.
      *
-     * @param call the kind of the call
-     * @return its fate
+     * @param call kind of the call
+     * @return disposition of the call
      */
     public synchronized PlatformCallDisposition begin(PlatformCall call) {
         mCalls.merge(call, 1L, Long::sum);
-        PlatformCallDisposition fate = decide(call);
-        mFates.merge(fate, 1L, Long::sum);
-        return fate;
+        PlatformCallDisposition disposition = decide(call);
+        mDispositions.merge(disposition, 1L, Long::sum);
+        return disposition;
     }
 
     /**
-     * Reads an object.
+     * Returns an object.
      *
      * @param kind the kind
      * @param name the name
@@ -77,13 +77,13 @@
     }
 
     /**
-     * Writes an object if it still has the expected version.
+     * Writes an object if it has the expected version.
      *
      * @param kind the kind
      * @param name the name
-     * @param expectedVersion the version that it must have, or {@link #ABSENT}
-     * @param value the new bytes, at most {@link #MAXIMUM_VALUE_BYTES}
-     * @return what came of it
+     * @param expectedVersion expected version, or {@link #ABSENT}
+     * @param value new content, at most {@link #MAXIMUM_VALUE_BYTES}
+     * @return result of the write
      */
     public synchronized WriteResult write(
             String kind, String name, long expectedVersion, byte[] value) {
@@ -104,12 +104,13 @@
     }
 
     /**
-     * Deletes an object if it still has the expected version; the next version goes on from there.
+     * Deletes an object if it has the expected version. Versions of a later object of that name
+     * continue from there.
      *
      * @param kind the kind
      * @param name the name
-     * @param expectedVersion the version that it must have
-     * @return what came of it
+     * @param expectedVersion expected version
+     * @return result of the deletion
      */
     public synchronized WriteResult delete(String kind, String name, long expectedVersion) {
         Optional<PlatformObject> current = read(kind, name);
@@ -121,12 +122,12 @@
     }
 
     /**
-     * Waits for a version above one already seen; cancel the future to give up.
+     * Waits for a version above one that is known; cancel the future to stop waiting.
      *
      * @param kind the kind
      * @param name the name
-     * @param afterVersion the version already seen
-     * @return completes with the object, perhaps at once; callbacks must be short
+     * @param afterVersion version that is known
+     * @return future of the object, which may be completed already; callbacks must be short
      */
     public synchronized CompletableFuture<PlatformObject> watch(
             String kind, String name, long afterVersion) {
@@ -141,12 +142,12 @@
     }
 
     /**
-     * Lists the names of a kind in order.
+     * Returns the names of a kind in order.
      *
      * @param kind the kind
-     * @param prefix the start of the names
-     * @param after only names after this one, or ""
-     * @param limit how many names at most
+     * @param prefix prefix of the names
+     * @param after exclusive lower bound of the names, or ""
+     * @param limit maximum number of names
      * @return the names
      */
     public synchronized List<String> list(String kind, String prefix, String after, int limit) {
@@ -157,7 +158,7 @@
     }
 
     /**
-     * Adds an instance to the list, or changes it.
+     * Adds an instance to the list, or replaces it.
      *
      * @param instance the instance
      */
@@ -166,9 +167,9 @@
     }
 
     /**
-     * Takes an instance off the list.
+     * Removes an instance from the list.
      *
-     * @param id the instance
+     * @param id id of the instance
      * @return whether it was on the list
      */
     public synchronized boolean removeInstance(String id) {
@@ -176,7 +177,7 @@
     }
 
     /**
-     * Reads the list of instances, as old as the faults say.
+     * Returns the list of instances, delayed by the lag of the current faults.
      *
      * @return the instances, in the order of their ids
      */
@@ -185,7 +186,7 @@
     }
 
     /**
-     * Puts faults into force in place of those before.
+     * Replaces the faults.
      *
      * @param faults the faults
      */
@@ -194,7 +195,7 @@
     }
 
     /**
-     * Tells the faults in force.
+     * Returns the current faults.
      *
      * @return the faults
      */
@@ -203,18 +204,18 @@
     }
 
     /**
-     * Counts the calls by kind and by fate, refused ones included.
+     * Returns the number of calls by kind and by disposition, including refused calls.
      *
-     * @return the counts since the start or since {@link #resetCounts}
+     * @return counters since the start or the last {@link #resetCounts}
      */
     public synchronized PlatformCounts counts() {
-        return new PlatformCounts(Map.copyOf(mCalls), Map.copyOf(mFates));
+        return new PlatformCounts(Map.copyOf(mCalls), Map.copyOf(mDispositions));
     }
 
-    /** Sets the counts to zero. */
+    /** Resets the counters to zero. */
     public synchronized void resetCounts() {
         mCalls.clear();
-        mFates.clear();
+        mDispositions.clear();
     }
 
     private PlatformCallDisposition decide(PlatformCall call) {
@@ -255,7 +256,7 @@
         return kind + "/" + name;
     }
 
-    /** A watch that waits. */
+    /** Pending watch. */
     private record Watch(
             String path, long afterVersion, CompletableFuture<PlatformObject> future) {}
 }
--- a/masticpond-testing/src/main/java/io/masticpond/testing/platform/WriteResult.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/platform/WriteResult.java
@@ -3,11 +3,12 @@
 import java.util.Optional;
 
 /**
- * What came of a conditional update or deletion.
+ * Result of a conditional update or deletion.
  *
- * @param changed whether the condition held and the object changed
- * @param version the new version if it changed, else the version as it stands or 0 for none
- * @param current the object as it stands if the condition did not hold and there is one
+ * @param changed whether the condition held and the object was changed
+ * @param version new version if the object was changed, otherwise the current version, or 0 for
+ *     none
+ * @param current current object if the condition did not hold and the object exists
  * @since 0.1
  */
 public record WriteResult(boolean changed, long version, Optional<PlatformObject> current) {
--- a/masticpond-testing/src/test/java/io/masticpond/testing/backend/BackendFleetTest.java
+++ b/masticpond-testing/src/test/java/io/masticpond/testing/backend/BackendFleetTest.java
@@ -21,21 +21,21 @@
 import okhttp3.RequestBody;
 import okhttp3.Response;
 
-/** Calls stand-in backend servers over HTTP. */
+/** Tests stand-in backend servers over HTTP. */
 class BackendFleetTest {
 
     private static final double SHORT_MILLIS = 1;
-    private static final double ENDLESS_MILLIS = 600_000;
+    private static final double LONG_MILLIS = 600_000;
 
-    /** Only bounds a hang: no verdict rests on how soon an answer comes. */
-    private static final Duration LONG = Duration.ofSeconds(60);
+    /** Bounds a hang only: no assertion depends on the latency of responses. */
+    private static final Duration HANG_TIMEOUT = Duration.ofSeconds(60);
 
     private final OkHttpClient mClient =
             new OkHttpClient.Builder()
                     .retryOnConnectionFailure(false)
-                    .connectTimeout(LONG)
-                    .readTimeout(LONG)
-                    .writeTimeout(LONG)
+                    .connectTimeout(HANG_TIMEOUT)
+                    .readTimeout(HANG_TIMEOUT)
+                    .writeTimeout(HANG_TIMEOUT)
                     .build();
     private BackendFleet mFleet;
     private BackendServerStandIn mServer;
@@ -49,9 +49,9 @@
     }
 
     @Example
-    void anAnswerEchoesItsOwnRequest() throws Exception {
+    void responseEchoesItsOwnRequest() throws Exception {
         start(SHORT_MILLIS);
-        Answer answer = send("r-1", "o-1", "body").get(LONG.toSeconds(), TimeUnit.SECONDS);
+        Answer answer = send("r-1", "o-1", "body").get(HANG_TIMEOUT.toSeconds(), TimeUnit.SECONDS);
         assertThat(answer.status()).isEqualTo(200);
         assertThat(answer.body()).contains("\"requestId\":\"r-1\"");
         String digest = Exchange.digest("body".getBytes(StandardCharsets.UTF_8));
@@ -60,23 +60,23 @@
     }
 
     @Example
-    void aSecondExecutionOfAnOperationIsSeen() throws Exception {
+    void secondExecutionOfAnOperationIsRecorded() throws Exception {
         start(SHORT_MILLIS);
-        send("r-1", "o-1", "").get(LONG.toSeconds(), TimeUnit.SECONDS);
-        send("r-2", "o-1", "").get(LONG.toSeconds(), TimeUnit.SECONDS);
+        send("r-1", "o-1", "").get(HANG_TIMEOUT.toSeconds(), TimeUnit.SECONDS);
+        send("r-2", "o-1", "").get(HANG_TIMEOUT.toSeconds(), TimeUnit.SECONDS);
         assertThat(mFleet.log().duplicates()).isEqualTo(List.of("o-1"));
         assertThat(mFleet.log().executionsOfOperation("o-1")).isEqualTo(2);
     }
 
     @Example
-    void aRequestOverSlotsAndQueueIsShedAndDoesNotRun() throws Exception {
-        start(ENDLESS_MILLIS);
+    void requestOverSlotsAndQueueIsShedAndDoesNotRun() throws Exception {
+        start(LONG_MILLIS);
         List<CompletableFuture<Answer>> answers = new ArrayList<>();
         for (int request = 0; request < 4; request++) {
             answers.add(send("r-" + request, null, ""));
         }
         awaitInFlight(4);
-        Answer shed = send("r-5", "o-5", "").get(LONG.toSeconds(), TimeUnit.SECONDS);
+        Answer shed = send("r-5", "o-5", "").get(HANG_TIMEOUT.toSeconds(), TimeUnit.SECONDS);
         assertThat(shed.status()).isEqualTo(503);
         assertThat(shed.shed()).isEqualTo("true");
         assertThat(mFleet.log().executionsOfOperation("o-5")).isEqualTo(0);
@@ -87,17 +87,17 @@
 
     @Example
     void crashLosesWorkAndTheNextStartServesAgain() throws Exception {
-        start(ENDLESS_MILLIS);
+        start(LONG_MILLIS);
         CompletableFuture<Answer> lost = send("r-1", "o-1", "");
         CompletableFuture<Answer> second = send("r-2", "o-2", "");
         CompletableFuture<Answer> waiting = send("r-3", "o-3", "");
         awaitInFlight(3);
         mServer.crash();
-        assertThatThrownBy(() -> lost.get(LONG.toSeconds(), TimeUnit.SECONDS))
+        assertThatThrownBy(() -> lost.get(HANG_TIMEOUT.toSeconds(), TimeUnit.SECONDS))
                 .isInstanceOf(ExecutionException.class);
-        assertThatThrownBy(() -> second.get(LONG.toSeconds(), TimeUnit.SECONDS))
+        assertThatThrownBy(() -> second.get(HANG_TIMEOUT.toSeconds(), TimeUnit.SECONDS))
                 .isInstanceOf(ExecutionException.class);
-        assertThatThrownBy(() -> waiting.get(LONG.toSeconds(), TimeUnit.SECONDS))
+        assertThatThrownBy(() -> waiting.get(HANG_TIMEOUT.toSeconds(), TimeUnit.SECONDS))
                 .isInstanceOf(ExecutionException.class);
         mServer.start();
         awaitInFlight(0);
@@ -106,33 +106,33 @@
     }
 
     @Example
-    void aTruncatedAnswerIsAnError() {
+    void truncatedResponseIsAnError() {
         start(SHORT_MILLIS);
         mServer.setFaults(new BackendServerFaults(null, 0, false, false, 0, 0, 1, 0, 1));
         CompletableFuture<Answer> answer = send("r-1", "o-1", "");
-        assertThatThrownBy(() -> answer.get(LONG.toSeconds(), TimeUnit.SECONDS))
+        assertThatThrownBy(() -> answer.get(HANG_TIMEOUT.toSeconds(), TimeUnit.SECONDS))
                 .isInstanceOf(ExecutionException.class);
         assertThat(mFleet.log().executionsOfOperation("o-1")).isEqualTo(1);
     }
 
     @Example
-    void aFrozenServerAnswersOnlyAfterwards() throws Exception {
+    void frozenServerRespondsOnlyAfterwards() throws Exception {
         start(SHORT_MILLIS);
         mServer.setFaults(new BackendServerFaults(null, 0, false, true, 0, 0, 0, 0, 1));
         CompletableFuture<Answer> answer = send("r-1", "o-1", "");
         await(() -> mServer.counts().requests() == 1);
         assertThat(mFleet.log().executions()).isEqualTo(0);
         mServer.setFaults(BackendServerFaults.NONE);
-        assertThat(answer.get(LONG.toSeconds(), TimeUnit.SECONDS).status()).isEqualTo(200);
+        assertThat(answer.get(HANG_TIMEOUT.toSeconds(), TimeUnit.SECONDS).status()).isEqualTo(200);
     }
 
     @Example
-    void aLeavingServerAnnouncesItAndCountsNewWork() throws Exception {
+    void leavingServerAnnouncesItAndCountsNewWork() throws Exception {
         start(SHORT_MILLIS);
         assertThat(mServer.counts().lastNewWorkMillis()).isEqualTo(-1);
         mServer.drain(new DrainPlan(0, DrainPlan.NEVER, DrainPlan.NEVER));
         assertThat(get("/health").body()).contains("\"leaving\"");
-        send("r-1", null, "").get(LONG.toSeconds(), TimeUnit.SECONDS);
+        send("r-1", null, "").get(HANG_TIMEOUT.toSeconds(), TimeUnit.SECONDS);
         assertThat(mServer.counts().lastNewWorkMillis()).isNotNegative();
         mServer.setFaults(
                 new BackendServerFaults(
@@ -156,13 +156,13 @@
     private static void await(BooleanSupplier condition) {
         long start = System.nanoTime();
         while (!condition.getAsBoolean()) {
-            assertThat(System.nanoTime() - start).isLessThan(LONG.toNanos());
+            assertThat(System.nanoTime() - start).isLessThan(HANG_TIMEOUT.toNanos());
             Thread.yield();
         }
     }
 
     private Answer get(String path) throws Exception {
-        return enqueue(request(path).build()).get(LONG.toSeconds(), TimeUnit.SECONDS);
+        return enqueue(request(path).build()).get(HANG_TIMEOUT.toSeconds(), TimeUnit.SECONDS);
     }
 
     private CompletableFuture<Answer> send(String requestId, String operationId, String body) {
@@ -207,6 +207,6 @@
         return future;
     }
 
-    /** An answer as a caller sees it. */
+    /** Response that a client received. */
     private record Answer(int status, String requestId, String shed, String body) {}
 }
--- a/masticpond-testing/src/test/java/io/masticpond/testing/platform/PlatformServerTest.java
+++ b/masticpond-testing/src/test/java/io/masticpond/testing/platform/PlatformServerTest.java
@@ -18,13 +18,13 @@
 import okhttp3.RequestBody;
 import okhttp3.Response;
 
-/** Calls the stand-in platform over HTTP. */
+/** Tests the stand-in platform over HTTP. */
 class PlatformServerTest {
 
     private static final String OBJECT = "/v1/objects/ledgers/plate-ledger";
 
-    /** Only bounds a hang: no verdict rests on how soon an answer comes. */
-    private static final Duration LONG = Duration.ofSeconds(60);
+    /** Bounds a hang only: no assertion depends on the latency of responses. */
+    private static final Duration HANG_TIMEOUT = Duration.ofSeconds(60);
 
     private final ManualTimeSource mTime = new ManualTimeSource(Instant.EPOCH);
     private final PlatformState mState = new PlatformState(mTime, 1);
@@ -32,9 +32,9 @@
     private final OkHttpClient mClient =
             new OkHttpClient.Builder()
                     .retryOnConnectionFailure(false)
-                    .connectTimeout(LONG)
-                    .readTimeout(LONG)
-                    .writeTimeout(LONG)
+                    .connectTimeout(HANG_TIMEOUT)
+                    .readTimeout(HANG_TIMEOUT)
+                    .writeTimeout(HANG_TIMEOUT)
                     .build();
 
     @AfterTry
@@ -70,7 +70,7 @@
     }
 
     @Example
-    void aLostAnswerLeavesTheWriteInForce() {
+    void lostResponseLeavesTheWriteInForce() {
         mState.setFaults(PlatformFaults.lostAnswers(1));
         assertThatThrownBy(() -> put("If-None-Match", "*", "first"))
                 .isInstanceOf(IOException.class);
@@ -78,22 +78,22 @@
     }
 
     @Example
-    void anOutageRefusesBeforeAnyEffect() throws IOException {
+    void outageRefusesBeforeAnyEffect() throws IOException {
         mState.setFaults(PlatformFaults.outage(PlatformCallDisposition.REFUSED));
         assertThat(put("If-None-Match", "*", "first")).isEqualTo(503);
         assertThat(mState.read("ledgers", "plate-ledger").isEmpty()).isTrue();
     }
 
     @Example
-    void aWatchWaitsForTheNextVersion() throws Exception {
+    void watchWaitsForTheNextVersion() throws Exception {
         put("If-None-Match", "*", "first");
         CompletableFuture<Integer> watch = new CompletableFuture<>();
         Thread watcher =
                 new Thread(
                         () -> {
-                            try (Response answer =
+                            try (Response response =
                                     get(OBJECT + "?watch=true&after=1&timeoutMillis=50000")) {
-                                watch.complete(answer.code());
+                                watch.complete(response.code());
                             } catch (IOException e) {
                                 watch.completeExceptionally(e);
                             }
@@ -101,22 +101,22 @@
         watcher.start();
         long start = System.nanoTime();
         while (mState.counts().of(PlatformCall.WATCH) == 0) {
-            assertThat(System.nanoTime() - start).isLessThan(LONG.toNanos());
+            assertThat(System.nanoTime() - start).isLessThan(HANG_TIMEOUT.toNanos());
             Thread.yield();
         }
         put("If-Match", "\"1\"", "second");
-        assertThat(watch.get(LONG.toSeconds(), TimeUnit.SECONDS)).isEqualTo(200);
+        assertThat(watch.get(HANG_TIMEOUT.toSeconds(), TimeUnit.SECONDS)).isEqualTo(200);
     }
 
     @Example
-    void aWatchEndsWithoutAnAnswerWhenItsTimeIsUp() throws IOException {
-        try (Response answer = get(OBJECT + "?watch=true&after=0&timeoutMillis=20")) {
-            assertThat(answer.code()).isEqualTo(204);
+    void watchEndsWithNoContentAtItsTimeout() throws IOException {
+        try (Response response = get(OBJECT + "?watch=true&after=0&timeoutMillis=20")) {
+            assertThat(response.code()).isEqualTo(204);
         }
     }
 
     @Example
-    void theListOfInstancesLags() {
+    void listOfInstancesLags() {
         mState.setFaults(PlatformFaults.lag(0, 1_000));
         mState.putInstance(new PlatformInstance("casa-1", "casa-a", "127.0.0.1:1", false));
         assertThat(mState.instances()).isEqualTo(List.of());
@@ -134,8 +134,8 @@
                         .header(header, condition)
                         .put(RequestBody.create(value.getBytes(StandardCharsets.UTF_8)))
                         .build();
-        try (Response answer = mClient.newCall(request).execute()) {
-            return answer.code();
+        try (Response response = mClient.newCall(request).execute()) {
+            return response.code();
         }
     }
 
