--- a/masticpond-testing/src/main/java/io/masticpond/testing/backend/package-info.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/backend/package-info.java
@@ -1,2 +1,2 @@
-/** Stand-ins for backend servers: slots, service times, drains, faults, and a log of executions. */
+/** Stand-ins for backend servers with slots, service times, drains, faults and an execution log. */
 package io.masticpond.testing.backend;
--- a/masticpond-testing/src/main/java/io/masticpond/testing/control/package-info.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/control/package-info.java
@@ -1,2 +1,2 @@
-/** What the control routes of all stand-ins share: JSON, checks and threads. */
+/** Shared support of the control routes of all stand-ins: JSON, validation and threads. */
 package io.masticpond.testing.control;
--- a/masticpond-testing/src/main/java/io/masticpond/testing/package-info.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/package-info.java
@@ -1,2 +1,2 @@
-/** Stand-ins for outside systems, with fault injection; nothing ships from here. */
+/** Stand-ins for external systems with fault injection; not part of any release. */
 package io.masticpond.testing;
--- a/masticpond-testing/src/main/java/io/masticpond/testing/platform/package-info.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/platform/package-info.java
@@ -1,2 +1,2 @@
-/** A stand-in for the platform: its object API, its list of instances, and the faults of both. */
+/** Stand-in for the platform with its object API, its list of instances, and faults of both. */
 package io.masticpond.testing.platform;
