--- a/masticpond-command/src/main/java/io/masticpond/command/Masticpondctl.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/Masticpondctl.java
@@ -3,7 +3,7 @@
 import io.masticpond.command.task.Commands;
 
 /**
- * The operator's command line.
+ * Entry point of the operators' command line, {@code masticpondctl}.
  *
  * @since 0.1
  */
@@ -14,7 +14,7 @@
     /**
      * Runs the program.
      *
-     * @param arguments the arguments of the command line
+     * @param arguments the command line arguments
      */
     public static void main(String[] arguments) {
         System.exit(Commands.run(arguments, new SystemTerminal(), System.getenv(), System.in));
--- a/masticpond-command/src/main/java/io/masticpond/command/SystemTerminal.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/SystemTerminal.java
@@ -11,7 +11,7 @@
 import org.fusesource.jansi.AnsiConsole;
 import org.fusesource.jansi.internal.CLibrary;
 
-/** The terminal that the process was started on. */
+/** Terminal that the process was started on. */
 final class SystemTerminal implements Terminal {
 
     private static final String COLUMNS_VARIABLE = "COLUMNS";
@@ -36,7 +36,7 @@
         if (!isTerminal()) {
             return Optional.empty();
         }
-        return Optional.of(statedColumns().orElseGet(SystemTerminal::measuredColumns));
+        return Optional.of(configuredColumns().orElseGet(SystemTerminal::detectedColumns));
     }
 
     @Override
@@ -48,13 +48,13 @@
         return Optional.ofNullable(console.readLine("%s", question));
     }
 
-    private static Optional<Integer> statedColumns() {
+    private static Optional<Integer> configuredColumns() {
         String text = System.getenv(COLUMNS_VARIABLE);
         boolean usable = text != null && text.matches("[1-9]\\d{0,5}");
         return usable ? Optional.of(Integer.valueOf(text)) : Optional.empty();
     }
 
-    private static int measuredColumns() {
+    private static int detectedColumns() {
         try {
             int columns = AnsiConsole.getTerminalWidth();
             return columns > 0 ? columns : DEFAULT_COLUMNS;
--- a/masticpond-command/src/main/java/io/masticpond/command/client/ClientError.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/client/ClientError.java
@@ -3,36 +3,37 @@
 import java.util.List;
 
 /**
- * Why an instance did not answer as asked.
+ * Reason for which a request to instances failed.
  *
  * @since 0.1
  */
 public sealed interface ClientError {
 
     /**
-     * Says what happened, for people.
+     * Returns a message that describes the error to an operator.
      *
-     * @return one sentence
+     * @return the message, one sentence
      */
     String message();
 
     /**
-     * Says in short why one instance did not answer, for a line that names it.
+     * Returns a short reason, for output that already names the instance.
      *
-     * @return a few words
+     * @return the reason, a few words
      */
     default String reason() {
         return message();
     }
 
     /**
-     * No instance answered.
+     * Error for a request that no instance responded to.
      *
-     * @param attempts what happened at each, in the order tried
+     * @param attempts the failed attempts, one for each instance, in the order in which they were
+     *     made
      */
     record Unreachable(List<Attempt> attempts) implements ClientError {
 
-        /** Copies the list. */
+        /** Makes a defensive copy of the list. */
         public Unreachable {
             attempts = List.copyOf(attempts);
         }
@@ -55,9 +56,9 @@
     }
 
     /**
-     * The token was not accepted.
+     * Error for a token that an instance does not accept.
      *
-     * @param address the instance that refused it
+     * @param address the instance that rejected the token
      */
     record Unauthorized(InstanceAddress address) implements ClientError {
 
@@ -68,9 +69,9 @@
     }
 
     /**
-     * Something else has changed meanwhile.
+     * Error for a request that conflicts with a change made in the meantime.
      *
-     * @param problem what the instance says
+     * @param problem the problem document that the instance returned
      */
     record Conflict(Problem problem) implements ClientError {
 
@@ -81,9 +82,9 @@
     }
 
     /**
-     * The instance answered that it will not do it.
+     * Error for a request that an instance refused.
      *
-     * @param problem what the instance says
+     * @param problem the problem document that the instance returned
      */
     record Refused(Problem problem) implements ClientError {
 
@@ -94,10 +95,10 @@
     }
 
     /**
-     * The answer is not what the interface promises.
+     * Error for a response that violates the contract of the interface.
      *
      * @param address the instance
-     * @param reason what is wrong
+     * @param reason the reason why the response can't be read
      */
     record Malformed(InstanceAddress address, String reason) implements ClientError {
 
@@ -108,10 +109,10 @@
     }
 
     /**
-     * An instance that did not answer.
+     * Failed attempt to reach an instance.
      *
      * @param address the instance
-     * @param reason why not, a few words
+     * @param reason the reason for the failure, a few words
      */
     record Attempt(InstanceAddress address, String reason) {}
 }
--- a/masticpond-command/src/main/java/io/masticpond/command/client/ConfirmedAnswer.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/client/ConfirmedAnswer.java
@@ -1,10 +1,10 @@
 package io.masticpond.command.client;
 
 /**
- * A plan that was confirmed.
+ * Response to the confirmation of a plan.
  *
- * @param plan the plan
- * @param version the configuration version that it became
+ * @param plan the id of the confirmed plan
+ * @param version the configuration version that the plan produced
  * @since 0.1
  */
 public record ConfirmedAnswer(String plan, long version) {}
--- a/masticpond-command/src/main/java/io/masticpond/command/client/FanOut.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/client/FanOut.java
@@ -12,7 +12,8 @@
 import java.util.function.Function;
 
 /**
- * Asks many instances at the same time, so that silent ones cost one time limit together.
+ * Queries up to 16 instances at the same time, so that unresponsive ones cost about one timeout
+ * together instead of one each.
  *
  * @since 0.2
  */
@@ -23,29 +24,29 @@
     private FanOut() {}
 
     /**
-     * Asks instances.
+     * Queries the given instances and waits until all queries have completed.
      *
-     * @param <T> what an instance answers
-     * @param addresses the instances
-     * @param question asks one; must end in bounded time
-     * @return the answers in the order of the addresses
+     * @param <T> the type of the response of an instance
+     * @param addresses the instances to query
+     * @param request sends the request to one instance; must complete in bounded time
+     * @return the responses or errors, in the order of the addresses
      */
     public static <T> Map<InstanceAddress, Either<ClientError, T>> query(
             List<InstanceAddress> addresses,
-            Function<InstanceAddress, Either<ClientError, T>> question) {
+            Function<InstanceAddress, Either<ClientError, T>> request) {
         ExecutorService executor =
                 Executors.newFixedThreadPool(
                         Math.max(1, Math.min(MAXIMUM_THREADS, addresses.size())));
         try {
             List<Future<Either<ClientError, T>>> futures = new ArrayList<>();
             for (InstanceAddress address : addresses) {
-                futures.add(executor.submit(() -> question.apply(address)));
+                futures.add(executor.submit(() -> request.apply(address)));
             }
-            Map<InstanceAddress, Either<ClientError, T>> answers = new LinkedHashMap<>();
+            Map<InstanceAddress, Either<ClientError, T>> responses = new LinkedHashMap<>();
             for (int index = 0; index < futures.size(); index++) {
-                answers.put(addresses.get(index), futures.get(index).get());
+                responses.put(addresses.get(index), futures.get(index).get());
             }
-            return answers;
+            return responses;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IllegalStateException("The collection was interrupted.", e);
--- a/masticpond-command/src/main/java/io/masticpond/command/client/InstanceAddress.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/client/InstanceAddress.java
@@ -5,31 +5,31 @@
 import okhttp3.HttpUrl;
 
 /**
- * Where an instance is reached.
+ * Address at which an instance is reached.
  *
- * @param url the root of its interface, with a port
+ * @param url the root URL of the interface, with a port
  * @since 0.1
  */
 public record InstanceAddress(HttpUrl url) {
 
     /**
-     * Reads "ip:port", with an IPv6 number in brackets.
+     * Parses an address of the form {@code ip:port}, with an IPv6 address in brackets.
      *
-     * @param text the text
+     * @param text the text to parse
      * @return the address
      * @throws IllegalArgumentException if the text has another form
      */
     public static InstanceAddress parse(String text) {
         String trimmed = text.trim();
         HttpUrl url = HttpUrl.parse("http://" + trimmed + "/");
-        boolean wellFormed =
+        boolean isWellFormed =
                 url != null
                         && trimmed.matches(".+:\\d+")
                         && url.encodedPath().equals("/")
                         && url.username().isEmpty()
                         && url.query() == null
                         && url.fragment() == null;
-        if (!wellFormed) {
+        if (!isWellFormed) {
             throw new IllegalArgumentException(
                     "An address of an instance must be ip:port, but was '" + trimmed + "'.");
         }
@@ -37,11 +37,11 @@
     }
 
     /**
-     * Reads several addresses.
+     * Parses a list of addresses.
      *
-     * @param text addresses joined by commas
+     * @param text the addresses, separated by commas
      * @return the addresses in the order given, at least one
-     * @throws IllegalArgumentException if one has another form, or there is none
+     * @throws IllegalArgumentException if an address has another form, or there is none
      */
     public static List<InstanceAddress> parseAll(String text) {
         List<InstanceAddress> addresses = new ArrayList<>();
--- a/masticpond-command/src/main/java/io/masticpond/command/client/LookupAnswer.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/client/LookupAnswer.java
@@ -3,28 +3,28 @@
 import java.util.List;
 
 /**
- * The answer to a look-up.
+ * Response to a lookup.
  *
  * @param service the service
- * @param instances the instances to use, best first
- * @param cacheMillis how long it may be cached, in milliseconds
- * @param configurationVersion the configuration that it rests on
+ * @param instances the instances to use, in order of preference
+ * @param cacheMillis the time for which the response may be cached, in milliseconds
+ * @param configurationVersion the version of the configuration that the response is based on
  * @since 0.1
  */
 public record LookupAnswer(
         String service, List<Instance> instances, long cacheMillis, long configurationVersion) {
 
-    /** Fills in a list that is not given. */
+    /** Replaces a {@code null} list with an empty one. */
     public LookupAnswer {
         instances = OperatorClient.orEmpty(instances);
     }
 
     /**
-     * An instance to use.
+     * Instance that a caller may use.
      *
-     * @param id the instance
-     * @param zone its availability zone
-     * @param address where callers reach it
+     * @param id the id of the instance
+     * @param zone the availability zone of the instance
+     * @param address the address of the caller interface
      */
     public record Instance(String id, String zone, String address) {}
 }
--- a/masticpond-command/src/main/java/io/masticpond/command/client/OperatorClient.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/client/OperatorClient.java
@@ -28,10 +28,11 @@
 import okhttp3.Response;
 
 /**
- * Asks instances, the next when one does not answer; safe for all threads.
+ * HTTP client for the operator interface of instances, with failover to the next instance when one
+ * does not respond. Instances of this class are thread-safe.
  *
- * <p>Every request that it sends may be repeated: plans change nothing, and confirmations and
- * drains have the same effect twice as once.
+ * <p>Failover is safe because every request is idempotent: plans change nothing, and confirmations
+ * and drains have the same effect when they are repeated.
  *
  * @since 0.1
  */
@@ -55,11 +56,11 @@
     private final OkHttpClient mHttp;
 
     /**
-     * Makes a client.
+     * Creates a client.
      *
-     * @param instances the operator interfaces to ask, best first
-     * @param token the operator's token, or empty for interfaces that take none
-     * @param timeout how long each instance has for its whole answer
+     * @param instances the operator interfaces to query, in order of preference
+     * @param token the operator's token, or an empty string for interfaces that expect none
+     * @param timeout the time that each instance has to send its complete response
      */
     public OperatorClient(List<InstanceAddress> instances, String token, Duration timeout) {
         mInstances = List.copyOf(instances);
@@ -74,69 +75,69 @@
                         .build();
     }
 
-    /** Gives the list, or an empty one where none is given. */
+    /** Returns an immutable copy of the list, or an empty list for {@code null}. */
     static <T> List<T> orEmpty(List<T> list) {
         return list == null ? List.of() : List.copyOf(list);
     }
 
     /**
-     * Gives the instances to ask.
+     * Returns the instances to query.
      *
-     * @return the addresses, best first
+     * @return the addresses, in order of preference
      */
     public List<InstanceAddress> instances() {
         return mInstances;
     }
 
     /**
-     * Gets a document from the first instance that answers.
+     * Gets a document from the first instance that responds.
      *
-     * @param path the path with its query, without a slash at its start
-     * @return the document, or why there is none
+     * @param path the path with its query, without a leading slash
+     * @return the document, or the error
      */
     public Either<ClientError, JsonNode> get(String path) {
-        return fromAny(address -> request(address, path).get().build());
+        return fromFirstAvailable(address -> request(address, path).get().build());
     }
 
     /**
-     * Posts a document to the first instance that answers.
+     * Posts a document to the first instance that responds.
      *
-     * @param path the path, without a slash at its start
+     * @param path the path, without a leading slash
      * @param body the document; may be empty
-     * @return the answer, or why there is none
+     * @return the response, or the error
      */
     public Either<ClientError, JsonNode> post(String path, byte[] body) {
-        return fromAny(
+        return fromFirstAvailable(
                 address -> request(address, path).post(RequestBody.create(body, JSON)).build());
     }
 
     /**
-     * Deletes something at the first instance that answers.
+     * Deletes a resource through the first instance that responds.
      *
-     * @param path the path with its query, without a slash at its start
-     * @return the answer, or why there is none
+     * @param path the path with its query, without a leading slash
+     * @return the response, or the error
      */
     public Either<ClientError, JsonNode> delete(String path) {
-        return fromAny(address -> request(address, path).delete().build());
+        return fromFirstAvailable(address -> request(address, path).delete().build());
     }
 
     /**
-     * Gets a document from one instance.
+     * Gets a document from the given instance, without failover.
      *
      * @param address the instance
-     * @param path the path with its query, without a slash at its start
-     * @return the document, or why there is none
+     * @param path the path with its query, without a leading slash
+     * @return the document, or the error
      */
     public Either<ClientError, JsonNode> getFrom(InstanceAddress address, String path) {
         return attempt(address, request(address, path).get().build()).toEither();
     }
 
     /**
-     * Posts nothing to one instance.
+     * Posts an empty body to the given instance, without failover.
      *
      * @param address the instance
-     * @param path the path, without a slash at its start
-     * @return the answer, or why there is none
+     * @param path the path, without a leading slash
+     * @return the response, or the error
      */
     public Either<ClientError, JsonNode> postTo(InstanceAddress address, String path) {
         RequestBody empty = RequestBody.create(new byte[0], JSON);
@@ -144,10 +145,10 @@
     }
 
     /**
-     * Gets a document from the caller interface of an instance, to which no token is sent.
+     * Gets a document from the caller interface of an instance. No token is sent.
      *
-     * @param url the whole address
-     * @return the document, or why there is none
+     * @param url the complete URL
+     * @return the document, or the error
      */
     public Either<ClientError, JsonNode> getAsCaller(HttpUrl url) {
         InstanceAddress address = new InstanceAddress(url.resolve("/"));
@@ -155,12 +156,12 @@
     }
 
     /**
-     * Reads a document as a typed answer.
+     * Converts a document to the given type.
      *
-     * @param <T> the type
+     * @param <T> the target type
      * @param document the document
-     * @param type the type
-     * @return the answer, or that it can't be read
+     * @param type the target type
+     * @return the converted document, or an error if the document can't be converted
      */
     public <T> Either<ClientError, T> read(JsonNode document, Class<T> type) {
         try {
@@ -176,21 +177,21 @@
         mHttp.connectionPool().evictAll();
     }
 
-    private Either<ClientError, JsonNode> fromAny(RequestMaker maker) {
+    private Either<ClientError, JsonNode> fromFirstAvailable(RequestFactory requestFactory) {
         List<Attempt> unreachable = new ArrayList<>();
-        Optional<ClientError> notNow = Optional.empty();
+        Optional<ClientError> notReady = Optional.empty();
         for (InstanceAddress address : mInstances) {
-            Outcome outcome = attempt(address, maker.make(address));
+            Outcome outcome = attempt(address, requestFactory.create(address));
             if (outcome instanceof Outcome.Answered answered) {
                 return answered.toEither();
             }
-            if (outcome instanceof Outcome.Unresponsive silent) {
-                unreachable.add(silent.attempt());
-            } else if (outcome instanceof Outcome.NotReady refused) {
-                notNow = Optional.of(refused.error());
+            if (outcome instanceof Outcome.Unresponsive unresponsive) {
+                unreachable.add(unresponsive.attempt());
+            } else if (outcome instanceof Outcome.NotReady unavailable) {
+                notReady = Optional.of(unavailable.error());
             }
         }
-        return Either.left(notNow.orElseGet(() -> new Unreachable(unreachable)));
+        return Either.left(notReady.orElseGet(() -> new Unreachable(unreachable)));
     }
 
     private Outcome attempt(InstanceAddress address, Request request) {
@@ -258,18 +259,18 @@
         return mToken.isEmpty() ? builder : builder.header("Authorization", "Bearer " + mToken);
     }
 
-    /** Makes a request for an instance. */
-    private interface RequestMaker {
+    /** Strategy interface for creating a request to an instance. */
+    private interface RequestFactory {
 
-        Request make(InstanceAddress address);
+        Request create(InstanceAddress address);
     }
 
-    /** How an attempt at one instance ended. */
+    /** Outcome of an attempt at one instance. */
     private sealed interface Outcome {
 
         Either<ClientError, JsonNode> toEither();
 
-        /** It answered for good. */
+        /** Final response, successful or not. */
         record Answered(Either<ClientError, JsonNode> answer) implements Outcome {
 
             @Override
@@ -278,7 +279,7 @@
             }
         }
 
-        /** It answered that it can't now; another may. */
+        /** Response of an instance that is not ready; another instance may be. */
         record NotReady(ClientError error) implements Outcome {
 
             @Override
@@ -287,7 +288,7 @@
             }
         }
 
-        /** It did not answer. */
+        /** Failure to respond. */
         record Unresponsive(Attempt attempt) implements Outcome {
 
             @Override
--- a/masticpond-command/src/main/java/io/masticpond/command/client/PlanAnswer.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/client/PlanAnswer.java
@@ -4,16 +4,16 @@
 import java.util.OptionalLong;
 
 /**
- * A plan: what would change, and what is predicted of it.
+ * Plan with the changes it would make and their predicted effects.
  *
- * @param id the plan
- * @param base the configuration version that it was made on
- * @param differences what would change
+ * @param id the id of the plan
+ * @param base the configuration version that the plan is based on
+ * @param differences the changes that the plan would make
  * @param loads the predicted load
  * @param spendings the predicted spending
- * @param warnings what to weigh, one sentence each
- * @param operator who made it
- * @param expires until when it can be confirmed, in ISO 8601
+ * @param warnings the warnings to consider before confirming, one sentence each
+ * @param operator the operator who created the plan
+ * @param expires the time until which the plan can be confirmed, in ISO 8601
  * @since 0.1
  */
 public record PlanAnswer(
@@ -26,7 +26,7 @@
         String operator,
         String expires) {
 
-    /** Fills in lists that are not given. */
+    /** Replaces {@code null} lists with empty ones. */
     public PlanAnswer {
         differences = OperatorClient.orEmpty(differences);
         loads = OperatorClient.orEmpty(loads);
@@ -34,46 +34,46 @@
         warnings = OperatorClient.orEmpty(warnings);
     }
 
-    /** What happened at a place. */
+    /** Kind of change at a path of the configuration. */
     public enum Kind {
-        /** There was nothing before. */
+        /** The path did not exist before. */
         ADDED,
-        /** There is nothing after. */
+        /** The path no longer exists. */
         REMOVED,
-        /** The value is another one. */
+        /** The value was replaced by another. */
         CHANGED
     }
 
     /**
-     * One difference.
+     * Difference at one path of the configuration.
      *
-     * @param path the place in the configuration
-     * @param kind what happened there
-     * @param before the value before, or ""
-     * @param after the value after, or ""
+     * @param path the path in the configuration
+     * @param kind the kind of change
+     * @param before the value before, or an empty string if there was none
+     * @param after the value after, or an empty string if there is none
      */
     public record Difference(String path, Kind kind, String before, String after) {}
 
     /**
-     * The predicted load of a service in a region.
+     * Predicted load of a service in a region.
      *
      * @param service the service
      * @param region the region
-     * @param slots the slots that could be used
-     * @param slotsInUse the slots that would be in use
-     * @param observed whether it rests on an observation rather than an assumption
+     * @param slots the number of usable slots
+     * @param slotsInUse the predicted number of slots in use
+     * @param observed whether the prediction is based on observed load rather than an assumption
      */
     public record Load(
             String service, String region, long slots, double slotsInUse, boolean observed) {}
 
     /**
-     * The predicted spending of a service in a shift, in millionths of the unit of money.
+     * Predicted spending of a service in a shift. Amounts are in millionths of the unit of money.
      *
      * @param service the service
      * @param shift the shift
-     * @param capMicros the cap
-     * @param expectedMicros what would be spent, if known
-     * @param allottedMicros what instances hold or have spent, if known
+     * @param capMicros the spending cap
+     * @param expectedMicros the expected spending, if known
+     * @param allottedMicros the amount that instances hold or have spent, if known
      */
     public record Spending(
             String service,
@@ -82,7 +82,7 @@
             OptionalLong expectedMicros,
             OptionalLong allottedMicros) {
 
-        /** Fills in amounts that are not given. */
+        /** Replaces {@code null} amounts with empty ones. */
         public Spending {
             expectedMicros = expectedMicros == null ? OptionalLong.empty() : expectedMicros;
             allottedMicros = allottedMicros == null ? OptionalLong.empty() : allottedMicros;
--- a/masticpond-command/src/main/java/io/masticpond/command/client/Problem.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/client/Problem.java
@@ -4,19 +4,19 @@
 import java.util.List;
 
 /**
- * The answer of an instance to a request that failed (RFC 9457).
+ * Problem document with which an instance responds to a failed request (RFC 9457).
  *
  * @param status the HTTP status
- * @param cause a fixed word, such as "base-changed"
- * @param detail one sentence for people
- * @param faults what is wrong in the document given
- * @param differences what has changed since the base of a plan
+ * @param cause a stable identifier of the cause, such as {@code base-changed}
+ * @param detail an explanation for operators, one sentence
+ * @param faults the faults of the submitted document
+ * @param differences the changes made since the base version of a plan
  * @since 0.1
  */
 public record Problem(
         int status, String cause, String detail, List<Fault> faults, List<Difference> differences) {
 
-    /** Fills in what is not given. */
+    /** Replaces absent values with defaults. */
     public Problem {
         cause = cause == null ? "" : cause;
         detail = detail == null || detail.isBlank() ? "The instance gave no reason." : detail;
@@ -25,10 +25,10 @@
     }
 
     /**
-     * Something wrong in a document.
+     * Fault in a submitted document.
      *
-     * @param path the place
-     * @param message one sentence
+     * @param path the path in the document
+     * @param message a description of the fault, one sentence
      */
     public record Fault(String path, String message) {}
 }
--- a/masticpond-command/src/main/java/io/masticpond/command/client/SpendingAnswer.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/client/SpendingAnswer.java
@@ -3,30 +3,30 @@
 import java.util.List;
 
 /**
- * The spending of the shifts that run now, as one instance knows it.
+ * Spending of the current shifts, as known to one instance.
  *
- * @param spendings an entry for each service and shift
+ * @param spendings the spending of each service and shift
  * @since 0.1
  */
 public record SpendingAnswer(List<Entry> spendings) {
 
-    /** Fills in a list that is not given. */
+    /** Replaces a {@code null} list with an empty one. */
     public SpendingAnswer {
         spendings = OperatorClient.orEmpty(spendings);
     }
 
     /**
-     * The spending of one service in one shift; amounts are in millionths of the unit of money.
+     * Spending of a service in a shift. Amounts are in millionths of the unit of money.
      *
      * @param service the service
      * @param shift the shift
-     * @param end when it ends, in ISO 8601
-     * @param capMicros the cap
-     * @param allottedMicros what all instances hold or have spent
-     * @param availableMicros what the answering instance may still spend
-     * @param spentMicros what the answering instance has spent
-     * @param forecastMicros what all instances are expected to have spent at the end
-     * @param state whether the answering instance can pay
+     * @param end the end of the shift, in ISO 8601
+     * @param capMicros the spending cap
+     * @param allottedMicros the amount that all instances hold or have spent
+     * @param availableMicros the amount that the responding instance may still spend
+     * @param spentMicros the amount that the responding instance has spent
+     * @param forecastMicros the predicted spending of all instances at the end of the shift
+     * @param state whether the responding instance can charge the budget
      */
     public record Entry(
             String service,
--- a/masticpond-command/src/main/java/io/masticpond/command/client/StatusAnswer.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/client/StatusAnswer.java
@@ -3,19 +3,20 @@
 import java.util.List;
 
 /**
- * What one instance knows: of itself, of the other instances, and of the services' capacity.
+ * Status of an instance, with its view of the other instances and of the capacity of services.
  *
- * @param instance the instance that answers
- * @param incarnation the number of its incarnation, its start in milliseconds since the epoch
- * @param zone its availability zone
- * @param state how far its planned stop is
- * @param ready whether it takes requests
- * @param reasons why it is not ready
- * @param configurationVersion the configuration in force there
- * @param platformReachable whether the platform answered it lately
- * @param requestsInFlight the requests of callers that have not ended there
- * @param members all instances that it knows, with itself
- * @param capacity the services in each region, as far as it knows
+ * @param instance the responding instance
+ * @param incarnation the incarnation number, which is the start time in milliseconds since the
+ *     epoch
+ * @param zone the availability zone of the instance
+ * @param state the phase of the planned shutdown
+ * @param ready whether the instance accepts requests
+ * @param reasons the reasons for which the instance is not ready
+ * @param configurationVersion the version of the configuration in force at the instance
+ * @param platformReachable whether the platform responded to the instance recently
+ * @param requestsInFlight the number of callers' requests in progress at the instance
+ * @param members all known instances, including the responding one
+ * @param capacity the known capacity of services in each region
  * @since 0.1
  */
 public record StatusAnswer(
@@ -31,37 +32,37 @@
         List<Member> members,
         List<Capacity> capacity) {
 
-    /** Fills in lists that are not given. */
+    /** Replaces {@code null} lists with empty ones. */
     public StatusAnswer {
         reasons = OperatorClient.orEmpty(reasons);
         members = OperatorClient.orEmpty(members);
         capacity = OperatorClient.orEmpty(capacity);
     }
 
-    /** The state of an instance as another one sees it. */
+    /** State of an instance in the view of another instance. */
     public enum MemberState {
-        /** Named by the platform's list, not heard from yet. */
+        /** Listed by the platform; nothing was received from it yet. */
         EXPECTED,
-        /** Heard from a short time ago. */
+        /** A message was received from it recently. */
         LIVE,
-        /** Heard from, but not for some time. */
+        /** No message was received from it for some time. */
         SUSPECT,
-        /** Stopping as planned. */
+        /** Shutting down as planned. */
         LEAVING,
-        /** Gone. */
+        /** Considered terminated. */
         DEAD
     }
 
     /**
-     * One instance as the answering one sees it.
+     * Instance in the view of the responding instance.
      *
      * @param instance the instance
-     * @param incarnation the number of its incarnation
-     * @param zone its availability zone
-     * @param state the state
-     * @param callerAddress where callers reach it
-     * @param operatorAddress where operators reach it
-     * @param configurationVersion the configuration that it said it has in force
+     * @param incarnation the incarnation number
+     * @param zone the availability zone of the instance
+     * @param state the state of the instance
+     * @param callerAddress the address of the caller interface
+     * @param operatorAddress the address of the operator interface
+     * @param configurationVersion the configuration version that the instance reported as in force
      */
     public record Member(
             String instance,
@@ -73,16 +74,17 @@
             long configurationVersion) {}
 
     /**
-     * The capacity of a service in a region.
+     * Capacity of a service in a region.
      *
      * @param service the service
      * @param region the region
-     * @param usableSlots the slots that may be used now
-     * @param inFlight the requests at backend servers
-     * @param waiting the requests that wait for a slot
-     * @param expectedWaitMillis how long a request offered now would wait, -1 if without end
-     * @param step the step of degradation
-     * @param admitter the instance that admits to it, or ""
+     * @param usableSlots the number of slots that are usable now
+     * @param inFlight the number of requests at backend servers
+     * @param waiting the number of requests that wait for a slot
+     * @param expectedWaitMillis the expected wait of a new request in milliseconds, or -1 if
+     *     unbounded
+     * @param step the degradation step
+     * @param admitter the instance that admits requests to the service, or an empty string
      */
     public record Capacity(
             String service,
--- a/masticpond-command/src/main/java/io/masticpond/command/client/package-info.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/client/package-info.java
@@ -1,2 +1,2 @@
-/** Talks to the operator interface of instances over HTTP; must not know how answers are shown. */
+/** HTTP client for the operator interface of instances. Must not depend on the presentation. */
 package io.masticpond.command.client;
--- a/masticpond-command/src/main/java/io/masticpond/command/package-info.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/package-info.java
@@ -1,2 +1,2 @@
-/** The operator's command line: its options, exit codes and start. Must not know the daemon. */
+/** The operators' command line: its entry point and terminal. Must not depend on the daemon. */
 package io.masticpond.command;
--- a/masticpond-command/src/test/java/io/masticpond/command/CommandArchitectureTest.java
+++ b/masticpond-command/src/test/java/io/masticpond/command/CommandArchitectureTest.java
@@ -8,7 +8,7 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import net.jqwik.api.Example;
 
-/** The command line knows the daemon by its operator interface only. */
+/** Checks that the command line uses the daemon only through its operator interface. */
 class CommandArchitectureTest {
 
     private static final JavaClasses COMMAND =
@@ -17,7 +17,7 @@
                     .importPackages("io.masticpond.command");
 
     @Example
-    void commandDoesNotSeeTheDaemon() {
+    void commandDoesNotDependOnDaemon() {
         noClasses()
                 .should()
                 .dependOnClassesThat()
@@ -29,7 +29,7 @@
     }
 
     @Example
-    void clientDoesNotSeeHowAnswersAreShown() {
+    void clientDoesNotDependOnPresentation() {
         noClasses()
                 .that()
                 .resideInAPackage("io.masticpond.command.client..")
@@ -41,7 +41,7 @@
     }
 
     @Example
-    void packagesFormNoCycles() {
+    void packagesAreFreeOfCycles() {
         slices().matching("io.masticpond.command.(*)..").should().beFreeOfCycles().check(COMMAND);
     }
 }
