--- a/masticpond-command/src/main/java/io/masticpond/command/task/PlacesCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/PlacesCommand.java
@@ -9,7 +9,7 @@
 import io.vavr.control.Either;
 import picocli.CommandLine.Command;
 
-/** Shows the regions and availability zones. */
+/** Command that shows the regions and availability zones. */
 @Command(
         name = "places",
         description = "Show the regions and availability zones with what serves there.")
@@ -27,7 +27,7 @@
                                 get(client, StatusCommand.PATH, StatusAnswer.class)
                                         .peek(
                                                 status ->
-                                                        ServicesView.showPlaces(
+                                                        ServicesView.showZones(
                                                                 configuration, status, page))
                                         .map(status -> ExitCode.DONE));
     }
--- a/masticpond-command/src/main/java/io/masticpond/command/view/Cell.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/Cell.java
@@ -1,21 +1,21 @@
 package io.masticpond.command.view;
 
 /**
- * A cell of a table.
+ * Cell of a table.
  *
- * @param text the text, made safe for a terminal
- * @param style how it stands out
+ * @param text the text, sanitized for output on a terminal
+ * @param style the style of the text
  * @since 0.1
  */
 public record Cell(String text, Style style) {
 
-    /** Makes the text safe for a terminal. */
+    /** Sanitizes the text for output on a terminal. A {@code null} text becomes empty. */
     public Cell {
         text = text == null ? "" : Texts.printable(text);
     }
 
     /**
-     * Makes a cell that does not stand out.
+     * Creates a cell in the plain style.
      *
      * @param value the value
      * @return the cell
@@ -25,10 +25,10 @@
     }
 
     /**
-     * Makes a cell.
+     * Creates a cell in the given style.
      *
      * @param value the value
-     * @param style how it stands out
+     * @param style the style of the text
      * @return the cell
      */
     public static Cell of(Object value, Style style) {
--- a/masticpond-command/src/main/java/io/masticpond/command/view/Column.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/Column.java
@@ -1,24 +1,24 @@
 package io.masticpond.command.view;
 
 /**
- * A column of a table.
+ * Column of a table.
  *
  * @param title the title
- * @param alignment where its texts stand
+ * @param alignment the alignment of its texts
  * @since 0.1
  */
 public record Column(String title, Alignment alignment) {
 
-    /** Where a text stands in its column. */
+    /** Alignment of a text in its column. */
     public enum Alignment {
-        /** At the left, as words do. */
+        /** Left-aligned, for words. */
         LEFT {
             @Override
             String pad(String text, int width) {
                 return text + " ".repeat(Math.max(0, width - text.length()));
             }
         },
-        /** At the right, as numbers do. */
+        /** Right-aligned, for numbers. */
         RIGHT {
             @Override
             String pad(String text, int width) {
@@ -26,12 +26,12 @@
             }
         };
 
-        /** Fills a text up with spaces. */
+        /** Pads a text with spaces to the given width. */
         abstract String pad(String text, int width);
     }
 
     /**
-     * Makes a column of words.
+     * Creates a column of words.
      *
      * @param title the title
      * @return the column
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Makes a column of numbers.
+     * Creates a column of numbers.
      *
      * @param title the title
      * @return the column
--- a/masticpond-command/src/main/java/io/masticpond/command/view/EntryDocument.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/EntryDocument.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 
 /**
- * A document of an entry instance that holds a list, and the table that it makes.
+ * Documents of entry instances that contain a list, with the table that shows each.
  *
  * @since 0.2
  */
@@ -71,7 +71,7 @@
     EVACUATIONS(
             "Show the evacuated zones.",
             List.of(Field.textField("ZONE", "zone"), Field.numberField("SERVERS", "servers"))),
-    /** The requests under which servers ended. */
+    /** The requests during which backend servers crashed. */
     CRASHES(
             "Show the requests under which backend servers ended, the rejected ones first.",
             List.of(
@@ -118,7 +118,7 @@
                     Field.numberField("BOUND", "bound"),
                     Field.numberField("LEFT", "left"))) {
         @Override
-        String list() {
+        String listFieldName() {
             return "budgets";
         }
 
@@ -126,11 +126,11 @@
         public void show(JsonNode document, Page page) {
             super.show(document, page);
             if (!document.path("coldServers").isEmpty()) {
-                page.gap();
+                page.blankLine();
                 page.table(Field.table(COLD_SERVERS, document.path("coldServers")));
             }
             if (!document.path("spendings").isEmpty()) {
-                page.gap();
+                page.blankLine();
                 page.table(Field.table(SPENDINGS, document.path("spendings")));
             }
         }
@@ -165,37 +165,37 @@
     }
 
     /**
-     * Names it, as the command and the path do.
+     * Returns the name of the document, which is also that of its command and path.
      *
-     * @return a word in lower case
+     * @return the name, in lower case
      */
     public String resourceName() {
         return name().toLowerCase(Locale.ROOT);
     }
 
     /**
-     * Says what it shows, for the help.
+     * Returns the description for the help.
      *
-     * @return one sentence
+     * @return the description, one sentence
      */
     public String description() {
         return mDescription;
     }
 
     /**
-     * Shows it to people.
+     * Shows a document as a table.
      *
-     * @param document the answer of an instance
-     * @param page where to
+     * @param document the document of an instance
+     * @param page the page to write to
      */
     public void show(JsonNode document, Page page) {
-        page.table(Field.table(mFields, document.path(list())));
-        page.gap();
+        page.table(Field.table(mFields, document.path(listFieldName())));
+        page.blankLine();
         page.line("As " + Field.text(document.path("instance")) + " sees it.");
     }
 
-    /** Names the field that holds the list. */
-    String list() {
+    /** Returns the name of the field that contains the list. */
+    String listFieldName() {
         return resourceName();
     }
 }
--- a/masticpond-command/src/main/java/io/masticpond/command/view/EntryLine.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/EntryLine.java
@@ -7,24 +7,27 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Shows a line of an instance's log: what it tells on one line, its sends and choices below. */
+/**
+ * Shows an entry of the log of an instance: its plain values on one line, and its objects and
+ * arrays, such as attempts, indented below.
+ */
 final class EntryLine {
 
-    private static final Set<String> HEAD = Set.of("type", "by", "at", "event");
+    private static final Set<String> HEADER_FIELDS = Set.of("type", "by", "at", "event");
 
     private EntryLine() {}
 
     static void show(JsonNode line, Page page) {
         List<String> values = new ArrayList<>();
-        List<String> below = new ArrayList<>();
+        List<String> details = new ArrayList<>();
         Iterator<Map.Entry<String, JsonNode>> fields = line.fields();
         while (fields.hasNext()) {
             Map.Entry<String, JsonNode> field = fields.next();
             if (field.getValue().isArray()) {
-                field.getValue().forEach(each -> below.add(field.getKey() + ": " + values(each)));
+                field.getValue().forEach(each -> details.add(field.getKey() + ": " + values(each)));
             } else if (field.getValue().isObject()) {
-                below.add(field.getKey() + ": " + values(field.getValue()));
-            } else if (!HEAD.contains(field.getKey())) {
+                details.add(field.getKey() + ": " + values(field.getValue()));
+            } else if (!HEADER_FIELDS.contains(field.getKey())) {
                 values.add(field.getKey() + "=" + field.getValue().asText());
             }
         }
@@ -36,7 +39,7 @@
                         + line.path("event").asText()
                         + "  "
                         + String.join(" ", values));
-        below.forEach(each -> page.line("    " + each, Style.FAINT));
+        details.forEach(each -> page.line("    " + each, Style.FAINT));
     }
 
     private static String values(JsonNode object) {
--- a/masticpond-command/src/main/java/io/masticpond/command/view/EntryResponses.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/EntryResponses.java
@@ -8,9 +8,9 @@
 import java.util.stream.Stream;
 
 /**
- * What all entry instances answered, or why one did not.
+ * Responses of all entry instances, with the reason for each missing one.
  *
- * @param responses a part for each instance, in the order of their names
+ * @param responses the responses, one for each instance, ordered by the names of the instances
  * @since 0.2
  */
 public record EntryResponses(List<Response> responses) {
@@ -28,17 +28,17 @@
                     Field.numberField("AGE MS", "registryAgeMillis"),
                     Field.textField("STORE LOST", "storeLost"));
 
-    /** Sorts the parts. */
+    /** Sorts the responses by the names of the instances. */
     public EntryResponses {
         responses = responses.stream().sorted(Comparator.comparing(Response::instance)).toList();
     }
 
     /**
-     * What one instance answered.
+     * Response of an instance, or the reason for its absence.
      *
-     * @param instance its name, or its address if that is all that is known
-     * @param document the answer, or null
-     * @param reason why there is none, a few words; empty if there is one
+     * @param instance the name of the instance, or its address if the name is not known
+     * @param document the document, or {@code null} if the instance did not respond
+     * @param reason the reason for a missing document, a few words; empty if there is a document
      */
     public record Response(String instance, JsonNode document, String reason) {
 
@@ -48,18 +48,18 @@
     }
 
     /**
-     * Tells whether all answered.
+     * Returns whether all instances responded.
      *
-     * @return whether no part is missing
+     * @return whether no response is missing
      */
     public boolean isComplete() {
         return responses.stream().noneMatch(Response::isMissing);
     }
 
     /**
-     * Shows which versions all instances have in force.
+     * Shows the versions that are in force at each instance.
      *
-     * @param page where to
+     * @param page the page to write to
      */
     public void showVersions(Page page) {
         JsonNode documents =
@@ -67,25 +67,25 @@
                         .arrayNode()
                         .addAll(answered().map(Response::document).toList());
         page.table(Field.table(VERSIONS, documents));
-        page.gap();
+        page.blankLine();
         showMissing(page);
     }
 
     /**
-     * Shows the lines of all instances by their times.
+     * Shows the log lines of all instances, ordered by time.
      *
-     * @param page where to
+     * @param page the page to write to
      */
     public void showLines(Page page) {
         List<JsonNode> lines = lines();
         lines.forEach(line -> EntryLine.show(line, page));
-        page.gap();
+        page.blankLine();
         page.line(lines.size() + " lines.");
         showMissing(page);
     }
 
     /**
-     * Gives the answers as documents for programs, those that are missing with their reasons.
+     * Returns the responses as documents, the missing ones with their reasons.
      *
      * @return a document for each instance
      */
@@ -94,58 +94,67 @@
     }
 
     /**
-     * Gives the lines of all instances as documents for programs, after a document for each
-     * instance.
+     * Returns a document for each instance, followed by a document for each log line.
      *
-     * @return the documents, each with a field "type" that is "instance" or "line"
+     * @return the documents, each with a field {@code type} that is {@code instance} or {@code
+     *     line}
      */
     public List<JsonNode> lineDocuments() {
         Stream<JsonNode> instances =
-                responses.stream().map(part -> head(part).put("type", "instance"));
+                responses.stream().map(response -> header(response).put("type", "instance"));
         return Stream.concat(instances, lines().stream()).toList();
     }
 
-    private static JsonNode document(Response part) {
-        ObjectNode document = head(part);
-        if (!part.isMissing()) {
-            document.setAll((ObjectNode) part.document());
+    private static JsonNode document(Response response) {
+        ObjectNode document = header(response);
+        if (!response.isMissing()) {
+            document.setAll((ObjectNode) response.document());
         }
         return document;
     }
 
-    private static ObjectNode head(Response part) {
-        ObjectNode head = JsonNodeFactory.instance.objectNode().put("instance", part.instance());
-        head.put("answered", !part.isMissing());
-        return part.isMissing() ? head.put("reason", part.reason()) : head;
+    private static ObjectNode header(Response response) {
+        ObjectNode header =
+                JsonNodeFactory.instance.objectNode().put("instance", response.instance());
+        header.put("answered", !response.isMissing());
+        return response.isMissing() ? header.put("reason", response.reason()) : header;
     }
 
-    /** Times are spelled with the same digits everywhere, so their texts sort as they do. */
+    /**
+     * Returns the lines of all instances, ordered by time. All times have the same number of
+     * digits, so their texts sort chronologically.
+     */
     private List<JsonNode> lines() {
         return answered()
-                .flatMap(part -> Stream.of("beliefs", "lines").flatMap(list -> lines(part, list)))
+                .flatMap(
+                        response ->
+                                Stream.of("beliefs", "lines")
+                                        .flatMap(list -> lines(response, list)))
                 .sorted(Comparator.comparing(line -> line.path("at").asText()))
                 .toList();
     }
 
-    private static Stream<JsonNode> lines(Response part, String list) {
+    private static Stream<JsonNode> lines(Response response, String list) {
         Stream.Builder<JsonNode> lines = Stream.builder();
-        for (JsonNode each : part.document().path(list)) {
+        for (JsonNode each : response.document().path(list)) {
             ObjectNode line = JsonNodeFactory.instance.objectNode();
-            line.put("type", "line").put("by", part.instance());
+            line.put("type", "line").put("by", response.instance());
             lines.add(line.setAll((ObjectNode) each));
         }
         return lines.build();
     }
 
     private Stream<Response> answered() {
-        return responses.stream().filter(part -> !part.isMissing());
+        return responses.stream().filter(response -> !response.isMissing());
     }
 
     private void showMissing(Page page) {
         page.line(answered().count() + " of " + responses.size() + " instances answered.");
-        for (Response part : responses) {
-            if (part.isMissing()) {
-                page.line("! No answer of " + part.instance() + ": " + part.reason(), Style.BAD);
+        for (Response response : responses) {
+            if (response.isMissing()) {
+                page.line(
+                        "! No answer of " + response.instance() + ": " + response.reason(),
+                        Style.BAD);
             }
         }
     }
--- a/masticpond-command/src/main/java/io/masticpond/command/view/Field.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/Field.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A column of a table that shows one field of each document. */
+/** Column of a table that shows one field of each document. */
 record Field(Column column, String name) {
 
     static Field textField(String title, String name) {
@@ -15,7 +15,7 @@
         return new Field(Column.numberColumn(title), name);
     }
 
-    /** Makes a table with a row for each document. */
+    /** Creates a table with a row for each document. */
     static TextTable table(List<Field> fields, JsonNode documents) {
         TextTable table = new TextTable(fields.stream().map(Field::column).toArray(Column[]::new));
         for (JsonNode document : documents) {
@@ -27,7 +27,7 @@
         return table;
     }
 
-    /** Spells a value in few characters; what is not given is a dash. */
+    /** Formats a value compactly. A missing value is shown as a dash. */
     static String text(JsonNode value) {
         if (value.isMissingNode() || value.isNull()) {
             return "-";
--- a/masticpond-command/src/main/java/io/masticpond/command/view/Lane.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/Lane.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /**
- * The events of one instance, or why there are none.
+ * Events of one instance in a merged timeline, or the reason why there are none.
  *
  * @param instance the instance
- * @param state whether it answered
- * @param reason why it did not answer, or ""
- * @param incarnation the number of its incarnation, 0 if it did not answer
- * @param overwritten how many events it has overwritten since its start
- * @param events its events in the order of their times
+ * @param state whether the instance responded
+ * @param reason the reason why the instance did not respond, or an empty string
+ * @param incarnation the incarnation number, or 0 if the instance did not respond
+ * @param overwritten the number of events that the instance has overwritten since it started
+ * @param events the events, ordered by time
  * @since 0.1
  */
 public record Lane(
@@ -22,25 +22,25 @@
         long overwritten,
         List<TimelineAnswer.Event> events) {
 
-    /** Whether an instance answered. */
+    /** Result of querying an instance. */
     public enum State {
-        /** It did. */
+        /** The instance responded. */
         ANSWERED,
-        /** It was asked and did not. */
+        /** The instance was queried and did not respond. */
         UNREACHABLE,
-        /** It is known to be dead and was not asked. */
+        /** The instance is known to be dead and was not queried. */
         DEAD
     }
 
-    /** Copies the list. */
+    /** Makes a defensive copy of the list. */
     public Lane {
         events = List.copyOf(events);
     }
 
     /**
-     * Makes a lane of an answer.
+     * Creates a lane from the response of an instance.
      *
-     * @param answer the answer
+     * @param answer the response
      * @return the lane
      */
     public static Lane of(TimelineAnswer answer) {
@@ -54,7 +54,7 @@
     }
 
     /**
-     * Makes a lane of an instance that is dead.
+     * Creates a lane for an instance that is dead.
      *
      * @param instance the instance
      * @return the lane
@@ -64,10 +64,10 @@
     }
 
     /**
-     * Makes a lane of an instance that did not answer.
+     * Creates a lane for an instance that did not respond.
      *
      * @param instance the instance
-     * @param reason why not, a few words
+     * @param reason the reason, a few words
      * @return the lane
      */
     public static Lane missing(String instance, String reason) {
@@ -75,9 +75,9 @@
     }
 
     /**
-     * Tells whether events of a living instance are missing.
+     * Returns whether the events of an instance that is not known to be dead are missing.
      *
-     * @return whether it was asked and did not answer
+     * @return whether the instance was queried and did not respond
      */
     public boolean isMissing() {
         return state == State.UNREACHABLE;
--- a/masticpond-command/src/main/java/io/masticpond/command/view/LossCounts.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/LossCounts.java
@@ -11,7 +11,8 @@
 import java.util.TreeMap;
 
 /**
- * Counts from the lines of requests what was not answered in time, when, and why.
+ * Counts requests in log lines by how they ended, to show which were not answered in time, when and
+ * why.
  *
  * @since 0.2
  */
@@ -21,60 +22,60 @@
     private static final String LATE = "late";
     private static final int PERCENT = 100;
 
-    /** The requests that share a cell of a table, by how long they took. */
+    /** Statistics of the requests that share a row of a table. */
     private static final class Group {
-        private final List<Long> mMillis = new ArrayList<>();
-        private final Map<String, Integer> mEnds = new TreeMap<>();
-        private int mSends;
+        private final List<Long> mDurationsMillis = new ArrayList<>();
+        private final Map<String, Integer> mCountsByEnd = new TreeMap<>();
+        private int mSendCount;
 
         void add(String end, long millis, int sends) {
-            mMillis.add(millis);
-            mEnds.merge(end, 1, Integer::sum);
-            mSends += sends;
+            mDurationsMillis.add(millis);
+            mCountsByEnd.merge(end, 1, Integer::sum);
+            mSendCount += sends;
         }
 
         int count(String end) {
-            return mEnds.getOrDefault(end, 0);
+            return mCountsByEnd.getOrDefault(end, 0);
         }
 
         int withPrefix(String prefix) {
-            return mEnds.entrySet().stream()
+            return mCountsByEnd.entrySet().stream()
                     .filter(each -> each.getKey().startsWith(prefix))
                     .mapToInt(Map.Entry::getValue)
                     .sum();
         }
 
         long percentile(int percent) {
-            mMillis.sort(Comparator.naturalOrder());
-            return mMillis.get((mMillis.size() - 1) * percent / PERCENT);
+            mDurationsMillis.sort(Comparator.naturalOrder());
+            return mDurationsMillis.get((mDurationsMillis.size() - 1) * percent / PERCENT);
         }
     }
 
-    /** One way in which requests of a route ended. */
+    /** Key that groups requests by route, service and the way in which they ended. */
     private record LossKey(String route, String service, String end) {}
 
     private final Duration mWindow;
-    private final Map<Long, Group> mWindows = new TreeMap<>();
-    private final Map<LossKey, Group> mWays =
+    private final Map<Long, Group> mGroupsByWindow = new TreeMap<>();
+    private final Map<LossKey, Group> mGroupsByLossKey =
             new TreeMap<>(
                     Comparator.comparing(LossKey::route)
                             .thenComparing(LossKey::service)
                             .thenComparing(LossKey::end));
-    private int mAll;
+    private int mRequestCount;
 
     /**
-     * Starts with nothing counted.
+     * Creates empty counts.
      *
-     * @param window how much time a row of the table by time spans
+     * @param window the time span of a row in the table by time
      */
     public LossCounts(Duration window) {
         mWindow = window;
     }
 
     /**
-     * Counts a line, if it is that of the end of a request.
+     * Counts a log line if it records the end of a request. Other lines are ignored.
      *
-     * @param line a line of the log of an instance
+     * @param line a line of the log of an instance, as JSON
      */
     public void add(JsonNode line) {
         if (!line.path("event").asText().equals("request")) {
@@ -84,33 +85,33 @@
         long millis = line.path("millis").asLong();
         int sends = line.path("attempts").size();
         long window = Instant.parse(line.path("at").asText()).toEpochMilli() / mWindow.toMillis();
-        mAll++;
-        mWindows.computeIfAbsent(window, key -> new Group()).add(end, millis, sends);
-        LossKey way = new LossKey(text(line, "route"), text(line, "service"), end);
-        mWays.computeIfAbsent(way, key -> new Group()).add(end, millis, sends);
+        mRequestCount++;
+        mGroupsByWindow.computeIfAbsent(window, key -> new Group()).add(end, millis, sends);
+        LossKey lossKey = new LossKey(text(line, "route"), text(line, "service"), end);
+        mGroupsByLossKey.computeIfAbsent(lossKey, key -> new Group()).add(end, millis, sends);
     }
 
     /**
-     * Counts the requests.
+     * Returns the number of requests counted.
      *
-     * @return the count
+     * @return the number of requests
      */
     public int requests() {
-        return mAll;
+        return mRequestCount;
     }
 
     /**
      * Shows the counts by time, and by route and cause.
      *
-     * @param page where
+     * @param page the page to write to
      */
     public void show(Page page) {
-        page.table(byTime());
-        page.gap();
-        page.table(byWay());
+        page.table(timeTable());
+        page.blankLine();
+        page.table(causeTable());
     }
 
-    private TextTable byTime() {
+    private TextTable timeTable() {
         TextTable table =
                 new TextTable(
                         Column.textColumn("from"),
@@ -123,11 +124,11 @@
                         Column.numberColumn("p50 ms"),
                         Column.numberColumn("p99 ms"),
                         Column.numberColumn("sends"));
-        mWindows.forEach(
+        mGroupsByWindow.forEach(
                 (window, group) ->
                         table.add(
                                 Cell.of(Instant.ofEpochMilli(window * mWindow.toMillis())),
-                                Cell.of(group.mMillis.size()),
+                                Cell.of(group.mDurationsMillis.size()),
                                 Cell.of(group.count(IN_TIME)),
                                 Cell.of(group.count(LATE)),
                                 Cell.of(group.withPrefix("refused")),
@@ -135,11 +136,11 @@
                                 Cell.of(group.withPrefix("client-gone")),
                                 Cell.of(group.percentile(50)),
                                 Cell.of(group.percentile(99)),
-                                Cell.of(group.mSends)));
+                                Cell.of(group.mSendCount)));
         return table;
     }
 
-    private TextTable byWay() {
+    private TextTable causeTable() {
         TextTable table =
                 new TextTable(
                         Column.textColumn("route"),
@@ -150,28 +151,28 @@
                         Column.numberColumn("p50 ms"),
                         Column.numberColumn("p99 ms"),
                         Column.numberColumn("sends"));
-        mWays.entrySet().stream()
-                .sorted(Comparator.comparingInt(each -> -each.getValue().mMillis.size()))
+        mGroupsByLossKey.entrySet().stream()
+                .sorted(Comparator.comparingInt(each -> -each.getValue().mDurationsMillis.size()))
                 .forEach(each -> table.add(cells(each.getKey(), each.getValue())));
         return table;
     }
 
-    private Cell[] cells(LossKey way, Group group) {
-        int requests = group.mMillis.size();
+    private Cell[] cells(LossKey lossKey, Group group) {
+        int requests = group.mDurationsMillis.size();
         return new Cell[] {
-            Cell.of(way.route()),
-            Cell.of(way.service()),
-            Cell.of(way.end()),
+            Cell.of(lossKey.route()),
+            Cell.of(lossKey.service()),
+            Cell.of(lossKey.end()),
             Cell.of(requests),
             Cell.of(share(requests)),
             Cell.of(group.percentile(50)),
             Cell.of(group.percentile(99)),
-            Cell.of(group.mSends)
+            Cell.of(group.mSendCount)
         };
     }
 
     private String share(int count) {
-        return String.format(Locale.ROOT, "%.2f", (double) PERCENT * count / mAll);
+        return String.format(Locale.ROOT, "%.2f", (double) PERCENT * count / mRequestCount);
     }
 
     private static String end(JsonNode line) {
--- a/masticpond-command/src/main/java/io/masticpond/command/view/MergedTimeline.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/MergedTimeline.java
@@ -6,10 +6,10 @@
 import java.util.List;
 
 /**
- * The events of all instances in causal order: by hybrid time, then by instance.
+ * Events of all instances in causal order, which is by hybrid timestamp, then by instance.
  *
- * @param lanes the instances, in the order of their names
- * @param entries the events
+ * @param lanes the events of each instance, ordered by the names of the instances
+ * @param entries the events in causal order
  * @since 0.1
  */
 public record MergedTimeline(List<Lane> lanes, List<Entry> entries) {
@@ -19,17 +19,17 @@
                     .thenComparingInt(entry -> entry.event().counter())
                     .thenComparing(Entry::instance);
 
-    /** Copies the lists. */
+    /** Creates a timeline with defensive copies of the lists. */
     public MergedTimeline {
         lanes = List.copyOf(lanes);
         entries = List.copyOf(entries);
     }
 
     /**
-     * Merges lanes.
+     * Merges the events of instances.
      *
-     * @param lanes the instances with their events
-     * @return the time line
+     * @param lanes the events of each instance
+     * @return the merged timeline
      */
     public static MergedTimeline of(List<Lane> lanes) {
         List<Lane> sorted = new ArrayList<>(lanes);
@@ -43,7 +43,7 @@
     }
 
     /**
-     * An event and where it happened.
+     * Event with the instance that recorded it.
      *
      * @param instance the instance
      * @param event the event
--- a/masticpond-command/src/main/java/io/masticpond/command/view/Page.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/Page.java
@@ -3,11 +3,11 @@
 import java.io.PrintWriter;
 
 /**
- * Writes lines and tables for people to a stream of a known width.
+ * Text output of lines and tables with a fixed width.
  *
- * @param writer the stream
- * @param width how many characters a line of a table may have
- * @param colors whether styles show
+ * @param writer the writer to write to
+ * @param width the maximum number of characters in a line of a table
+ * @param colors whether styles are shown as colours
  * @since 0.1
  */
 public record Page(PrintWriter writer, int width, boolean colors) {
@@ -15,24 +15,24 @@
     /**
      * Writes a line.
      *
-     * @param text the text, which may come from outside
+     * @param text the text, which may come from an untrusted source
      */
     public void line(String text) {
         line(text, Style.PLAIN);
     }
 
     /**
-     * Writes a line that stands out.
+     * Writes a line in the given style.
      *
-     * @param text the text, which may come from outside
-     * @param style how it stands out
+     * @param text the text, which may come from an untrusted source
+     * @param style the style of the line
      */
     public void line(String text, Style style) {
         writer.println(style.apply(Texts.printable(text), colors));
     }
 
     /** Writes an empty line. */
-    public void gap() {
+    public void blankLine() {
         writer.println();
     }
 
--- a/masticpond-command/src/main/java/io/masticpond/command/view/PlanView.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/PlanView.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /**
- * Shows a plan as differences, with its predictions.
+ * Shows a plan as a list of differences with its predictions.
  *
  * @since 0.1
  */
@@ -21,12 +21,12 @@
      * Shows a plan.
      *
      * @param plan the plan
-     * @param page where to
+     * @param page the page to write to
      */
     public static void show(PlanAnswer plan, Page page) {
         page.line("Plan " + plan.id() + " on version " + plan.base(), Style.BOLD);
         page.line("Made by " + plan.operator() + ", can be confirmed until " + plan.expires());
-        page.gap();
+        page.blankLine();
         page.line("Changes (" + plan.differences().size() + ")", Style.BOLD);
         showDifferences(plan.differences(), page);
         showLoads(plan.loads(), page);
@@ -40,7 +40,7 @@
      * Shows differences, a line for each.
      *
      * @param differences the differences
-     * @param page where to
+     * @param page the page to write to
      */
     public static void showDifferences(List<Difference> differences, Page page) {
         for (Difference difference : differences) {
@@ -49,7 +49,7 @@
         if (differences.isEmpty()) {
             page.line("  none");
         }
-        page.gap();
+        page.blankLine();
     }
 
     private static String textOf(Difference difference) {
@@ -92,7 +92,7 @@
         }
         page.line("Load after the change", Style.BOLD);
         page.table(table);
-        page.gap();
+        page.blankLine();
     }
 
     private static Style styleOf(Load load) {
@@ -125,6 +125,6 @@
         }
         page.line("Spending of a shift after the change", Style.BOLD);
         page.table(table);
-        page.gap();
+        page.blankLine();
     }
 }
--- a/masticpond-command/src/main/java/io/masticpond/command/view/ServicesView.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/ServicesView.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 
 /**
- * Shows services and places, with the capacity that one instance knows.
+ * Shows services and availability zones with the capacity known to one instance.
  *
  * @since 0.1
  */
@@ -24,8 +24,8 @@
      * Shows a row for each service in each region.
      *
      * @param configuration the configuration in force
-     * @param status what one instance knows
-     * @param page where to
+     * @param status the status of the instance whose view is shown
+     * @param page the page to write to
      */
     public static void showServices(
             ConfigurationAnswer configuration, StatusAnswer status, Page page) {
@@ -54,10 +54,10 @@
      * Shows a row for each availability zone.
      *
      * @param configuration the configuration in force
-     * @param status what one instance knows
-     * @param page where to
+     * @param status the status of the instance whose view is shown
+     * @param page the page to write to
      */
-    public static void showPlaces(
+    public static void showZones(
             ConfigurationAnswer configuration, StatusAnswer status, Page page) {
         TextTable table =
                 new TextTable(
@@ -69,7 +69,7 @@
                         Column.numberColumn("SLOTS"));
         for (Region region : configuration.content().regions()) {
             for (String zone : region.zones()) {
-                addPlace(table, region, zone, configuration, status);
+                addZone(table, region, zone, configuration, status);
             }
         }
         page.line("Version " + configuration.version() + ", as seen by " + status.instance());
@@ -104,7 +104,7 @@
         return capacity.expectedWaitMillis() < 0 ? "no end" : "" + capacity.expectedWaitMillis();
     }
 
-    private static void addPlace(
+    private static void addZone(
             TextTable table,
             Region region,
             String zone,
--- a/masticpond-command/src/main/java/io/masticpond/command/view/SpendingTable.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/SpendingTable.java
@@ -3,7 +3,7 @@
 import io.masticpond.command.client.SpendingAnswer;
 
 /**
- * Shows spending.
+ * Shows the spending of services as a table.
  *
  * @since 0.1
  */
@@ -17,7 +17,7 @@
      * Shows a row for each service and shift.
      *
      * @param answer the spending
-     * @param page where to
+     * @param page the page to write to
      */
     public static void show(SpendingAnswer answer, Page page) {
         TextTable table =
@@ -33,8 +33,8 @@
                         Column.numberColumn("SPENT HERE"),
                         Column.textColumn("STATE"));
         for (SpendingAnswer.Entry entry : answer.spendings()) {
-            boolean near = entry.allottedMicros() >= NEAR_SHARE * entry.capMicros();
-            boolean over = entry.forecastMicros() > entry.capMicros();
+            boolean isNearCap = entry.allottedMicros() >= NEAR_SHARE * entry.capMicros();
+            boolean isOverCap = entry.forecastMicros() > entry.capMicros();
             table.add(
                     Cell.of(entry.service()),
                     Cell.of(entry.shift()),
@@ -43,10 +43,10 @@
                     Cell.of(Texts.money(entry.allottedMicros())),
                     Cell.of(
                             Texts.percent(entry.allottedMicros(), entry.capMicros()),
-                            near ? Style.WARNING : Style.PLAIN),
+                            isNearCap ? Style.WARNING : Style.PLAIN),
                     Cell.of(
                             Texts.money(entry.forecastMicros()),
-                            over ? Style.WARNING : Style.PLAIN),
+                            isOverCap ? Style.WARNING : Style.PLAIN),
                     Cell.of(Texts.money(entry.availableMicros())),
                     Cell.of(Texts.money(entry.spentMicros())),
                     Cell.of(entry.state()));
--- a/masticpond-command/src/main/java/io/masticpond/command/view/StatusView.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/StatusView.java
@@ -6,7 +6,7 @@
 import java.time.Instant;
 
 /**
- * Shows the status that one instance knows.
+ * Shows the status of an instance and its view of the others.
  *
  * @since 0.1
  */
@@ -18,7 +18,7 @@
      * Shows a status.
      *
      * @param status the status
-     * @param page where to
+     * @param page the page to write to
      */
     public static void show(StatusAnswer status, Page page) {
         page.line("As seen by " + status.instance() + " in " + status.zone(), Style.BOLD);
@@ -29,7 +29,7 @@
             page.line("! The platform does not answer it.", Style.WARNING);
         }
         page.line("Requests in flight: " + status.requestsInFlight());
-        page.gap();
+        page.blankLine();
         page.table(members(status));
     }
 
--- a/masticpond-command/src/main/java/io/masticpond/command/view/Style.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/Style.java
@@ -1,22 +1,22 @@
 package io.masticpond.command.view;
 
 /**
- * How a piece of text stands out on a terminal with colours.
+ * Styles of text on a terminal that supports colours.
  *
  * @since 0.1
  */
 public enum Style {
-    /** Not at all. */
+    /** No highlighting. */
     PLAIN(""),
-    /** A title. */
+    /** Bold, for titles. */
     BOLD("1"),
-    /** Of less importance. */
+    /** Faint, for less important text. */
     FAINT("2"),
-    /** As it should be, or added. */
+    /** Green, for a good state or an addition. */
     GOOD("32"),
-    /** To be looked at, or changed. */
+    /** Yellow, for a warning or a change. */
     WARNING("33"),
-    /** Wrong, or removed. */
+    /** Red, for an error or a removal. */
     BAD("31");
 
     private static final String ESCAPE = "\u001b[";
@@ -29,11 +29,11 @@
     }
 
     /**
-     * Puts the codes of this style around a text.
+     * Surrounds a text with the escape codes of this style.
      *
      * @param text the text, already free of control characters
-     * @param colors whether the terminal shows colours; if not, the text stays as it is
-     * @return the text with its codes
+     * @param colors whether the terminal shows colours; if not, the text is returned unchanged
+     * @return the text with its escape codes
      */
     public String apply(String text, boolean colors) {
         boolean plain = !colors || mCode.isEmpty() || text.isEmpty();
--- a/masticpond-command/src/main/java/io/masticpond/command/view/TextTable.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/TextTable.java
@@ -5,24 +5,25 @@
 import java.util.List;
 
 /**
- * A table that fits a width: the widest columns are cut, marked by a tilde.
+ * Table that fits a given width. The widest columns are truncated, and truncated texts are marked
+ * by a tilde.
  *
- * <p>The table of the command line library is not used, since it reads its own markup out of the
- * texts, which come from outside.
+ * <p>The table of the command line library is not used because it interprets its own markup in the
+ * texts, which come from untrusted sources.
  *
  * @since 0.1
  */
 public final class TextTable {
 
-    private static final String GAP = "  ";
-    private static final String CUT_MARK = "~";
-    private static final int LEAST_COLUMN_WIDTH = 6;
+    private static final String COLUMN_SEPARATOR = "  ";
+    private static final String TRUNCATION_MARK = "~";
+    private static final int MINIMUM_COLUMN_WIDTH = 6;
 
     private final List<Column> mColumns;
     private final List<List<Cell>> mRows = new ArrayList<>();
 
     /**
-     * Makes a table without rows.
+     * Creates a table without rows.
      *
      * @param columns the columns
      */
@@ -33,7 +34,7 @@
     /**
      * Adds a row.
      *
-     * @param cells a cell for each column
+     * @param cells the cells, one for each column
      * @return this table
      */
     public TextTable add(Cell... cells) {
@@ -42,11 +43,11 @@
     }
 
     /**
-     * Writes the table.
+     * Renders the table.
      *
-     * @param width how many characters a line may have
-     * @param colors whether styles show
-     * @return the lines, the first with the titles
+     * @param width the maximum number of characters in a line
+     * @param colors whether styles are shown as colours
+     * @return the lines, of which the first contains the titles
      */
     public List<String> lines(int width, boolean colors) {
         int[] widths = widths(width);
@@ -70,22 +71,22 @@
                 widths[column] = Math.max(widths[column], row.get(column).text().length());
             }
         }
-        cutWidest(widths, width - GAP.length() * (widths.length - 1));
+        shrinkWidest(widths, width - COLUMN_SEPARATOR.length() * (widths.length - 1));
         return widths;
     }
 
-    private static void cutWidest(int[] widths, int room) {
-        int surplus = Arrays.stream(widths).sum() - room;
-        while (surplus > 0) {
+    private static void shrinkWidest(int[] widths, int availableWidth) {
+        int excess = Arrays.stream(widths).sum() - availableWidth;
+        while (excess > 0) {
             int widest = 0;
             for (int column = 1; column < widths.length; column++) {
                 widest = widths[column] > widths[widest] ? column : widest;
             }
-            if (widths[widest] <= LEAST_COLUMN_WIDTH) {
+            if (widths[widest] <= MINIMUM_COLUMN_WIDTH) {
                 return;
             }
             widths[widest]--;
-            surplus--;
+            excess--;
         }
     }
 
@@ -93,19 +94,19 @@
         StringBuilder line = new StringBuilder();
         for (int column = 0; column < widths.length; column++) {
             Cell cell = row.get(column);
-            String text = cut(cell.text(), widths[column]);
+            String text = truncate(cell.text(), widths[column]);
             String padded = mColumns.get(column).alignment().pad(text, widths[column]);
             boolean last = column == widths.length - 1;
             line.append(cell.style().apply(last ? padded.stripTrailing() : padded, colors));
-            line.append(last ? "" : GAP);
+            line.append(last ? "" : COLUMN_SEPARATOR);
         }
         return line.toString().stripTrailing();
     }
 
-    private static String cut(String text, int width) {
+    private static String truncate(String text, int width) {
         if (text.length() <= width) {
             return text;
         }
-        return text.substring(0, Math.max(0, width - CUT_MARK.length())) + CUT_MARK;
+        return text.substring(0, Math.max(0, width - TRUNCATION_MARK.length())) + TRUNCATION_MARK;
     }
 }
--- a/masticpond-command/src/main/java/io/masticpond/command/view/Texts.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/Texts.java
@@ -4,22 +4,23 @@
 import java.util.OptionalLong;
 
 /**
- * Forms of values for people.
+ * Formatting of values for output.
  *
  * @since 0.1
  */
 public final class Texts {
 
     private static final int MICRO_DIGITS = 6;
-    private static final int LEAST_MONEY_DIGITS = 2;
+    private static final int MINIMUM_MONEY_DIGITS = 2;
 
     private Texts() {}
 
     /**
-     * Makes a text from outside safe for a terminal.
+     * Sanitizes an untrusted text for output on a terminal.
      *
      * @param text the text
-     * @return the text on one line, with a question mark for each control and format character
+     * @return the text on one line, with each control and format character replaced by a question
+     *     mark
      */
     public static String printable(String text) {
         StringBuilder safe = new StringBuilder(text.length());
@@ -28,33 +29,33 @@
     }
 
     /**
-     * Writes an amount of money.
+     * Formats an amount of money.
      *
      * @param micros the amount in millionths of the unit of money
-     * @return the amount in the unit of money, with two digits at least
+     * @return the amount in the unit of money, with at least two decimals
      */
     public static String money(long micros) {
         BigDecimal amount = BigDecimal.valueOf(micros, MICRO_DIGITS).stripTrailingZeros();
-        int digits = Math.max(LEAST_MONEY_DIGITS, amount.scale());
+        int digits = Math.max(MINIMUM_MONEY_DIGITS, amount.scale());
         return amount.setScale(digits).toPlainString();
     }
 
     /**
-     * Writes an amount of money that may not be known.
+     * Formats an amount of money that may be unknown.
      *
      * @param micros the amount in millionths of the unit of money
-     * @return the amount, or a dash
+     * @return the amount, or a dash if it is unknown
      */
     public static String money(OptionalLong micros) {
         return micros.isPresent() ? money(micros.getAsLong()) : "-";
     }
 
     /**
-     * Writes a share as a percentage.
+     * Formats a share as a percentage.
      *
      * @param part the part
      * @param whole the whole
-     * @return the percentage without decimals, or a dash of nothing
+     * @return the percentage without decimals, or a dash if the whole is not positive
      */
     public static String percent(double part, double whole) {
         return whole <= 0 ? "-" : Math.round(100 * part / whole) + "%";
--- a/masticpond-command/src/main/java/io/masticpond/command/view/TimelineJson.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/TimelineJson.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /**
- * Writes a time line as documents: one for each instance, then one for each event.
+ * Converts a timeline to JSON documents: one for each instance, followed by one for each event.
  *
  * @since 0.1
  */
@@ -18,10 +18,11 @@
     private TimelineJson() {}
 
     /**
-     * Writes a time line.
+     * Converts a timeline to documents.
      *
-     * @param timeline the time line
-     * @return the documents, each with a field "type" that is "instance" or "event"
+     * @param timeline the timeline
+     * @return the documents, each with a field {@code type} that is {@code instance} or {@code
+     *     event}
      */
     public static List<JsonNode> documents(MergedTimeline timeline) {
         List<JsonNode> documents = new ArrayList<>();
--- a/masticpond-command/src/main/java/io/masticpond/command/view/TimelinePage.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/TimelinePage.java
@@ -8,31 +8,31 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Writes a time line as an HTML page that needs nothing else: no network, no other file.
+ * Renders a timeline as a self-contained HTML page, which needs no network and no other file.
  *
- * <p>The events go into the page as JSON data, which its script shows as text only; so nothing in
- * an event can act in the browser.
+ * <p>The events are embedded as JSON data, which the script of the page shows as text only, so that
+ * the content of an event is never executed by the browser.
  *
  * @since 0.1
  */
 public final class TimelinePage {
 
     private static final String TEMPLATE = "timeline.html";
-    private static final String DATA_PLACE = "{{timeline}}";
+    private static final String DATA_PLACEHOLDER = "{{timeline}}";
     private static final ObjectMapper sMapper = new ObjectMapper();
 
     private TimelinePage() {}
 
     /**
-     * Writes a time line.
+     * Renders a timeline.
      *
-     * @param timeline the time line
-     * @return the page
+     * @param timeline the timeline
+     * @return the HTML page
      */
     public static String render(MergedTimeline timeline) {
         try {
             String data = sMapper.writeValueAsString(TimelineJson.documents(timeline));
-            return template().replace(DATA_PLACE, data.replace("<", "\\u003c"));
+            return template().replace(DATA_PLACEHOLDER, data.replace("<", "\\u003c"));
         } catch (JsonProcessingException e) {
             throw new IllegalStateException("A time line could not be written.", e);
         }
--- a/masticpond-command/src/main/java/io/masticpond/command/view/TimelineView.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/TimelineView.java
@@ -6,7 +6,7 @@
 import java.time.format.DateTimeFormatter;
 
 /**
- * Shows a time line as a table.
+ * Shows a timeline as a table.
  *
  * @since 0.1
  */
@@ -18,10 +18,10 @@
     private TimelineView() {}
 
     /**
-     * Shows a time line, then every instance whose events are missing.
+     * Shows a timeline, followed by every instance whose events are missing.
      *
-     * @param timeline the time line
-     * @param page where to
+     * @param timeline the timeline
+     * @param page the page to write to
      */
     public static void show(MergedTimeline timeline, Page page) {
         TextTable table =
@@ -45,7 +45,7 @@
                     Cell.of(event.detail()));
         }
         page.table(table);
-        page.gap();
+        page.blankLine();
         page.line(summary(timeline));
         for (Lane lane : timeline.lanes()) {
             if (lane.state() != Lane.State.ANSWERED) {
--- a/masticpond-command/src/main/java/io/masticpond/command/view/package-info.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/package-info.java
@@ -1,2 +1,2 @@
-/** Shows answers to people and programs; must not know where they come from. */
+/** Presentation of responses as tables, JSON and HTML. Must not depend on the subcommands. */
 package io.masticpond.command.view;
--- a/masticpond-command/src/test/java/io/masticpond/command/view/TextTableProperties.java
+++ b/masticpond-command/src/test/java/io/masticpond/command/view/TextTableProperties.java
@@ -15,7 +15,7 @@
     private static final int COLUMNS = 3;
 
     @Property(seed = "20261202")
-    void linesFitTheTerminalAndCarryNoControlCharacters(
+    void linesFitWidthAndContainNoControlCharacters(
             @ForAll @IntRange(min = 40, max = 200) int width,
             @ForAll @Size(max = 10)
                     List<@Size(COLUMNS) List<@StringLength(max = 120) String>> rows) {
@@ -36,14 +36,14 @@
     }
 
     @Example
-    void onlyTheWidestColumnIsCut() {
+    void truncatesOnlyWidestColumn() {
         TextTable table = new TextTable(Column.textColumn("NAME"), Column.textColumn("DETAIL"));
         table.add(Cell.of("perth-a-1"), Cell.of("x".repeat(100)));
         assertThat(table.lines(40, false).get(1)).isEqualTo("perth-a-1  " + "x".repeat(28) + "~");
     }
 
     @Example
-    void escapeSequencesOfOthersAreNotPassedOn() {
+    void replacesControlCharactersInCells() {
         TextTable table = new TextTable(Column.textColumn("NAME"));
         table.add(Cell.of("a\u001b[2Jb\u009bc\u202ed\n"));
         assertThat(table.lines(80, true).get(1)).isEqualTo("a?[2Jb?c?d?");
