--- a/masticpond-command/src/main/java/io/masticpond/command/task/AbstractDrainCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/AbstractDrainCommand.java
@@ -7,7 +7,10 @@
 import io.vavr.control.Either;
 import picocli.CommandLine.Parameters;
 
-/** Asks the instance that is named, wherever it is, to change how far its drain is. */
+/**
+ * Base class for commands that start or cancel the drain of an instance. The request is sent to the
+ * named instance itself.
+ */
 abstract class AbstractDrainCommand extends AbstractInstanceCommand {
 
     private final String mAction;
@@ -27,7 +30,7 @@
     protected final Either<CommandError, ExitCode> run(OperatorClient client) {
         String path = "v1/instances/" + mInstance + "/" + mAction;
         return MemberFinder.find(client, mInstance)
-                .flatMap(member -> MemberFinder.address(mInstance, member.operatorAddress()))
+                .flatMap(member -> MemberFinder.parseAddress(mInstance, member.operatorAddress()))
                 .flatMap(address -> translate(client.postTo(address, path)))
                 .flatMap(document -> show(client, document));
     }
--- a/masticpond-command/src/main/java/io/masticpond/command/task/AbstractEntryCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/AbstractEntryCommand.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A command that asks instances of the request path. */
+/** Base class for commands that query instances of the request path. */
 abstract class AbstractEntryCommand extends AbstractInstanceCommand {
 
     private static final String MEMBERS = "v1/members";
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Asks all instances: those given, and all that the first to answer knows, also those that it
-     * takes for gone.
+     * Queries all instances: the given ones, and all that the first responding instance knows of,
+     * including those that it considers terminated.
      */
     static Either<CommandError, EntryResponses> queryAll(OperatorClient client, String path) {
         return translate(client.get(MEMBERS)).map(members -> queryAll(client, members, path));
@@ -36,18 +36,18 @@
 
     private static EntryResponses queryAll(OperatorClient client, JsonNode members, String path) {
         Map<InstanceAddress, String> names = new LinkedHashMap<>();
-        List<Response> parts = new ArrayList<>();
+        List<Response> responses = new ArrayList<>();
         for (JsonNode member : members.path("members")) {
             String name = member.path("instance").asText();
-            MemberFinder.address(name, member.path("control").asText())
+            MemberFinder.parseAddress(name, member.path("control").asText())
                     .peek(address -> names.put(address, name))
-                    .peekLeft(error -> parts.add(new Response(name, null, error.message())));
+                    .peekLeft(error -> responses.add(new Response(name, null, error.message())));
         }
         client.instances().forEach(given -> names.putIfAbsent(given, given.toString()));
         FanOut.query(List.copyOf(names.keySet()), address -> client.getFrom(address, path))
                 .forEach(
                         (address, answer) ->
-                                parts.add(
+                                responses.add(
                                         answer.fold(
                                                 error ->
                                                         new Response(
@@ -59,11 +59,11 @@
                                                                 document.path("instance").asText(),
                                                                 document,
                                                                 ""))));
-        return new EntryResponses(parts);
+        return new EntryResponses(responses);
     }
 
-    /** Ends a command that asked all. */
-    static ExitCode ended(EntryResponses parts) {
-        return parts.isComplete() ? ExitCode.DONE : ExitCode.PARTIAL;
+    /** Returns the exit code of a command that queried all instances. */
+    static ExitCode exitCodeFor(EntryResponses responses) {
+        return responses.isComplete() ? ExitCode.DONE : ExitCode.PARTIAL;
     }
 }
--- a/masticpond-command/src/main/java/io/masticpond/command/task/AbstractInstanceCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/AbstractInstanceCommand.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.Callable;
 
 /**
- * A command that asks instances.
+ * Base class for commands that query instances.
  *
  * @since 0.1
  */
@@ -16,9 +16,9 @@
     private final CommandContext mContext;
 
     /**
-     * Makes a command.
+     * Creates a command.
      *
-     * @param context what commands share
+     * @param context the shared context of commands
      */
     protected AbstractInstanceCommand(CommandContext context) {
         mContext = context;
@@ -26,7 +26,7 @@
 
     @Override
     public final Integer call() {
-        if (mContext.options().output() == OutputFormat.HTML && !writesPages()) {
+        if (mContext.options().output() == OutputFormat.HTML && !supportsHtml()) {
             return mContext.report(
                     CommandError.of(ExitCode.BAD_USAGE, "Only the time line is written as html."));
         }
@@ -36,37 +36,37 @@
     /**
      * Runs the command.
      *
-     * @param client asks the instances
-     * @return how it ended
+     * @param client the client with which to query the instances
+     * @return the exit code, or the error
      */
     protected abstract Either<CommandError, ExitCode> run(OperatorClient client);
 
-    /** Makes the client that asks the instances. */
+    /** Creates the client with which the command queries the instances. */
     Either<CommandError, OperatorClient> connect() {
         return mContext.connect();
     }
 
-    /** Tells whether the command can write a page for a browser. */
-    boolean writesPages() {
+    /** Returns whether the command supports HTML output. */
+    boolean supportsHtml() {
         return false;
     }
 
-    /** Gives what commands share. */
+    /** Returns the shared context of commands. */
     final CommandContext context() {
         return mContext;
     }
 
-    /** Gets a typed document from the first instance that answers. */
+    /** Gets a document from the first instance that responds and converts it to the given type. */
     final <T> Either<CommandError, T> get(OperatorClient client, String path, Class<T> type) {
         return translate(client.get(path).flatMap(document -> client.read(document, type)));
     }
 
-    /** Turns an error of the client into one of the commands. */
+    /** Translates an error of the client to a command error. */
     static <T> Either<CommandError, T> translate(Either<ClientError, T> answer) {
         return answer.mapLeft(CommandError::of);
     }
 
-    /** Writes a document for programs. */
+    /** Writes a document as JSON. */
     final ExitCode writeJson(JsonNode document) {
         mContext.writeJson(document);
         return ExitCode.DONE;
--- a/masticpond-command/src/main/java/io/masticpond/command/task/AbstractShowCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/AbstractShowCommand.java
@@ -6,7 +6,7 @@
 import io.vavr.control.Either;
 
 /**
- * A command that gets one document and shows it: as it is to programs, as a table to people.
+ * Base class for commands that get one document and show it, as JSON without changes or as a table.
  *
  * @since 0.1
  */
@@ -29,7 +29,7 @@
                                         : show(client, document, context().page()));
     }
 
-    /** Shows the document to people. */
+    /** Shows the document as a table. */
     abstract Either<CommandError, ExitCode> show(
             OperatorClient client, JsonNode document, Page page);
 }
--- a/masticpond-command/src/main/java/io/masticpond/command/task/CommandContext.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/CommandContext.java
@@ -18,7 +18,7 @@
 import java.util.Map;
 
 /**
- * What commands share: the options, the environment and the terminal.
+ * Shared context of commands: the common options, the environment and the terminal.
  *
  * @since 0.1
  */
@@ -27,9 +27,9 @@
     private static final String INSTANCES_VARIABLE = "MASTICPOND_INSTANCES";
     private static final String TOKEN_VARIABLE = "MASTICPOND_TOKEN";
     private static final String NO_COLOR_VARIABLE = "NO_COLOR";
-    private static final Duration LONGEST_TIMEOUT = Duration.ofHours(1);
-    private static final int LEAST_WIDTH = 40;
-    private static final int GREATEST_WIDTH = 1_000;
+    private static final Duration MAXIMUM_TIMEOUT = Duration.ofHours(1);
+    private static final int MINIMUM_WIDTH = 40;
+    private static final int MAXIMUM_WIDTH = 1_000;
 
     private static final ObjectMapper sMapper =
             JsonMapper.builder().enable(JsonWriteFeature.ESCAPE_NON_ASCII).build();
@@ -39,11 +39,11 @@
     private final CommonOptions mOptions;
 
     /**
-     * Makes a context.
+     * Creates a context.
      *
-     * @param terminal where commands write
-     * @param environment the variables of the environment
-     * @param options the options that every command takes
+     * @param terminal the terminal that commands write to
+     * @param environment the environment variables
+     * @param options the options that every command accepts
      */
     public CommandContext(
             Terminal terminal, Map<String, String> environment, CommonOptions options) {
@@ -52,17 +52,17 @@
         mOptions = options;
     }
 
-    /** Gives the options. */
+    /** Returns the common options. */
     CommonOptions options() {
         return mOptions;
     }
 
-    /** Gives the terminal. */
+    /** Returns the terminal. */
     Terminal terminal() {
         return mTerminal;
     }
 
-    /** Makes a client of the options and the environment. */
+    /** Creates a client from the options and the environment. */
     Either<CommandError, OperatorClient> connect() {
         return instances()
                 .flatMap(
@@ -73,28 +73,31 @@
                                                                 instances, token, timeout())));
     }
 
-    /** Makes a client for an interface that only tells, and so takes no token. */
+    /**
+     * Creates a client for the interface of the request path, which expects no token because it is
+     * read-only but for the release of requests.
+     */
     Either<CommandError, OperatorClient> connectWithoutToken() {
         return instances().map(instances -> new OperatorClient(instances, "", timeout()));
     }
 
     private Duration timeout() {
         Duration given = mOptions.timeout();
-        return given.compareTo(LONGEST_TIMEOUT) > 0 ? LONGEST_TIMEOUT : given;
+        return given.compareTo(MAXIMUM_TIMEOUT) > 0 ? MAXIMUM_TIMEOUT : given;
     }
 
-    /** Gives the page on standard output. */
+    /** Returns the page for standard output. */
     Page page() {
-        int width = mTerminal.columns().orElse(GREATEST_WIDTH);
-        int bounded = Math.max(LEAST_WIDTH, Math.min(GREATEST_WIDTH, width));
+        int width = mTerminal.columns().orElse(MAXIMUM_WIDTH);
+        int boundedWidth = Math.max(MINIMUM_WIDTH, Math.min(MAXIMUM_WIDTH, width));
         boolean colors =
                 mTerminal.columns().isPresent()
                         && !mOptions.noColor()
                         && mEnvironment.getOrDefault(NO_COLOR_VARIABLE, "").isEmpty();
-        return new Page(mTerminal.output(), bounded, colors);
+        return new Page(mTerminal.output(), boundedWidth, colors);
     }
 
-    /** Writes a document on one line of standard output. */
+    /** Writes a document to standard output on one line. */
     void writeJson(JsonNode document) {
         try {
             mTerminal.output().println(sMapper.writeValueAsString(document));
@@ -103,12 +106,12 @@
         }
     }
 
-    /** Tells whether standard output is for programs. */
+    /** Returns whether standard output is JSON. */
     boolean isJson() {
         return mOptions.output() == OutputFormat.JSON;
     }
 
-    /** Says on standard error why a command did not end well. */
+    /** Reports an error on standard error and returns its exit code. */
     int report(CommandError error) {
         Page page = new Page(mTerminal.errors(), page().width(), false);
         page.line("masticpondctl: " + error.message(), Style.PLAIN);
--- a/masticpond-command/src/main/java/io/masticpond/command/task/CommandError.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/CommandError.java
@@ -7,22 +7,22 @@
 import java.util.List;
 
 /**
- * Why a command did not end well.
+ * Error with which a command ends.
  *
- * @param exitCode how the run ends
- * @param message one sentence
- * @param details a line for each thing that an operator should look at
- * @param differences what has changed since the base of a plan
+ * @param exitCode the exit code of the program
+ * @param message a description of the error, one sentence
+ * @param details the details that an operator should look at, one line each
+ * @param differences the changes made since the base version of a plan
  * @since 0.1
  */
 public record CommandError(
         ExitCode exitCode, String message, List<String> details, List<Difference> differences) {
 
     /**
-     * Makes an error without details.
+     * Creates an error without details.
      *
-     * @param exitCode how the run ends
-     * @param message one sentence
+     * @param exitCode the exit code of the program
+     * @param message a description of the error, one sentence
      * @return the error
      */
     static CommandError of(ExitCode exitCode, String message) {
@@ -30,9 +30,9 @@
     }
 
     /**
-     * Makes an error of one of the client.
+     * Creates a command error from an error of the client.
      *
-     * @param error what the client says
+     * @param error the error of the client
      * @return the error
      */
     static CommandError of(ClientError error) {
--- a/masticpond-command/src/main/java/io/masticpond/command/task/Commands.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/Commands.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.ParameterException;
 
 /**
- * Joins the subcommands to one command line.
+ * Assembles the subcommands into the command line and runs it.
  *
  * @since 0.1
  */
@@ -19,12 +19,12 @@
     private Commands() {}
 
     /**
-     * Runs the program.
+     * Runs the program with the given arguments.
      *
-     * @param arguments the arguments of the command line
-     * @param terminal where to write
-     * @param environment the variables of the environment
-     * @param input standard input
+     * @param arguments the command line arguments
+     * @param terminal the terminal to write to
+     * @param environment the environment variables
+     * @param input the standard input
      * @return the exit code
      */
     public static int run(
--- a/masticpond-command/src/main/java/io/masticpond/command/task/CommonOptions.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/CommonOptions.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.ScopeType;
 
 /**
- * The options that every subcommand takes.
+ * Options that every subcommand accepts.
  *
  * @since 0.1
  */
@@ -59,27 +59,27 @@
             description = "No colours, also on a terminal. NO_COLOR does the same.")
     private boolean mNoColor;
 
-    /** Gives the instances to ask, or {@code null} if none are given. */
+    /** Returns the instances to query, or {@code null} if the option is absent. */
     List<InstanceAddress> instances() {
         return mInstances;
     }
 
-    /** Gives the file with the token, or {@code null} if none is given. */
+    /** Returns the token file, or {@code null} if the option is absent. */
     Path tokenFile() {
         return mTokenFile;
     }
 
-    /** Gives how long each instance has to answer. */
+    /** Returns the time that each instance has to respond. */
     Duration timeout() {
         return mTimeout;
     }
 
-    /** Gives the form of standard output. */
+    /** Returns the format of standard output. */
     OutputFormat output() {
         return mOutput;
     }
 
-    /** Tells whether colours are switched off. */
+    /** Returns whether colours are disabled. */
     boolean noColor() {
         return mNoColor;
     }
--- a/masticpond-command/src/main/java/io/masticpond/command/task/CompletionCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/CompletionCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** Writes a script that completes commands and options in bash and zsh. */
+/** Command that writes a completion script for bash and zsh. */
 @Command(
         name = "completion",
         description = "Write a completion script: source <(masticpondctl completion)")
--- a/masticpond-command/src/main/java/io/masticpond/command/task/ConfirmCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/ConfirmCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Shows a plan once more, asks, and brings it into force. */
+/** Command that shows a plan again, prompts for confirmation, and brings the plan into force. */
 @Command(name = "confirm", description = "Bring a plan into force.")
 final class ConfirmCommand extends AbstractInstanceCommand {
 
@@ -33,7 +33,7 @@
 
     @Override
     protected Either<CommandError, ExitCode> run(OperatorClient client) {
-        return (mYes ? Either.<CommandError, Boolean>right(true) : ask(client))
+        return (mYes ? Either.<CommandError, Boolean>right(true) : promptForConfirmation(client))
                 .flatMap(
                         confirmed ->
                                 confirmed
@@ -44,11 +44,12 @@
                                                         "Not confirmed; nothing has changed.")));
     }
 
-    private Either<CommandError, Boolean> ask(OperatorClient client) {
-        return get(client, "v1/plans/" + mPlan, PlanAnswer.class).flatMap(this::ask);
+    private Either<CommandError, Boolean> promptForConfirmation(OperatorClient client) {
+        return get(client, "v1/plans/" + mPlan, PlanAnswer.class)
+                .flatMap(this::promptForConfirmation);
     }
 
-    private Either<CommandError, Boolean> ask(PlanAnswer plan) {
+    private Either<CommandError, Boolean> promptForConfirmation(PlanAnswer plan) {
         if (!context().isJson()) {
             PlanView.show(plan, context().page());
             context().terminal().output().flush();
--- a/masticpond-command/src/main/java/io/masticpond/command/task/DrainCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/DrainCommand.java
@@ -2,7 +2,7 @@
 
 import picocli.CommandLine.Command;
 
-/** Drains an instance. */
+/** Command that drains an instance. */
 @Command(
         name = "drain",
         description = "Let an instance leave: look-ups name it no more, its work is finished.")
--- a/masticpond-command/src/main/java/io/masticpond/command/task/DurationConverter.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/DurationConverter.java
@@ -7,10 +7,10 @@
 import picocli.CommandLine.ITypeConverter;
 import picocli.CommandLine.TypeConversionException;
 
-/** Reads a duration such as 500ms, 3s, 5m, 2h or 1d. */
+/** Converter for durations such as 500ms, 3s, 5m, 2h or 1d. */
 final class DurationConverter implements ITypeConverter<Duration> {
 
-    private static final Pattern FORM = Pattern.compile("(\\d{1,9})(ms|s|m|h|d)");
+    private static final Pattern PATTERN = Pattern.compile("(\\d{1,9})(ms|s|m|h|d)");
     private static final Map<String, Duration> UNITS =
             Map.of(
                     "ms", Duration.ofMillis(1),
@@ -21,7 +21,7 @@
 
     @Override
     public Duration convert(String text) {
-        Matcher matcher = FORM.matcher(text);
+        Matcher matcher = PATTERN.matcher(text);
         Duration duration =
                 matcher.matches()
                         ? UNITS.get(matcher.group(2)).multipliedBy(Long.parseLong(matcher.group(1)))
--- a/masticpond-command/src/main/java/io/masticpond/command/task/EntryCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/EntryCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Groups the commands that ask the instances of the request path. */
+/** Parent command of the commands that query instances of the request path. */
 @Command(
         name = "entry",
         description = {
@@ -19,14 +19,14 @@
 
     @Spec private CommandSpec mSpec;
 
-    /** Makes the command with its subcommands. */
+    /** Creates the command with its subcommands. */
     static CommandLine create(CommandContext context) {
         CommandLine entry = new CommandLine(new EntryCommand());
         entry.addSubcommand(new EntryVersionsCommand(context));
         entry.addSubcommand(new EntryTimelineCommand(context));
         entry.addSubcommand(new EntryLossesCommand(context));
         entry.addSubcommand(new EntryReleaseCommand(context));
-        EntryShowCommand.all(context)
+        EntryShowCommand.createAll(context)
                 .forEach(spec -> entry.addSubcommand(spec.name(), new CommandLine(spec)));
         return entry;
     }
--- a/masticpond-command/src/main/java/io/masticpond/command/task/EntryLossesCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/EntryLossesCommand.java
@@ -17,7 +17,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Counts from the logs of instances which requests were not answered in time, when and why. */
+/**
+ * Command that counts, from the logs of instances, the requests that were not answered in time, by
+ * time and cause.
+ */
 @Command(
         name = "losses",
         description = {
@@ -80,7 +83,10 @@
         }
     }
 
-    /** Passes over what is no document, such as the last line of an instance that was killed. */
+    /**
+     * Counts a log line. Lines that are not valid JSON are skipped, such as the truncated last line
+     * of an instance that was killed.
+     */
     private void count(String line, LossCounts counts) {
         int start = line.indexOf('{');
         if (start < 0) {
--- a/masticpond-command/src/main/java/io/masticpond/command/task/EntryReleaseCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/EntryReleaseCommand.java
@@ -5,7 +5,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Releases a request that instances reject since backend servers ended under it. */
+/**
+ * Command that releases a request that instances reject because backend servers crashed while
+ * processing it.
+ */
 @Command(
         name = "release",
         description = {
@@ -14,7 +17,7 @@
         })
 final class EntryReleaseCommand extends AbstractEntryCommand {
 
-    private static final String FINGERPRINT = "[0-9a-f]{32}";
+    private static final String FINGERPRINT_PATTERN = "[0-9a-f]{32}";
 
     @Parameters(
             paramLabel = "FINGERPRINT",
@@ -27,7 +30,7 @@
 
     @Override
     protected Either<CommandError, ExitCode> run(OperatorClient client) {
-        if (!mFingerprint.matches(FINGERPRINT)) {
+        if (!mFingerprint.matches(FINGERPRINT_PATTERN)) {
             return Either.left(
                     CommandError.of(
                             ExitCode.BAD_USAGE,
--- a/masticpond-command/src/main/java/io/masticpond/command/task/EntryShowCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/EntryShowCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 
-/** Shows a document of the first instance that answers. */
+/** Command that shows a document of the first instance that responds. */
 @Command
 class EntryShowCommand extends AbstractEntryCommand {
 
@@ -21,8 +21,8 @@
         mDocument = document;
     }
 
-    /** Makes a command for each document. */
-    static List<CommandSpec> all(CommandContext context) {
+    /** Creates a command for each document. */
+    static List<CommandSpec> createAll(CommandContext context) {
         return Stream.of(EntryDocument.values())
                 .map(
                         document ->
@@ -38,7 +38,7 @@
         return translate(client.get("v1/" + mDocument.resourceName() + query())).map(this::show);
     }
 
-    /** Gives the query of the question, with its question mark, or nothing. */
+    /** Returns the query string with its leading question mark, or an empty string. */
     String query() {
         return "";
     }
@@ -57,7 +57,7 @@
         return spec;
     }
 
-    /** Shows the backend servers, of one service if it is given. */
+    /** Command that shows the backend servers, optionally of one service only. */
     @Command
     private static final class Servers extends EntryShowCommand {
 
--- a/masticpond-command/src/main/java/io/masticpond/command/task/EntryTimelineCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/EntryTimelineCommand.java
@@ -8,7 +8,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Merges what all instances decided about a request, and what they believed. */
+/**
+ * Command that merges the decisions of all instances about a request with the changes of their
+ * views.
+ */
 @Command(
         name = "timeline",
         description = {
@@ -17,7 +20,7 @@
         })
 final class EntryTimelineCommand extends AbstractEntryCommand {
 
-    private static final String DEFAULT_BELIEFS = "20";
+    private static final String DEFAULT_VIEW_CHANGES = "20";
 
     @Option(
             names = "--request",
@@ -28,9 +31,9 @@
     @Option(
             names = "--beliefs",
             paramLabel = "COUNT",
-            defaultValue = DEFAULT_BELIEFS,
+            defaultValue = DEFAULT_VIEW_CHANGES,
             description = "How many changes of each instance at most, 0 to 512 (${DEFAULT-VALUE}).")
-    private int mBeliefs;
+    private int mMaximumViewChanges;
 
     EntryTimelineCommand(CommandContext context) {
         super(context);
@@ -42,18 +45,18 @@
     }
 
     private String path() {
-        String path = "v1/timeline?beliefs=" + mBeliefs;
+        String path = "v1/timeline?beliefs=" + mMaximumViewChanges;
         return mRequest == null
                 ? path
                 : path + "&request=" + URLEncoder.encode(mRequest, StandardCharsets.UTF_8);
     }
 
-    private ExitCode show(EntryResponses parts) {
+    private ExitCode show(EntryResponses responses) {
         if (context().isJson()) {
-            parts.lineDocuments().forEach(context()::writeJson);
+            responses.lineDocuments().forEach(context()::writeJson);
         } else {
-            parts.showLines(context().page());
+            responses.showLines(context().page());
         }
-        return ended(parts);
+        return exitCodeFor(responses);
     }
 }
--- a/masticpond-command/src/main/java/io/masticpond/command/task/EntryVersionsCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/EntryVersionsCommand.java
@@ -5,7 +5,7 @@
 import io.vavr.control.Either;
 import picocli.CommandLine.Command;
 
-/** Shows which versions all instances have in force. */
+/** Command that shows the versions that are in force at each instance. */
 @Command(
         name = "versions",
         description = {
@@ -23,12 +23,12 @@
         return queryAll(client, "v1/status").map(this::show);
     }
 
-    private ExitCode show(EntryResponses parts) {
+    private ExitCode show(EntryResponses responses) {
         if (context().isJson()) {
-            parts.documents().forEach(context()::writeJson);
+            responses.documents().forEach(context()::writeJson);
         } else {
-            parts.showVersions(context().page());
+            responses.showVersions(context().page());
         }
-        return ended(parts);
+        return exitCodeFor(responses);
     }
 }
--- a/masticpond-command/src/main/java/io/masticpond/command/task/ExitCode.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/ExitCode.java
@@ -1,26 +1,26 @@
 package io.masticpond.command.task;
 
 /**
- * How a run of the program ended.
+ * Exit codes of the program.
  *
  * @since 0.1
  */
 public enum ExitCode {
-    /** What was asked is done. */
+    /** The command completed. */
     DONE(0, "done"),
-    /** An answer could not be read, or the program failed. */
+    /** A response could not be read, or the program failed. */
     FAILED(1, "failed, such as an answer that can't be read"),
-    /** The command line is wrong. */
+    /** The command line is invalid. */
     BAD_USAGE(2, "bad usage"),
-    /** Something else has changed meanwhile; nothing was done. */
+    /** Another change was made in the meantime; nothing was done. */
     CONFLICT(3, "conflict: something else has changed meanwhile"),
-    /** No instance answered. */
+    /** No instance responded. */
     UNREACHABLE(4, "no instance answered"),
-    /** The instance answered that it will not do it. */
+    /** The instance refused the request. */
     REFUSED(5, "refused: token, document, plan or state"),
-    /** The operator did not confirm. */
+    /** The operator did not confirm, or there was no terminal to prompt on. */
     DECLINED(6, "not confirmed, or no terminal to ask on"),
-    /** The answer lacks some instances, which are named. */
+    /** The result is partial; the missing instances are named. */
     PARTIAL(7, "done in part: some instances did not answer");
 
     private final int mCode;
@@ -32,18 +32,18 @@
     }
 
     /**
-     * Gives the number for the operating system.
+     * Returns the exit status for the operating system.
      *
-     * @return a number from 0 to 7
+     * @return the exit status, from 0 to 7
      */
     public int code() {
         return mCode;
     }
 
     /**
-     * Says what it means, for the help.
+     * Returns the description for the help.
      *
-     * @return a few words
+     * @return the description, a few words
      */
     public String description() {
         return mDescription;
--- a/masticpond-command/src/main/java/io/masticpond/command/task/IdentifierConverter.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/IdentifierConverter.java
@@ -4,7 +4,9 @@
 import picocli.CommandLine.ITypeConverter;
 import picocli.CommandLine.TypeConversionException;
 
-/** Reads an id from the command line, so that none can change the path of a request. */
+/**
+ * Converter for ids that rejects characters with which an id could change the path of a request.
+ */
 final class IdentifierConverter implements ITypeConverter<String> {
 
     private static final Pattern ALLOWED = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,95}");
--- a/masticpond-command/src/main/java/io/masticpond/command/task/InstancesConverter.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/InstancesConverter.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.ITypeConverter;
 import picocli.CommandLine.TypeConversionException;
 
-/** Reads the addresses of instances from the command line. */
+/** Converter for a list of instance addresses. */
 final class InstancesConverter implements ITypeConverter<List<InstanceAddress>> {
 
     @Override
--- a/masticpond-command/src/main/java/io/masticpond/command/task/LookupCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/LookupCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Does what a caller does first. */
+/** Command that sends the lookup with which a caller starts, and shows the instances it returns. */
 @Command(
         name = "lookup",
         description = "Ask which instances a caller of a service would be told to use.")
@@ -52,7 +52,7 @@
                         .map(StatusAnswer.Member::callerAddress)
                         .findFirst()
                         .orElse("");
-        return MemberFinder.address(status.instance(), text);
+        return MemberFinder.parseAddress(status.instance(), text);
     }
 
     private HttpUrl url(InstanceAddress address) {
--- a/masticpond-command/src/main/java/io/masticpond/command/task/MemberFinder.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/MemberFinder.java
@@ -7,7 +7,7 @@
 import io.vavr.control.Either;
 import java.util.Optional;
 
-/** Finds an instance by its name in the status of any that answers. */
+/** Finds an instance by name in the status of the first instance that responds. */
 final class MemberFinder {
 
     private MemberFinder() {}
@@ -19,7 +19,7 @@
                 .flatMap(status -> find(status, instance));
     }
 
-    static Either<CommandError, InstanceAddress> address(String instance, String text) {
+    static Either<CommandError, InstanceAddress> parseAddress(String instance, String text) {
         try {
             return Either.right(InstanceAddress.parse(text));
         } catch (IllegalArgumentException e) {
--- a/masticpond-command/src/main/java/io/masticpond/command/task/OutputFormat.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/OutputFormat.java
@@ -7,26 +7,26 @@
 import java.util.Locale;
 
 /**
- * The form of what goes to standard output.
+ * Formats of standard output.
  *
  * @since 0.1
  */
 public enum OutputFormat {
-    /** Tables for people. */
+    /** Tables. */
     TABLE {
         @Override
         void write(MergedTimeline timeline, CommandContext context) {
             TimelineView.show(timeline, context.page());
         }
     },
-    /** JSON for programs. */
+    /** JSON, one document on each line. */
     JSON {
         @Override
         void write(MergedTimeline timeline, CommandContext context) {
             TimelineJson.documents(timeline).forEach(context::writeJson);
         }
     },
-    /** A page for a browser; the time line only. */
+    /** HTML page; supported for the timeline only. */
     HTML {
         @Override
         void write(MergedTimeline timeline, CommandContext context) {
@@ -34,7 +34,7 @@
         }
     };
 
-    /** Writes a time line to standard output. */
+    /** Writes a timeline to standard output in this format. */
     abstract void write(MergedTimeline timeline, CommandContext context);
 
     @Override
--- a/masticpond-command/src/main/java/io/masticpond/command/task/PlanCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/PlanCommand.java
@@ -14,7 +14,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** States an intent and shows the plan. */
+/** Command that submits an intent and shows the resulting plan. */
 @Command(
         name = "plan",
         description = "Turn an intent into a plan and show what it would change; changes nothing.")
--- a/masticpond-command/src/main/java/io/masticpond/command/task/RootCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/RootCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The program itself, without a subcommand.
+ * Root command of the program. Without a subcommand it reports bad usage.
  *
  * @since 0.1
  */
@@ -28,9 +28,9 @@
     @Spec private CommandSpec mSpec;
 
     /**
-     * Makes the command.
+     * Creates the command.
      *
-     * @param options takes the options
+     * @param options the object that receives the common options
      */
     public RootCommand(CommonOptions options) {
         mOptions = options;
--- a/masticpond-command/src/main/java/io/masticpond/command/task/ServicesCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/ServicesCommand.java
@@ -9,7 +9,7 @@
 import io.vavr.control.Either;
 import picocli.CommandLine.Command;
 
-/** Shows the services and their capacity. */
+/** Command that shows the services and their capacity. */
 @Command(name = "services", description = "Show the services with their slots in each region.")
 final class ServicesCommand extends AbstractShowCommand {
 
--- a/masticpond-command/src/main/java/io/masticpond/command/task/SettingsCheckCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/SettingsCheckCommand.java
@@ -24,7 +24,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Checks a settings file of the daemon against its schema, without a daemon. */
+/** Command that validates a settings file of the daemon against its schema, without a daemon. */
 @Command(
         name = "check",
         description = {
--- a/masticpond-command/src/main/java/io/masticpond/command/task/SettingsCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/SettingsCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Holds the commands about settings of the daemon. */
+/** Parent command of the commands for settings files of the daemon. */
 @Command(name = "settings", description = "Work with settings files of the daemon.")
 final class SettingsCommand implements Callable<Integer> {
 
--- a/masticpond-command/src/main/java/io/masticpond/command/task/SpendingCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/SpendingCommand.java
@@ -8,7 +8,7 @@
 import io.vavr.control.Either;
 import picocli.CommandLine.Command;
 
-/** Shows the spending of the shifts that run now. */
+/** Command that shows the spending of the current shifts. */
 @Command(
         name = "spending",
         description = "Show the spending of the shifts that run now, against their caps.")
--- a/masticpond-command/src/main/java/io/masticpond/command/task/StatusCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/StatusCommand.java
@@ -8,7 +8,7 @@
 import io.vavr.control.Either;
 import picocli.CommandLine.Command;
 
-/** Shows what one instance knows of itself and the others. */
+/** Command that shows the status of an instance and its view of the other instances. */
 @Command(
         name = "status",
         description = "Show the instances and their states, as the first that answers sees them.")
--- a/masticpond-command/src/main/java/io/masticpond/command/task/Terminal.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/Terminal.java
@@ -4,38 +4,38 @@
 import java.util.Optional;
 
 /**
- * Where the program writes, and whether a person is there.
+ * Terminal that the program writes to and prompts on.
  *
  * @since 0.1
  */
 public interface Terminal {
 
     /**
-     * Gives standard output.
+     * Returns the writer for standard output.
      *
-     * @return the stream
+     * @return the writer
      */
     PrintWriter output();
 
     /**
-     * Gives standard error.
+     * Returns the writer for standard error.
      *
-     * @return the stream
+     * @return the writer
      */
     PrintWriter errors();
 
     /**
-     * Tells the width of the terminal on standard output.
+     * Returns the width of the terminal on standard output.
      *
-     * @return the columns, or empty if it is no terminal
+     * @return the number of columns, or empty if standard output is not a terminal
      */
     Optional<Integer> columns();
 
     /**
-     * Asks a person.
+     * Prompts the operator.
      *
-     * @param question the question
-     * @return the answer, or empty if no person is there
+     * @param question the text of the prompt
+     * @return the operator's reply, or empty if the program is not interactive
      */
     Optional<String> prompt(String question);
 }
--- a/masticpond-command/src/main/java/io/masticpond/command/task/TimelineCollector.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/TimelineCollector.java
@@ -16,9 +16,10 @@
 import java.util.Map;
 
 /**
- * Asks all instances for their events: those given, and all that the first to answer knows.
+ * Collects the events of all instances: the given ones, and all that the first responding instance
+ * knows of.
  *
- * <p>Instances known to be dead are not asked, and named.
+ * <p>Instances that are known to be dead are not queried; the timeline names them as dead.
  */
 final class TimelineCollector {
 
@@ -28,7 +29,7 @@
         mClient = client;
     }
 
-    /** Collects the events that a path with its query asks for. */
+    /** Collects the events at the given path, which includes the query. */
     Either<CommandError, MergedTimeline> collect(String path) {
         return AbstractInstanceCommand.translate(
                         mClient.get(StatusCommand.PATH)
@@ -40,41 +41,44 @@
         Map<String, Lane> lanes = new LinkedHashMap<>();
         Map<InstanceAddress, String> namesByAddress = new LinkedHashMap<>();
         for (Member member : status.members()) {
-            place(member, lanes, namesByAddress);
+            addMember(member, lanes, namesByAddress);
         }
         mClient.instances().forEach(given -> namesByAddress.putIfAbsent(given, given.toString()));
-        Map<InstanceAddress, Either<ClientError, TimelineAnswer>> answers =
-                FanOut.query(List.copyOf(namesByAddress.keySet()), address -> ask(address, path));
+        Map<InstanceAddress, Either<ClientError, TimelineAnswer>> responses =
+                FanOut.query(
+                        List.copyOf(namesByAddress.keySet()),
+                        address -> requestTimeline(address, path));
         for (Map.Entry<InstanceAddress, Either<ClientError, TimelineAnswer>> entry :
-                answers.entrySet()) {
-            Either<ClientError, TimelineAnswer> answer = entry.getValue();
-            if (answer.isLeft() && !(answer.getLeft() instanceof ClientError.Unreachable)) {
-                return Either.left(CommandError.of(answer.getLeft()));
+                responses.entrySet()) {
+            Either<ClientError, TimelineAnswer> response = entry.getValue();
+            if (response.isLeft() && !(response.getLeft() instanceof ClientError.Unreachable)) {
+                return Either.left(CommandError.of(response.getLeft()));
             }
-            Lane lane = laneOf(namesByAddress.get(entry.getKey()), answer);
+            Lane lane = laneOf(namesByAddress.get(entry.getKey()), response);
             lanes.put(lane.instance(), lane);
         }
         return Either.right(MergedTimeline.of(List.copyOf(lanes.values())));
     }
 
-    private static void place(
+    private static void addMember(
             Member member, Map<String, Lane> lanes, Map<InstanceAddress, String> namesByAddress) {
         String name = member.instance();
         if (member.state() == MemberState.DEAD) {
             lanes.putIfAbsent(name, Lane.dead(name));
             return;
         }
-        MemberFinder.address(name, member.operatorAddress())
+        MemberFinder.parseAddress(name, member.operatorAddress())
                 .peek(address -> namesByAddress.put(address, name))
                 .peekLeft(error -> lanes.put(name, Lane.missing(name, "its address isn't known")));
     }
 
-    private static Lane laneOf(String name, Either<ClientError, TimelineAnswer> answer) {
-        return answer.fold(
+    private static Lane laneOf(String name, Either<ClientError, TimelineAnswer> response) {
+        return response.fold(
                 error -> Lane.missing(name, error.reason()), timeline -> Lane.of(timeline));
     }
 
-    private Either<ClientError, TimelineAnswer> ask(InstanceAddress address, String path) {
+    private Either<ClientError, TimelineAnswer> requestTimeline(
+            InstanceAddress address, String path) {
         return mClient.getFrom(address, path)
                 .flatMap(document -> mClient.read(document, TimelineAnswer.class));
     }
--- a/masticpond-command/src/main/java/io/masticpond/command/task/TimelineCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/TimelineCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Merges the events of all instances in causal order. */
+/** Command that merges the events of all instances in causal order. */
 @Command(
         name = "timeline",
         description = {
@@ -61,7 +61,7 @@
     }
 
     @Override
-    boolean writesPages() {
+    boolean supportsHtml() {
         return true;
     }
 
@@ -79,7 +79,7 @@
 
     private ExitCode show(MergedTimeline timeline) {
         context().options().output().write(timeline, context());
-        boolean whole = timeline.lanes().stream().noneMatch(Lane::isMissing);
-        return whole ? ExitCode.DONE : ExitCode.PARTIAL;
+        boolean isComplete = timeline.lanes().stream().noneMatch(Lane::isMissing);
+        return isComplete ? ExitCode.DONE : ExitCode.PARTIAL;
     }
 }
--- a/masticpond-command/src/main/java/io/masticpond/command/task/UndrainCommand.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/UndrainCommand.java
@@ -2,7 +2,7 @@
 
 import picocli.CommandLine.Command;
 
-/** Takes back a drain. */
+/** Command that cancels the drain of an instance. */
 @Command(name = "undrain", description = "Take back a drain: the instance takes callers again.")
 final class UndrainCommand extends AbstractDrainCommand {
 
--- a/masticpond-command/src/main/java/io/masticpond/command/task/package-info.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/package-info.java
@@ -1,2 +1,5 @@
-/** The subcommands: each asks instances and shows what they answer. */
+/**
+ * The subcommands with their options and exit codes. Each queries instances and shows the
+ * responses.
+ */
 package io.masticpond.command.task;
--- a/masticpond-command/src/test/java/io/masticpond/command/task/AbstractCommandTest.java
+++ b/masticpond-command/src/test/java/io/masticpond/command/task/AbstractCommandTest.java
@@ -8,11 +8,11 @@
 import java.util.function.IntPredicate;
 import java.util.function.ToIntFunction;
 
-/** Runs the program against fake instances. */
+/** Base class for tests that run the program against fake instances. */
 abstract class AbstractCommandTest {
 
     private static final long FIRST_TIMEOUT_MILLIS = 200;
-    private static final int MOST_ROUNDS = 9;
+    private static final int MAXIMUM_ROUNDS = 9;
     private static final String INTENT = "{\"services\":[]}";
 
     final FakeTerminal mTerminal = new FakeTerminal();
@@ -27,12 +27,14 @@
     }
 
     /**
-     * Runs with twice the time in each round until the result is as wanted: a hung instance should
-     * cost little, but on a busy machine a sound one may need longer. Returns the last code.
+     * Runs the program with a timeout that doubles in each round, until the exit code is accepted
+     * or the rounds are used up. The timeout starts short so that a hung instance costs little
+     * time, and grows because a healthy instance may need longer on a busy machine. Returns the
+     * last exit code.
      */
     final int runUntil(IntPredicate wanted, ToIntFunction<String> run) {
         int code = run.applyAsInt(timeout(0));
-        for (int round = 1; round < MOST_ROUNDS && !wanted.test(code); round++) {
+        for (int round = 1; round < MAXIMUM_ROUNDS && !wanted.test(code); round++) {
             code = run.applyAsInt(timeout(round));
         }
         return code;
--- a/masticpond-command/src/test/java/io/masticpond/command/task/Documents.java
+++ b/masticpond-command/src/test/java/io/masticpond/command/task/Documents.java
@@ -1,6 +1,6 @@
 package io.masticpond.command.task;
 
-/** Documents as instances answer them. */
+/** Sample responses of instances. */
 final class Documents {
 
     static final String PLAN =
--- a/masticpond-command/src/test/java/io/masticpond/command/task/EntryCommandsTest.java
+++ b/masticpond-command/src/test/java/io/masticpond/command/task/EntryCommandsTest.java
@@ -10,18 +10,21 @@
 import java.util.Map;
 import net.jqwik.api.Example;
 
-/** What instances of the request path tell is shown, and who is silent is named. */
+/**
+ * Tests the commands that show data of the instances of the request path, and that they name
+ * instances which do not respond.
+ */
 class EntryCommandsTest extends AbstractCommandTest {
 
     @Example
-    void documentOfTheFirstThatAnswersIsShownWithoutToken() {
+    void showsDocumentOfFirstRespondingInstanceWithoutToken() {
         String servers =
                 """
                 {"instance":"a","servers":[{"server":"s-1","service":"reader","zone":"z",
                  "state":"avoided","avoided":"unreachable","inFlight":1.5,"own":1,"slots":4}]}
                 """;
         try (FakeInstance hung = new FakeInstance().hangs();
-                FakeInstance instance = new FakeInstance().takesNoToken()) {
+                FakeInstance instance = new FakeInstance().expectsNoToken()) {
             instance.answers("GET /v1/servers", 200, servers);
             String both = hung.address() + "," + instance.address();
             int code =
@@ -30,12 +33,12 @@
                             timeout -> entry(both, "servers", "--service=reader", timeout));
             assertThat(code).isZero();
             assertThat(instance.requests()).containsOnly("GET /v1/servers?service=reader");
-            assertThat(mTerminal.written()).contains("s-1", "unreachable", "As a sees it.");
+            assertThat(mTerminal.outputText()).contains("s-1", "unreachable", "As a sees it.");
         }
     }
 
     @Example
-    void lossesAreCountedFromLogsByTimeAndCause() throws IOException {
+    void countsLossesFromLogsByTimeAndCause() throws IOException {
         Path log = Files.createTempFile("instance", ".log");
         Files.writeString(
                 log,
@@ -50,7 +53,7 @@
                         + loss("06:00:02.300", "refused", "overload", 0)
                         + "{\"at\":\"2026-12-02T06:00:00.300Z\",\"event\":\"zone\"}\n");
         assertThat(run(Map.of(), List.of("entry", "losses", log.toString()))).isZero();
-        assertThat(mTerminal.written())
+        assertThat(mTerminal.outputText())
                 .containsPattern("2026-12-02T06:00:00Z +3 +1 +1 +1 +0 +0 +150 +150")
                 .containsPattern("2026-12-02T06:00:02Z +1 +0 +0 +1 ")
                 .containsPattern("r +s +refused: overload +2 +50.00 ");
@@ -69,19 +72,20 @@
     }
 
     @Example
-    void versionsOfAllAreShownAndTheDeadAndTheSilentAreNamed() {
-        try (FakeInstance first = new FakeInstance().takesNoToken();
-                FakeInstance second = new FakeInstance().takesNoToken();
+    void showsVersionsAndNamesInstancesThatAreDeadOrUnresponsive() {
+        try (FakeInstance first = new FakeInstance().expectsNoToken();
+                FakeInstance second = new FakeInstance().expectsNoToken();
                 FakeInstance hung = new FakeInstance().hangs()) {
             first.answers("GET /v1/members", 200, members(first, second, hung));
             first.answers("GET /v1/status", 200, status("a", 51));
             second.answers("GET /v1/status", 200, status("b", 50));
             int code =
                     runUntil(
-                            ignored -> mTerminal.written().contains("2 of 4 instances answered."),
+                            ignored ->
+                                    mTerminal.outputText().contains("2 of 4 instances answered."),
                             timeout -> entry(first.address(), "versions", timeout));
             assertThat(code).isEqualTo(ExitCode.PARTIAL.code());
-            assertThat(mTerminal.written())
+            assertThat(mTerminal.outputText())
                     .contains("51", "50", "2 of 4 instances answered.")
                     .contains("! No answer of c: no answer in time")
                     .contains("! No answer of d: connection refused");
@@ -90,8 +94,8 @@
 
     @Example
     void linesOfRequestAreMergedByTime() {
-        try (FakeInstance first = new FakeInstance().takesNoToken();
-                FakeInstance second = new FakeInstance().takesNoToken()) {
+        try (FakeInstance first = new FakeInstance().expectsNoToken();
+                FakeInstance second = new FakeInstance().expectsNoToken()) {
             first.answers("GET /v1/members", 200, members(first, second));
             first.answers(
                     "GET /v1/timeline",
@@ -111,7 +115,7 @@
             assertThat(entry(first.address(), "timeline", "--request=r 1")).isZero();
             assertThat(second.requests())
                     .containsExactly("GET /v1/timeline?beliefs=20&request=r+1");
-            assertThat(mTerminal.written().lines().limit(4))
+            assertThat(mTerminal.outputText().lines().limit(4))
                     .containsExactly(
                             "2026-12-02T06:00:00.100Z  a  zone  zone=z",
                             "2026-12-02T06:00:00.200Z  b  zone  zone=z",
@@ -121,13 +125,13 @@
     }
 
     @Example
-    void programsGetOneDocumentLineByLineAlsoForTheMissing() {
-        try (FakeInstance first = new FakeInstance().takesNoToken()) {
+    void jsonOutputHasOneLineForEachInstanceIncludingMissingOnes() {
+        try (FakeInstance first = new FakeInstance().expectsNoToken()) {
             first.answers("GET /v1/members", 200, members(first));
             first.answers("GET /v1/status", 200, status("a", 51));
             int code = entry(first.address(), "versions", "--output=json");
             assertThat(code).isEqualTo(ExitCode.PARTIAL.code());
-            assertThat(mTerminal.written().lines())
+            assertThat(mTerminal.outputText().lines())
                     .hasSize(2)
                     .anyMatch(line -> line.contains("\"routingVersion\":51"))
                     .anyMatch(line -> line.contains("\"answered\":false"));
@@ -135,20 +139,20 @@
     }
 
     @Example
-    void whatTheInstanceRefusesIsSaid() {
-        try (FakeInstance instance = new FakeInstance().takesNoToken()) {
+    void reportsRefusalByInstance() {
+        try (FakeInstance instance = new FakeInstance().expectsNoToken()) {
             instance.answers("GET /v1/servers", 404, "{\"status\":404,\"detail\":\"No x.\"}");
             assertThat(entry(instance.address(), "servers", "--service=x"))
                     .isEqualTo(ExitCode.REFUSED.code());
-            assertThat(mTerminal.complained()).contains("No x.");
+            assertThat(mTerminal.errorText()).contains("No x.");
             assertThat(entry(instance.address())).isEqualTo(ExitCode.BAD_USAGE.code());
         }
     }
 
     @Example
-    void helpNamesEachCommand() {
+    void helpListsEachCommand() {
         assertThat(run(Map.of(), List.of("entry", "--help"))).isZero();
-        assertThat(mTerminal.written())
+        assertThat(mTerminal.outputText())
                 .contains("versions", "timeline", "services", "routes", "servers", "members")
                 .contains("evacuations", "budget");
     }
@@ -160,7 +164,10 @@
         return run(Map.of(), all);
     }
 
-    /** Tells of the instances a, b and so on, and of one more that is dead. */
+    /**
+     * Returns a member list with the given instances, named a, b and so on. Unless there are
+     * exactly two instances, one more is added, which is dead.
+     */
     private static String members(FakeInstance... instances) {
         StringBuilder members = new StringBuilder();
         char name = 'a';
--- a/masticpond-command/src/test/java/io/masticpond/command/task/FailoverTest.java
+++ b/masticpond-command/src/test/java/io/masticpond/command/task/FailoverTest.java
@@ -12,11 +12,11 @@
 
 class FailoverTest extends AbstractCommandTest {
 
-    /** No process of a user may listen there. */
+    /** Address at which connections are refused: only a privileged process may listen on port 1. */
     private static final String CLOSED = "127.0.0.1:1";
 
     @Example
-    void hungInstanceIsGivenUpAfterTheTimeoutAndTheNextIsAsked() {
+    void queriesNextInstanceWhenFirstHangsUntilTimeout() {
         try (FakeInstance hung = new FakeInstance().hangs();
                 FakeInstance good = new FakeInstance()) {
             good.answers("GET /v1/status", 200, Documents.status("b", "LIVE", good.address()));
@@ -31,12 +31,12 @@
                             });
             assertThat(code).isZero();
             assertThat(hung.requests()).hasSizeBetween(1, rounds.get());
-            assertThat(mTerminal.written()).contains("perth-a-1").contains("LIVE");
+            assertThat(mTerminal.outputText()).contains("perth-a-1").contains("LIVE");
         }
     }
 
     @Example
-    void closedPortIsSkipped() {
+    void skipsInstanceThatRefusesConnection() {
         try (FakeInstance good = new FakeInstance()) {
             good.answers("GET /v1/spending", 200, "{\"spendings\":[]}");
             assertThat(run(CLOSED + "," + good.address(), "spending")).isZero();
@@ -44,29 +44,30 @@
     }
 
     @Example
-    void unreadyInstanceIsSkippedAndNamedWhenAllAre() {
-        String away = "{\"status\":503,\"cause\":\"platform-away\",\"detail\":\"No platform.\"}";
-        try (FakeInstance first = new FakeInstance().answers("POST /v1/intents", 503, away);
+    void skipsUnreadyInstanceAndReportsItsReasonWhenNoneIsReady() {
+        String unavailable =
+                "{\"status\":503,\"cause\":\"platform-away\",\"detail\":\"No platform.\"}";
+        try (FakeInstance first = new FakeInstance().answers("POST /v1/intents", 503, unavailable);
                 FakeInstance second =
                         new FakeInstance().answers("POST /v1/intents", 200, Documents.PLAN)) {
             String both = first.address() + "," + second.address();
             assertThat(run(both, "plan", "-")).isZero();
             assertThat(run(first.address(), "plan", "-")).isEqualTo(ExitCode.REFUSED.code());
-            assertThat(mTerminal.complained()).contains("No platform.");
+            assertThat(mTerminal.errorText()).contains("No platform.");
         }
     }
 
     @Example
-    void everyUnreachableInstanceIsNamed() {
+    void namesEveryUnreachableInstance() {
         try (FakeInstance hung = new FakeInstance().hangs()) {
             String refused = CLOSED + " (connection refused)";
             int code =
                     runUntil(
-                            ignored -> mTerminal.complained().contains(refused),
+                            ignored -> mTerminal.errorText().contains(refused),
                             timeout -> run(hung.address() + "," + CLOSED, "status", timeout));
             assertThat(code).isEqualTo(ExitCode.UNREACHABLE.code());
-            assertThat(mTerminal.complained()).contains(refused);
-            assertThat(mTerminal.complained()).contains(hung.address() + " (no answer in time)");
+            assertThat(mTerminal.errorText()).contains(refused);
+            assertThat(mTerminal.errorText()).contains(hung.address() + " (no answer in time)");
         }
     }
 
@@ -76,14 +77,14 @@
             List<String> arguments = List.of("status", "--instances=" + instance.address());
             int code = run(Map.of("MASTICPOND_TOKEN", "battery-staple"), arguments);
             assertThat(code).isEqualTo(ExitCode.REFUSED.code());
-            assertThat(mTerminal.complained())
+            assertThat(mTerminal.errorText())
                     .contains("does not accept the token")
                     .doesNotContain("battery-staple");
         }
     }
 
     @Example
-    void tokenFileGoesBeforeTheEnvironment() throws IOException {
+    void tokenFileTakesPrecedenceOverEnvironment() throws IOException {
         Path file = Files.createTempFile("token", "");
         Files.writeString(file, FakeInstance.TOKEN + "\n");
         try (FakeInstance instance = new FakeInstance()) {
@@ -115,7 +116,7 @@
                     boolean problem = status == 500 && body.equals("{\"members\":7}");
                     ExitCode expected = problem ? ExitCode.REFUSED : ExitCode.FAILED;
                     assertThat(code).as(status + " " + body).isEqualTo(expected.code());
-                    assertThat(mTerminal.complained()).doesNotContain("Exception");
+                    assertThat(mTerminal.errorText()).doesNotContain("Exception");
                 }
             }
         }
--- a/masticpond-command/src/test/java/io/masticpond/command/task/FakeInstance.java
+++ b/masticpond-command/src/test/java/io/masticpond/command/task/FakeInstance.java
@@ -15,18 +15,18 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
-/** An instance's operator interface with canned answers, which may also hang. */
+/** Fake operator interface of an instance, with canned responses. It can also hang. */
 final class FakeInstance implements AutoCloseable {
 
     static final String TOKEN = "correct-horse";
 
     private final HttpServer mServer;
     private final ExecutorService mExecutor = Executors.newCachedThreadPool();
-    private final Map<String, Canned> mAnswers = new ConcurrentHashMap<>();
+    private final Map<String, CannedResponse> mResponses = new ConcurrentHashMap<>();
     private final List<String> mRequests = new CopyOnWriteArrayList<>();
     private final CountDownLatch mClosed = new CountDownLatch(1);
     private volatile boolean mHangs;
-    private volatile boolean mTakesNoToken;
+    private volatile boolean mExpectsNoToken;
 
     FakeInstance() {
         try {
@@ -45,25 +45,25 @@
         return "127.0.0.1:" + mServer.getAddress().getPort();
     }
 
-    /** Answers a method and path, without its query, with a status and body. */
+    /** Sets the response to a method and path, without its query. */
     FakeInstance answers(String methodAndPath, int status, String body) {
-        mAnswers.put(methodAndPath, new Canned(status, body));
+        mResponses.put(methodAndPath, new CannedResponse(status, body));
         return this;
     }
 
-    /** Answers only those who send no token, as instances of the request path are asked. */
-    FakeInstance takesNoToken() {
-        mTakesNoToken = true;
+    /** Accepts only requests without a token, as they are sent to instances of the request path. */
+    FakeInstance expectsNoToken() {
+        mExpectsNoToken = true;
         return this;
     }
 
-    /** Takes requests from now on and answers none. */
+    /** Accepts requests from now on without responding. */
     FakeInstance hangs() {
         mHangs = true;
         return this;
     }
 
-    /** Lists the requests with their queries, in the order of arrival. */
+    /** Returns the requests with their queries, in the order of arrival. */
     List<String> requests() {
         return mRequests;
     }
@@ -82,9 +82,10 @@
             awaitClose();
             return;
         }
-        Canned canned = mAnswers.getOrDefault(key, new Canned(404, "{\"detail\":\"No route.\"}"));
+        CannedResponse canned =
+                mResponses.getOrDefault(key, new CannedResponse(404, "{\"detail\":\"No route.\"}"));
         if (!isAuthorized(exchange)) {
-            canned = new Canned(401, "{\"status\":401}");
+            canned = new CannedResponse(401, "{\"status\":401}");
         }
         byte[] body = canned.body().getBytes(StandardCharsets.UTF_8);
         exchange.sendResponseHeaders(canned.status(), body.length == 0 ? -1 : body.length);
@@ -95,7 +96,7 @@
     private boolean isAuthorized(HttpExchange exchange) {
         String authorization = exchange.getRequestHeaders().getFirst("Authorization");
         boolean isLookup = exchange.getRequestURI().getPath().equals("/v1/lookup");
-        return isLookup || mTakesNoToken
+        return isLookup || mExpectsNoToken
                 ? authorization == null
                 : ("Bearer " + TOKEN).equals(authorization);
     }
@@ -108,6 +109,6 @@
         }
     }
 
-    /** A status and a body. */
-    private record Canned(int status, String body) {}
+    /** Status and body of a response. */
+    private record CannedResponse(int status, String body) {}
 }
--- a/masticpond-command/src/test/java/io/masticpond/command/task/FakeTerminal.java
+++ b/masticpond-command/src/test/java/io/masticpond/command/task/FakeTerminal.java
@@ -4,7 +4,7 @@
 import java.io.StringWriter;
 import java.util.Optional;
 
-/** Keeps what is written, and answers as a person told to. */
+/** Fake terminal that records the output and returns a preset reply to prompts. */
 final class FakeTerminal implements Terminal {
 
     private final StringWriter mOutput = new StringWriter();
@@ -12,7 +12,7 @@
     private final PrintWriter mOutputWriter = new PrintWriter(mOutput, true);
     private final PrintWriter mErrorsWriter = new PrintWriter(mErrors, true);
     private Optional<Integer> mColumns = Optional.empty();
-    private Optional<String> mAnswer = Optional.empty();
+    private Optional<String> mReply = Optional.empty();
 
     FakeTerminal columns(int columns) {
         mColumns = Optional.of(columns);
@@ -20,15 +20,15 @@
     }
 
     FakeTerminal answer(String answer) {
-        mAnswer = Optional.of(answer);
+        mReply = Optional.of(answer);
         return this;
     }
 
-    String written() {
+    String outputText() {
         return mOutput.toString();
     }
 
-    String complained() {
+    String errorText() {
         return mErrors.toString();
     }
 
@@ -49,6 +49,6 @@
 
     @Override
     public Optional<String> prompt(String question) {
-        return mAnswer;
+        return mReply;
     }
 }
--- a/masticpond-command/src/test/java/io/masticpond/command/task/InstanceCommandsTest.java
+++ b/masticpond-command/src/test/java/io/masticpond/command/task/InstanceCommandsTest.java
@@ -14,7 +14,7 @@
     private static final long START = 1_764_655_200_000L;
 
     @Example
-    void drainGoesToTheNamedInstanceOnly() {
+    void sendsDrainOnlyToNamedInstance() {
         try (FakeInstance asked = new FakeInstance();
                 FakeInstance named = new FakeInstance()) {
             String status = Documents.status("perth-b-1", "LIVE", named.address());
@@ -27,7 +27,7 @@
     }
 
     @Example
-    void drainOfUnknownOrSilentInstanceIsNotClaimed() {
+    void drainFailsForUnknownOrUnresponsiveInstance() {
         try (FakeInstance asked = new FakeInstance();
                 FakeInstance hung = new FakeInstance().hangs()) {
             asked.answers(
@@ -40,7 +40,7 @@
     }
 
     @Example
-    void lookupIsAskedAsCallerWithoutTheToken() {
+    void sendsLookupAsCallerWithoutToken() {
         String lookup =
                 """
                 {"service":"booking","cacheMillis":2000,"configurationVersion":41,
@@ -53,12 +53,12 @@
             assertThat(run(instance.address(), "lookup", "booking", "--client=10.1.2.3")).isZero();
             assertThat(instance.requests())
                     .contains("GET /v1/lookup?service=booking&client=10.1.2.3");
-            assertThat(mTerminal.written()).contains("10.0.0.1:80").contains("2000 ms");
+            assertThat(mTerminal.outputText()).contains("10.0.0.1:80").contains("2000 ms");
         }
     }
 
     @Example
-    void timelineIsMergedInCausalOrderAndNamesWhoIsMissing() {
+    void mergesTimelineInCausalOrderAndNamesMissingInstances() {
         try (FakeInstance first = new FakeInstance();
                 FakeInstance hung = new FakeInstance().hangs();
                 FakeInstance second = new FakeInstance()) {
@@ -80,7 +80,7 @@
             String all = String.join(",", first.address(), hung.address(), second.address());
             int code =
                     runUntil(
-                            ignored -> mTerminal.written().contains("3 events of 2 of 4"),
+                            ignored -> mTerminal.outputText().contains("3 events of 2 of 4"),
                             timeout ->
                                     run(
                                             all,
@@ -89,7 +89,7 @@
                                             "--service=booking",
                                             "--request=r1"));
             assertThat(code).isEqualTo(ExitCode.PARTIAL.code());
-            assertThat(mTerminal.written())
+            assertThat(mTerminal.outputText())
                     .containsSubsequence("forwarded", "dispatched", "answered")
                     .contains("No events of geraldton-a-1: dead")
                     .contains("No events of " + hung.address() + ": no answer in time");
@@ -101,25 +101,25 @@
     }
 
     @Example
-    void timelineOfDeadInstancesAloneIsWhole() {
+    void timelineIsCompleteWhenOnlyDeadInstancesAreMissing() {
         try (FakeInstance instance = new FakeInstance()) {
             instance.answers(
                     "GET /v1/status", 200, Documents.status("b", "DEAD", instance.address()));
             instance.answers("GET /v1/timeline", 200, Documents.timeline("perth-a-1"));
             assertThat(run(instance.address(), "timeline", "--output=json")).isZero();
-            assertThat(mTerminal.written()).contains("\"instance\":\"b\",\"state\":\"DEAD\"");
+            assertThat(mTerminal.outputText()).contains("\"instance\":\"b\",\"state\":\"DEAD\"");
         }
     }
 
     @Example
-    void pageOfTheTimelineKeepsHostileEventsAsData() {
+    void timelinePageEscapesMarkupInEvents() {
         String hostile = Documents.event(START, 0, "</script><script>alert(1)</script>");
         try (FakeInstance instance = new FakeInstance()) {
             instance.answers(
                     "GET /v1/status", 200, Documents.status("b", "DEAD", instance.address()));
             instance.answers("GET /v1/timeline", 200, Documents.timeline("perth-a-1", hostile));
             assertThat(run(instance.address(), "timeline", "--output=html")).isZero();
-            assertThat(mTerminal.written())
+            assertThat(mTerminal.outputText())
                     .doesNotContain("<script>alert")
                     .contains("\\u003cscript>alert")
                     .doesNotContain("{{timeline}}")
@@ -143,21 +143,21 @@
             instance.answers(
                     "GET /v1/status", 200, Documents.status("b", "SUSPECT", instance.address()));
             assertThat(run(instance.address(), "services")).isZero();
-            assertThat(mTerminal.written()).containsPattern("booking +perth +2 +6 +36 +30 +2");
+            assertThat(mTerminal.outputText()).containsPattern("booking +perth +2 +6 +36 +30 +2");
             assertThat(run(instance.address(), "places")).isZero();
-            assertThat(mTerminal.written()).containsPattern("perth +perth-b +1 +0 +1 +3");
+            assertThat(mTerminal.outputText()).containsPattern("perth +perth-b +1 +0 +1 +3");
         }
     }
 
     @Example
-    void settingsAreCheckedWithoutAnyInstance() throws IOException {
+    void checksSettingsWithoutInstance() throws IOException {
         Path file = Files.createTempFile("settings", ".json");
         try {
             Files.writeString(
                     file, "{ // comment\n \"instance\": {\"id\": \"a b\"}, \"extra\": 1}");
             int code = run(Map.of(), List.of("settings", "check", file.toString()));
             assertThat(code).isEqualTo(ExitCode.BAD_USAGE.code());
-            assertThat(mTerminal.complained())
+            assertThat(mTerminal.errorText())
                     .contains("$.instance.id")
                     .contains("'extra'")
                     .contains("'caller'");
@@ -170,14 +170,14 @@
     void helpListsTheExitCodesAndCompletionNamesTheCommands() {
         assertThat(run(Map.of(), List.of("--help"))).isZero();
         for (ExitCode code : ExitCode.values()) {
-            assertThat(mTerminal.written()).contains(code.code() + "   " + code.description());
+            assertThat(mTerminal.outputText()).contains(code.code() + "   " + code.description());
         }
         assertThat(run(Map.of(), List.of("completion"))).isZero();
-        assertThat(mTerminal.written()).contains("complete -F").contains("undrain");
+        assertThat(mTerminal.outputText()).contains("complete -F").contains("undrain");
     }
 
     @Example
-    void badCommandLinesAreNamedWithoutTheWholeHelp() {
+    void reportsBadCommandLineWithoutFullHelp() {
         for (List<String> arguments :
                 List.of(
                         List.<String>of(),
@@ -189,7 +189,7 @@
                         List.of("timeline", "--since=0s"))) {
             assertThat(run(Map.of(), arguments)).isEqualTo(ExitCode.BAD_USAGE.code());
         }
-        assertThat(mTerminal.complained()).contains("ip:port").contains("--help");
-        assertThat(mTerminal.complained().lines().count()).isLessThan(20);
+        assertThat(mTerminal.errorText()).contains("ip:port").contains("--help");
+        assertThat(mTerminal.errorText().lines().count()).isLessThan(20);
     }
 }
--- a/masticpond-command/src/test/java/io/masticpond/command/task/PlanCommandsTest.java
+++ b/masticpond-command/src/test/java/io/masticpond/command/task/PlanCommandsTest.java
@@ -9,11 +9,11 @@
     private static final String CONFIRMED = "{\"plan\":\"p-1\",\"version\":42}";
 
     @Example
-    void planIsShownAsDifferenceWithPredictions() {
+    void showsPlanAsDifferencesWithPredictions() {
         try (FakeInstance instance =
                 new FakeInstance().answers("POST /v1/intents", 201, Documents.PLAN)) {
             assertThat(run(instance.address(), "plan", "-")).isZero();
-            assertThat(mTerminal.written())
+            assertThat(mTerminal.outputText())
                     .contains("~ services[booking].backendServers[bk-1].slots: 3 -> 4")
                     .contains("+ services[invoice]: a service")
                     .contains("- sites[old]: a site")
@@ -26,31 +26,31 @@
     }
 
     @Example
-    void colorsAreUsedOnlyOnTerminalsThatWantThem() {
+    void usesColorsOnTerminalUnlessDisabled() {
         try (FakeInstance instance =
                 new FakeInstance().answers("POST /v1/intents", 201, Documents.PLAN)) {
             mTerminal.columns(80);
             run(instance.address(), "plan", "-", "--no-color");
-            assertThat(mTerminal.written()).doesNotContain("\u001b");
+            assertThat(mTerminal.outputText()).doesNotContain("\u001b");
             run(instance.address(), "plan", "-");
-            assertThat(mTerminal.written()).contains("\u001b[32m  + services[invoice]");
+            assertThat(mTerminal.outputText()).contains("\u001b[32m  + services[invoice]");
         }
     }
 
     @Example
-    void withoutTerminalNothingIsConfirmedUnlessToldTo() {
-        try (FakeInstance instance = planned()) {
+    void confirmWithoutTerminalRequiresYesOption() {
+        try (FakeInstance instance = instanceWithPlan()) {
             assertThat(run(instance.address(), "confirm", "p-1"))
                     .isEqualTo(ExitCode.DECLINED.code());
             assertThat(instance.requests()).containsExactly("GET /v1/plans/p-1");
             assertThat(run(instance.address(), "confirm", "p-1", "--yes")).isZero();
-            assertThat(mTerminal.written()).contains("accepted as version 42");
+            assertThat(mTerminal.outputText()).contains("accepted as version 42");
         }
     }
 
     @Example
     void anyAnswerButYesDeclines() {
-        try (FakeInstance instance = planned()) {
+        try (FakeInstance instance = instanceWithPlan()) {
             for (String answer : new String[] {"", "no", "y", "yes please"}) {
                 mTerminal.answer(answer);
                 assertThat(run(instance.address(), "confirm", "p-1"))
@@ -63,25 +63,25 @@
     }
 
     @Example
-    void conflictShowsWhatHasChangedSince() {
+    void conflictShowsChangesSinceBaseVersion() {
         String conflict =
                 """
                 {"status":409,"cause":"base-changed","detail":"Version 42 came in force.",
                  "differences":[{"path":"services[billing].prices","kind":"CHANGED",
                                  "before":"1","after":"2"}]}
                 """;
-        try (FakeInstance instance = planned()) {
+        try (FakeInstance instance = instanceWithPlan()) {
             instance.answers("POST /v1/plans/p-1/confirm", 409, conflict);
             assertThat(run(instance.address(), "confirm", "p-1", "--yes"))
                     .isEqualTo(ExitCode.CONFLICT.code());
-            assertThat(mTerminal.complained())
+            assertThat(mTerminal.errorText())
                     .contains("Version 42 came in force.")
                     .contains("~ services[billing].prices: 1 -> 2");
         }
     }
 
     @Example
-    void faultsOfAnIntentAreShownAllAtOnce() {
+    void showsAllFaultsOfIntent() {
         String invalid =
                 """
                 {"status":422,"detail":"The intent has 2 faults.","faults":[
@@ -90,25 +90,25 @@
                 """;
         try (FakeInstance instance = new FakeInstance().answers("POST /v1/intents", 422, invalid)) {
             assertThat(run(instance.address(), "plan", "-")).isEqualTo(ExitCode.REFUSED.code());
-            assertThat(mTerminal.complained())
+            assertThat(mTerminal.errorText())
                     .contains("$.services[0].id: An id must have text.")
                     .contains("$.regions[1].zone: Unknown field.");
         }
     }
 
     @Example
-    void jsonIsPassedOnWithNonAsciiEscaped() {
+    void jsonOutputEscapesNonAsciiCharacters() {
         String plan = "{\"id\":\"p-1\",\"warnings\":[\"F\u00e8s\\u001b[2J\"]}";
         try (FakeInstance instance = new FakeInstance().answers("POST /v1/intents", 201, plan)) {
             assertThat(run(instance.address(), "plan", "-", "--output=json")).isZero();
-            assertThat(mTerminal.written())
+            assertThat(mTerminal.outputText())
                     .contains("F\\u00E8s\\u001B[2J")
                     .doesNotContain("\u001b");
         }
     }
 
     @Example
-    void identifiersCannotChangeThePath() {
+    void rejectsIdentifiersThatWouldChangeRequestPath() {
         for (String plan : new String[] {"../status", "a/b", "a?x=1", "", "-x"}) {
             assertThat(run("127.0.0.1:1", "confirm", "--yes", "--", plan))
                     .as(plan)
@@ -116,7 +116,7 @@
         }
     }
 
-    private static FakeInstance planned() {
+    private static FakeInstance instanceWithPlan() {
         return new FakeInstance()
                 .answers("GET /v1/plans/p-1", 200, Documents.PLAN)
                 .answers("POST /v1/plans/p-1/confirm", 200, CONFIRMED);
