--- a/masticpond-model/src/test/java/io/masticpond/model/SpecificationTest.java
+++ b/masticpond-model/src/test/java/io/masticpond/model/SpecificationTest.java
@@ -16,16 +16,16 @@
 /**
  * Runs every command of every specification and compares the outcome with its {@code expect}.
  *
- * <p>A check of a safety property says {@code expect 0}; a run that shows that an interesting state
- * is reached, and a check of a mutant without its guard, say {@code expect 1}. A command without an
- * expectation fails the test.
+ * <p>A check of a safety property has {@code expect 0}. A run that shows that a state of interest
+ * is reachable, and a check of a mutant without its guard, have {@code expect 1}. A command without
+ * an expectation fails the test.
  */
 class SpecificationTest {
 
     private static final Path MODELS = Path.of("src/test/resources/models");
 
     @Example
-    void everyCommandEndsAsExpected() throws IOException {
+    void everyCommandHasExpectedOutcome() throws IOException {
         List<Path> models;
         try (Stream<Path> files = Files.list(MODELS)) {
             models = files.filter(file -> file.toString().endsWith(".als")).sorted().toList();
