--- a/masticpond-measure/src/main/java/io/masticpond/measure/Measure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/Measure.java
@@ -1,9 +1,10 @@
 package io.masticpond.measure;
 
 /**
- * A seeded measure of the real code, with small fakes at its interfaces.
+ * Strategy interface for a seeded measurement of the production code, with small fakes at its
+ * external interfaces.
  *
- * <p>One run takes under a minute. The same seed gives the same arrivals.
+ * <p>One run takes less than a minute. The same seed produces the same arrivals.
  *
  * @since 0.1
  * @see MeasureRegistry
@@ -11,24 +12,24 @@
 public interface Measure {
 
     /**
-     * Names the measure on the command line and in file names.
+     * Returns the name of the measure on the command line and in file names.
      *
-     * @return lower case words joined by hyphens
+     * @return the name, lower-case words joined by hyphens
      */
     String name();
 
     /**
-     * Explains what is measured, how, and what the figures mean.
+     * Returns a description of what is measured, how, and what the figures mean.
      *
-     * @return a few sentences for people
+     * @return a few human-readable sentences
      */
     String explanation();
 
     /**
      * Runs the measure once.
      *
-     * @param seed the seed of all randomness
-     * @return what was measured
+     * @param seed the seed of all random numbers
+     * @return the report of this run
      */
     MeasureReport run(long seed);
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/MeasureCommand.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/MeasureCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The command line of the measures. */
+/** Command that lists and runs the measures. */
 @Command(
         name = "measure",
         mixinStandardHelpOptions = true,
@@ -64,9 +64,9 @@
     private Path mDocumentation;
 
     /**
-     * Makes the command.
+     * Creates the command.
      *
-     * @param measures the measures that can be run
+     * @param measures the measures available by name, in the order in which {@code all} runs them
      */
     MeasureCommand(List<Measure> measures) {
         mMeasures = List.copyOf(measures);
@@ -75,7 +75,7 @@
     @Override
     public Integer call() {
         if (mList) {
-            list();
+            listMeasures();
             return CommandLine.ExitCode.OK;
         }
         if (mName == null) {
@@ -85,10 +85,10 @@
         if (mName.equals(ALL)) {
             return runAll();
         }
-        return runOne(find(mName));
+        return runOne(findMeasure(mName));
     }
 
-    private Measure find(String name) {
+    private Measure findMeasure(String name) {
         Optional<Measure> measure =
                 mMeasures.stream().filter(each -> each.name().equals(name)).findFirst();
         return measure.orElseThrow(
@@ -98,12 +98,12 @@
                                 "No measure is named '" + name + "'; see --list."));
     }
 
-    private void list() {
+    private void listMeasures() {
         for (Measure measure : mMeasures) {
-            output().println(measure.name());
-            output().println("    " + measure.explanation().replace("\n", "\n    "));
+            standardOutput().println(measure.name());
+            standardOutput().println("    " + measure.explanation().replace("\n", "\n    "));
         }
-        output().flush();
+        standardOutput().flush();
     }
 
     private int runOne(Measure measure) {
@@ -125,7 +125,7 @@
         int failed = 0;
         int missed = 0;
         for (Measure measure : mMeasures) {
-            progress("Running " + measure.name() + ".");
+            reportProgress("Running " + measure.name() + ".");
             long start = System.nanoTime();
             try {
                 MeasureReport report = measure.run(mSeed);
@@ -139,26 +139,26 @@
             }
         }
         page.write();
-        printTotal(failed, missed);
+        printTotals(failed, missed);
         if (missed > 0) {
             exitCode = EXIT_TARGET_MISSED;
         }
         return failed > 0 ? EXIT_MEASURE_FAILED : exitCode;
     }
 
-    private void printTotal(int failed, int missed) {
-        MeasureReport total = new MeasureReport();
-        total.figure("measures", mMeasures.size());
-        total.figure("failed", failed);
-        total.figure("missedTargets", missed);
-        output().println(mReportWriter.json(total));
-        output().flush();
+    private void printTotals(int failed, int missed) {
+        MeasureReport totals = new MeasureReport();
+        totals.figure("measures", mMeasures.size());
+        totals.figure("failed", failed);
+        totals.figure("missedTargets", missed);
+        standardOutput().println(mReportWriter.json(totals));
+        standardOutput().flush();
     }
 
     private void print(MeasureReport report) {
-        output().print(mReportWriter.tables(report));
-        output().println(mReportWriter.json(report));
-        output().flush();
+        standardOutput().print(mReportWriter.tables(report));
+        standardOutput().println(mReportWriter.json(report));
+        standardOutput().flush();
     }
 
     private void reportFailure(Measure measure, RuntimeException failure) {
@@ -168,13 +168,13 @@
         errors.flush();
     }
 
-    private void progress(String sentence) {
+    private void reportProgress(String message) {
         PrintWriter errors = mSpecification.commandLine().getErr();
-        errors.println(sentence);
+        errors.println(message);
         errors.flush();
     }
 
-    private PrintWriter output() {
+    private PrintWriter standardOutput() {
         return mSpecification.commandLine().getOut();
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/MeasureMain.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/MeasureMain.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine;
 
 /**
- * Runs measures from the command line.
+ * Entry point that runs measures from the command line.
  *
  * @since 0.1
  */
@@ -12,9 +12,9 @@
     private MeasureMain() {}
 
     /**
-     * Runs the program.
+     * Runs the command and exits with its exit code.
      *
-     * @param arguments the arguments of the command line
+     * @param arguments the command-line arguments
      */
     public static void main(String[] arguments) {
         System.setProperty("java.awt.headless", "true");
--- a/masticpond-measure/src/main/java/io/masticpond/measure/MeasurePlot.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/MeasurePlot.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /**
- * A plot of a report, one line for each series.
+ * Immutable plot of a report, with one line per series.
  *
  * @param title what the plot shows
- * @param horizontalTitle the name of the horizontal axis, with its unit
- * @param verticalTitle the name of the vertical axis, with its unit
- * @param scale how the axes are divided
- * @param series the lines, at least one
+ * @param horizontalTitle the title of the horizontal axis, with its unit
+ * @param verticalTitle the title of the vertical axis, with its unit
+ * @param scale the scale of each axis, linear or logarithmic
+ * @param series the lines, at least one; copied
  * @since 0.1
  */
 public record MeasurePlot(
@@ -20,7 +20,7 @@
         Scale scale,
         List<Series> series) {
 
-    /** How the axes of a plot are divided. */
+    /** Scale of the axes of a plot. */
     public enum Scale {
         /** Both axes are linear. */
         LINEAR(false, false),
@@ -38,18 +38,18 @@
         }
 
         /**
-         * Tells how the horizontal axis is divided.
+         * Determines whether the horizontal axis is logarithmic.
          *
-         * @return whether it is logarithmic
+         * @return {@code true} if it is logarithmic, {@code false} if it is linear
          */
         public boolean isHorizontalLogarithmic() {
             return mHorizontalLogarithmic;
         }
 
         /**
-         * Tells how the vertical axis is divided.
+         * Determines whether the vertical axis is logarithmic.
          *
-         * @return whether it is logarithmic
+         * @return {@code true} if it is logarithmic, {@code false} if it is linear
          */
         public boolean isVerticalLogarithmic() {
             return mVerticalLogarithmic;
@@ -57,15 +57,15 @@
     }
 
     /**
-     * One line of a plot.
+     * Immutable line of a plot.
      *
      * @param name the name in the legend
      * @param horizontal the horizontal coordinates
-     * @param vertical the vertical coordinates, as many
+     * @param vertical the vertical coordinates, as many as the horizontal ones
      */
     public record Series(String name, List<Double> horizontal, List<Double> vertical) {
 
-        /** Checks the shape and copies the lists. */
+        /** Checks that both lists have the same size, and copies them. */
         public Series {
             Assert.hasText(name, "The name of a series");
             horizontal = List.copyOf(Assert.notEmpty(horizontal, "The points of a series"));
@@ -77,7 +77,7 @@
         }
     }
 
-    /** Checks the parts and copies the list. */
+    /** Checks the components and copies the list. */
     public MeasurePlot {
         Assert.hasText(title, "The title of a plot");
         Assert.notNull(scale, "The scale of a plot");
--- a/masticpond-measure/src/main/java/io/masticpond/measure/MeasureRegistry.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/MeasureRegistry.java
@@ -22,7 +22,7 @@
 import java.util.Optional;
 
 /**
- * Lists the measures in the order in which they run.
+ * Registry of the available measures, in the order in which they run.
  *
  * @since 0.1
  */
@@ -52,19 +52,19 @@
     private MeasureRegistry() {}
 
     /**
-     * Gives all measures.
+     * Returns all measures.
      *
-     * @return the measures
+     * @return the measures in the order in which they run
      */
     public static List<Measure> all() {
         return MEASURES;
     }
 
     /**
-     * Finds a measure.
+     * Finds a measure by name.
      *
-     * @param name the name
-     * @return the measure, or empty if none has the name
+     * @param name the name as on the command line
+     * @return the measure, or empty if no measure has this name
      */
     public static Optional<Measure> find(String name) {
         return MEASURES.stream().filter(measure -> measure.name().equals(name)).findFirst();
--- a/masticpond-measure/src/main/java/io/masticpond/measure/MeasureReport.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/MeasureReport.java
@@ -7,19 +7,19 @@
 import java.util.Map;
 
 /**
- * What one run of a measure gave: tables, plots and named figures.
+ * Report of one run of a measure: tables, plots and named figures.
  *
- * <p>Not safe for several threads.
+ * <p>Not thread-safe.
  *
  * @since 0.1
  */
 public final class MeasureReport {
 
     /**
-     * A named number with the range that it should be in.
+     * Number with the target range that it should be in.
      *
      * @param value the number
-     * @param target the range
+     * @param target the target range
      */
     public record Figure(double value, MeasureTarget target) {}
 
@@ -90,15 +90,19 @@
      * @param value the value
      * @param target the range that the value should be in
      * @return this report
+     * @throws IllegalArgumentException if a figure of this name was added before
      */
     public MeasureReport figure(String name, double value, MeasureTarget target) {
-        Figure before = mFigures.put(Assert.hasText(name, "A name"), new Figure(value, target));
-        Assert.isTrue(before == null, "A figure must be given once, but '%s' came again.", name);
+        Figure previous = mFigures.put(Assert.hasText(name, "A name"), new Figure(value, target));
+        Assert.isTrue(
+                previous == null,
+                "A figure must be added only once, but '%s' was added again.",
+                name);
         return this;
     }
 
     /**
-     * Gives the tables in the order added.
+     * Returns the tables in the order in which they were added.
      *
      * @return the tables
      */
@@ -107,7 +111,7 @@
     }
 
     /**
-     * Gives the plots in the order added.
+     * Returns the plots in the order in which they were added.
      *
      * @return the plots
      */
@@ -116,7 +120,7 @@
     }
 
     /**
-     * Gives the figures in the order added.
+     * Returns the figures in the order in which they were added.
      *
      * @return the figures by name
      */
@@ -125,9 +129,9 @@
     }
 
     /**
-     * Tells whether every figure meets its target.
+     * Determines whether every figure meets its target.
      *
-     * @return whether no target is missed
+     * @return {@code true} if no figure misses its target
      */
     public boolean meetsTargets() {
         return mFigures.values().stream().allMatch(each -> each.target().isMetBy(each.value()));
--- a/masticpond-measure/src/main/java/io/masticpond/measure/MeasureTable.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/MeasureTable.java
@@ -4,19 +4,20 @@
 import java.util.List;
 
 /**
- * A table of a report.
+ * Immutable table of a report.
  *
  * @param title what the table shows
- * @param columns the names of the columns, with units
- * @param rows the cells, as many in each row as there are columns
+ * @param columns the titles of the columns, with units
+ * @param rows the cells by row, as many in each row as there are columns
  * @since 0.1
  */
 public record MeasureTable(String title, List<String> columns, List<List<String>> rows) {
 
     /**
-     * Checks the shape and copies the lists.
+     * Checks the number of cells in each row, and copies the lists.
      *
-     * @throws IllegalArgumentException if a row has another number of cells than the columns
+     * @throws IllegalArgumentException if the number of cells in a row differs from the number of
+     *     columns
      */
     public MeasureTable {
         Assert.hasText(title, "The title of a table");
--- a/masticpond-measure/src/main/java/io/masticpond/measure/MeasureTarget.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/MeasureTarget.java
@@ -3,23 +3,23 @@
 import java.util.Locale;
 
 /**
- * The range that a figure of a report should be in.
+ * Range that a figure of a report should be in.
  *
- * @param bound which side of the limit is good
- * @param limit the limit, which itself is good; without meaning for {@link Bound#NONE}
+ * @param bound which side of the limit meets the target
+ * @param limit the limit, inclusive; ignored for {@link Bound#NONE}
  * @since 0.1
  */
 public record MeasureTarget(Bound bound, double limit) {
 
-    /** No target: the figure is reported only. */
+    /** Target that every value meets, for a figure that is only reported. */
     public static final MeasureTarget NONE = new MeasureTarget(Bound.NONE, 0);
 
-    /** Which side of a limit is good. */
+    /** Side of a limit on which values meet the target. */
     public enum Bound {
-        /** Every value is good. */
+        /** Every value meets the target. */
         NONE {
             @Override
-            boolean holds(double value, double limit) {
+            boolean isMet(double value, double limit) {
                 return true;
             }
 
@@ -28,38 +28,38 @@
                 return "";
             }
         },
-        /** Values up to the limit are good. */
+        /** Values less than or equal to the limit meet the target. */
         AT_MOST {
             @Override
-            boolean holds(double value, double limit) {
+            boolean isMet(double value, double limit) {
                 return value <= limit;
             }
 
             @Override
             String text(double limit) {
-                return "at most " + MeasureTarget.plain(limit);
+                return "at most " + MeasureTarget.format(limit);
             }
         },
-        /** Values from the limit up are good. */
+        /** Values greater than or equal to the limit meet the target. */
         AT_LEAST {
             @Override
-            boolean holds(double value, double limit) {
+            boolean isMet(double value, double limit) {
                 return value >= limit;
             }
 
             @Override
             String text(double limit) {
-                return "at least " + MeasureTarget.plain(limit);
+                return "at least " + MeasureTarget.format(limit);
             }
         };
 
-        abstract boolean holds(double value, double limit);
+        abstract boolean isMet(double value, double limit);
 
         abstract String text(double limit);
     }
 
     /**
-     * Makes a target that values up to a limit meet.
+     * Creates a target that values less than or equal to a limit meet.
      *
      * @param limit the limit
      * @return the target
@@ -69,7 +69,7 @@
     }
 
     /**
-     * Makes a target that values from a limit up meet.
+     * Creates a target that values greater than or equal to a limit meet.
      *
      * @param limit the limit
      * @return the target
@@ -79,31 +79,32 @@
     }
 
     /**
-     * Tells whether a value meets the target; a value that is not a number meets none.
+     * Determines whether a value meets the target. {@link Double#NaN} misses every target except
+     * {@link #NONE}.
      *
      * @param value the value
-     * @return whether it is met
+     * @return whether the target is met
      */
     public boolean isMetBy(double value) {
-        return bound.holds(value, limit);
+        return bound.isMet(value, limit);
     }
 
     /**
-     * Describes the target for people.
+     * Returns a human-readable description of the target.
      *
-     * @return a few words, or "" if there is no target
+     * @return the description, or an empty string if there is no target
      */
     public String text() {
         return bound.text(limit);
     }
 
     /**
-     * Writes a number without needless digits.
+     * Formats a number, without decimals if it is an integer below 1e15.
      *
      * @param value the number
-     * @return the number with up to four decimals
+     * @return the number with no or four decimals
      */
-    static String plain(double value) {
+    static String format(double value) {
         if (value == Math.rint(value) && Math.abs(value) < 1e15) {
             return String.format(Locale.ROOT, "%.0f", value);
         }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/MeasurementsPage.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/MeasurementsPage.java
@@ -5,7 +5,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Collects the reports of all measures on one page, with a plot file for each plot. */
+/** Markdown page with the reports of all measures, and a file for each plot. */
 final class MeasurementsPage {
 
     private final Path mDirectory;
@@ -15,12 +15,12 @@
     private final StringBuilder mText = new StringBuilder();
 
     /**
-     * Starts an empty page.
+     * Creates a page without reports.
      *
-     * @param directory the directory of the documentation
+     * @param directory the directory that the page and its plots are written to
      * @param seed the seed of the runs
-     * @param reportWriter writes the tables
-     * @param plotWriter writes the plots
+     * @param reportWriter the writer of the tables
+     * @param plotWriter the writer of the plots
      */
     MeasurementsPage(Path directory, long seed, ReportWriter reportWriter, PlotWriter plotWriter) {
         mDirectory = directory;
@@ -40,10 +40,10 @@
      *
      * @param measure the measure
      * @param report its report
-     * @param seconds how long the run took
+     * @param seconds the duration of the run, in seconds
      */
     void add(Measure measure, MeasureReport report, double seconds) {
-        heading(measure);
+        appendHeading(measure);
         mText.append(String.format("Command: `./measure %s --seed %d`", measure.name(), mSeed));
         mText.append(String.format(" (%.1f s).%n%n", seconds));
         mText.append(mReportWriter.tables(report));
@@ -60,14 +60,18 @@
      * Adds a measure that failed.
      *
      * @param measure the measure
-     * @param failure why it failed
+     * @param failure the exception that the run threw
      */
     void addFailure(Measure measure, RuntimeException failure) {
-        heading(measure);
+        appendHeading(measure);
         mText.append("**Failed**: ").append(failure).append("\n\n");
     }
 
-    /** Writes the page to its file. */
+    /**
+     * Writes the page to {@code MEASUREMENTS.md} in its directory.
+     *
+     * @throws UncheckedIOException if the file can't be written
+     */
     void write() {
         Path file = mDirectory.resolve("MEASUREMENTS.md");
         try {
@@ -78,7 +82,7 @@
         }
     }
 
-    private void heading(Measure measure) {
+    private void appendHeading(Measure measure) {
         mText.append("## ").append(measure.name()).append("\n\n");
         mText.append(measure.explanation()).append("\n\n");
     }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/PlotWriter.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/PlotWriter.java
@@ -9,7 +9,7 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.XYSeries;
 
-/** Writes plots as SVG files. */
+/** Writer of plots as SVG files. */
 final class PlotWriter {
 
     private static final int WIDTH = 900;
@@ -26,13 +26,13 @@
     void write(MeasurePlot plot, Path file) {
         try {
             VectorGraphicsEncoder.saveVectorGraphic(
-                    chart(plot), file.toString(), VectorGraphicsFormat.SVG);
+                    createChart(plot), file.toString(), VectorGraphicsFormat.SVG);
         } catch (IOException e) {
             throw new UncheckedIOException("The plot could not be written to " + file + ".", e);
         }
     }
 
-    private static XYChart chart(MeasurePlot plot) {
+    private static XYChart createChart(MeasurePlot plot) {
         XYChart chart =
                 new XYChartBuilder()
                         .width(WIDTH)
--- a/masticpond-measure/src/main/java/io/masticpond/measure/ReportWriter.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/ReportWriter.java
@@ -7,38 +7,39 @@
 import java.util.List;
 import java.util.Map;
 
-/** Writes reports as text: Markdown tables, and the figures as one JSON object. */
+/** Writer of reports as text: Markdown tables, and the figures as one JSON object. */
 final class ReportWriter {
 
     private final ObjectMapper mMapper = new ObjectMapper();
 
     /**
-     * Writes the tables of a report, the figures last.
+     * Formats the tables of a report, with a table of the figures last.
      *
      * @param report the report
-     * @return Markdown
+     * @return the tables in Markdown
      */
     String tables(MeasureReport report) {
         StringBuilder text = new StringBuilder();
         for (MeasureTable table : report.tables()) {
-            append(text, table);
+            appendTable(text, table);
         }
         if (!report.figures().isEmpty()) {
-            append(text, figureTable(report.figures()));
+            appendTable(text, figureTable(report.figures()));
         }
         return text.toString();
     }
 
     /**
-     * Writes the figures of a report; one that is not finite becomes {@code null}.
+     * Formats the figures of a report as one JSON object. A figure that is not finite becomes
+     * {@code null}.
      *
      * @param report the report
-     * @return one line of JSON
+     * @return the JSON object on one line
      */
     String json(MeasureReport report) {
         ObjectNode node = mMapper.createObjectNode();
         for (Map.Entry<String, MeasureReport.Figure> each : report.figures().entrySet()) {
-            put(node, each.getKey(), each.getValue().value());
+            putFigure(node, each.getKey(), each.getValue().value());
         }
         try {
             return mMapper.writeValueAsString(node);
@@ -47,7 +48,7 @@
         }
     }
 
-    private static void put(ObjectNode node, String name, double value) {
+    private static void putFigure(ObjectNode node, String name, double value) {
         if (!Double.isFinite(value)) {
             node.putNull(name);
         } else if (value == Math.rint(value)) {
@@ -64,7 +65,7 @@
             rows.add(
                     List.of(
                             each.getKey(),
-                            MeasureTarget.plain(figure.value()),
+                            MeasureTarget.format(figure.value()),
                             figure.target().text(),
                             metText(figure)));
         }
@@ -78,22 +79,22 @@
         return figure.target().isMetBy(figure.value()) ? "yes" : "no";
     }
 
-    private static void append(StringBuilder text, MeasureTable table) {
-        int[] widths = widths(table);
+    private static void appendTable(StringBuilder text, MeasureTable table) {
+        int[] widths = columnWidths(table);
         text.append("**").append(table.title()).append("**\n\n");
         appendRow(text, table.columns(), widths);
-        List<String> rule = new ArrayList<>();
+        List<String> separators = new ArrayList<>();
         for (int width : widths) {
-            rule.add("-".repeat(width));
+            separators.add("-".repeat(width));
         }
-        appendRow(text, rule, widths);
+        appendRow(text, separators, widths);
         for (List<String> row : table.rows()) {
             appendRow(text, row, widths);
         }
         text.append('\n');
     }
 
-    private static int[] widths(MeasureTable table) {
+    private static int[] columnWidths(MeasureTable table) {
         int[] widths = new int[table.columns().size()];
         for (int column = 0; column < widths.length; column++) {
             widths[column] = Math.max(3, table.columns().get(column).length());
--- a/masticpond-measure/src/main/java/io/masticpond/measure/package-info.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/package-info.java
@@ -1,2 +1,2 @@
-/** Seeded measures of the real code. */
+/** Seeded measurements of the production code, and the command that runs and reports them. */
 package io.masticpond.measure;
--- a/masticpond-measure/src/test/java/io/masticpond/measure/MeasureCommandTest.java
+++ b/masticpond-measure/src/test/java/io/masticpond/measure/MeasureCommandTest.java
@@ -12,20 +12,21 @@
 import net.jqwik.api.Example;
 import picocli.CommandLine;
 
+/** Tests for {@link MeasureCommand}. */
 class MeasureCommandTest {
 
-    private static final Measure GOOD =
+    private static final Measure PASSING =
             new FakeMeasure(
                     "good",
                     seed ->
                             new MeasureReport()
                                     .figure("seed", seed, MeasureTarget.atLeast(1))
                                     .figure("share", 0.25, MeasureTarget.atMost(0.5)));
-    private static final Measure MISSING =
+    private static final Measure MISSING_TARGET =
             new FakeMeasure(
                     "missing",
                     seed -> new MeasureReport().figure("share", 0.6, MeasureTarget.atMost(0.5)));
-    private static final Measure BROKEN =
+    private static final Measure FAILING =
             new FakeMeasure(
                     "broken",
                     seed -> {
@@ -35,21 +36,23 @@
     private final StringWriter mOutput = new StringWriter();
 
     @Example
-    void lastLineIsOneJsonObjectWithTheFigures() throws IOException {
-        require(run(List.of(GOOD), "good", "--seed", "7") == 0, "A good measure must exit with 0.");
+    void printsFiguresAsJsonObjectOnLastLine() throws IOException {
+        require(
+                run(List.of(PASSING), "good", "--seed", "7") == 0,
+                "A good measure must exit with 0.");
         JsonNode json = new ObjectMapper().readTree(lastLine());
         require(json.get("seed").asLong() == 7, "The seed must reach the measure.");
         require(json.get("share").asDouble() == 0.25, "A figure must keep its value.");
     }
 
     @Example
-    void missedTargetEndsWithItsOwnExitCode() {
-        require(run(List.of(MISSING), "missing") == 3, "A missed target must exit with 3.");
+    void exitsWithOwnCodeWhenTargetIsMissed() {
+        require(run(List.of(MISSING_TARGET), "missing") == 3, "A missed target must exit with 3.");
         require(mOutput.toString().contains("| no "), "The table must say which target is missed.");
     }
 
     @Example
-    void figureWithoutNumberMeetsNoTarget() {
+    void nanFigureMissesTargetAndIsNullInJson() {
         Measure measure =
                 new FakeMeasure(
                         "odd",
@@ -61,15 +64,16 @@
     }
 
     @Example
-    void unknownNameIsRefused() {
-        require(run(List.of(GOOD), "nonesuch") == 2, "An unknown measure must exit with 2.");
-        require(run(List.of(GOOD)) == 2, "No measure must exit with 2.");
+    void rejectsUnknownOrMissingName() {
+        require(run(List.of(PASSING), "nonesuch") == 2, "An unknown measure must exit with 2.");
+        require(run(List.of(PASSING)) == 2, "No measure must exit with 2.");
     }
 
     @Example
-    void brokenMeasureStopsNoOtherAndIsOnThePage() throws IOException {
+    void failedMeasureIsOnPageAndDoesNotStopOthers() throws IOException {
         Path directory = Files.createTempDirectory("measurements");
-        int exitCode = run(List.of(BROKEN, GOOD), "all", "--documentation", directory.toString());
+        int exitCode =
+                run(List.of(FAILING, PASSING), "all", "--documentation", directory.toString());
         require(exitCode == 1, "A broken measure must exit with 1.");
         String page = Files.readString(directory.resolve("MEASUREMENTS.md"));
         require(page.contains("**Failed**"), "The page must name the broken measure.");
@@ -91,9 +95,9 @@
         return lines.get(lines.size() - 1);
     }
 
-    private static void require(boolean condition, String sentence) {
+    private static void require(boolean condition, String message) {
         if (!condition) {
-            throw new AssertionError(sentence);
+            throw new AssertionError(message);
         }
     }
 
