--- a/masticpond-measure/src/main/java/io/masticpond/measure/configuration/AcceptanceLog.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/configuration/AcceptanceLog.java
@@ -6,37 +6,46 @@
 import java.util.concurrent.ConcurrentSkipListMap;
 
 /**
- * Notes when each version of the head was written at the stand-in platform, whatever its writer was
- * told.
+ * Log of the times at which the stand-in platform wrote each version of the configuration head,
+ * independent of the answer that the writer received.
+ *
+ * <p>Thread-safe.
  */
 final class AcceptanceLog {
 
-    private static final String KIND = "configurations";
-    private static final String NAME = "head";
+    private static final String HEAD_KIND = "configurations";
+    private static final String HEAD_NAME = "head";
 
     private final PlatformState mState;
-    private final Map<Long, Long> mNanos = new ConcurrentSkipListMap<>();
+    private final Map<Long, Long> mNanosByVersion = new ConcurrentSkipListMap<>();
 
     AcceptanceLog(PlatformState state) {
         mState = state;
-        follow(PlatformState.ABSENT);
+        watchHead(PlatformState.ABSENT);
     }
 
-    /** Gives the time of each version; the head's object is written once for each. */
+    /**
+     * Returns the time at which each version was written, from {@link System#nanoTime}. The object
+     * of the head is written once per version.
+     */
     Map<Long, Long> nanosByVersion() {
-        return Map.copyOf(mNanos);
+        return Map.copyOf(mNanosByVersion);
     }
 
-    private void follow(long after) {
-        var unused = mState.watch(KIND, NAME, after).thenAccept(this::note);
+    private void watchHead(long afterVersion) {
+        var unused =
+                mState.watch(HEAD_KIND, HEAD_NAME, afterVersion).thenAccept(this::recordVersions);
     }
 
-    private void note(PlatformObject object) {
+    private void recordVersions(PlatformObject object) {
         long now = System.nanoTime();
-        long last = mNanos.isEmpty() ? 0 : mNanos.keySet().stream().max(Long::compare).get();
-        for (long version = last + 1; version <= object.version(); version++) {
-            mNanos.put(version, now);
+        long lastVersion =
+                mNanosByVersion.isEmpty()
+                        ? 0
+                        : mNanosByVersion.keySet().stream().max(Long::compare).get();
+        for (long version = lastVersion + 1; version <= object.version(); version++) {
+            mNanosByVersion.put(version, now);
         }
-        follow(object.version());
+        watchHead(object.version());
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/configuration/ChangeSizes.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/configuration/ChangeSizes.java
@@ -18,20 +18,20 @@
 import java.util.Locale;
 import java.util.zip.DeflaterOutputStream;
 
-/** What a change costs at an instance, by the number of client blocks in the content. */
+/** Measurement of the cost of a change at an instance, by the number of client blocks. */
 final class ChangeSizes {
 
-    private static final List<Integer> BLOCKS = List.of(1_000, 10_000, 100_000, 300_000);
-    private static final int SITES = 94;
+    private static final List<Integer> BLOCK_COUNTS = List.of(1_000, 10_000, 100_000, 300_000);
+    private static final int SITE_COUNT = 94;
     private static final int REPEATS = 5;
     private static final double NANOS_PER_MILLI = 1e6;
-    private static final int OCTETS = 256;
+    private static final int OCTET_VALUES = 256;
 
     private ChangeSizes() {}
 
     static MeasureTable table() {
         List<List<String>> rows = new ArrayList<>();
-        BLOCKS.forEach(blocks -> rows.add(row(blocks)));
+        BLOCK_COUNTS.forEach(blocks -> rows.add(row(blocks)));
         return new MeasureTable(
                 "A change of one client block, by the number of blocks in the content",
                 List.of(
@@ -46,23 +46,24 @@
 
     private static List<String> row(int blocks) {
         ConfigurationCodec codec = new ConfigurationCodec();
-        ConfigurationContent before = content(blocks, 0);
-        ConfigurationContent after = content(blocks, 1);
-        ConfigurationChange change = ConfigurationChange.between(before, after);
-        byte[] whole = codec.encode(after);
-        double read = millis(() -> codec.decode(whole, ConfigurationContent.class));
-        double apply = millis(() -> change.applyTo(before));
+        ConfigurationContent previous = content(blocks, 0);
+        ConfigurationContent next = content(blocks, 1);
+        ConfigurationChange change = ConfigurationChange.between(previous, next);
+        byte[] encoded = codec.encode(next);
+        double decodeMillis =
+                shortestMillis(() -> codec.decode(encoded, ConfigurationContent.class));
+        double applyMillis = shortestMillis(() -> change.applyTo(previous));
         return List.of(
                 Integer.toString(blocks),
-                Integer.toString(whole.length),
-                Integer.toString(deflated(whole)),
-                Integer.toString(deflated(codec.encode(change))),
-                String.format(Locale.ROOT, "%.1f", read),
-                String.format(Locale.ROOT, "%.1f", apply));
+                Integer.toString(encoded.length),
+                Integer.toString(deflatedSize(encoded)),
+                Integer.toString(deflatedSize(codec.encode(change))),
+                String.format(Locale.ROOT, "%.1f", decodeMillis),
+                String.format(Locale.ROOT, "%.1f", applyMillis));
     }
 
-    /** Gives the shortest of some runs. */
-    private static double millis(Runnable work) {
+    /** Returns the duration of the shortest of {@link #REPEATS} runs, in milliseconds. */
+    private static double shortestMillis(Runnable work) {
         long shortest = Long.MAX_VALUE;
         for (int i = 0; i < REPEATS; i++) {
             long start = System.nanoTime();
@@ -72,16 +73,16 @@
         return shortest / NANOS_PER_MILLI;
     }
 
-    private static ConfigurationContent content(int blocks, int shift) {
+    private static ConfigurationContent content(int blocks, int firstSite) {
         ZoneId zone = new ZoneId("casa-1");
         List<SiteSpecification> sites = new ArrayList<>();
-        for (int i = 0; i < SITES; i++) {
+        for (int i = 0; i < SITE_COUNT; i++) {
             sites.add(new SiteSpecification(new SiteId("site-" + i), zone));
         }
         List<ClientBlockSpecification> clientBlocks = new ArrayList<>();
         for (int i = 0; i < blocks; i++) {
-            int site = (i == 0 ? shift : i) % SITES;
-            clientBlocks.add(new ClientBlockSpecification(block(i), sites.get(site).id()));
+            int site = (i == 0 ? firstSite : i) % SITE_COUNT;
+            clientBlocks.add(new ClientBlockSpecification(blockPrefix(i), sites.get(site).id()));
         }
         return new ConfigurationContent(
                 List.of(new RegionSpecification(new RegionId("casa"), List.of(zone))),
@@ -91,14 +92,14 @@
                 clientBlocks);
     }
 
-    private static String block(int number) {
-        int low = number % OCTETS;
-        int middle = number / OCTETS % OCTETS;
-        int high = 1 + number / OCTETS / OCTETS;
-        return high + "." + middle + "." + low + ".0/24";
+    private static String blockPrefix(int number) {
+        int thirdOctet = number % OCTET_VALUES;
+        int secondOctet = number / OCTET_VALUES % OCTET_VALUES;
+        int firstOctet = 1 + number / OCTET_VALUES / OCTET_VALUES;
+        return firstOctet + "." + secondOctet + "." + thirdOctet + ".0/24";
     }
 
-    private static int deflated(byte[] document) {
+    private static int deflatedSize(byte[] document) {
         ByteArrayOutputStream output = new ByteArrayOutputStream();
         try (DeflaterOutputStream deflater = new DeflaterOutputStream(output)) {
             deflater.write(document);
--- a/masticpond-measure/src/main/java/io/masticpond/measure/configuration/ConfigurationMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/configuration/ConfigurationMeasure.java
@@ -25,8 +25,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Two racing operators change the configuration 200 times while answers are lost, the platform goes
- * away and instances are killed and started.
+ * Measures configuration changes under faults: two operators race to make 200 changes while the
+ * platform loses answers and has outages, and instances are killed and restarted.
  *
  * @since 0.1
  */
@@ -35,14 +35,14 @@
     private static final int CHANGES = 200;
     private static final long HEARTBEAT_MILLIS = 500;
     private static final long RESTART_MILLIS = 700;
-    private static final long LONGEST_RUN_NANOS = Duration.ofSeconds(50).toNanos();
-    private static final Duration SETTLE = Duration.ofSeconds(3);
-    private static final double LOST_ANSWERS = 0.05;
-    private static final double LATE_EFFECTS = 0.02;
-    private static final double REFUSED = 0.01;
-    private static final long DELAY_MILLIS = 5;
-    private static final int OUTAGE_EVERY = 8;
-    private static final double TARGET_MILLIS = 2_000;
+    private static final long MAX_RUN_NANOS = Duration.ofSeconds(50).toNanos();
+    private static final Duration SETTLE_TIME = Duration.ofSeconds(3);
+    private static final double LOST_ANSWER_SHARE = 0.05;
+    private static final double LATE_EFFECT_SHARE = 0.02;
+    private static final double REFUSED_SHARE = 0.01;
+    private static final long ANSWER_DELAY_MILLIS = 5;
+    private static final int ROUNDS_PER_OUTAGE = 8;
+    private static final double IN_FORCE_TARGET_MILLIS = 2_000;
     private static final double P99 = 99;
     private static final double P50 = 50;
     private static final double MICROS_PER_MILLI = 1_000;
@@ -87,16 +87,21 @@
         state.resetCounts();
         long start = System.nanoTime();
         threads.forEach(Thread::start);
-        int reversions = disturb(seed, state, fleet, threads, start);
+        int reversions = injectFaults(seed, state, fleet, threads, start);
         double seconds = (System.nanoTime() - start) / (double) Duration.ofSeconds(1).toNanos();
         double calls = state.counts().total();
         state.setFaults(PlatformFaults.NONE);
-        beat(fleet, SETTLE);
+        sendHeartbeats(fleet, SETTLE_TIME);
         return report(fleet, operators, acceptances, reversions, seconds, calls);
     }
 
-    /** Kills and starts instances until the operators are done; counts runs that went back. */
-    private static int disturb(
+    /**
+     * Injects platform outages and restarts instances until the operators are done.
+     *
+     * @return the number of restarted instances that became ready with an older version than the
+     *     one in force at the run that was killed
+     */
+    private static int injectFaults(
             long seed,
             PlatformState state,
             MeasuredFleet fleet,
@@ -104,28 +109,28 @@
             long start) {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         int reversions = 0;
-        int turn = 0;
+        int round = 0;
         while (operators.stream().anyMatch(Thread::isAlive)) {
-            turn++;
-            boolean outage = turn % OUTAGE_EVERY == 0;
+            round++;
+            boolean outage = round % ROUNDS_PER_OUTAGE == 0;
             state.setFaults(
                     outage ? PlatformFaults.outage(PlatformCallDisposition.REFUSED) : faults());
-            int victim = random.nextInt(MeasuredFleet.INSTANCES);
-            MeasuredInstance killed = fleet.kill(victim);
-            MeasuredInstance started = fleet.start(victim);
-            beat(fleet, Duration.ofMillis(RESTART_MILLIS));
-            boolean wentBack =
-                    started.isReady()
-                            && killed.current().version().isAfter(started.current().version());
-            reversions += wentBack ? 1 : 0;
-            if (System.nanoTime() - start > LONGEST_RUN_NANOS) {
+            int number = random.nextInt(MeasuredFleet.INSTANCES);
+            MeasuredInstance previous = fleet.kill(number);
+            MeasuredInstance restarted = fleet.start(number);
+            sendHeartbeats(fleet, Duration.ofMillis(RESTART_MILLIS));
+            boolean reverted =
+                    restarted.isReady()
+                            && previous.current().version().isAfter(restarted.current().version());
+            reversions += reverted ? 1 : 0;
+            if (System.nanoTime() - start > MAX_RUN_NANOS) {
                 operators.forEach(Thread::interrupt);
             }
         }
         return reversions;
     }
 
-    private static void beat(MeasuredFleet fleet, Duration duration) {
+    private static void sendHeartbeats(MeasuredFleet fleet, Duration duration) {
         long end = System.nanoTime() + duration.toNanos();
         while (System.nanoTime() < end) {
             fleet.heartbeat();
@@ -145,10 +150,10 @@
     private static PlatformFaults faults() {
         return new PlatformFaults(
                 PlatformCallDisposition.SERVED,
-                REFUSED,
-                LOST_ANSWERS,
-                LATE_EFFECTS,
-                DELAY_MILLIS,
+                REFUSED_SHARE,
+                LOST_ANSWER_SHARE,
+                LATE_EFFECT_SHARE,
+                ANSWER_DELAY_MILLIS,
                 0,
                 0);
     }
@@ -161,7 +166,7 @@
             double seconds,
             double calls) {
         Histogram times = new Histogram(2);
-        for (MeasuredInstance instance : fleet.all()) {
+        for (MeasuredInstance instance : fleet.allRuns()) {
             times.add(timesInForce(instance, acceptances.nanosByVersion()));
         }
         Set<String> sites =
@@ -171,7 +176,9 @@
                         .collect(Collectors.toSet());
         long changes = operators.stream().mapToLong(each -> each.accepted().size()).sum();
         double bytes =
-                fleet.all().stream().mapToLong(each -> each.statistics().bytesWritten()).sum();
+                fleet.allRuns().stream()
+                        .mapToLong(each -> each.linkStatistics().bytesWritten())
+                        .sum();
         double perInstance = Math.max(1, changes) * MeasuredFleet.INSTANCES;
         return new MeasureReport()
                 .table(operatorTable(operators))
@@ -179,24 +186,31 @@
                 .figure("changes", changes, MeasureTarget.atLeast(CHANGES))
                 .figure(
                         "reversions",
-                        restartReversions + reversionsWithinRuns(fleet),
+                        restartReversions + countReversionsWithinRuns(fleet),
                         MeasureTarget.atMost(0))
-                .figure("lostAccepted", lost(operators, sites), MeasureTarget.atMost(0))
-                .figure("refusedInForce", refused(operators, sites), MeasureTarget.atMost(0))
-                .figure("laggingAtEnd", lagging(fleet), MeasureTarget.atMost(0))
+                .figure("lostAccepted", countLostChanges(operators, sites), MeasureTarget.atMost(0))
+                .figure(
+                        "refusedInForce",
+                        countRefusedInForce(operators, sites),
+                        MeasureTarget.atMost(0))
+                .figure("laggingAtEnd", countLagging(fleet), MeasureTarget.atMost(0))
                 .figure("inForceMillisP50", times.getValueAtPercentile(P50) / MICROS_PER_MILLI)
                 .figure(
                         "inForceMillisP99",
                         times.getValueAtPercentile(P99) / MICROS_PER_MILLI,
-                        MeasureTarget.atMost(TARGET_MILLIS))
+                        MeasureTarget.atMost(IN_FORCE_TARGET_MILLIS))
                 .figure("inForceMillisMaximum", times.getMaxValue() / MICROS_PER_MILLI)
-                .figure("runs", fleet.all().size())
+                .figure("runs", fleet.allRuns().size())
                 .figure("seconds", seconds)
                 .figure("platformCallsPerChange", calls / Math.max(1, changes))
                 .figure("bytesPerInstanceAndChange", bytes / perInstance);
     }
 
-    /** Counts in microseconds only versions written while the run was ready and going. */
+    /**
+     * Returns the times from the write of a version to its use at an instance, in microseconds.
+     * Only versions that were written while this run of the instance was ready and running are
+     * counted.
+     */
     private static Histogram timesInForce(MeasuredInstance instance, Map<Long, Long> acceptances) {
         Histogram times = new Histogram(2);
         List<InForce> inForce = instance.inForce();
@@ -219,9 +233,9 @@
         return times;
     }
 
-    private static long reversionsWithinRuns(MeasuredFleet fleet) {
+    private static long countReversionsWithinRuns(MeasuredFleet fleet) {
         long reversions = 0;
-        for (MeasuredInstance instance : fleet.all()) {
+        for (MeasuredInstance instance : fleet.allRuns()) {
             long highest = 0;
             for (InForce event : instance.inForce()) {
                 reversions += event.version() <= highest ? 1 : 0;
@@ -231,8 +245,8 @@
         return reversions;
     }
 
-    /** Counts accepted changes that are missing, and versions that two plans were told. */
-    private static long lost(List<RacingOperator> operators, Set<String> sites) {
+    /** Counts accepted changes that are missing, and versions that were reported for two plans. */
+    private static long countLostChanges(List<RacingOperator> operators, Set<String> sites) {
         long lost = 0;
         Map<Long, String> plans = new HashMap<>();
         for (RacingOperator operator : operators) {
@@ -244,14 +258,14 @@
         return lost;
     }
 
-    private static long refused(List<RacingOperator> operators, Set<String> sites) {
+    private static long countRefusedInForce(List<RacingOperator> operators, Set<String> sites) {
         return operators.stream()
                 .flatMap(operator -> operator.refused().stream())
                 .filter(sites::contains)
                 .count();
     }
 
-    private static long lagging(MeasuredFleet fleet) {
+    private static long countLagging(MeasuredFleet fleet) {
         long highest =
                 fleet.live().stream()
                         .mapToLong(each -> each.current().version().number())
--- a/masticpond-measure/src/main/java/io/masticpond/measure/configuration/MeasuredFleet.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/configuration/MeasuredFleet.java
@@ -13,10 +13,14 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Nine instances in six availability zones, whose runs come and go. */
+/**
+ * Fleet of nine instances in six availability zones, whose runs can be killed and started.
+ *
+ * <p>Thread-safe, provided that only one thread starts and kills runs.
+ */
 final class MeasuredFleet implements AutoCloseable {
 
-    /** How many instances there are. */
+    /** Number of instances in the fleet. */
     static final int INSTANCES = 9;
 
     private static final List<String> ZONES =
@@ -24,9 +28,9 @@
 
     private final String mPlatform;
     private final long mSeed;
-    private final AtomicInteger mRuns = new AtomicInteger();
+    private final AtomicInteger mLastRun = new AtomicInteger();
     private final Map<InstanceId, MeasuredInstance> mLive = new ConcurrentSkipListMap<>();
-    private final List<MeasuredInstance> mAll = new CopyOnWriteArrayList<>();
+    private final List<MeasuredInstance> mAllRuns = new CopyOnWriteArrayList<>();
 
     MeasuredFleet(String platform, long seed) {
         mPlatform = platform;
@@ -36,9 +40,9 @@
         }
     }
 
-    /** Starts a run of an instance, after which the others know its address. */
+    /** Starts a run of an instance and registers its address at all other live instances. */
     MeasuredInstance start(int number) {
-        int run = mRuns.incrementAndGet();
+        int run = mLastRun.incrementAndGet();
         MeasuredInstance instance =
                 new MeasuredInstance(
                         new Incarnation(new InstanceId("entry-" + number), run),
@@ -47,16 +51,16 @@
                         this,
                         mSeed + run);
         for (MeasuredInstance other : mLive.values()) {
-            introduce(instance, other);
-            introduce(other, instance);
+            registerAddress(instance, other);
+            registerAddress(other, instance);
         }
         mLive.put(instance.incarnation().instance(), instance);
-        mAll.add(instance);
+        mAllRuns.add(instance);
         instance.start();
         return instance;
     }
 
-    /** Ends a run without a word to anybody. */
+    /** Ends the current run of an instance without any message to the other instances. */
     MeasuredInstance kill(int number) {
         MeasuredInstance instance = mLive.remove(new InstanceId("entry-" + number));
         instance.close();
@@ -73,9 +77,9 @@
         return List.copyOf(mLive.values());
     }
 
-    /** Lists all runs, also those that ended. */
-    List<MeasuredInstance> all() {
-        return List.copyOf(mAll);
+    /** Returns all runs of all instances, including those that have ended. */
+    List<MeasuredInstance> allRuns() {
+        return List.copyOf(mAllRuns);
     }
 
     void heartbeat() {
@@ -99,7 +103,7 @@
                 .toList();
     }
 
-    private static void introduce(MeasuredInstance instance, MeasuredInstance other) {
+    private static void registerAddress(MeasuredInstance instance, MeasuredInstance other) {
         instance.links().address(other.incarnation().instance(), other.asMember().linkAddress());
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/configuration/MeasuredInstance.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/configuration/MeasuredInstance.java
@@ -32,9 +32,9 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * One run of an instance: the real client of the platform, real links and the real duty.
+ * One run of an instance: the production platform client, links and configuration service.
  *
- * <p>The version that others see of it is the one of its last heartbeat.
+ * <p>Other instances see the configuration version as of its last {@link #heartbeat}.
  */
 final class MeasuredInstance implements AutoCloseable {
 
@@ -45,14 +45,19 @@
     private final NettyInstanceLinks mLinks;
     private final HttpObjectStore mStore;
     private final ConfigurationHolder mHolder = new ConfigurationHolder();
-    private final ConfigurationService mDuty;
+    private final ConfigurationService mService;
     private final ConfigurationCommands mCommands;
     private final String mLinkAddress;
     private final long mStartNanos = System.nanoTime();
     private final List<InForce> mInForce = Collections.synchronizedList(new ArrayList<>());
-    private volatile ConfigurationVersion mHeartbeat = ConfigurationVersion.NONE;
-
-    /** A version that came into force at a time. */
+    private volatile ConfigurationVersion mHeartbeatVersion = ConfigurationVersion.NONE;
+
+    /**
+     * Configuration version with the time at which it came into force.
+     *
+     * @param version the number of the version
+     * @param nanos the time, from {@link System#nanoTime}
+     */
     record InForce(long version, long nanos) {}
 
     MeasuredInstance(
@@ -72,7 +77,7 @@
                         PlatformObserver.NONE);
         ConfigurationCodec codec = new ConfigurationCodec();
         ConfigurationPeers peers = fleet.peersOf(this);
-        mDuty =
+        mService =
                 new ConfigurationService(
                         incarnation.instance(),
                         zone,
@@ -84,18 +89,18 @@
                         Timeline.NONE);
         mCommands =
                 new DefaultConfigurationCommands(
-                        mDuty,
+                        mService,
                         mHolder,
                         new ConfigurationPlanner(PlanObservations.NONE),
                         mStore,
                         codec,
                         time,
                         Timeline.NONE);
-        mHolder.addListener(this::note);
+        mHolder.addListener(this::recordInForce);
     }
 
     void start() {
-        mDuty.start();
+        mService.start();
     }
 
     Incarnation incarnation() {
@@ -119,14 +124,14 @@
     }
 
     boolean isReady() {
-        return mDuty.isReady();
+        return mService.isReady();
     }
 
     long startNanos() {
         return mStartNanos;
     }
 
-    LinkStatistics statistics() {
+    LinkStatistics linkStatistics() {
         return mLinks.statistics();
     }
 
@@ -135,21 +140,22 @@
     }
 
     void heartbeat() {
-        mHeartbeat = mHolder.current().version();
+        mHeartbeatVersion = mHolder.current().version();
     }
 
     Member asMember() {
-        return new Member(mIncarnation, mZone, mLinkAddress, "", "", MemberState.LIVE, mHeartbeat);
+        return new Member(
+                mIncarnation, mZone, mLinkAddress, "", "", MemberState.LIVE, mHeartbeatVersion);
     }
 
     @Override
     public void close() {
         mLinks.close();
-        mDuty.close();
+        mService.close();
         mStore.close();
     }
 
-    private void note(Configuration configuration) {
+    private void recordInForce(Configuration configuration) {
         mInForce.add(new InForce(configuration.version().number(), System.nanoTime()));
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/configuration/RacingOperator.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/configuration/RacingOperator.java
@@ -24,41 +24,47 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * An operator who adds one site with each plan, and confirms each plan, at any instance, until it
- * is told whether it was accepted.
+ * Simulated operator that adds one site with each plan, at a randomly chosen instance, and repeats
+ * the confirmation of each plan until an answer says whether the plan was accepted.
+ *
+ * <p>The results may be read once {@link #run} has ended.
  */
 final class RacingOperator implements Runnable {
 
     private static final ZoneId ZONE = new ZoneId("casa-1");
-    private static final long PAUSE_MILLIS = 40;
-    private static final long ANSWER_SECONDS = 3;
+    private static final long MEAN_PAUSE_MILLIS = 40;
+    private static final long ANSWER_TIMEOUT_SECONDS = 3;
 
     private final String mName;
     private final MeasuredFleet mFleet;
     private final AtomicInteger mAcceptedByAll;
-    private final int mTarget;
+    private final int mTargetCount;
     private final UniformRandomProvider mRandom;
     private final Map<String, Long> mAccepted = new LinkedHashMap<>();
     private final List<String> mRefused = new ArrayList<>();
     private int mUnsettled;
-    private int mAway;
+    private int mUnavailable;
     private int mPlans;
 
     RacingOperator(
-            String name, MeasuredFleet fleet, AtomicInteger acceptedByAll, int target, long seed) {
+            String name,
+            MeasuredFleet fleet,
+            AtomicInteger acceptedByAll,
+            int targetCount,
+            long seed) {
         mName = name;
         mFleet = fleet;
         mAcceptedByAll = acceptedByAll;
-        mTarget = target;
+        mTargetCount = targetCount;
         mRandom = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     }
 
-    /** Gives the sites of accepted plans with the versions that the plans became. */
+    /** Returns the sites of accepted plans with the configuration versions of these plans. */
     Map<String, Long> accepted() {
         return mAccepted;
     }
 
-    /** Gives the sites of plans that were refused for good. */
+    /** Returns the sites of plans that were finally refused because their base had changed. */
     List<String> refused() {
         return mRefused;
     }
@@ -68,20 +74,20 @@
     }
 
     int unavailable() {
-        return mAway;
+        return mUnavailable;
     }
 
     @Override
     public void run() {
-        while (mAcceptedByAll.get() < mTarget && !Thread.currentThread().isInterrupted()) {
+        while (mAcceptedByAll.get() < mTargetCount && !Thread.currentThread().isInterrupted()) {
             mPlans++;
             String site = mName + "-" + mPlans;
             Either<ConfigurationError, Plan> plan =
-                    awaited(any().commands().plan(adding(site), mName));
+                    await(randomInstance().commands().plan(intentToAdd(site), mName));
             if (plan.isRight()) {
                 confirm(site, plan.get());
             } else {
-                mAway++;
+                mUnavailable++;
             }
             pause();
         }
@@ -89,50 +95,50 @@
 
     private void confirm(String site, Plan plan) {
         while (!Thread.currentThread().isInterrupted()) {
-            Either<ConfigurationError, ConfigurationVersion> end =
-                    awaited(any().commands().confirm(plan.id(), mName));
-            if (end.isRight()) {
-                mAccepted.put(site, end.get().number());
+            Either<ConfigurationError, ConfigurationVersion> confirmed =
+                    await(randomInstance().commands().confirm(plan.id(), mName));
+            if (confirmed.isRight()) {
+                mAccepted.put(site, confirmed.get().number());
                 mAcceptedByAll.incrementAndGet();
                 return;
             }
-            if (end.getLeft() instanceof ConfigurationError.BaseChanged) {
+            if (confirmed.getLeft() instanceof ConfigurationError.BaseChanged) {
                 mRefused.add(site);
                 return;
             }
-            if (end.getLeft() instanceof ConfigurationError.Unsettled) {
+            if (confirmed.getLeft() instanceof ConfigurationError.Unsettled) {
                 mUnsettled++;
             } else {
-                mAway++;
+                mUnavailable++;
             }
             pause();
         }
     }
 
-    /** An instance that is killed never answers. */
-    private static <T> Either<ConfigurationError, T> awaited(
+    /** Waits for an answer with a timeout, because an instance that is killed never answers. */
+    private static <T> Either<ConfigurationError, T> await(
             CompletableFuture<Either<ConfigurationError, T>> answer) {
         return answer.completeOnTimeout(
                         Either.left(new ConfigurationError.Unsettled("No answer came.")),
-                        ANSWER_SECONDS,
+                        ANSWER_TIMEOUT_SECONDS,
                         TimeUnit.SECONDS)
                 .join();
     }
 
-    private MeasuredInstance any() {
+    private MeasuredInstance randomInstance() {
         return mFleet.live(mRandom.nextInt(MeasuredFleet.INSTANCES));
     }
 
     private void pause() {
         try {
-            Thread.sleep(PAUSE_MILLIS / 2 + mRandom.nextInt((int) PAUSE_MILLIS));
+            Thread.sleep(MEAN_PAUSE_MILLIS / 2 + mRandom.nextInt((int) MEAN_PAUSE_MILLIS));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private static ConfigurationIntent adding(String site) {
-        ConfigurationContent put =
+    private static ConfigurationIntent intentToAdd(String site) {
+        ConfigurationContent addition =
                 new ConfigurationContent(
                         List.of(new RegionSpecification(new RegionId("casa"), List.of(ZONE))),
                         List.of(),
@@ -140,6 +146,6 @@
                         List.of(new SiteSpecification(new SiteId(site), ZONE)),
                         List.of());
         return new ConfigurationIntent.Merge(
-                new ConfigurationChange(put, ConfigurationRemoval.NONE));
+                new ConfigurationChange(addition, ConfigurationRemoval.NONE));
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/configuration/package-info.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** Measures the confirmation and the spread of configurations under faults. */
+/** Measurement of the confirmation and distribution of configurations under faults. */
 package io.masticpond.measure.configuration;
