--- a/masticpond-measure/src/main/java/io/masticpond/measure/control/ControlCost.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/control/ControlCost.java
@@ -1,13 +1,14 @@
 package io.masticpond.measure.control;
 
 /**
- * What one daemon spends on control at one size.
+ * Cost of the control plane for one daemon, in a deployment of one size.
  *
- * @param peers the other daemons
- * @param connections the connections of one daemon, on average
- * @param processorPercent the share of one core, in percent
- * @param bytesPerSecond the bytes in frames that it sends and receives
- * @param heapKilobytes the heap that it holds, as far as can be told in one process
+ * @param peers the number of other daemons
+ * @param connections the mean number of connections of one daemon
+ * @param processorPercent the processor time as a share of one core, in percent
+ * @param bytesPerSecond the bytes in frames that it sends and receives per second
+ * @param heapKilobytes the heap that it holds, in units of 1,024 bytes; an estimate, because all
+ *     daemons share one process
  */
 record ControlCost(
         int peers,
--- a/masticpond-measure/src/main/java/io/masticpond/measure/control/ControlCostMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/control/ControlCostMeasure.java
@@ -16,7 +16,8 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Measures processor time, bytes and heap that a daemon spends on control, over its peers.
+ * Measures the processor time, bytes and heap that a daemon spends on control, by the number of its
+ * peers.
  *
  * @since 0.1
  */
@@ -49,14 +50,14 @@
     @Override
     public MeasureReport run(long seed) {
         List<ControlCost> costs = new ArrayList<>();
-        costAt(WARM_UP_PEERS, seed);
+        measureCost(WARM_UP_PEERS, seed);
         for (int peers : PEERS) {
-            costs.add(costAt(peers, seed));
+            costs.add(measureCost(peers, seed));
         }
         MeasureReport report = new MeasureReport().table(table(costs)).plot(plot(costs));
-        slope(report, "processorPercent", costs, ControlCost::processorPercent);
-        slope(report, "bytesPerSecond", costs, ControlCost::bytesPerSecond);
-        slope(report, "heapKilobytes", costs, ControlCost::heapKilobytes);
+        addSlopeFigures(report, "processorPercent", costs, ControlCost::processorPercent);
+        addSlopeFigures(report, "bytesPerSecond", costs, ControlCost::bytesPerSecond);
+        addSlopeFigures(report, "heapKilobytes", costs, ControlCost::heapKilobytes);
         ControlCost largest = costs.get(costs.size() - 1);
         report.figure("processorPercentAtMostPeers", largest.processorPercent());
         report.figure("bytesPerSecondAtMostPeers", largest.bytesPerSecond());
@@ -64,7 +65,7 @@
         return report;
     }
 
-    private static void slope(
+    private static void addSlopeFigures(
             MeasureReport report,
             String name,
             List<ControlCost> costs,
@@ -75,7 +76,7 @@
         report.figure(name + "ForEachConnectionError", fit.slopeError());
     }
 
-    private ControlCost costAt(int peers, long seed) {
+    private ControlCost measureCost(int peers, long seed) {
         ListOnlyStore store = new ListOnlyStore();
         List<ControlNode> nodes = new ArrayList<>();
         long heapBefore = usedHeap();
@@ -83,53 +84,53 @@
             for (int i = 0; i <= peers; i++) {
                 nodes.add(new ControlNode(i, new ZoneId("zone" + i % ZONES), store, seed));
             }
-            store.list(nodes.stream().map(ControlNode::listed).toList());
+            store.setInstances(nodes.stream().map(ControlNode::listedInstance).toList());
             nodes.forEach(ControlNode::start);
             LockSupport.parkNanos(SETTLE_NANOS);
-            return observe(nodes, heapBefore);
+            return measureWindow(nodes, heapBefore);
         } finally {
             nodes.forEach(ControlNode::close);
         }
     }
 
-    private ControlCost observe(List<ControlNode> nodes, long heapBefore) {
+    private ControlCost measureWindow(List<ControlNode> nodes, long heapBefore) {
         int size = nodes.size();
-        if (nodes.stream().anyMatch(node -> node.live() != size)) {
+        if (nodes.stream().anyMatch(node -> node.liveCount() != size)) {
             throw new IllegalStateException("Not all daemons found each other.");
         }
-        double heap = (usedHeap() - heapBefore) / 1_024.0 / size;
+        double heapKilobytes = (usedHeap() - heapBefore) / 1_024.0 / size;
         long start = System.nanoTime();
         long processorBefore = processorNanos();
-        long bytesBefore = bytes(nodes);
+        long bytesBefore = frameBytes(nodes);
         LockSupport.parkNanos(WINDOW_NANOS);
         double seconds = (System.nanoTime() - start) / 1e9;
         double processor = (processorNanos() - processorBefore) / 1e9 / seconds / size;
-        double bytes = (bytes(nodes) - bytesBefore) / seconds / size;
+        double bytes = (frameBytes(nodes) - bytesBefore) / seconds / size;
         double connections =
                 nodes.stream()
-                        .mapToLong(node -> node.statistics().connections())
+                        .mapToLong(node -> node.linkStatistics().connections())
                         .average()
                         .orElseThrow();
-        return new ControlCost(size - 1, connections, processor * PERCENT, bytes, heap);
+        return new ControlCost(size - 1, connections, processor * PERCENT, bytes, heapKilobytes);
     }
 
     private long processorNanos() {
         long sum = 0;
         for (ThreadInfo thread : mThreads.getThreadInfo(mThreads.getAllThreadIds())) {
-            if (thread != null && isControl(thread.getThreadName())) {
+            if (thread != null && isControlThread(thread.getThreadName())) {
                 sum += Math.max(0, mThreads.getThreadCpuTime(thread.getThreadId()));
             }
         }
         return sum;
     }
 
-    private static boolean isControl(String thread) {
+    private static boolean isControlThread(String thread) {
         return thread.startsWith("membership") || thread.startsWith("instance-links");
     }
 
-    private static long bytes(List<ControlNode> nodes) {
+    private static long frameBytes(List<ControlNode> nodes) {
         return nodes.stream()
-                .map(ControlNode::statistics)
+                .map(ControlNode::linkStatistics)
                 .mapToLong(statistics -> statistics.bytesRead() + statistics.bytesWritten())
                 .sum();
     }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/control/ControlNode.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/control/ControlNode.java
@@ -20,7 +20,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The control plane of one daemon: its links and its duty of membership. */
+/** Control plane of one daemon: its links and its membership service. */
 final class ControlNode implements AutoCloseable {
 
     private static final SystemTimeSource sTime = new SystemTimeSource();
@@ -39,7 +39,7 @@
                     .build();
 
     private final NettyInstanceLinks mLinks;
-    private final MembershipService mDuty;
+    private final MembershipService mMembership;
     private final ListedInstance mListed;
 
     ControlNode(int number, ZoneId zone, ObjectStore store, long seed) {
@@ -50,7 +50,7 @@
                         run, LinkSettings.of("127.0.0.1:0", KEYS), sTime, seed + number);
         String address = "127.0.0.1:" + mLinks.start().getPort();
         mListed = new ListedInstance(id, zone, address, false);
-        mDuty =
+        mMembership =
                 new MembershipService(
                         new OwnState(run, zone, address, "127.0.0.1:8080", "127.0.0.1:8081"),
                         List.of(),
@@ -61,28 +61,28 @@
                         Timeline.NONE,
                         sTime,
                         seed + number);
-        mDuty.setHeadroomSupplier(() -> List.of(HEADROOM));
+        mMembership.setHeadroomSupplier(() -> List.of(HEADROOM));
     }
 
-    ListedInstance listed() {
+    ListedInstance listedInstance() {
         return mListed;
     }
 
     void start() {
-        mDuty.start();
+        mMembership.start();
     }
 
-    int live() {
-        return mDuty.view().live().size();
+    int liveCount() {
+        return mMembership.view().live().size();
     }
 
-    LinkStatistics statistics() {
+    LinkStatistics linkStatistics() {
         return mLinks.statistics();
     }
 
     @Override
     public void close() {
-        mDuty.close();
+        mMembership.close();
         mLinks.close();
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/control/LineFit.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/control/LineFit.java
@@ -4,31 +4,38 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * A line through points by least squares.
+ * Line fitted to points by least squares.
  *
- * @param intercept the value at zero
- * @param slope the growth for each unit
+ * @param intercept the fitted value at zero
+ * @param slope the increase per unit
  * @param slopeError the standard error of the slope
  */
 record LineFit(double intercept, double slope, double slopeError) {
 
-    /** Fits a line through values over another value of the same things. */
-    static <T> LineFit of(List<T> points, ToDoubleFunction<T> over, ToDoubleFunction<T> value) {
-        double meanX = points.stream().mapToDouble(over).average().orElseThrow();
-        double meanY = points.stream().mapToDouble(value).average().orElseThrow();
+    /**
+     * Fits a line to points.
+     *
+     * @param points the points, at least three
+     * @param horizontal returns the horizontal coordinate of a point
+     * @param vertical returns the vertical coordinate of a point
+     */
+    static <T> LineFit of(
+            List<T> points, ToDoubleFunction<T> horizontal, ToDoubleFunction<T> vertical) {
+        double meanX = points.stream().mapToDouble(horizontal).average().orElseThrow();
+        double meanY = points.stream().mapToDouble(vertical).average().orElseThrow();
         double squares = 0;
         double products = 0;
         for (T point : points) {
-            double x = over.applyAsDouble(point) - meanX;
+            double x = horizontal.applyAsDouble(point) - meanX;
             squares += x * x;
-            products += x * (value.applyAsDouble(point) - meanY);
+            products += x * (vertical.applyAsDouble(point) - meanY);
         }
         double slope = products / squares;
         double intercept = meanY - slope * meanX;
         double residuals = 0;
         for (T point : points) {
-            double fitted = intercept + slope * over.applyAsDouble(point);
-            residuals += Math.pow(value.applyAsDouble(point) - fitted, 2);
+            double fitted = intercept + slope * horizontal.applyAsDouble(point);
+            residuals += Math.pow(vertical.applyAsDouble(point) - fitted, 2);
         }
         double error = Math.sqrt(residuals / (points.size() - 2) / squares);
         return new LineFit(intercept, slope, error);
--- a/masticpond-measure/src/main/java/io/masticpond/measure/control/ListOnlyStore.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/control/ListOnlyStore.java
@@ -12,12 +12,15 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** A platform that answers with its list of instances and is away for all else. */
+/**
+ * {@link ObjectStore} that returns a list of instances and reports the platform as unavailable for
+ * every other call.
+ */
 final class ListOnlyStore implements ObjectStore {
 
     private volatile List<ListedInstance> mList = List.of();
 
-    void list(List<ListedInstance> list) {
+    void setInstances(List<ListedInstance> list) {
         mList = List.copyOf(list);
     }
 
@@ -28,35 +31,35 @@
 
     @Override
     public CompletableFuture<Either<PlatformError, Optional<StoredObject>>> read(ObjectKey key) {
-        return away();
+        return unavailable();
     }
 
     @Override
     public CompletableFuture<Either<PlatformError, Long>> write(
             ObjectKey key, long expectedVersion, byte[] value) {
-        return away();
+        return unavailable();
     }
 
     @Override
     public CompletableFuture<Either<PlatformError, Optional<StoredObject>>> watch(
             ObjectKey key, long afterVersion, Duration timeout) {
-        return away();
+        return unavailable();
     }
 
     @Override
     public CompletableFuture<Either<PlatformError, List<String>>> list(
             ObjectKind kind, String prefix) {
-        return away();
+        return unavailable();
     }
 
     @Override
     public CompletableFuture<Either<PlatformError, Void>> delete(
             ObjectKey key, long expectedVersion) {
-        return away();
+        return unavailable();
     }
 
-    private static <T> CompletableFuture<Either<PlatformError, T>> away() {
+    private static <T> CompletableFuture<Either<PlatformError, T>> unavailable() {
         return CompletableFuture.completedFuture(
-                Either.left(new PlatformError.Away("The platform is away.")));
+                Either.left(new PlatformError.Away("The platform is unavailable.")));
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/control/package-info.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/control/package-info.java
@@ -1,2 +1,2 @@
-/** Measures what a daemon spends on control: heartbeats, membership and the links. */
+/** Measurement of what a daemon spends on control: heartbeats, membership and links. */
 package io.masticpond.measure.control;
