--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionMeasure.java
@@ -10,13 +10,14 @@
 import java.util.stream.Collectors;
 
 /**
- * Plays load patterns against the decisions as they are, and with one mechanism set otherwise.
+ * Measures placement, limits and retries under simulated load patterns, with the default settings
+ * and with one mechanism changed at a time.
  *
  * @since 0.2
  */
 public final class DecisionMeasure implements Measure {
 
-    /** What is played in a large fleet, where a play takes some seconds. */
+    /** Patterns that are simulated in a large fleet as well, where one run takes some seconds. */
     private static final List<LoadPattern> FLEET_PATTERNS =
             List.of(LoadPattern.COLD_START, LoadPattern.BURST, LoadPattern.SERVERS_DIE);
 
@@ -62,67 +63,68 @@
         List<List<String>> rows = new ArrayList<>();
         for (LoadPattern pattern : LoadPattern.values()) {
             for (DecisionVariant variant : DecisionVariant.values()) {
-                DecisionStatistics tally =
-                        play(DecisionScenario.TEN_INSTANCES, variant, pattern, seed);
-                rows.add(row(pattern, variant, tally));
+                DecisionStatistics statistics =
+                        simulate(DecisionScenario.TEN_INSTANCES, variant, pattern, seed);
+                rows.add(row(pattern, variant, statistics));
                 if (variant == DecisionVariant.AS_IT_IS) {
-                    report.figure("worth" + capitalized(pattern), tally.utility());
+                    report.figure("worth" + upperCamelCase(pattern), statistics.utility());
                 }
             }
         }
         report.table(new MeasureTable("Load patterns, seed " + seed, COLUMNS, rows));
-        report.table(new MeasureTable("A fleet, seed " + seed, COLUMNS, fleet(seed, report)));
+        report.table(new MeasureTable("A fleet, seed " + seed, COLUMNS, fleetRows(seed, report)));
         return report;
     }
 
-    private static List<List<String>> fleet(long seed, MeasureReport report) {
+    private static List<List<String>> fleetRows(long seed, MeasureReport report) {
         List<List<String>> rows = new ArrayList<>();
         for (LoadPattern pattern : FLEET_PATTERNS) {
             for (DecisionVariant variant : FLEET_VARIANTS) {
-                DecisionStatistics tally = play(DecisionScenario.FLEET, variant, pattern, seed);
-                rows.add(row(pattern, variant, tally));
+                DecisionStatistics statistics =
+                        simulate(DecisionScenario.FLEET, variant, pattern, seed);
+                rows.add(row(pattern, variant, statistics));
                 if (variant == DecisionVariant.AS_IT_IS) {
-                    report.figure("worthFleet" + capitalized(pattern), tally.utility());
+                    report.figure("worthFleet" + upperCamelCase(pattern), statistics.utility());
                 }
             }
         }
         return rows;
     }
 
-    private static DecisionStatistics play(
-            DecisionScenario shape, DecisionVariant variant, LoadPattern pattern, long seed) {
-        return new DecisionSimulation(shape, variant, pattern, seed).run();
+    private static DecisionStatistics simulate(
+            DecisionScenario scenario, DecisionVariant variant, LoadPattern pattern, long seed) {
+        return new DecisionSimulation(scenario, variant, pattern, seed).run();
     }
 
     private static List<String> row(
-            LoadPattern pattern, DecisionVariant variant, DecisionStatistics tally) {
+            LoadPattern pattern, DecisionVariant variant, DecisionStatistics statistics) {
         return List.of(
-                words(pattern),
-                words(variant),
-                number(tally.utility()),
-                number(tally.worstRegion()),
-                number(tally.worstKind()),
-                number(tally.worstWindow()),
-                number(tally.share(DecisionStatistics.End.LATE)),
-                number(tally.share(DecisionStatistics.End.REFUSED)),
-                number(tally.share(DecisionStatistics.End.FAILED)),
-                number(tally.farShare()),
-                number(tally.farByteShare()),
-                String.valueOf(tally.rejectedByServerCount()));
+                lowerCaseWords(pattern),
+                lowerCaseWords(variant),
+                format(statistics.utility()),
+                format(statistics.worstRegion()),
+                format(statistics.worstKind()),
+                format(statistics.worstWindow()),
+                format(statistics.share(DecisionStatistics.Outcome.LATE)),
+                format(statistics.share(DecisionStatistics.Outcome.REFUSED)),
+                format(statistics.share(DecisionStatistics.Outcome.FAILED)),
+                format(statistics.otherRegionSendShare()),
+                format(statistics.otherRegionByteShare()),
+                String.valueOf(statistics.serverRejections()));
     }
 
-    private static String words(Enum<?> constant) {
+    private static String lowerCaseWords(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT).replace('_', ' ');
     }
 
-    /** Gives the words of a name as one, each with a capital. */
-    private static String capitalized(Enum<?> constant) {
-        return Arrays.stream(words(constant).split(" "))
+    /** Returns the words of a constant's name in upper camel case. */
+    private static String upperCamelCase(Enum<?> constant) {
+        return Arrays.stream(lowerCaseWords(constant).split(" "))
                 .map(word -> word.substring(0, 1).toUpperCase(Locale.ROOT) + word.substring(1))
                 .collect(Collectors.joining());
     }
 
-    private static String number(double value) {
+    private static String format(double value) {
         return String.format(Locale.ROOT, "%.3f", value);
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionScenario.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionScenario.java
@@ -5,14 +5,17 @@
 import java.util.stream.IntStream;
 
 /**
- * Sizes of deployments as customers state them: where instances and servers stand, what is asked
- * for, and how servers work. Zones lie in the regions in turn.
+ * Simulated deployments of sizes that customers state: the placement of instances and backend
+ * servers, the mix of requests, and the work of servers. Availability zones are assigned to the
+ * regions in turn.
  */
 enum DecisionScenario {
-    /** Ten instances, 38 servers, three regions of two zones, the second with 6 of all servers. */
+    /**
+     * Ten instances and 38 servers in three regions of two zones; the second region has 6 servers.
+     */
     TEN_INSTANCES(new int[] {2, 2, 2, 2, 1, 1}, 55, 0.3, 0.25, 720) {
         @Override
-        List<ServerGroup> servers() {
+        List<ServerGroup> serverGroups() {
             return List.of(
                     new ServerGroup(LISTS, new int[] {3, 1, 3, 3, 1, 3}, 9, 27, 71),
                     new ServerGroup(BOOKINGS, new int[] {3, 1, 2, 3, 1, 2}, 4, 12, 27),
@@ -20,12 +23,21 @@
         }
 
         @Override
-        List<RequestKind> kinds(int multiple) {
+        List<RequestKind> requestKinds(int objectMultiple) {
             return List.of(
                     new RequestKind(
-                            "list", LISTS, 0.6, 480, 400, 2_500, 79 * multiple, 2, true, 400),
+                            "list", LISTS, 0.6, 480, 400, 2_500, 79 * objectMultiple, 2, true, 400),
                     new RequestKind(
-                            "book", BOOKINGS, 0.2, 640, 500, 3_000, 26 * multiple, 1, false, 400),
+                            "book",
+                            BOOKINGS,
+                            0.2,
+                            640,
+                            500,
+                            3_000,
+                            26 * objectMultiple,
+                            1,
+                            false,
+                            400),
                     new RequestKind(
                             "download",
                             DOCUMENTS,
@@ -33,7 +45,7 @@
                             384,
                             400,
                             2_000,
-                            24 * multiple,
+                            24 * objectMultiple,
                             2,
                             true,
                             90_000),
@@ -44,19 +56,19 @@
                             1_920,
                             1_200,
                             2_500,
-                            24 * multiple,
+                            24 * objectMultiple,
                             2,
                             true,
                             5_000));
         }
     },
     /**
-     * 95 instances, 376 servers, three regions of three zones, the last with a tenth of all
-     * servers; few slots a server, long work, few objects kept.
+     * 95 instances and 376 servers in three regions of three zones; the last region has a tenth of
+     * all servers. Servers have few slots and small caches, and requests take long.
      */
     FLEET(new int[] {11, 11, 11, 12, 10, 11, 11, 9, 9}, 20, 0.25, 0.15, 2_000) {
         @Override
-        List<ServerGroup> servers() {
+        List<ServerGroup> serverGroups() {
             return List.of(
                     new ServerGroup(LISTS, perZone(26, 31, 6), 5, 15, 13),
                     new ServerGroup(BOOKINGS, perZone(19, 22, 5), 5, 15, 10),
@@ -64,7 +76,7 @@
         }
 
         @Override
-        List<RequestKind> kinds(int multiple) {
+        List<RequestKind> requestKinds(int objectMultiple) {
             return List.of(
                     new RequestKind(
                             "list",
@@ -73,7 +85,7 @@
                             1_584,
                             800,
                             2_000,
-                            196 * multiple,
+                            196 * objectMultiple,
                             2,
                             true,
                             1_500),
@@ -84,7 +96,7 @@
                             2_064,
                             1_200,
                             2_500,
-                            109 * multiple,
+                            109 * objectMultiple,
                             1,
                             false,
                             1_500),
@@ -95,7 +107,7 @@
                             1_104,
                             600,
                             1_500,
-                            68 * multiple,
+                            68 * objectMultiple,
                             0,
                             false,
                             1_500));
@@ -106,22 +118,22 @@
     private static final ServiceId BOOKINGS = new ServiceId("bookings");
     private static final ServiceId DOCUMENTS = new ServiceId("documents");
 
-    private final int[] mInstances;
-    private final int mRegionMillis;
-    private final double mKnownPart;
-    private final double mSpread;
+    private final int[] mInstancesPerZone;
+    private final int mRegionDelayMillis;
+    private final double mCachedWorkShare;
+    private final double mWorkSpread;
     private final double mRequestsPerSecond;
 
     DecisionScenario(
-            int[] instances,
-            int regionMillis,
-            double knownPart,
-            double spread,
+            int[] instancesPerZone,
+            int regionDelayMillis,
+            double cachedWorkShare,
+            double workSpread,
             double requestsPerSecond) {
-        mInstances = instances;
-        mRegionMillis = regionMillis;
-        mKnownPart = knownPart;
-        mSpread = spread;
+        mInstancesPerZone = instancesPerZone;
+        mRegionDelayMillis = regionDelayMillis;
+        mCachedWorkShare = cachedWorkShare;
+        mWorkSpread = workSpread;
         mRequestsPerSecond = requestsPerSecond;
     }
 
@@ -129,33 +141,37 @@
         return IntStream.range(0, 9).map(zone -> perRegion[zone % perRegion.length]).toArray();
     }
 
-    /** Gives the servers of each service. */
-    abstract List<ServerGroup> servers();
+    /** Returns the group of servers of each service. */
+    abstract List<ServerGroup> serverGroups();
 
-    /** Gives the kinds of requests, with so many times the usual objects. */
-    abstract List<RequestKind> kinds(int multiple);
+    /**
+     * Returns the kinds of requests.
+     *
+     * @param objectMultiple the factor on the default number of objects
+     */
+    abstract List<RequestKind> requestKinds(int objectMultiple);
 
-    /** Gives the instances of each zone. */
-    int[] instances() {
-        return mInstances.clone();
+    /** Returns the number of instances in each zone. */
+    int[] instancesPerZone() {
+        return mInstancesPerZone.clone();
     }
 
-    /** Gives the one-way delay between regions. */
-    int regionMillis() {
-        return mRegionMillis;
+    /** Returns the one-way delay between regions, in milliseconds. */
+    int regionDelayMillis() {
+        return mRegionDelayMillis;
     }
 
-    /** Gives the part of the time that work on a known object takes. */
-    double knownPart() {
-        return mKnownPart;
+    /** Returns the duration of work on a cached object as a share of that on an uncached one. */
+    double cachedWorkShare() {
+        return mCachedWorkShare;
     }
 
-    /** Gives the part by which times of work vary in both directions. */
-    double spread() {
-        return mSpread;
+    /** Returns the share by which the duration of work varies in both directions. */
+    double workSpread() {
+        return mWorkSpread;
     }
 
-    /** Gives the usual rate of requests. */
+    /** Returns the rate of requests without a {@link LoadPattern#BURST}, per second. */
     double requestsPerSecond() {
         return mRequestsPerSecond;
     }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionSimulation.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionSimulation.java
@@ -22,74 +22,77 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Three regions, one of them with few servers; clients, instances and backend servers of the sizes
- * that a customer states ({@link DecisionScenario}).
+ * Simulation of clients, instances and backend servers in three regions, one of which has few
+ * servers, for a {@link DecisionScenario}. Time is virtual.
+ *
+ * <p>Not thread-safe.
  */
 final class DecisionSimulation {
 
     private static final int REGIONS = 3;
-    private static final long REGION_UNIT_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
+    private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
     private static final long ZONE_NANOS = 900_000L;
 
-    /** How long a bundle of loads waits and travels. */
-    private static final long BUNDLE_NANOS = TimeUnit.MILLISECONDS.toNanos(220);
+    /** Time for which a batch of load reports waits and travels. */
+    private static final long LOAD_REPORT_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(220);
 
-    private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
-    private static final long LENGTH_NANOS = 24 * SECOND;
+    private static final long NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
+    private static final long DURATION_NANOS = 24 * NANOS_PER_SECOND;
 
     private final VirtualTimeScheduler mClock = new VirtualTimeScheduler();
     private final UniformRandomProvider mRandom;
-    private final DecisionScenario mShape;
+    private final DecisionScenario mScenario;
     private final DecisionVariant mVariant;
-    private final DecisionStatistics mTally = new DecisionStatistics();
-    private final List<RequestKind> mKinds;
+    private final DecisionStatistics mStatistics = new DecisionStatistics();
+    private final List<RequestKind> mRequestKinds;
     private final List<ZoneId> mZones = new ArrayList<>();
     private final Map<ZoneId, RegionId> mRegions = new LinkedHashMap<>();
     private final Map<BackendServerId, ModelServer> mServers = new LinkedHashMap<>();
     private final Map<ZoneId, List<ModelInstance>> mInstances = new HashMap<>();
     private final Set<ZoneId> mEvacuated = new HashSet<>();
-    private final double[] mMoved;
-    private final int[] mMovedTo;
+    private final double[] mMovedShares;
+    private final int[] mMoveTargets;
     private final long mSeed;
-    private double mLoad = 1;
+    private double mLoadFactor = 1;
     private long mRevision;
 
     DecisionSimulation(
-            DecisionScenario shape, DecisionVariant variant, LoadPattern pattern, long seed) {
-        mShape = shape;
+            DecisionScenario scenario, DecisionVariant variant, LoadPattern pattern, long seed) {
+        mScenario = scenario;
         mVariant = variant;
-        mMoved = new double[shape.instances().length];
-        mMovedTo = new int[shape.instances().length];
+        mMovedShares = new double[scenario.instancesPerZone().length];
+        mMoveTargets = new int[scenario.instancesPerZone().length];
         mSeed = seed;
         mRandom = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-        mKinds = shape.kinds(pattern.objectMultiple());
-        for (int zone = 0; zone < mShape.instances().length; zone++) {
+        mRequestKinds = scenario.requestKinds(pattern.objectMultiple());
+        for (int zone = 0; zone < mScenario.instancesPerZone().length; zone++) {
             ZoneId id = new ZoneId("zone-" + zone);
             mZones.add(id);
             mRegions.put(id, new RegionId("region-" + zone % REGIONS));
         }
-        shape.servers().forEach(this::addServers);
+        scenario.serverGroups().forEach(this::addServers);
         startInstances();
         pattern.schedule(this);
-        for (int zone = 0; zone < mShape.instances().length; zone++) {
+        for (int zone = 0; zone < mScenario.instancesPerZone().length; zone++) {
             scheduleArrival(zone);
         }
     }
 
-    private void addServers(ServerGroup shape) {
-        for (int zone = 0; zone < shape.counts().length; zone++) {
-            for (int each = 0; each < shape.counts()[zone]; each++) {
-                String name = shape.service().value() + "-" + zone + "-" + each + "-" + mSeed;
+    private void addServers(ServerGroup group) {
+        for (int zone = 0; zone < group.counts().length; zone++) {
+            for (int each = 0; each < group.counts()[zone]; each++) {
+                String name = group.service().value() + "-" + zone + "-" + each + "-" + mSeed;
                 RegisteredServer server =
                         new RegisteredServer(
                                 new BackendServerId(name),
-                                shape.service(),
+                                group.service(),
                                 new ServerAddress("10.0.0.1", 1 + mServers.size()),
                                 mZones.get(zone),
-                                shape.slots(),
+                                group.slots(),
                                 false,
                                 0);
-                mServers.put(server.id(), new ModelServer(mClock, mRandom, server, shape, mShape));
+                mServers.put(
+                        server.id(), new ModelServer(mClock, mRandom, server, group, mScenario));
             }
         }
     }
@@ -97,20 +100,20 @@
     private void startInstances() {
         FleetSnapshot snapshot = snapshot();
         int number = 0;
-        for (int zone = 0; zone < mShape.instances().length; zone++) {
+        for (int zone = 0; zone < mScenario.instancesPerZone().length; zone++) {
             List<ModelInstance> instances = new ArrayList<>();
-            for (int each = 0; each < mShape.instances()[zone]; each++) {
+            for (int each = 0; each < mScenario.instancesPerZone()[zone]; each++) {
                 ModelInstance instance =
                         new ModelInstance(
                                 mZones.get(zone),
                                 mRegions,
                                 snapshot,
                                 mVariant,
-                                Arrays.stream(mShape.instances()).sum(),
+                                Arrays.stream(mScenario.instancesPerZone()).sum(),
                                 mSeed + number++,
                                 mClock.nowNanos());
                 if (mVariant.sharesLoads()) {
-                    share(instance);
+                    enableLoadSharing(instance);
                 }
                 instances.add(instance);
             }
@@ -124,71 +127,86 @@
         return new FleetSnapshot(mRevision++, Optional.empty(), servers, mEvacuated);
     }
 
-    private void tellSnapshot() {
+    private void distributeSnapshot() {
         FleetSnapshot snapshot = snapshot();
-        mInstances.values().forEach(zone -> zone.forEach(i -> i.update(snapshot, now())));
+        mInstances
+                .values()
+                .forEach(zone -> zone.forEach(instance -> instance.update(snapshot, now())));
     }
 
     DecisionStatistics run() {
-        mClock.runUntil(LENGTH_NANOS + 4 * SECOND);
-        return mTally;
+        mClock.runUntil(DURATION_NANOS + 4 * NANOS_PER_SECOND);
+        return mStatistics;
     }
 
-    void at(double second, Runnable action) {
-        mClock.after((long) (second * SECOND) - now(), action);
+    void atSecond(double second, Runnable action) {
+        mClock.after((long) (second * NANOS_PER_SECOND) - now(), action);
     }
 
-    void load(double times) {
-        mLoad = times;
+    void setLoadFactor(double factor) {
+        mLoadFactor = factor;
     }
 
-    void shed(int shape, double part, double share) {
-        chosen(mShape.servers().get(shape).service(), part).forEach(server -> server.shed(share));
+    void shed(int groupIndex, double serverShare, double requestShare) {
+        selectServers(mScenario.serverGroups().get(groupIndex).service(), serverShare)
+                .forEach(server -> server.shed(requestShare));
     }
 
-    void slow(double part, double times) {
-        mShape.servers()
-                .forEach(s -> chosen(s.service(), part).forEach(server -> server.slow(times)));
+    void slowDown(double share, double factor) {
+        mScenario
+                .serverGroups()
+                .forEach(
+                        group ->
+                                selectServers(group.service(), share)
+                                        .forEach(server -> server.slowDown(factor)));
     }
 
-    void kill(double part) {
-        mShape.servers().forEach(s -> chosen(s.service(), part).forEach(ModelServer::terminate));
+    void terminateServers(double share) {
+        mScenario
+                .serverGroups()
+                .forEach(
+                        group ->
+                                selectServers(group.service(), share)
+                                        .forEach(ModelServer::terminate));
     }
 
-    void kill(int shape, double part) {
-        chosen(mShape.servers().get(shape).service(), part).forEach(ModelServer::terminate);
+    void terminateServers(int groupIndex, double share) {
+        selectServers(mScenario.serverGroups().get(groupIndex).service(), share)
+                .forEach(ModelServer::terminate);
     }
 
     void removeTerminated() {
         mServers.values().removeIf(ModelServer::isTerminated);
-        tellSnapshot();
+        distributeSnapshot();
     }
 
-    void evacuate(int zone, boolean out) {
+    void setEvacuated(int zone, boolean evacuated) {
         boolean changed =
-                out ? mEvacuated.add(mZones.get(zone)) : mEvacuated.remove(mZones.get(zone));
+                evacuated ? mEvacuated.add(mZones.get(zone)) : mEvacuated.remove(mZones.get(zone));
         if (changed) {
-            tellSnapshot();
+            distributeSnapshot();
         }
     }
 
-    void move(int zone, int toZone, double part) {
-        mMoved[zone] = part;
-        mMovedTo[zone] = toZone;
+    void moveClients(int zone, int toZone, double share) {
+        mMovedShares[zone] = share;
+        mMoveTargets[zone] = toZone;
     }
 
-    void stopInstances(long nanos) {
+    void restartInstances(long downtimeNanos) {
         mInstances.clear();
-        mClock.after(nanos, this::startInstances);
+        mClock.after(downtimeNanos, this::startInstances);
     }
 
-    /** Gives a part of the servers of a service, at least one, the same each time. */
-    private List<ModelServer> chosen(ServiceId service, double part) {
+    /**
+     * Returns a share of the servers of a service, at least one, and the same servers each time.
+     */
+    private List<ModelServer> selectServers(ServiceId service, double share) {
         List<ModelServer> servers =
                 mServers.values().stream()
                         .filter(server -> server.server().service().equals(service))
                         .toList();
-        int count = Math.max(1, (int) Math.round(part * servers.size()));
+        int count = Math.max(1, (int) Math.round(share * servers.size()));
         List<ModelServer> chosen = new ArrayList<>();
         for (int each = 0; each < count; each++) {
             chosen.add(servers.get(each * servers.size() / count));
@@ -197,27 +215,27 @@
     }
 
     private void scheduleArrival(int zone) {
-        double perSecond = mShape.requestsPerSecond() / mZones.size() * mLoad;
-        long pause = (long) (-Math.log(1 - mRandom.nextDouble()) / perSecond * SECOND);
+        double perSecond = mScenario.requestsPerSecond() / mZones.size() * mLoadFactor;
+        long pause = (long) (-Math.log(1 - mRandom.nextDouble()) / perSecond * NANOS_PER_SECOND);
         mClock.after(pause, () -> arrive(zone));
     }
 
     private void arrive(int zone) {
-        if (now() > LENGTH_NANOS) {
+        if (now() > DURATION_NANOS) {
             return;
         }
-        int at = mRandom.nextDouble() < mMoved[zone] ? mMovedTo[zone] : zone;
-        double drawn = mRandom.nextDouble();
-        RequestKind kind = mKinds.get(mKinds.size() - 1);
-        for (RequestKind each : mKinds) {
-            if (drawn < each.share()) {
+        int clientZone = mRandom.nextDouble() < mMovedShares[zone] ? mMoveTargets[zone] : zone;
+        double remaining = mRandom.nextDouble();
+        RequestKind kind = mRequestKinds.get(mRequestKinds.size() - 1);
+        for (RequestKind each : mRequestKinds) {
+            if (remaining < each.share()) {
                 kind = each;
                 break;
             }
-            drawn -= each.share();
+            remaining -= each.share();
         }
         String object = kind.name() + "-" + zone % REGIONS + "-" + mRandom.nextInt(kind.objects());
-        new ModelRequest(this, kind, object, mZones.get(at)).begin();
+        new ModelRequest(this, kind, object, mZones.get(clientZone)).start();
         scheduleArrival(zone);
     }
 
@@ -226,31 +244,38 @@
     }
 
     DecisionStatistics statistics() {
-        return mTally;
+        return mStatistics;
     }
 
     RegionId region(ZoneId zone) {
         return mRegions.get(zone);
     }
 
-    /** Picks an instance for a client, as one that knows the addresses of its zone does. */
+    /**
+     * Returns a random instance of a zone, as a client that knows the addresses of its zone does.
+     */
     Optional<ModelInstance> instance(ZoneId zone) {
         return Optional.ofNullable(mInstances.get(zone))
-                .map(near -> near.get(mRandom.nextInt(near.size())));
+                .map(instances -> instances.get(mRandom.nextInt(instances.size())));
     }
 
-    /** Lets the other instances of a zone hear of loads, once a bundle has waited and travelled. */
-    private void share(ModelInstance from) {
+    /**
+     * Sends the load reports of an instance to the other instances of its zone, each batch after
+     * {@link #LOAD_REPORT_DELAY_NANOS}.
+     */
+    private void enableLoadSharing(ModelInstance from) {
         from.placer()
                 .sharedLoads()
                 .setPendingListener(
                         () ->
                                 mClock.after(
-                                        BUNDLE_NANOS,
-                                        () -> tell(from, from.placer().sharedLoads().take())));
+                                        LOAD_REPORT_DELAY_NANOS,
+                                        () ->
+                                                deliverLoadReports(
+                                                        from, from.placer().sharedLoads().take())));
     }
 
-    private void tell(ModelInstance from, List<LoadReport> reports) {
+    private void deliverLoadReports(ModelInstance from, List<LoadReport> reports) {
         for (ModelInstance each : mInstances.getOrDefault(from.zone(), List.of())) {
             if (each != from) {
                 each.receive(reports, now());
@@ -276,7 +301,7 @@
         }
         return mRegions.get(from).equals(mRegions.get(to))
                 ? ZONE_NANOS
-                : mShape.regionMillis() * REGION_UNIT_NANOS;
+                : mScenario.regionDelayMillis() * NANOS_PER_MILLI;
     }
 
     private long now() {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionStatistics.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionStatistics.java
@@ -6,109 +6,114 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 
-/** Counts what became of the clients' requests. */
+/**
+ * Statistics of how the clients' requests ended, and of the answers and bytes that other regions
+ * provided.
+ *
+ * <p>Not thread-safe.
+ */
 final class DecisionStatistics {
 
-    /** An answer after the target is worth this part of one in time. */
-    private static final double LATE_WORTH = 0.2;
+    /** Utility of an answer after the target time, where an answer in time has a utility of 1. */
+    private static final double LATE_UTILITY = 0.2;
 
     private static final long WINDOW_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-    /** How a client's request ended. */
-    enum End {
+    /** Outcome of a client's request. */
+    enum Outcome {
         IN_TIME(1),
-        LATE(LATE_WORTH),
+        LATE(LATE_UTILITY),
         REFUSED(0),
         FAILED(0);
 
-        private final double mWorth;
+        private final double mUtility;
 
-        End(double worth) {
-            mWorth = worth;
+        Outcome(double utility) {
+            mUtility = utility;
         }
     }
 
-    /** Counts of one group. */
+    /** Counters of a group of requests. */
     private static final class Counts {
-        private final int[] mEnds = new int[End.values().length];
-        private double mWorth;
-        private int mAll;
-
-        void add(End end) {
-            mEnds[end.ordinal()]++;
-            mWorth += end.mWorth;
-            mAll++;
+        private final int[] mCounts = new int[Outcome.values().length];
+        private double mUtility;
+        private int mTotal;
+
+        void add(Outcome outcome) {
+            mCounts[outcome.ordinal()]++;
+            mUtility += outcome.mUtility;
+            mTotal++;
         }
 
-        double share(End end) {
-            return mAll == 0 ? 0 : (double) mEnds[end.ordinal()] / mAll;
+        double share(Outcome outcome) {
+            return mTotal == 0 ? 0 : (double) mCounts[outcome.ordinal()] / mTotal;
         }
 
-        double worth() {
-            return mAll == 0 ? 0 : mWorth / mAll;
+        double utility() {
+            return mTotal == 0 ? 0 : mUtility / mTotal;
         }
     }
 
-    private final Counts mAll = new Counts();
+    private final Counts mAllRequests = new Counts();
     private final Map<RegionId, Counts> mRegions = new HashMap<>();
     private final Map<String, Counts> mKinds = new HashMap<>();
     private final Map<Long, Counts> mWindows = new TreeMap<>();
-    private long mSends;
-    private long mFarSends;
-    private long mTurnedAway;
-    private long mBytes;
-    private long mFarBytes;
-
-    void ended(RegionId region, RequestKind kind, long arrivedNanos, End end) {
-        mAll.add(end);
-        mRegions.computeIfAbsent(region, id -> new Counts()).add(end);
-        mKinds.computeIfAbsent(kind.name(), id -> new Counts()).add(end);
-        mWindows.computeIfAbsent(arrivedNanos / WINDOW_NANOS, id -> new Counts()).add(end);
+    private long mAllSends;
+    private long mOtherRegionSends;
+    private long mServerRejections;
+    private long mAllBytes;
+    private long mOtherRegionBytes;
+
+    void recordOutcome(RegionId region, RequestKind kind, long arrivedNanos, Outcome outcome) {
+        mAllRequests.add(outcome);
+        mRegions.computeIfAbsent(region, id -> new Counts()).add(outcome);
+        mKinds.computeIfAbsent(kind.name(), id -> new Counts()).add(outcome);
+        mWindows.computeIfAbsent(arrivedNanos / WINDOW_NANOS, id -> new Counts()).add(outcome);
     }
 
-    void sent(boolean far) {
-        mSends++;
-        mFarSends += far ? 1 : 0;
+    void recordSend(boolean toOtherRegion) {
+        mAllSends++;
+        mOtherRegionSends += toOtherRegion ? 1 : 0;
     }
 
-    void answered(boolean far, int bytes) {
-        mBytes += bytes;
-        mFarBytes += far ? bytes : 0;
+    void recordAnswer(boolean fromOtherRegion, int bytes) {
+        mAllBytes += bytes;
+        mOtherRegionBytes += fromOtherRegion ? bytes : 0;
     }
 
-    void rejectedByServer() {
-        mTurnedAway++;
+    void recordServerRejection() {
+        mServerRejections++;
     }
 
-    long rejectedByServerCount() {
-        return mTurnedAway;
+    long serverRejections() {
+        return mServerRejections;
     }
 
-    double share(End end) {
-        return mAll.share(end);
+    double share(Outcome outcome) {
+        return mAllRequests.share(outcome);
     }
 
     double utility() {
-        return mAll.worth();
+        return mAllRequests.utility();
     }
 
     double worstRegion() {
-        return mRegions.values().stream().mapToDouble(Counts::worth).min().orElse(0);
+        return mRegions.values().stream().mapToDouble(Counts::utility).min().orElse(0);
     }
 
     double worstKind() {
-        return mKinds.values().stream().mapToDouble(Counts::worth).min().orElse(0);
+        return mKinds.values().stream().mapToDouble(Counts::utility).min().orElse(0);
     }
 
     double worstWindow() {
-        return mWindows.values().stream().mapToDouble(Counts::worth).min().orElse(0);
+        return mWindows.values().stream().mapToDouble(Counts::utility).min().orElse(0);
     }
 
-    double farShare() {
-        return mSends == 0 ? 0 : (double) mFarSends / mSends;
+    double otherRegionSendShare() {
+        return mAllSends == 0 ? 0 : (double) mOtherRegionSends / mAllSends;
     }
 
-    double farByteShare() {
-        return mBytes == 0 ? 0 : (double) mFarBytes / mBytes;
+    double otherRegionByteShare() {
+        return mAllBytes == 0 ? 0 : (double) mOtherRegionBytes / mAllBytes;
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionVariant.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionVariant.java
@@ -2,16 +2,16 @@
 
 import io.masticpond.core.placement.PlacementSettings;
 
-/** One mechanism switched off or set otherwise, to tell what it is worth. */
+/** Variant of the decisions with one mechanism disabled or changed, to determine its effect. */
 enum DecisionVariant {
-    /** All as it is. */
+    /** All mechanisms with their default settings. */
     AS_IT_IS {
         @Override
         PlacementSettings placement() {
             return PlacementSettings.DEFAULT;
         }
     },
-    /** Instances tell each other no loads. */
+    /** Instances don't share the loads of servers with each other. */
     NO_SHARED_LOADS {
         @Override
         PlacementSettings placement() {
@@ -24,7 +24,8 @@
         }
     },
     /**
-     * Each instance knows the true load of each server at each choice: what sharing could bring.
+     * Each instance knows the true load of each server at each choice, as an upper bound for the
+     * effect of sharing loads.
      */
     TRUE_LOADS {
         @Override
@@ -37,23 +38,24 @@
             return true;
         }
     },
-    /** Every key has one server. */
+    /** Every key has one home server. */
     ONE_HOME {
         @Override
         PlacementSettings placement() {
-            PlacementSettings all = PlacementSettings.DEFAULT;
-            return with(1, all.cacheMiss(), all.perQueued(), all.otherRegion());
+            PlacementSettings defaults = PlacementSettings.DEFAULT;
+            return settingsWith(
+                    1, defaults.cacheMiss(), defaults.perQueued(), defaults.otherRegion());
         }
     },
     /**
-     * Every key has four servers, and a cache miss costs little: spreading by constants in place of
-     * knowledge, so loads are not shared either.
+     * Every key has four home servers, and a cache miss has a low cost. Requests are spread by
+     * constants instead of known loads, so loads are not shared either.
      */
     FOUR_HOMES {
         @Override
         PlacementSettings placement() {
-            PlacementSettings all = PlacementSettings.DEFAULT;
-            return with(4, 0.7, all.perQueued(), all.otherRegion());
+            PlacementSettings defaults = PlacementSettings.DEFAULT;
+            return settingsWith(4, 0.7, defaults.perQueued(), defaults.otherRegion());
         }
 
         @Override
@@ -61,46 +63,46 @@
             return false;
         }
     },
-    /** Queues count for nothing in the choice. */
+    /** Queue lengths have no influence on the choice. */
     BLIND_TO_QUEUES {
         @Override
         PlacementSettings placement() {
-            PlacementSettings all = PlacementSettings.DEFAULT;
-            return with(all.homes(), all.cacheMiss(), 0, all.otherRegion());
+            PlacementSettings defaults = PlacementSettings.DEFAULT;
+            return settingsWith(defaults.homes(), defaults.cacheMiss(), 0, defaults.otherRegion());
         }
     },
-    /** Other regions are as near as the own one. */
+    /** Other regions have the same cost as the own region. */
     NO_REGIONS {
         @Override
         PlacementSettings placement() {
-            PlacementSettings all = PlacementSettings.DEFAULT;
-            return with(all.homes(), all.cacheMiss(), all.perQueued(), 0);
+            PlacementSettings defaults = PlacementSettings.DEFAULT;
+            return settingsWith(defaults.homes(), defaults.cacheMiss(), defaults.perQueued(), 0);
         }
     };
 
     abstract PlacementSettings placement();
 
-    /** Tells whether the instances of a zone tell each other the loads of servers. */
+    /** Determines whether the instances of a zone share the loads of servers with each other. */
     boolean sharesLoads() {
         return true;
     }
 
-    /** Tells whether loads are known as they are. */
+    /** Determines whether each instance knows the true load of each server. */
     boolean knowsTrueLoads() {
         return false;
     }
 
-    private static PlacementSettings with(
+    private static PlacementSettings settingsWith(
             int homes, double cacheMiss, double perQueued, double otherRegion) {
-        PlacementSettings all = PlacementSettings.DEFAULT;
+        PlacementSettings defaults = PlacementSettings.DEFAULT;
         return new PlacementSettings(
-                all.otherZone(),
+                defaults.otherZone(),
                 otherRegion,
                 homes,
-                all.perHome(),
+                defaults.perHome(),
                 cacheMiss,
                 perQueued,
-                all.perBusy(),
-                all.failing());
+                defaults.perBusy(),
+                defaults.failing());
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/LoadPattern.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/LoadPattern.java
@@ -2,88 +2,91 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** What happens during a play, by what it is and not by where it was seen. */
+/** Events during a simulation, named by what happens and not by the symptom observed. */
 enum LoadPattern {
-    /** All objects are new to all servers at the start. */
+    /** The caches of all servers are empty at the start, and nothing else happens. */
     COLD_START {
         @Override
-        void schedule(DecisionSimulation world) {}
+        void schedule(DecisionSimulation simulation) {}
     },
-    /** More requests than usual, for a time. */
+    /** The rate of requests is 1.5 times the default for a time. */
     BURST {
         @Override
-        void schedule(DecisionSimulation world) {
-            world.at(8, () -> world.load(1.5));
-            world.at(13, () -> world.load(1));
+        void schedule(DecisionSimulation simulation) {
+            simulation.atSecond(8, () -> simulation.setLoadFactor(1.5));
+            simulation.atSecond(13, () -> simulation.setLoadFactor(1));
         }
     },
-    /** All servers of one service turn a part away, whatever their load. */
+    /** All servers of one service reject a share of requests, independent of their load. */
     SERVICE_SHEDS {
         @Override
-        void schedule(DecisionSimulation world) {
-            world.at(8, () -> world.shed(0, 1, 0.55));
-            world.at(16, () -> world.shed(0, 1, 0));
+        void schedule(DecisionSimulation simulation) {
+            simulation.atSecond(8, () -> simulation.shed(0, 1, 0.55));
+            simulation.atSecond(16, () -> simulation.shed(0, 1, 0));
         }
     },
-    /** A few servers turn nearly everything away. */
+    /** A few servers reject most requests. */
     SERVERS_SHED {
         @Override
-        void schedule(DecisionSimulation world) {
-            world.at(8, () -> world.shed(0, 0.2, 0.9));
-            world.at(16, () -> world.shed(0, 0.2, 0));
+        void schedule(DecisionSimulation simulation) {
+            simulation.atSecond(8, () -> simulation.shed(0, 0.2, 0.9));
+            simulation.atSecond(16, () -> simulation.shed(0, 0.2, 0));
         }
     },
-    /** Servers turn slow. */
+    /** Some servers become slow for a time. */
     SERVERS_SLOW {
         @Override
-        void schedule(DecisionSimulation world) {
-            world.at(8, () -> world.slow(0.15, 5));
-            world.at(14, () -> world.slow(0.15, 1));
+        void schedule(DecisionSimulation simulation) {
+            simulation.atSecond(8, () -> simulation.slowDown(0.15, 5));
+            simulation.atSecond(14, () -> simulation.slowDown(0.15, 1));
         }
     },
-    /** Servers fall silent and leave the registry after three seconds. */
+    /** Some servers become unresponsive and leave the registry after three seconds. */
     SERVERS_DIE {
         @Override
-        void schedule(DecisionSimulation world) {
-            world.at(8, () -> world.kill(0.12));
-            world.at(11, world::removeTerminated);
+        void schedule(DecisionSimulation simulation) {
+            simulation.atSecond(8, () -> simulation.terminateServers(0.12));
+            simulation.atSecond(11, simulation::removeTerminated);
         }
     },
-    /** What is left of a service is just too little for its requests. */
+    /**
+     * Servers of one service terminate, and the capacity left is just too small for its requests.
+     */
     SERVICE_SHORT {
         @Override
-        void schedule(DecisionSimulation world) {
-            world.at(8, () -> world.kill(0, 0.55));
-            world.at(11, world::removeTerminated);
+        void schedule(DecisionSimulation simulation) {
+            simulation.atSecond(8, () -> simulation.terminateServers(0, 0.55));
+            simulation.atSecond(11, simulation::removeTerminated);
         }
     },
-    /** All instances lose what they know, and all clients come back. */
+    /** All instances restart without their state, and all clients retry. */
     INSTANCES_RESTART {
         @Override
-        void schedule(DecisionSimulation world) {
-            world.at(8, () -> world.stopInstances(TimeUnit.MILLISECONDS.toNanos(1500)));
+        void schedule(DecisionSimulation simulation) {
+            simulation.atSecond(
+                    8, () -> simulation.restartInstances(TimeUnit.MILLISECONDS.toNanos(1500)));
         }
     },
-    /** Clients of one zone move to another region. */
+    /** Most clients of one zone move to another region for a time. */
     CLIENTS_MOVE {
         @Override
-        void schedule(DecisionSimulation world) {
-            world.at(8, () -> world.move(0, 1, 0.7));
-            world.at(14, () -> world.move(0, 1, 0));
+        void schedule(DecisionSimulation simulation) {
+            simulation.atSecond(8, () -> simulation.moveClients(0, 1, 0.7));
+            simulation.atSecond(14, () -> simulation.moveClients(0, 1, 0));
         }
     },
-    /** A zone's servers may not be used. */
+    /** The servers of one zone must not be used for a time. */
     ZONE_EVACUATED {
         @Override
-        void schedule(DecisionSimulation world) {
-            world.at(2, () -> world.evacuate(0, true));
-            world.at(10, () -> world.evacuate(0, false));
+        void schedule(DecisionSimulation simulation) {
+            simulation.atSecond(2, () -> simulation.setEvacuated(0, true));
+            simulation.atSecond(10, () -> simulation.setEvacuated(0, false));
         }
     },
-    /** Many more objects than servers keep. */
+    /** Clients request many more objects than the servers can cache. */
     MANY_OBJECTS {
         @Override
-        void schedule(DecisionSimulation world) {}
+        void schedule(DecisionSimulation simulation) {}
 
         @Override
         int objectMultiple() {
@@ -91,7 +94,7 @@
         }
     };
 
-    abstract void schedule(DecisionSimulation world);
+    abstract void schedule(DecisionSimulation simulation);
 
     int objectMultiple() {
         return 1;
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelInstance.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelInstance.java
@@ -20,25 +20,28 @@
 import java.util.Map;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** What one instance knows and decides by, as the product has it; a restart makes another one. */
+/**
+ * Simulated instance with the product's own server table, request placement and retry budgets. A
+ * restart is simulated by a new object.
+ */
 final class ModelInstance {
 
-    private static final RetryBudgetSettings RETRIES =
+    private static final RetryBudgetSettings RETRY_BUDGET =
             new RetryBudgetSettings(0.2, 60, Duration.ofSeconds(10), 0.8);
 
     private final ZoneId mZone;
     private final ServerTable mServers;
     private final RequestPlacer mPlacer;
-    private final Map<ServiceId, SharedRetryBudget> mRetries = new HashMap<>();
+    private final Map<ServiceId, SharedRetryBudget> mRetryBudgets = new HashMap<>();
     private final long mStartNanos;
-    private final int mInstances;
+    private final int mInstanceCount;
 
     ModelInstance(
             ZoneId zone,
             Map<ZoneId, RegionId> regions,
             FleetSnapshot snapshot,
             DecisionVariant variant,
-            int instances,
+            int instanceCount,
             long seed,
             long nowNanos) {
         mZone = zone;
@@ -51,7 +54,7 @@
                         new PriorityLoadGate(
                                 AdmissionLimitSettings.DEFAULT,
                                 RandomSource.XO_RO_SHI_RO_128_PP.create(seed)));
-        mInstances = instances;
+        mInstanceCount = instanceCount;
         mStartNanos = nowNanos;
         update(snapshot, nowNanos);
     }
@@ -77,15 +80,16 @@
         mPlacer.sharedLoads().receive(mServers, reports, nowNanos);
     }
 
-    void counted(ServiceId service, long nowNanos) {
-        retries(service).firstAttempt(nowNanos);
+    void recordFirstAttempt(ServiceId service, long nowNanos) {
+        retryBudget(service).firstAttempt(nowNanos);
     }
 
-    boolean mayRetry(ServiceId service, long nowNanos) {
-        return retries(service).tryRetry(nowNanos, mInstances);
+    boolean tryRetry(ServiceId service, long nowNanos) {
+        return retryBudget(service).tryRetry(nowNanos, mInstanceCount);
     }
 
-    private SharedRetryBudget retries(ServiceId service) {
-        return mRetries.computeIfAbsent(service, id -> new SharedRetryBudget(RETRIES, mStartNanos));
+    private SharedRetryBudget retryBudget(ServiceId service) {
+        return mRetryBudgets.computeIfAbsent(
+                service, id -> new SharedRetryBudget(RETRY_BUDGET, mStartNanos));
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelRequest.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelRequest.java
@@ -17,98 +17,115 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** A client's request with its attempts, and the attempts of the instances for each of them. */
+/**
+ * Request of a simulated client, with the client's attempts and the sends of the instances for each
+ * of them.
+ */
 final class ModelRequest {
 
     private static final int CLIENT_ATTEMPTS = 2;
-    private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
-    private static final long CLIENT_NANOS = MILLI;
+    private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
+    private static final long CLIENT_DELAY_NANOS = NANOS_PER_MILLI;
 
-    /** A client that finds no instance tries again after this. */
-    private static final long NO_INSTANCE_NANOS = 300 * MILLI;
+    /** Pause after which a client that reaches no instance tries again. */
+    private static final long NO_INSTANCE_PAUSE_NANOS = 300 * NANOS_PER_MILLI;
 
-    /** A report moves an estimate by a part only. */
-    private static final int TIMES_TO_BELIEVE = 5;
+    /**
+     * Number of times that a true load is reported at once, because a report moves an estimate by a
+     * part only.
+     */
+    private static final int TRUE_LOAD_REPORTS = 5;
 
-    private static final long COME_BACK_NANOS = 100 * MILLI;
+    private static final long RETRY_PAUSE_NANOS = 100 * NANOS_PER_MILLI;
 
-    private final DecisionSimulation mWorld;
+    private final DecisionSimulation mSimulation;
     private final RequestKind mKind;
     private final String mObject;
     private final ZoneId mZone;
     private final Route mRoute;
-    private final long mBeganNanos;
+    private final long mStartNanos;
     private final long mDeadlineNanos;
     private int mAttempts;
-    private boolean mDone;
+    private boolean mEnded;
 
-    ModelRequest(DecisionSimulation world, RequestKind kind, String object, ZoneId zone) {
-        mWorld = world;
+    ModelRequest(DecisionSimulation simulation, RequestKind kind, String object, ZoneId zone) {
+        mSimulation = simulation;
         mKind = kind;
         mObject = object;
         mZone = zone;
         mRoute = kind.route();
-        mBeganNanos = world.clock().nowNanos();
-        mDeadlineNanos = mBeganNanos + kind.deadlineMillis() * MILLI;
+        mStartNanos = simulation.clock().nowNanos();
+        mDeadlineNanos = mStartNanos + kind.deadlineMillis() * NANOS_PER_MILLI;
     }
 
-    void begin() {
-        mWorld.clock().after(mDeadlineNanos - now(), () -> end(DecisionStatistics.End.FAILED));
+    void start() {
+        mSimulation
+                .clock()
+                .after(mDeadlineNanos - now(), () -> end(DecisionStatistics.Outcome.FAILED));
         attempt();
     }
 
     private void attempt() {
         mAttempts++;
-        mWorld.instance(mZone)
+        mSimulation
+                .instance(mZone)
                 .ifPresentOrElse(
-                        instance -> after(CLIENT_NANOS, () -> new Attempt(instance).arrive()),
-                        () -> again(NO_INSTANCE_NANOS, DecisionStatistics.End.FAILED));
+                        instance -> after(CLIENT_DELAY_NANOS, () -> new Attempt(instance).arrive()),
+                        () ->
+                                retryAfter(
+                                        NO_INSTANCE_PAUSE_NANOS,
+                                        DecisionStatistics.Outcome.FAILED));
     }
 
-    private void again(long pauseNanos, DecisionStatistics.End otherwise) {
-        long pause = Math.min(pauseNanos, (mDeadlineNanos - now()) / 3);
+    private void retryAfter(long pauseNanos, DecisionStatistics.Outcome outcome) {
+        long cappedNanos = Math.min(pauseNanos, (mDeadlineNanos - now()) / 3);
         if (mAttempts == CLIENT_ATTEMPTS) {
-            end(otherwise);
+            end(outcome);
         } else {
-            after(pause, this::attempt);
+            after(cappedNanos, this::attempt);
         }
     }
 
     private void answered() {
-        long took = now() - mBeganNanos;
+        long latencyNanos = now() - mStartNanos;
         end(
-                took <= mKind.targetMillis() * MILLI
-                        ? DecisionStatistics.End.IN_TIME
-                        : DecisionStatistics.End.LATE);
+                latencyNanos <= mKind.targetMillis() * NANOS_PER_MILLI
+                        ? DecisionStatistics.Outcome.IN_TIME
+                        : DecisionStatistics.Outcome.LATE);
     }
 
-    private void end(DecisionStatistics.End end) {
-        if (!mDone) {
-            mDone = true;
-            mWorld.statistics().ended(mWorld.region(mZone), mKind, mBeganNanos, end);
+    private void end(DecisionStatistics.Outcome outcome) {
+        if (!mEnded) {
+            mEnded = true;
+            mSimulation
+                    .statistics()
+                    .recordOutcome(mSimulation.region(mZone), mKind, mStartNanos, outcome);
         }
     }
 
     private void after(long nanos, Runnable action) {
-        mWorld.clock()
+        mSimulation
+                .clock()
                 .after(
                         nanos,
                         () -> {
-                            if (!mDone) {
+                            if (!mEnded) {
                                 action.run();
                             }
                         });
     }
 
     private long now() {
-        return mWorld.clock().nowNanos();
+        return mSimulation.clock().nowNanos();
     }
 
-    /** What one instance makes of one attempt of the client; the entry's request path in little. */
+    /**
+     * Processing of one attempt of the client at one instance, a reduced request path of the entry.
+     */
     private final class Attempt implements Candidates {
 
         private final ModelInstance mInstance;
-        private final Set<BackendServerId> mTried = new HashSet<>();
+        private final Set<BackendServerId> mTriedServers = new HashSet<>();
         private int mSends;
 
         Attempt(ModelInstance instance) {
@@ -116,11 +133,11 @@
         }
 
         void arrive() {
-            if (!mWorld.isAlive(mInstance)) {
-                again(NO_INSTANCE_NANOS, DecisionStatistics.End.FAILED);
+            if (!mSimulation.isAlive(mInstance)) {
+                retryAfter(NO_INSTANCE_PAUSE_NANOS, DecisionStatistics.Outcome.FAILED);
                 return;
             }
-            mInstance.counted(service(), now());
+            mInstance.recordFirstAttempt(service(), now());
             mInstance.placer().arrived(mRoute, service(), now());
             place();
         }
@@ -134,8 +151,8 @@
                     new PlacementRequest(
                             mRoute, service(), HashMixer.hash(mObject), mDeadlineNanos - now());
             var servers = mInstance.servers().of(service());
-            if (mWorld.variant().knowsTrueLoads()) {
-                servers.forEach(this::know);
+            if (mSimulation.variant().knowsTrueLoads()) {
+                servers.forEach(this::reportTrueLoad);
             }
             Placement placement =
                     mSends == 0
@@ -146,64 +163,70 @@
             } else if (placement instanceof Placement.Refused refused) {
                 refuse(refused.decision().retryAfterNanos());
             } else {
-                refuse(COME_BACK_NANOS);
+                refuse(RETRY_PAUSE_NANOS);
             }
         }
 
         private void refuse(long pauseNanos) {
-            after(CLIENT_NANOS, () -> again(pauseNanos, DecisionStatistics.End.REFUSED));
+            after(
+                    CLIENT_DELAY_NANOS,
+                    () -> retryAfter(pauseNanos, DecisionStatistics.Outcome.REFUSED));
         }
 
         private void send(ServerLoad load) {
             long sentNanos = now();
             mSends++;
-            mTried.add(load.server().id());
+            mTriedServers.add(load.server().id());
             mInstance.placer().sent(load, sentNanos);
-            mWorld.statistics().sent(load.distance() == Distance.OTHER_REGION);
-            long delay = mWorld.delayNanos(mInstance.zone(), load.server().zone());
-            ModelServer server = mWorld.server(load.server().id());
+            mSimulation.statistics().recordSend(load.distance() == Distance.OTHER_REGION);
+            long delayNanos = mSimulation.delayNanos(mInstance.zone(), load.server().zone());
+            ModelServer server = mSimulation.server(load.server().id());
             after(mDeadlineNanos - sentNanos, () -> mInstance.placer().failed(load, now()));
             if (server == null) {
                 return;
             }
-            VirtualTimeScheduler clock = mWorld.clock();
-            Consumer<ModelServer.Answer> back =
-                    answer -> clock.after(delay, () -> hear(load, answer, sentNanos));
+            VirtualTimeScheduler clock = mSimulation.clock();
+            Consumer<ModelServer.Answer> answerHandler =
+                    answer -> clock.after(delayNanos, () -> receive(load, answer, sentNanos));
             clock.after(
-                    delay, () -> server.take(mObject, mKind.workMillis(), mDeadlineNanos, back));
+                    delayNanos,
+                    () ->
+                            server.submit(
+                                    mObject, mKind.workMillis(), mDeadlineNanos, answerHandler));
         }
 
-        private void hear(ServerLoad load, ModelServer.Answer answer, long sentNanos) {
+        private void receive(ServerLoad load, ModelServer.Answer answer, long sentNanos) {
             load.requestEnded();
-            if (!mWorld.isAlive(mInstance)) {
+            if (!mSimulation.isAlive(mInstance)) {
                 return;
             }
             mInstance.placer().reported(load, answer.load(), now());
-            if (mDone) {
+            if (mEnded) {
                 return;
             }
             if (!answer.executed()) {
-                mWorld.statistics().rejectedByServer();
+                mSimulation.statistics().recordServerRejection();
                 mInstance.placer().rejectedByServer(load, Optional.of(answer.load()), now());
-                if (mSends < mRoute.maximumAttempts() && mInstance.mayRetry(service(), now())) {
+                if (mSends < mRoute.maximumAttempts() && mInstance.tryRetry(service(), now())) {
                     place();
                 } else {
-                    refuse(COME_BACK_NANOS);
+                    refuse(RETRY_PAUSE_NANOS);
                 }
                 return;
             }
-            mWorld.statistics()
-                    .answered(load.distance() == Distance.OTHER_REGION, mKind.answerBytes());
+            mSimulation
+                    .statistics()
+                    .recordAnswer(load.distance() == Distance.OTHER_REGION, mKind.answerBytes());
             mInstance.placer().chooser().answered(mRoute.id(), mKind.answerBytes());
-            boolean waited = answer.load().waiting() > 0;
-            mInstance.placer().succeeded(load, now() - sentNanos, waited, now());
-            after(CLIENT_NANOS, ModelRequest.this::answered);
+            boolean hasQueue = answer.load().waiting() > 0;
+            mInstance.placer().succeeded(load, now() - sentNanos, hasQueue, now());
+            after(CLIENT_DELAY_NANOS, ModelRequest.this::answered);
         }
 
-        private void know(ServerLoad load) {
-            ReportedLoad now = mWorld.server(load.server().id()).load();
-            for (int time = 0; time < TIMES_TO_BELIEVE; time++) {
-                load.reported(now, now());
+        private void reportTrueLoad(ServerLoad load) {
+            ReportedLoad trueLoad = mSimulation.server(load.server().id()).load();
+            for (int i = 0; i < TRUE_LOAD_REPORTS; i++) {
+                load.reported(trueLoad, now());
             }
         }
 
@@ -211,7 +234,7 @@
         public boolean isUsable(ServerLoad load) {
             return !load.isAvoided(now())
                     && !mInstance.servers().isEvacuated(load.server().zone())
-                    && !mTried.contains(load.server().id());
+                    && !mTriedServers.contains(load.server().id());
         }
 
         @Override
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelServer.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelServer.java
@@ -11,45 +11,52 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A backend server: slots, a queue, the objects that it had last, and an answer that tells its
- * load. An object is known as soon as work on it begins.
+ * Simulated backend server with slots, a queue, a cache of the objects used last, and answers that
+ * report its load. An object is cached as soon as work on it begins.
  */
 final class ModelServer {
 
-    /** How a request ended. */
+    /**
+     * Answer to a request.
+     *
+     * @param executed whether the request was executed; {@code false} if the server rejected it or
+     *     its deadline passed in the queue
+     * @param load the load of the server at the time of the answer
+     */
     record Answer(boolean executed, ReportedLoad load) {}
 
-    private record Work(String object, double workMillis, long untilNanos, Consumer<Answer> end) {}
+    private record Work(
+            String object, double workMillis, long deadlineNanos, Consumer<Answer> answerHandler) {}
 
     private final VirtualTimeScheduler mClock;
     private final UniformRandomProvider mRandom;
     private final RegisteredServer mServer;
-    private final int mQueue;
-    private final DecisionScenario mWorld;
-    private final Map<String, Boolean> mKnown;
-    private final Deque<Work> mWaiting = new ArrayDeque<>();
+    private final int mQueueCapacity;
+    private final DecisionScenario mScenario;
+    private final Map<String, Boolean> mCachedObjects;
+    private final Deque<Work> mQueue = new ArrayDeque<>();
     private int mRunning;
     private double mShedShare;
-    private double mSlowness = 1;
-    private boolean mDead;
+    private double mSlowdown = 1;
+    private boolean mTerminated;
 
     ModelServer(
             VirtualTimeScheduler clock,
             UniformRandomProvider random,
             RegisteredServer server,
-            ServerGroup shape,
-            DecisionScenario world) {
+            ServerGroup group,
+            DecisionScenario scenario) {
         mClock = clock;
         mRandom = random;
         mServer = server;
-        mQueue = shape.queue();
-        mWorld = world;
-        int keeps = shape.keeps();
-        mKnown =
-                new LinkedHashMap<>(2 * keeps, 0.75f, true) {
+        mQueueCapacity = group.queueCapacity();
+        mScenario = scenario;
+        int cacheCapacity = group.cacheCapacity();
+        mCachedObjects =
+                new LinkedHashMap<>(2 * cacheCapacity, 0.75f, true) {
                     @Override
                     protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-                        return size() > keeps;
+                        return size() > cacheCapacity;
                     }
                 };
     }
@@ -58,50 +65,54 @@
         return mServer;
     }
 
-    /** Turns away a part of all requests, whatever its load. */
+    /** Rejects a share of all requests, independent of the load, until set to 0. */
     void shed(double share) {
         mShedShare = share;
     }
 
-    /** Works this many times as long. */
-    void slow(double times) {
-        mSlowness = times;
+    /** Multiplies the duration of all work that begins from now on by a factor. */
+    void slowDown(double factor) {
+        mSlowdown = factor;
     }
 
-    /** Answers nothing any more. */
+    /** Stops all answers for good. */
     void terminate() {
-        mDead = true;
+        mTerminated = true;
     }
 
     boolean isTerminated() {
-        return mDead;
+        return mTerminated;
     }
 
-    void take(String object, double workMillis, long untilNanos, Consumer<Answer> end) {
-        if (mDead) {
+    void submit(
+            String object, double workMillis, long deadlineNanos, Consumer<Answer> answerHandler) {
+        if (mTerminated) {
             return;
         }
-        boolean full = mRunning >= mServer.slots() && mWaiting.size() >= mQueue;
+        boolean full = mRunning >= mServer.slots() && mQueue.size() >= mQueueCapacity;
         if (full || mRandom.nextDouble() < mShedShare) {
-            end.accept(new Answer(false, load()));
+            answerHandler.accept(new Answer(false, load()));
             return;
         }
-        mWaiting.addLast(new Work(object, workMillis, untilNanos, end));
+        mQueue.addLast(new Work(object, workMillis, deadlineNanos, answerHandler));
         runNext();
     }
 
     private void runNext() {
-        while (mRunning < mServer.slots() && !mWaiting.isEmpty()) {
-            Work work = mWaiting.removeFirst();
-            if (work.untilNanos() <= mClock.nowNanos()) {
-                work.end().accept(new Answer(false, load()));
+        while (mRunning < mServer.slots() && !mQueue.isEmpty()) {
+            Work work = mQueue.removeFirst();
+            if (work.deadlineNanos() <= mClock.nowNanos()) {
+                work.answerHandler().accept(new Answer(false, load()));
                 continue;
             }
             mRunning++;
-            boolean known = mKnown.put(work.object(), true) != null;
-            double spread = 1 + mWorld.spread() * (2 * mRandom.nextDouble() - 1);
+            boolean cached = mCachedObjects.put(work.object(), true) != null;
+            double variation = 1 + mScenario.workSpread() * (2 * mRandom.nextDouble() - 1);
             double millis =
-                    work.workMillis() * (known ? mWorld.knownPart() : 1) * spread * mSlowness;
+                    work.workMillis()
+                            * (cached ? mScenario.cachedWorkShare() : 1)
+                            * variation
+                            * mSlowdown;
             long nanos = (long) (millis * TimeUnit.MILLISECONDS.toNanos(1));
             mClock.after(nanos, () -> finish(work));
         }
@@ -110,12 +121,12 @@
     private void finish(Work work) {
         mRunning--;
         runNext();
-        if (!mDead) {
-            work.end().accept(new Answer(true, load()));
+        if (!mTerminated) {
+            work.answerHandler().accept(new Answer(true, load()));
         }
     }
 
     ReportedLoad load() {
-        return new ReportedLoad(mRunning, mWaiting.size(), mServer.slots());
+        return new ReportedLoad(mRunning, mQueue.size(), mServer.slots());
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/RequestKind.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/RequestKind.java
@@ -9,18 +9,18 @@
 import java.util.Set;
 
 /**
- * A kind of request of the modelled clients.
+ * Kind of request of the simulated clients.
  *
- * @param name its name
- * @param service the service that runs it
- * @param share its part of all requests
- * @param workMillis how long a server works on one whose object it does not know, on the average
- * @param targetMillis within which time an answer is in time
- * @param deadlineMillis how long the client waits
- * @param objects how many objects the clients of one region ask for
- * @param priority its priority, 0 being the most urgent
- * @param idempotent whether it may run twice
- * @param answerBytes how large its answers are
+ * @param name the name of the kind
+ * @param service the service that executes it
+ * @param share its share of all requests, from 0 to 1
+ * @param workMillis the mean time that a server works on a request whose object it has not cached
+ * @param targetMillis the time within which an answer is in time
+ * @param deadlineMillis the time for which the client waits
+ * @param objects the number of different objects that the clients of one region request
+ * @param priority the priority, 0 being the most urgent
+ * @param idempotent whether it may be executed twice
+ * @param answerBytes the size of an answer, in bytes
  */
 record RequestKind(
         String name,
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/ServerGroup.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/ServerGroup.java
@@ -3,12 +3,13 @@
 import io.masticpond.core.id.ServiceId;
 
 /**
- * The servers of a service.
+ * Group of the servers of one service.
  *
  * @param service the service
- * @param counts how many there are in each zone
- * @param slots how many requests one runs at a time
- * @param queue how many wait there at most
- * @param keeps how many objects one knows at most
+ * @param counts the number of servers in each zone
+ * @param slots the number of requests that a server executes at a time
+ * @param queueCapacity the maximum number of requests that wait at a server
+ * @param cacheCapacity the maximum number of objects that a server caches
  */
-record ServerGroup(ServiceId service, int[] counts, int slots, int queue, int keeps) {}
+record ServerGroup(
+        ServiceId service, int[] counts, int slots, int queueCapacity, int cacheCapacity) {}
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/package-info.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Plays the decisions of instances on a simulated clock: placement, limits and retries as they are,
- * against modelled backend servers and clients. Must know nothing of sockets and threads.
+ * Simulation of the decisions of instances on a virtual clock: the product's placement, limits and
+ * retries with simulated backend servers and clients. Must not depend on sockets or threads.
  */
 package io.masticpond.measure.decision;
--- a/masticpond-measure/src/test/java/io/masticpond/measure/decision/LoadPatternTest.java
+++ b/masticpond-measure/src/test/java/io/masticpond/measure/decision/LoadPatternTest.java
@@ -5,74 +5,87 @@
 import net.jqwik.api.Example;
 
 /**
- * What the decisions make of each load pattern, on a simulated clock. A bound lies halfway between
- * the figures with and without the mechanism that it protects, for the same seed.
+ * Tests for the decisions under simulated load patterns. Each bound lies halfway between the
+ * figures with and without the mechanism that it protects, for the same seed.
  */
 class LoadPatternTest {
 
     @Example
-    void theSameSeedGivesTheSameFigures() {
-        DecisionStatistics one = play(LoadPattern.SERVERS_SLOW, DecisionVariant.AS_IT_IS, 3);
-        DecisionStatistics other = play(LoadPattern.SERVERS_SLOW, DecisionVariant.AS_IT_IS, 3);
-        assertThat(one.utility()).isEqualTo(other.utility()).isBetween(0.5, 1.0);
-        assertThat(one.rejectedByServerCount()).isEqualTo(other.rejectedByServerCount());
+    void sameSeedGivesSameFigures() {
+        DecisionStatistics first = simulate(LoadPattern.SERVERS_SLOW, DecisionVariant.AS_IT_IS, 3);
+        DecisionStatistics second = simulate(LoadPattern.SERVERS_SLOW, DecisionVariant.AS_IT_IS, 3);
+        assertThat(first.utility()).isEqualTo(second.utility()).isBetween(0.5, 1.0);
+        assertThat(first.serverRejections()).isEqualTo(second.serverRejections());
     }
 
     /**
-     * 0.308 of all sends when a server that turned away was left out whatever it told, now 0.278.
+     * The share of sends to other regions was 0.308 when a server that rejected a request was
+     * avoided regardless of the load that it reported, and is 0.278 now.
      */
     @Example
-    void sheddingServiceDrivesNoKeysToOtherRegions() {
-        DecisionStatistics tally = play(LoadPattern.SERVICE_SHEDS, DecisionVariant.AS_IT_IS, 1);
-        assertThat(tally.farShare()).isLessThan(0.293);
+    void sheddingServiceMovesNoKeysToOtherRegions() {
+        DecisionStatistics statistics =
+                simulate(LoadPattern.SERVICE_SHEDS, DecisionVariant.AS_IT_IS, 1);
+        assertThat(statistics.otherRegionSendShare()).isLessThan(0.293);
     }
 
-    /** 545 sends turned away when each was left out for a moment only, 229 since it is judged. */
+    /**
+     * Servers rejected 545 sends when each was avoided for a moment only, and reject 229 since the
+     * outlier detector evaluates them.
+     */
     @Example
-    void serversThatShedAloneAreAvoided() {
-        DecisionStatistics tally = play(LoadPattern.SERVERS_SHED, DecisionVariant.AS_IT_IS, 1);
-        assertThat(tally.rejectedByServerCount()).isLessThan(390);
+    void avoidsServersThatShedWhileOthersDoNot() {
+        DecisionStatistics statistics =
+                simulate(LoadPattern.SERVERS_SHED, DecisionVariant.AS_IT_IS, 1);
+        assertThat(statistics.serverRejections()).isLessThan(390);
     }
 
-    /** A third of all bytes when distance weighed the same for all answers, now 0.04. */
+    /**
+     * A third of all bytes came from other regions when distance had the same cost for answers of
+     * all sizes; the share is 0.04 now.
+     */
     @Example
-    void largeAnswersHardlyCrossRegions() {
-        DecisionStatistics tally = play(LoadPattern.COLD_START, DecisionVariant.AS_IT_IS, 1);
-        assertThat(tally.farShare()).isGreaterThan(0.2);
-        assertThat(tally.farByteShare()).isLessThan(0.15);
+    void fewLargeAnswersCrossRegions() {
+        DecisionStatistics statistics =
+                simulate(LoadPattern.COLD_START, DecisionVariant.AS_IT_IS, 1);
+        assertThat(statistics.otherRegionSendShare()).isGreaterThan(0.2);
+        assertThat(statistics.otherRegionByteShare()).isLessThan(0.15);
     }
 
-    /** The bench showed the same order: 0.547 and 0.470 instead of 0.613 and 0.573. */
+    /** The benchmark showed the same order: 0.547 and 0.470 instead of 0.613 and 0.573. */
     @Example
-    void spreadingKeysByConstantsIsWorseWhereServersAreFew() {
-        double spread = play(LoadPattern.ZONE_EVACUATED, DecisionVariant.FOUR_HOMES, 1).utility();
-        double now = play(LoadPattern.ZONE_EVACUATED, DecisionVariant.NO_SHARED_LOADS, 1).utility();
-        assertThat(spread).isLessThan(now - 0.03);
+    void spreadingKeysByConstantsIsWorseWithFewServers() {
+        double spread =
+                simulate(LoadPattern.ZONE_EVACUATED, DecisionVariant.FOUR_HOMES, 1).utility();
+        double withDefaultPlacement =
+                simulate(LoadPattern.ZONE_EVACUATED, DecisionVariant.NO_SHARED_LOADS, 1).utility();
+        assertThat(spread).isLessThan(withDefaultPlacement - 0.03);
     }
 
     /**
-     * With a hundred instances each hears of a server once in half a minute, and a queue lasts a
-     * second: 0.24 late where all hear for themselves alone, 0.15 where a zone tells each other.
+     * With a hundred instances, each receives an answer from a given server once in half a minute,
+     * but a queue lasts a second. The share of late answers is 0.24 if each instance uses only the
+     * loads that it receives itself, and 0.15 if the instances of a zone share them.
      */
     @Example
-    void fleetThatTellsOfFullServersMeetsFewerQueues() {
-        double alone = late(DecisionVariant.NO_SHARED_LOADS);
-        double shared = late(DecisionVariant.AS_IT_IS);
+    void sharingLoadsReducesLateAnswersInLargeFleet() {
+        double alone = meanLateShare(DecisionVariant.NO_SHARED_LOADS);
+        double shared = meanLateShare(DecisionVariant.AS_IT_IS);
         assertThat(shared).isLessThan(0.75 * alone);
     }
 
-    private static double late(DecisionVariant variant) {
-        double late = 0;
+    private static double meanLateShare(DecisionVariant variant) {
+        double lateSum = 0;
         for (long seed = 1; seed <= 2; seed++) {
-            late +=
+            lateSum +=
                     new DecisionSimulation(DecisionScenario.FLEET, variant, LoadPattern.BURST, seed)
                             .run()
-                            .share(DecisionStatistics.End.LATE);
+                            .share(DecisionStatistics.Outcome.LATE);
         }
-        return late / 2;
+        return lateSum / 2;
     }
 
-    private static DecisionStatistics play(
+    private static DecisionStatistics simulate(
             LoadPattern pattern, DecisionVariant variant, long seed) {
         return new DecisionSimulation(DecisionScenario.TEN_INSTANCES, variant, pattern, seed).run();
     }
