--- a/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainArrivals.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainArrivals.java
@@ -18,7 +18,10 @@
 import org.apache.commons.rng.sampling.distribution.SharedStateContinuousSampler;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
-/** Offers requests at the times of a Poisson process, however slowly they are answered. */
+/**
+ * Open-loop source of requests that arrive in a Poisson process, independent of how fast they are
+ * answered.
+ */
 final class DrainArrivals {
 
     private static final Duration DEADLINE = Duration.ofSeconds(3);
@@ -26,26 +29,26 @@
     private static final int PRIORITY = 5;
 
     private final AdmitterSteering mSteering;
-    private final EventLoop mDuty;
+    private final EventLoop mSteeringLoop;
     private final TimeSource mTimeSource;
-    private final SharedStateContinuousSampler mGaps;
+    private final SharedStateContinuousSampler mInterarrivalNanos;
     private final Thread mThread = new Thread(this::run, "arrivals");
     private final LongAdder mAnswered = new LongAdder();
     private final LongAdder mRefused = new LongAdder();
-    private final LongAdder mCut = new LongAdder();
+    private final LongAdder mIncomplete = new LongAdder();
     private volatile boolean mRunning = true;
 
     DrainArrivals(
             AdmitterSteering steering,
-            EventLoop duty,
+            EventLoop steeringLoop,
             TimeSource timeSource,
             double requestsPerSecond,
             UniformRandomProvider random) {
         mSteering = steering;
-        mDuty = duty;
+        mSteeringLoop = steeringLoop;
         mTimeSource = timeSource;
         double meanNanos = Duration.ofSeconds(1).toNanos() / requestsPerSecond;
-        mGaps = ZigguratSampler.Exponential.of(random, meanNanos);
+        mInterarrivalNanos = ZigguratSampler.Exponential.of(random, meanNanos);
     }
 
     void start() {
@@ -65,20 +68,21 @@
         return mRefused.sum();
     }
 
-    /** Counts the requests that were sent to a server and got no whole answer. */
-    long cut() {
-        return mCut.sum();
+    /** Returns the number of requests that were sent to a server and got no complete answer. */
+    long incomplete() {
+        return mIncomplete.sum();
     }
 
     private void run() {
-        double next = mTimeSource.monotonicNanos();
+        double nextNanos = mTimeSource.monotonicNanos();
         for (int number = 0; mRunning; number++) {
-            next += mGaps.sample();
-            while (mTimeSource.monotonicNanos() < next) {
-                LockSupport.parkNanos((long) next - mTimeSource.monotonicNanos());
+            nextNanos += mInterarrivalNanos.sample();
+            while (mTimeSource.monotonicNanos() < nextNanos) {
+                LockSupport.parkNanos((long) nextNanos - mTimeSource.monotonicNanos());
             }
             SteeredRequest request = request(number);
-            mDuty.put(() -> mSteering.offer(DrainDirectory.SHARD, request, this::end));
+            mSteeringLoop.put(
+                    () -> mSteering.offer(DrainDirectory.SHARD, request, this::recordCompletion));
         }
     }
 
@@ -94,10 +98,10 @@
                 head, Optional.empty(), "POST", "/layouts", List.of(), BODY, Optional.empty());
     }
 
-    private void end(RequestCompletion end) {
-        if (end instanceof RequestCompletion.Refused refused) {
-            boolean ran = refused.refusal().verdict() != Verdict.DID_NOT_RUN;
-            (ran ? mCut : mRefused).increment();
+    private void recordCompletion(RequestCompletion completion) {
+        if (completion instanceof RequestCompletion.Refused refused) {
+            boolean mayHaveRun = refused.refusal().verdict() != Verdict.DID_NOT_RUN;
+            (mayHaveRun ? mIncomplete : mRefused).increment();
         } else {
             mAnswered.increment();
         }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainBench.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainBench.java
@@ -23,45 +23,45 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * One admitter with the daemon's own steering, admission, client and health duty, and stand-in
- * backend servers of which half leave at once, each in another way.
+ * Benchmark of one admitter with the daemon's own steering, admission, client and health checks,
+ * over stand-in backend servers of which half leave at the same time, each in a way of its own.
  */
 final class DrainBench implements AutoCloseable {
 
     private static final int SERVERS = 16;
-    private static final int FEWER_SLOTS = 3;
+    private static final int MIN_SLOTS = 3;
     private static final double MEAN_MILLIS = 40;
     private static final double SIGMA = 1;
     private static final double LOAD = 0.4;
     private static final int RING_CAPACITY = 16_384;
     private static final Duration ADVANCE_PERIOD = Duration.ofMillis(10);
-    private static final long WARM_MILLIS = 1_500;
-    private static final long LEAVE_MILLIS = 4_500;
+    private static final long WARM_UP_MILLIS = 1_500;
+    private static final long DRAIN_MILLIS = 4_500;
     private static final long AFTER_STOP_MILLIS = 700;
 
     private final TimeSource mTimeSource = new SystemTimeSource();
     private final BackendFleet mFleet;
     private final List<BackendServerStandIn> mServers;
-    private final Map<DrainKind, Integer> mLeaving = new EnumMap<>(DrainKind.class);
+    private final Map<DrainKind, Integer> mServerNumbers = new EnumMap<>(DrainKind.class);
     private final DrainDirectory mDirectory;
-    private final EventLoop mDuty;
+    private final EventLoop mSteeringLoop;
     private final BackendClient mClient;
     private final AdmitterSteering mSteering;
-    private final BackendHealthChecker mHealth;
+    private final BackendHealthChecker mHealthChecker;
     private final DrainArrivals mArrivals;
 
-    DrainBench(long seed, boolean probes) {
+    DrainBench(long seed, boolean healthChecks) {
         mFleet = new BackendFleet(settings(seed));
         mServers = List.copyOf(mFleet.servers());
         for (DrainKind kind : DrainKind.values()) {
-            mLeaving.put(kind, mLeaving.size());
+            mServerNumbers.put(kind, mServerNumbers.size());
         }
         mDirectory = new DrainDirectory(mFleet);
-        mDuty = new EventLoop("steering", RING_CAPACITY, mTimeSource);
+        mSteeringLoop = new EventLoop("steering", RING_CAPACITY, mTimeSource);
         mClient = new BackendClient(mTimeSource, HttpClients.executor("backend-call"));
         mSteering =
                 new AdmitterSteering(
-                        mDuty::put,
+                        mSteeringLoop::put,
                         mDirectory,
                         mClient,
                         (shard, sink) ->
@@ -72,73 +72,76 @@
                                         sink,
                                         Timeline.NONE),
                         Timeline.NONE);
-        mHealth =
+        mHealthChecker =
                 new BackendHealthChecker(
                         BackendHealthSettings.DEFAULTS,
                         mTimeSource,
                         RandomSource.XO_RO_SHI_RO_128_PP.create(seed),
-                        (server, sign) -> mDuty.put(() -> mSteering.observe(server, sign)));
+                        (server, signal) ->
+                                mSteeringLoop.put(() -> mSteering.observe(server, signal)));
         mArrivals =
                 new DrainArrivals(
                         mSteering,
-                        mDuty,
+                        mSteeringLoop,
                         mTimeSource,
-                        LOAD * slots() * Duration.ofSeconds(1).toMillis() / MEAN_MILLIS,
+                        LOAD * totalSlots() * Duration.ofSeconds(1).toMillis() / MEAN_MILLIS,
                         RandomSource.XO_RO_SHI_RO_128_PP.create(seed));
-        if (probes) {
-            mHealth.watch(mDirectory.servers(DrainDirectory.SHARD));
+        if (healthChecks) {
+            mHealthChecker.watch(mDirectory.servers(DrainDirectory.SHARD));
         }
     }
 
     DrainRound run() throws InterruptedException {
-        mDuty.every(ADVANCE_PERIOD, mSteering::advance);
-        mDuty.start();
-        mDuty.put(mSteering::reconfigure);
+        mSteeringLoop.every(ADVANCE_PERIOD, mSteering::advance);
+        mSteeringLoop.start();
+        mSteeringLoop.put(mSteering::reconfigure);
         mArrivals.start();
-        Thread.sleep(WARM_MILLIS);
+        Thread.sleep(WARM_UP_MILLIS);
         for (DrainKind kind : DrainKind.values()) {
-            drain(kind);
+            startDrain(kind);
         }
-        Thread.sleep(LEAVE_MILLIS);
+        Thread.sleep(DRAIN_MILLIS);
         Map<DrainKind, DrainOutcome> outcomes = new EnumMap<>(DrainKind.class);
         for (DrainKind kind : DrainKind.values()) {
-            outcomes.put(kind, stop(kind));
+            outcomes.put(kind, stopServer(kind));
         }
         Thread.sleep(AFTER_STOP_MILLIS);
         mArrivals.stop();
-        return new DrainRound(outcomes, mArrivals.cut(), mArrivals.answered(), mArrivals.refused());
+        return new DrainRound(
+                outcomes, mArrivals.incomplete(), mArrivals.answered(), mArrivals.refused());
     }
 
     @Override
     public void close() {
-        mHealth.close();
-        mDuty.close();
+        mHealthChecker.close();
+        mSteeringLoop.close();
         mClient.close();
         mFleet.close();
     }
 
-    private void drain(DrainKind kind) {
-        BackendServerStandIn server = mServers.get(mLeaving.get(kind));
+    private void startDrain(DrainKind kind) {
+        BackendServerStandIn server = mServers.get(mServerNumbers.get(kind));
         server.setFaults(kind.faults());
         server.drain(kind.plan());
         if (kind.isMarkedByOperators()) {
-            mDuty.put(
+            mSteeringLoop.put(
                     () -> {
-                        mDirectory.markLeaving(mLeaving.get(kind));
+                        mDirectory.markLeaving(mServerNumbers.get(kind));
                         mSteering.reconfigure();
                     });
         }
     }
 
-    private DrainOutcome stop(DrainKind kind) {
-        BackendServerStandIn server = mServers.get(mLeaving.get(kind));
+    private DrainOutcome stopServer(DrainKind kind) {
+        BackendServerStandIn server = mServers.get(mServerNumbers.get(kind));
         BackendServerCounts counts = server.counts();
         server.crash();
-        long newWork = counts.lastNewWorkMillis() - kind.firstSignMillis();
-        return new DrainOutcome(kind, Math.max(0, newWork), counts.inFlight(), counts.requests());
+        long newWorkMillis = counts.lastNewWorkMillis() - kind.firstSignalMillis();
+        return new DrainOutcome(
+                kind, Math.max(0, newWorkMillis), counts.inFlight(), counts.requests());
     }
 
-    private int slots() {
+    private int totalSlots() {
         return mServers.stream().mapToInt(server -> server.counts().slots()).sum();
     }
 
@@ -149,7 +152,7 @@
                     BackendServerSettings.of(
                             "layout-view-" + number,
                             "127.0.0.1:0",
-                            FEWER_SLOTS + number % 2,
+                            MIN_SLOTS + number % 2,
                             MEAN_MILLIS,
                             SIGMA,
                             seed * SERVERS + number));
--- a/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainDirectory.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainDirectory.java
@@ -15,7 +15,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One shard with all servers, admitted here; belongs to the steering duty once it has started. */
+/**
+ * {@link ShardDirectory} with one shard of all servers, which is admitted at this instance.
+ *
+ * <p>Must be used only on the thread of the steering event loop once that has started.
+ */
 final class DrainDirectory implements ShardDirectory {
 
     static final ServiceId SERVICE = new ServiceId("layout-view");
@@ -41,7 +45,7 @@
                                                 false)));
     }
 
-    /** Marks a server as leaving, as a configuration does. */
+    /** Marks a server as leaving, as a change of the configuration does. */
     void markLeaving(int number) {
         BackendServerSpecification server = mServers.get(number);
         mServers.set(
@@ -72,7 +76,7 @@
 
     @Override
     public void sent(Shard shard) {
-        // Every shard is admitted to here, so nothing is forwarded.
+        // Every shard is admitted at this instance, so no request is forwarded.
     }
 
     @Override
--- a/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainKind.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainKind.java
@@ -4,9 +4,9 @@
 import io.masticpond.testing.backend.BackendServerFaults.HealthClaim;
 import io.masticpond.testing.backend.DrainPlan;
 
-/** The ways in which a backend server that leaves announces it, or does not. */
+/** Ways in which a backend server announces that it leaves, or omits to announce it. */
 enum DrainKind {
-    CONFIGURATION("marked by operators, says nothing itself", never(), 0, 0),
+    CONFIGURATION("marked by operators, says nothing itself", noSignals(), 0, 0),
     ALL_SIGNS("health and header at once", new DrainPlan(0, 0, DrainPlan.NEVER), 0, 0),
     HEALTH("health only", new DrainPlan(0, DrainPlan.NEVER, DrainPlan.NEVER), 0, 0),
     OLD_HEALTH(
@@ -21,13 +21,13 @@
     private final String mTitle;
     private final DrainPlan mPlan;
     private final long mReportLagMillis;
-    private final long mFirstSignMillis;
+    private final long mFirstSignalMillis;
 
-    DrainKind(String title, DrainPlan plan, long reportLagMillis, long firstSignMillis) {
+    DrainKind(String title, DrainPlan plan, long reportLagMillis, long firstSignalMillis) {
         mTitle = title;
         mPlan = plan;
         mReportLagMillis = reportLagMillis;
-        mFirstSignMillis = firstSignMillis;
+        mFirstSignalMillis = firstSignalMillis;
     }
 
     String title() {
@@ -38,9 +38,9 @@
         return mPlan;
     }
 
-    /** Tells when the first sign could be seen, in milliseconds after the drain began. */
-    long firstSignMillis() {
-        return mFirstSignMillis;
+    /** Returns when the first signal is visible, in milliseconds after the start of the drain. */
+    long firstSignalMillis() {
+        return mFirstSignalMillis;
     }
 
     boolean isMarkedByOperators() {
@@ -48,12 +48,12 @@
     }
 
     BackendServerFaults faults() {
-        boolean lies = this == MISLEADING_HEADER || this == MISLEADING_CLOSE;
-        HealthClaim claim = lies ? HealthClaim.HEALTHY : HealthClaim.TRUE;
+        boolean misleading = this == MISLEADING_HEADER || this == MISLEADING_CLOSE;
+        HealthClaim claim = misleading ? HealthClaim.HEALTHY : HealthClaim.TRUE;
         return new BackendServerFaults(claim, mReportLagMillis, false, false, 0, 0, 0, 0, 1);
     }
 
-    private static DrainPlan never() {
+    private static DrainPlan noSignals() {
         return new DrainPlan(DrainPlan.NEVER, DrainPlan.NEVER, DrainPlan.NEVER);
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainMeasure.java
@@ -9,7 +9,8 @@
 import java.util.List;
 
 /**
- * Measures how long backend servers that leave go on getting work, and what their stop cuts.
+ * Measures for how long backend servers that leave still receive new requests, and how many
+ * requests their stop interrupts.
  *
  * @since 0.1
  */
@@ -39,31 +40,32 @@
 
     @Override
     public MeasureReport run(long seed) {
-        List<DrainRound> ours = new ArrayList<>();
+        List<DrainRound> rounds = new ArrayList<>();
         for (int round = 0; round < ROUNDS; round++) {
-            ours.add(runRound(seed + round, true));
+            rounds.add(runRound(seed + round, true));
         }
-        DrainRound without = runRound(seed, false);
+        DrainRound roundWithoutChecks = runRound(seed, false);
         MeasureReport report = new MeasureReport();
-        report.table(table(ours, without));
-        report.plot(plot(ours, without));
+        report.table(table(rounds, roundWithoutChecks));
+        report.plot(plot(rounds, roundWithoutChecks));
         report.figure(
                 "newWorkAfterMillis",
-                ours.stream().mapToLong(DrainMeasure::longest).max().orElseThrow(),
+                rounds.stream().mapToLong(DrainMeasure::longestNewWorkMillis).max().orElseThrow(),
                 MeasureTarget.atMost(NEW_WORK_TARGET));
         report.figure(
                 "cutInFlight",
-                ours.stream().mapToLong(DrainRound::cutRequests).sum(),
+                rounds.stream().mapToLong(DrainRound::incompleteRequests).sum(),
                 MeasureTarget.atMost(0));
-        report.figure("answered", ours.stream().mapToLong(DrainRound::answered).sum());
-        report.figure("refused", ours.stream().mapToLong(DrainRound::refused).sum());
-        report.figure("newWorkAfterMillisWithoutHealthCalls", longest(without));
-        report.figure("cutInFlightWithoutHealthCalls", without.cutRequests());
+        report.figure("answered", rounds.stream().mapToLong(DrainRound::answered).sum());
+        report.figure("refused", rounds.stream().mapToLong(DrainRound::refused).sum());
+        report.figure(
+                "newWorkAfterMillisWithoutHealthCalls", longestNewWorkMillis(roundWithoutChecks));
+        report.figure("cutInFlightWithoutHealthCalls", roundWithoutChecks.incompleteRequests());
         return report;
     }
 
-    private static DrainRound runRound(long seed, boolean probes) {
-        try (DrainBench bench = new DrainBench(seed, probes)) {
+    private static DrainRound runRound(long seed, boolean healthChecks) {
+        try (DrainBench bench = new DrainBench(seed, healthChecks)) {
             return bench.run();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -71,33 +73,35 @@
         }
     }
 
-    private static long longest(DrainRound round) {
+    private static long longestNewWorkMillis(DrainRound round) {
         return round.outcomes().values().stream()
                 .mapToLong(DrainOutcome::newWorkAfterMillis)
                 .max()
                 .orElseThrow();
     }
 
-    private static long longest(List<DrainRound> rounds, DrainKind kind) {
+    private static long longestNewWorkMillis(List<DrainRound> rounds, DrainKind kind) {
         return rounds.stream()
                 .mapToLong(round -> round.outcomes().get(kind).newWorkAfterMillis())
                 .max()
                 .orElseThrow();
     }
 
-    private static MeasureTable table(List<DrainRound> ours, DrainRound without) {
+    private static MeasureTable table(List<DrainRound> rounds, DrainRound roundWithoutChecks) {
         List<List<String>> rows = new ArrayList<>();
         for (DrainKind kind : DrainKind.values()) {
-            int cut =
-                    ours.stream().mapToInt(round -> round.outcomes().get(kind).cutInFlight()).sum();
-            DrainOutcome alone = without.outcomes().get(kind);
+            int cutInFlight =
+                    rounds.stream()
+                            .mapToInt(round -> round.outcomes().get(kind).cutInFlight())
+                            .sum();
+            DrainOutcome outcomeWithoutChecks = roundWithoutChecks.outcomes().get(kind);
             rows.add(
                     List.of(
                             kind.title(),
-                            Long.toString(longest(ours, kind)),
-                            Integer.toString(cut),
-                            Long.toString(alone.newWorkAfterMillis()),
-                            Integer.toString(alone.cutInFlight())));
+                            Long.toString(longestNewWorkMillis(rounds, kind)),
+                            Integer.toString(cutInFlight),
+                            Long.toString(outcomeWithoutChecks.newWorkAfterMillis()),
+                            Integer.toString(outcomeWithoutChecks.cutInFlight())));
         }
         return new MeasureTable(
                 "New work after the first sign, and requests at work at the stop",
@@ -110,14 +114,15 @@
                 rows);
     }
 
-    private static MeasurePlot plot(List<DrainRound> ours, DrainRound without) {
+    private static MeasurePlot plot(List<DrainRound> rounds, DrainRound roundWithoutChecks) {
         List<Double> kinds = new ArrayList<>();
-        List<Double> with = new ArrayList<>();
-        List<Double> alone = new ArrayList<>();
+        List<Double> newWork = new ArrayList<>();
+        List<Double> newWorkWithoutChecks = new ArrayList<>();
         for (DrainKind kind : DrainKind.values()) {
             kinds.add(kinds.size() + 1.0);
-            with.add((double) longest(ours, kind));
-            alone.add((double) longest(List.of(without), kind));
+            newWork.add((double) longestNewWorkMillis(rounds, kind));
+            newWorkWithoutChecks.add(
+                    (double) longestNewWorkMillis(List.of(roundWithoutChecks), kind));
         }
         return new MeasurePlot(
                 "New work after the first sign",
@@ -125,7 +130,7 @@
                 "ms",
                 MeasurePlot.Scale.LINEAR,
                 List.of(
-                        new MeasurePlot.Series("with health calls", kinds, with),
-                        new MeasurePlot.Series("answers alone", kinds, alone)));
+                        new MeasurePlot.Series("with health calls", kinds, newWork),
+                        new MeasurePlot.Series("answers alone", kinds, newWorkWithoutChecks)));
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainOutcome.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainOutcome.java
@@ -1,11 +1,12 @@
 package io.masticpond.measure.drain;
 
 /**
- * What became of one backend server that left.
+ * Outcome of the drain of one backend server.
  *
- * @param kind how it announced that it leaves
- * @param newWorkAfterMillis the time from the first sign to the last new request, 0 for none
- * @param cutInFlight how many requests were at work there when it stopped
- * @param requests how many requests it got in all
+ * @param kind the way in which the server announced that it leaves
+ * @param newWorkAfterMillis the time from the first signal to the last new request, in
+ *     milliseconds; 0 if there was none
+ * @param cutInFlight the number of requests in execution at the server when it stopped
+ * @param requests the number of all requests that the server received
  */
 record DrainOutcome(DrainKind kind, long newWorkAfterMillis, int cutInFlight, long requests) {}
--- a/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainRound.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainRound.java
@@ -3,12 +3,16 @@
 import java.util.Map;
 
 /**
- * What one round gave.
+ * Results of one round of the benchmark.
  *
- * @param outcomes how each server that left did
- * @param cutRequests how many requests ended broken, as their senders saw it
- * @param answered how many were answered
- * @param refused how many were refused before they ran
+ * @param outcomes the outcome of each server that left
+ * @param incompleteRequests the number of requests without a complete answer, as their senders saw
+ *     it
+ * @param answered the number of requests that were answered
+ * @param refused the number of requests that were refused before their execution
  */
 record DrainRound(
-        Map<DrainKind, DrainOutcome> outcomes, long cutRequests, long answered, long refused) {}
+        Map<DrainKind, DrainOutcome> outcomes,
+        long incompleteRequests,
+        long answered,
+        long refused) {}
--- a/masticpond-measure/src/main/java/io/masticpond/measure/drain/package-info.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/drain/package-info.java
@@ -1,2 +1,2 @@
-/** The measure of drains of backend servers, over real sockets in one process. */
+/** Measurement of drains of backend servers, over real sockets in one process. */
 package io.masticpond.measure.drain;
