--- a/masticpond-measure/src/main/java/io/masticpond/measure/fleet/CallerLoad.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/fleet/CallerLoad.java
@@ -18,10 +18,11 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Callers that look up, send mixed requests and check each answer against its own request.
+ * Load of simulated callers, which look up instances, send a mix of requests, and check that each
+ * answer belongs to its own request.
  *
- * <p>Each worker follows look-ups as a well-behaved caller does: it caches one for as long as the
- * answer allows, and tries the next instance only where that cannot repeat work.
+ * <p>Each caller uses look-ups as documented for callers: it caches one for as long as the answer
+ * allows, and tries the next instance only if that can't execute the request twice.
  *
  * @since 0.1
  */
@@ -32,52 +33,54 @@
 
     private final HttpCalls mCalls = new HttpCalls();
     private final List<FleetInstance> mInstances;
-    private final LoadStatistics mTally;
+    private final LoadStatistics mStatistics;
     private final long mSeed;
     private final Consumer<EndedRequest> mListener;
-    private final AtomicInteger mNumber = new AtomicInteger();
+    private final AtomicInteger mNextNumber = new AtomicInteger();
 
     /**
-     * Makes callers.
+     * Creates callers.
      *
-     * @param instances the instances that callers may ask first
-     * @param tally takes how each request ended
+     * @param instances the instances to which callers may send look-ups
+     * @param statistics the statistics that record how each request ends
      * @param seed the seed of the mix
      */
-    public CallerLoad(List<FleetInstance> instances, LoadStatistics tally, long seed) {
-        this(instances, tally, seed, request -> {});
+    public CallerLoad(List<FleetInstance> instances, LoadStatistics statistics, long seed) {
+        this(instances, statistics, seed, request -> {});
     }
 
     /**
-     * Makes callers whose requests are listened to one by one.
+     * Creates callers whose completed requests are passed to a listener.
      *
-     * @param instances the instances that callers may ask first
-     * @param tally takes how each request ended
+     * @param instances the instances to which callers may send look-ups
+     * @param statistics the statistics that record how each request ends
      * @param seed the seed of the mix
-     * @param listener takes each request that ended, on the threads of the callers
+     * @param listener the listener that receives each completed request, on the threads of the
+     *     callers
      */
     public CallerLoad(
             List<FleetInstance> instances,
-            LoadStatistics tally,
+            LoadStatistics statistics,
             long seed,
             Consumer<EndedRequest> listener) {
         mInstances = List.copyOf(instances);
-        mTally = tally;
+        mStatistics = statistics;
         mSeed = seed;
         mListener = listener;
     }
 
     /**
-     * Runs workers until they are told to stop.
+     * Runs callers until a condition no longer holds, and waits for their end.
      *
-     * @param workers how many requests are in flight at a time
-     * @param goOn asked before each request
+     * @param workers the number of callers, each with one request in flight at a time
+     * @param shouldContinue the condition under which another request is sent, evaluated before
+     *     each request on the threads of the callers
      */
-    public void run(int workers, BooleanSupplier goOn) {
+    public void run(int workers, BooleanSupplier shouldContinue) {
         List<Thread> threads = new ArrayList<>();
         for (int i = 0; i < workers; i++) {
             int worker = i;
-            Thread thread = new Thread(() -> new Worker(worker).run(goOn), "caller-" + i);
+            Thread thread = new Thread(() -> new Worker(worker).run(shouldContinue), "caller-" + i);
             thread.start();
             threads.add(thread);
         }
@@ -91,7 +94,7 @@
         }
     }
 
-    /** A kind of request in the mix. */
+    /** Kind of request in the mix. */
     private enum Kind {
         LAYOUT("layout-view", "GET", "/layouts/", false, false),
         PLATES("plate-ledger", "GET", "/plates/", false, false),
@@ -102,31 +105,37 @@
         private final String mMethod;
         private final String mPath;
         private final boolean mOnceOnly;
-        private final boolean mOwnKey;
+        private final boolean mCallerKey;
 
-        Kind(String service, String method, String path, boolean onceOnly, boolean ownKey) {
+        Kind(String service, String method, String path, boolean onceOnly, boolean callerKey) {
             mService = service;
             mMethod = method;
             mPath = path;
             mOnceOnly = onceOnly;
-            mOwnKey = ownKey;
+            mCallerKey = callerKey;
         }
     }
 
-    /** What a look-up answered. */
-    private record Lookup(List<String> addresses, Optional<String> key, long endNanos) {}
+    /**
+     * Answer to a look-up.
+     *
+     * @param addresses the instances to try, in this order, as "ip:port"
+     * @param key the operation key, or empty if the answer has none
+     * @param expiryNanos the time at which the answer expires, from {@link System#nanoTime}
+     */
+    private record Lookup(List<String> addresses, Optional<String> key, long expiryNanos) {}
 
-    /** One caller. */
+    /** Caller with its own random numbers and cached look-ups. */
     private final class Worker {
 
         private final UniformRandomProvider mRandom;
         private final Map<String, Lookup> mLookups = new HashMap<>();
         private final String mClient;
 
-        /** The instance that was asked last, or empty. */
-        private String mAsked = "";
+        /** Address to which the request was sent last, or an empty string. */
+        private String mLastAddress = "";
 
-        /** How often the request was sent. */
+        /** Number of times that the current request was sent. */
         private int mAttempts;
 
         Worker(int number) {
@@ -134,59 +143,59 @@
             mClient = "10." + (1 + number % 6) + "." + number + ".1";
         }
 
-        void run(BooleanSupplier goOn) {
-            while (goOn.getAsBoolean()) {
-                Kind kind = pick();
-                mAsked = "";
+        void run(BooleanSupplier shouldContinue) {
+            while (shouldContinue.getAsBoolean()) {
+                Kind kind = randomKind();
+                mLastAddress = "";
                 mAttempts = 0;
                 long start = System.nanoTime();
-                String end = request(kind);
+                String outcome = executeAndRecord(kind);
                 mListener.accept(
                         new EndedRequest(
                                 kind.mService,
-                                kind.mOwnKey,
-                                mAsked,
+                                kind.mCallerKey,
+                                mLastAddress,
                                 start,
                                 System.nanoTime(),
-                                end));
+                                outcome));
             }
         }
 
-        private String request(Kind kind) {
+        private String executeAndRecord(Kind kind) {
             try {
-                return ask(kind);
+                return execute(kind);
             } catch (IOException e) {
                 mLookups.clear();
-                return mTally.unanswered(kind.mOnceOnly, e.getMessage());
+                return mStatistics.recordUnanswered(kind.mOnceOnly, e.getMessage());
             }
         }
 
-        private Kind pick() {
-            int draw = mRandom.nextInt(100);
-            if (draw < 70) {
+        private Kind randomKind() {
+            int percentile = mRandom.nextInt(100);
+            if (percentile < 70) {
                 return Kind.LAYOUT;
             }
-            if (draw < 80) {
+            if (percentile < 80) {
                 return Kind.PLATES;
             }
-            return draw < 90 ? Kind.RESERVATION : Kind.RELEASE;
+            return percentile < 90 ? Kind.RESERVATION : Kind.RELEASE;
         }
 
-        private String ask(Kind kind) throws IOException {
-            int number = mNumber.getAndIncrement();
+        private String execute(Kind kind) throws IOException {
+            int number = mNextNumber.getAndIncrement();
             String target = kind.mPath + mSeed + "-" + number;
             byte[] body = kind.mOnceOnly ? body(number) : new byte[0];
             Lookup lookup = lookup(kind);
             Map<String, String> headers = new HashMap<>();
             headers.put("Masticpond-Deadline-Millis", DEADLINE_MILLIS);
-            if (kind.mOwnKey) {
+            if (kind.mCallerKey) {
                 headers.put("Idempotency-Key", "order-" + mSeed + "-" + number);
             } else if (kind.mOnceOnly) {
                 headers.put("Masticpond-Operation-Key", lookup.key().orElse("missing"));
             }
             long start = System.nanoTime();
             HttpCalls.HttpReply reply = send(kind, lookup, target, headers, body);
-            return mTally.ended(
+            return mStatistics.recordReply(
                     reply,
                     System.nanoTime() - start,
                     new LoadStatistics.SentRequest(target, sha256(body), mAttempts));
@@ -195,9 +204,9 @@
         private HttpCalls.HttpReply send(
                 Kind kind, Lookup lookup, String target, Map<String, String> headers, byte[] body)
                 throws IOException {
-            IOException last = null;
+            IOException lastFailure = null;
             for (String address : lookup.addresses()) {
-                mAsked = address;
+                mLastAddress = address;
                 mAttempts++;
                 try {
                     return mCalls.call(
@@ -207,37 +216,39 @@
                             headers,
                             body);
                 } catch (IOException e) {
-                    last = e;
+                    lastFailure = e;
                 }
             }
-            throw last == null ? new IOException("The look-up named no instance.") : last;
+            throw lastFailure == null
+                    ? new IOException("The look-up named no instance.")
+                    : lastFailure;
         }
 
         private Lookup lookup(Kind kind) throws IOException {
             Lookup cached = mLookups.get(kind.mService);
-            if (cached != null && !kind.mOnceOnly && cached.endNanos() - System.nanoTime() > 0) {
+            if (cached != null && !kind.mOnceOnly && cached.expiryNanos() - System.nanoTime() > 0) {
                 return cached;
             }
-            Lookup fresh = askLookup(kind);
+            Lookup fresh = requestLookup(kind);
             mLookups.put(kind.mService, fresh);
             return fresh;
         }
 
-        private Lookup askLookup(Kind kind) throws IOException {
-            int first = mRandom.nextInt(mInstances.size());
-            IOException last = null;
+        private Lookup requestLookup(Kind kind) throws IOException {
+            int firstIndex = mRandom.nextInt(mInstances.size());
+            IOException lastFailure = null;
             for (int i = 0; i < mInstances.size(); i++) {
-                FleetInstance instance = mInstances.get((first + i) % mInstances.size());
+                FleetInstance instance = mInstances.get((firstIndex + i) % mInstances.size());
                 try {
                     return parse(
                             mCalls.json(
                                     instance.callerAddress(),
                                     "/v1/lookup?service=" + kind.mService + "&client=" + mClient));
                 } catch (IOException e) {
-                    last = e;
+                    lastFailure = e;
                 }
             }
-            throw new IOException("No instance answered a look-up.", last);
+            throw new IOException("No instance answered a look-up.", lastFailure);
         }
 
         private Lookup parse(JsonNode answer) {
@@ -245,8 +256,8 @@
             answer.get("instances").forEach(each -> addresses.add(each.get("address").asText()));
             Optional<String> key =
                     Optional.ofNullable(answer.get("operationKey")).map(JsonNode::asText);
-            long end = System.nanoTime() + answer.get("cacheMillis").asLong() * 1_000_000;
-            return new Lookup(addresses, key, end);
+            long expiryNanos = System.nanoTime() + answer.get("cacheMillis").asLong() * 1_000_000;
+            return new Lookup(addresses, key, expiryNanos);
         }
 
         private byte[] body(int number) {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/fleet/ChildProcess.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/fleet/ChildProcess.java
@@ -10,7 +10,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A process that this program started and will end, with its output in a file.
+ * Child process of this program, whose output is appended to a file.
+ *
+ * <p>{@link #close()} stops the process.
  *
  * @since 0.1
  */
@@ -29,12 +31,13 @@
     }
 
     /**
-     * Starts a program.
+     * Starts a program as a child process.
      *
-     * @param name what messages call it
-     * @param command the program and its arguments
+     * @param name the name of the process in messages
+     * @param command the path of the program and its arguments
      * @param output the file that its output is appended to
-     * @return the process
+     * @return the started process
+     * @throws UncheckedIOException if the program can't be started
      */
     public static ChildProcess start(String name, List<String> command, Path output) {
         Assert.notEmpty(command, "A command");
@@ -52,7 +55,7 @@
     }
 
     /**
-     * Gives what messages call the process.
+     * Returns the name of the process in messages.
      *
      * @return the name
      */
@@ -61,7 +64,7 @@
     }
 
     /**
-     * Gives the file of its output.
+     * Returns the file that the output of the process is appended to.
      *
      * @return the file
      */
@@ -70,33 +73,33 @@
     }
 
     /**
-     * Tells whether it runs.
+     * Determines whether the process is running.
      *
-     * @return whether it runs
+     * @return {@code true} if the process is running
      */
     public boolean isAlive() {
         return mProcess.isAlive();
     }
 
     /**
-     * Gives the id of the process.
+     * Returns the operating system's id of the process.
      *
-     * @return the id
+     * @return the process id
      */
     public long pid() {
         return mProcess.pid();
     }
 
-    /** Ends the process at once, as a failure of its instance would. */
+    /** Kills the process at once, to simulate a crash. */
     public void kill() {
         mProcess.destroyForcibly();
         await(STOP_TIMEOUT);
     }
 
     /**
-     * Asks the process to stop as planned, and waits.
+     * Requests an orderly stop of the process and waits up to 40 s, after which it is killed.
      *
-     * @return its exit code, or -1 if it did not stop in time and was killed
+     * @return the exit code, or -1 if the process did not stop in time and was killed
      */
     public int stop() {
         mProcess.destroy();
@@ -107,7 +110,7 @@
         return -1;
     }
 
-    /** Asks the process to stop as planned, and does not wait. */
+    /** Requests an orderly stop of the process without waiting for it. */
     public void terminate() {
         mProcess.destroy();
     }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/fleet/EndedRequest.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/fleet/EndedRequest.java
@@ -3,14 +3,15 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * One request as its caller saw it end.
+ * Completed request as its caller observed it.
  *
- * @param service the service
- * @param ownKey whether it had the caller's own operation key, which only the platform can claim
- * @param address the instance that was asked last, as "ip:port"; empty if no look-up was answered
- * @param startNanos when it was begun, before its look-up, on the clock of {@code System.nanoTime}
- * @param endNanos when it ended, on the same clock
- * @param end {@link LoadStatistics#ANSWERED}, or why it was not answered
+ * @param service the id of the service
+ * @param ownKey whether it had an operation key of the caller, which only the platform can claim
+ * @param address the instance to which it was sent last, as "ip:port"; empty if no look-up was
+ *     answered
+ * @param startNanos the time at which it began, before its look-up, from {@link System#nanoTime}
+ * @param endNanos the time at which it ended, from {@link System#nanoTime}
+ * @param end {@link LoadStatistics#ANSWERED}, or the reason why it was not answered
  * @since 0.1
  */
 public record EndedRequest(
@@ -21,7 +22,7 @@
         long endNanos,
         String end) {
 
-    /** Checks that all parts are given. */
+    /** Checks that all components are present and that the times are in order. */
     public EndedRequest {
         Assert.hasText(service, "A service");
         Assert.notNull(address, "An address");
@@ -30,9 +31,9 @@
     }
 
     /**
-     * Tells whether a backend server's answer came.
+     * Determines whether a backend server answered the request.
      *
-     * @return whether it was answered
+     * @return {@code true} if it was answered
      */
     public boolean isAnswered() {
         return end.equals(LoadStatistics.ANSWERED);
--- a/masticpond-measure/src/main/java/io/masticpond/measure/fleet/FleetFiles.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/fleet/FleetFiles.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 
-/** Writes the settings of the processes of a fleet. */
+/** Creates the settings files of the processes of a fleet. */
 final class FleetFiles {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -15,13 +15,13 @@
     private FleetFiles() {}
 
     /**
-     * Describes the stand-in backend servers.
+     * Creates the settings of the stand-in backend servers.
      *
      * @param content the operators' configuration
      * @param serviceMillis the mean service time, in milliseconds
-     * @return the settings of the stand-in
+     * @return the settings for the stand-in
      */
-    static ArrayNode backends(JsonNode content, double serviceMillis) {
+    static ArrayNode backendSettings(JsonNode content, double serviceMillis) {
         ArrayNode servers = MAPPER.createArrayNode();
         int seed = 1;
         for (JsonNode service : content.get("services")) {
@@ -40,15 +40,15 @@
     }
 
     /**
-     * Describes an instance.
+     * Creates the settings of an instance.
      *
      * @param instance the instance
-     * @param all all instances, as seeds
+     * @param all all instances of the fleet; the others become the seeds of its links
      * @param token the operators' token
-     * @param platformAddress where the platform is
-     * @return the settings of the daemon
+     * @param platformAddress the address of the platform as "ip:port"
+     * @return the settings for the daemon
      */
-    static ObjectNode instance(
+    static ObjectNode instanceSettings(
             FleetInstance instance, List<FleetInstance> all, String token, String platformAddress) {
         ObjectNode settings = MAPPER.createObjectNode();
         settings.putObject("instance").put("id", instance.id()).put("zone", instance.zone());
--- a/masticpond-measure/src/main/java/io/masticpond/measure/fleet/FleetInstance.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/fleet/FleetInstance.java
@@ -1,11 +1,11 @@
 package io.masticpond.measure.fleet;
 
 /**
- * The addresses of one instance of a fleet.
+ * Addresses of one instance of a fleet.
  *
- * @param id the instance
+ * @param id the id of the instance
  * @param zone its availability zone
- * @param ip its IP number
+ * @param ip its IP address
  * @since 0.1
  */
 public record FleetInstance(String id, String zone, String ip) {
@@ -15,7 +15,7 @@
     private static final int LINK_PORT = 8082;
 
     /**
-     * Gives where callers reach it.
+     * Returns the address for callers.
      *
      * @return the address as "ip:port"
      */
@@ -24,7 +24,7 @@
     }
 
     /**
-     * Gives where operators reach it.
+     * Returns the address for operators.
      *
      * @return the address as "ip:port"
      */
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Gives where other instances reach it.
+     * Returns the link address for other instances.
      *
      * @return the address as "ip:port"
      */
--- a/masticpond-measure/src/main/java/io/masticpond/measure/fleet/FleetSettings.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/fleet/FleetSettings.java
@@ -3,12 +3,13 @@
 import java.nio.file.Path;
 
 /**
- * What a fleet on loopback is made of.
+ * Settings of a fleet on loopback.
  *
- * @param distribution the folder of the built programs, "dist"
- * @param configuration the operators' configuration, with backend servers at 127.1.Z.N
- * @param directory where settings and outputs go
- * @param instancesPerZone how many instances each availability zone has
+ * @param distribution the directory of the built programs, "dist"
+ * @param configuration the file with the operators' configuration, which has the backend servers at
+ *     127.1.Z.N
+ * @param directory the directory for settings and output files
+ * @param instancesPerZone the number of instances in each availability zone
  * @param serviceMillis the mean service time of the stand-in backend servers, in milliseconds
  * @since 0.1
  */
--- a/masticpond-measure/src/main/java/io/masticpond/measure/fleet/HttpCalls.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/fleet/HttpCalls.java
@@ -12,7 +12,9 @@
 import okhttp3.internal.http.HttpMethod;
 
 /**
- * Calls HTTP routes on loopback; safe for all threads.
+ * HTTP client for routes on loopback, with a timeout of 20 s per call.
+ *
+ * <p>Thread-safe.
  *
  * @since 0.1
  */
@@ -29,15 +31,15 @@
                     .build();
 
     /**
-     * Calls a route.
+     * Calls a route and reads its complete answer.
      *
-     * @param method the method
+     * @param method the HTTP method
      * @param address the address as "ip:port"
      * @param target the path and query
-     * @param headers header fields
-     * @param body the body; ignored where the method has none
-     * @return the whole answer
-     * @throws IOException if there is no whole answer
+     * @param headers the header fields
+     * @param body the body; ignored if the method permits none
+     * @return the complete answer
+     * @throws IOException if there is no complete answer
      */
     public HttpReply call(
             String method, String address, String target, Map<String, String> headers, byte[] body)
@@ -53,12 +55,12 @@
     }
 
     /**
-     * Reads a JSON document.
+     * Reads a JSON document with a GET request.
      *
      * @param address the address as "ip:port"
      * @param target the path and query
      * @return the document
-     * @throws IOException if there is no whole answer, or it is not a success
+     * @throws IOException if there is no complete answer, its status is not 200, or it is not JSON
      */
     public JsonNode json(String address, String target) throws IOException {
         HttpReply reply = call("GET", address, target, Map.of(), new byte[0]);
@@ -69,7 +71,7 @@
     }
 
     /**
-     * A whole answer.
+     * Complete HTTP answer.
      *
      * @param status the HTTP status
      * @param headers the header fields
@@ -82,7 +84,7 @@
          * Reads the body as JSON.
          *
          * @return the document
-         * @throws IOException if it is not JSON
+         * @throws IOException if the body is not JSON
          */
         public JsonNode json() throws IOException {
             return MAPPER.readTree(body);
--- a/masticpond-measure/src/main/java/io/masticpond/measure/fleet/LoadStatistics.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/fleet/LoadStatistics.java
@@ -14,18 +14,20 @@
 import org.HdrHistogram.ConcurrentHistogram;
 
 /**
- * Counts how requests ended, as their callers saw it; safe for all threads.
+ * Statistics of how requests ended, as their callers observed it.
+ *
+ * <p>Thread-safe.
  *
  * @since 0.1
  */
 public final class LoadStatistics {
 
-    /** How a request ended that a backend server answered. */
+    /** Outcome of a request that a backend server answered. */
     public static final String ANSWERED = "answered";
 
-    private static final long HIGHEST_MICROS = TimeUnit.MINUTES.toMicros(2);
-    private static final int DIGITS = 3;
-    private static final int LISTED_MISMATCHES = 10;
+    private static final long MAX_LATENCY_MICROS = TimeUnit.MINUTES.toMicros(2);
+    private static final int SIGNIFICANT_DIGITS = 3;
+    private static final int MAX_LISTED_MISMATCHES = 10;
 
     private final LongAdder mRequests = new LongAdder();
     private final LongAdder mAnswered = new LongAdder();
@@ -33,28 +35,29 @@
     private final LongAdder mUnanswered = new LongAdder();
     private final Queue<String> mMismatches = new ConcurrentLinkedQueue<>();
     private final Map<String, LongAdder> mRefusals = new ConcurrentSkipListMap<>();
-    private final ConcurrentHistogram mLatency = new ConcurrentHistogram(HIGHEST_MICROS, DIGITS);
+    private final ConcurrentHistogram mLatencyMicros =
+            new ConcurrentHistogram(MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS);
 
     /**
-     * Counts a whole HTTP answer.
+     * Records a complete HTTP answer.
      *
      * @param reply the answer
-     * @param nanos how long it took, in nanoseconds
-     * @param request what was asked for
-     * @return {@link #ANSWERED}, or the verdict and cause
+     * @param nanos the latency, in nanoseconds
+     * @param request the request that was sent
+     * @return {@link #ANSWERED}, or the verdict and cause of a refusal
      */
-    public String ended(HttpCalls.HttpReply reply, long nanos, SentRequest request) {
+    public String recordReply(HttpCalls.HttpReply reply, long nanos, SentRequest request) {
         mRequests.increment();
         String type = reply.headers().get("Content-Type");
         if (type != null && type.startsWith("application/problem+json")) {
-            return count(refusal(reply));
+            return countRefusal(refusalOutcome(reply));
         }
         mAnswered.increment();
         long micros = TimeUnit.NANOSECONDS.toMicros(nanos);
-        mLatency.recordValue(Math.min(HIGHEST_MICROS, micros));
+        mLatencyMicros.recordValue(Math.min(MAX_LATENCY_MICROS, micros));
         if (!isEchoOf(reply, request)) {
             mMismatched.increment();
-            if (mMismatches.size() < LISTED_MISMATCHES) {
+            if (mMismatches.size() < MAX_LISTED_MISMATCHES) {
                 mMismatches.add(
                         request.target()
                                 + " got "
@@ -69,29 +72,29 @@
     }
 
     /**
-     * Counts a request without an HTTP answer.
+     * Records a request without an HTTP answer.
      *
      * @param onceOnly whether it was a once-only operation
-     * @param reason why
-     * @return the kind that it was counted as
+     * @param reason the reason for the missing answer
+     * @return the outcome under which it is counted in {@link #refusals()}
      */
-    public String unanswered(boolean onceOnly, String reason) {
+    public String recordUnanswered(boolean onceOnly, String reason) {
         mRequests.increment();
         mUnanswered.increment();
-        return count("unanswered" + (onceOnly ? " (once-only): " : ": ") + reason);
+        return countRefusal("unanswered" + (onceOnly ? " (once-only): " : ": ") + reason);
     }
 
     /**
-     * Counts the requests that ended.
+     * Returns the number of completed requests.
      *
-     * @return the count
+     * @return the count, including requests without an answer
      */
     public long requests() {
         return mRequests.sum();
     }
 
     /**
-     * Counts the whole answers of backend servers.
+     * Returns the number of complete answers of backend servers.
      *
      * @return the count
      */
@@ -100,7 +103,7 @@
     }
 
     /**
-     * Counts the answers that were to another request.
+     * Returns the number of answers that belonged to another request.
      *
      * @return the count
      */
@@ -109,16 +112,17 @@
     }
 
     /**
-     * Lists the first answers that were to another request.
+     * Returns the first ten answers that belonged to another request.
      *
-     * @return what was asked for, the status, the request's id and the body of each
+     * @return the target of the request with the status, the request's id and the body of the
+     *     answer
      */
     public List<String> mismatches() {
         return List.copyOf(mMismatches);
     }
 
     /**
-     * Counts the requests without an HTTP answer.
+     * Returns the number of requests without an HTTP answer.
      *
      * @return the count
      */
@@ -127,27 +131,27 @@
     }
 
     /**
-     * Counts what was not answered, by verdict and cause.
+     * Returns the numbers of requests that no backend server answered, by verdict and cause.
      *
-     * @return the counts
+     * @return the counts by the text of the outcome, in its order
      */
     public Map<String, Long> refusals() {
         Map<String, Long> counts = new TreeMap<>();
-        mRefusals.forEach((kind, count) -> counts.put(kind, count.sum()));
+        mRefusals.forEach((outcome, count) -> counts.put(outcome, count.sum()));
         return counts;
     }
 
     /**
-     * Gives a percentile of the latency of answered requests.
+     * Returns a percentile of the latency of answered requests.
      *
-     * @param percentile from 0 to 100
-     * @return milliseconds
+     * @param percentile the percentile, from 0 to 100
+     * @return the latency, in milliseconds; latencies above two minutes count as two minutes
      */
     public double latencyMillis(double percentile) {
-        return mLatency.getValueAtPercentile(percentile) / 1_000.0;
+        return mLatencyMicros.getValueAtPercentile(percentile) / 1_000.0;
     }
 
-    private static String refusal(HttpCalls.HttpReply reply) {
+    private static String refusalOutcome(HttpCalls.HttpReply reply) {
         try {
             JsonNode problem = reply.json();
             return problem.get("verdict").asText() + ": " + problem.get("cause").asText();
@@ -156,9 +160,9 @@
         }
     }
 
-    private String count(String kind) {
-        mRefusals.computeIfAbsent(kind, each -> new LongAdder()).increment();
-        return kind;
+    private String countRefusal(String outcome) {
+        mRefusals.computeIfAbsent(outcome, each -> new LongAdder()).increment();
+        return outcome;
     }
 
     private static boolean isEchoOf(HttpCalls.HttpReply reply, SentRequest request) {
@@ -166,27 +170,31 @@
             JsonNode echo = reply.json();
             return echo.path("target").asText().endsWith(" " + request.target())
                     && echo.path("digest").asText().equals(request.digest())
-                    && (isOwnId(reply, echo) || mayBeEarlierAttempt(request, echo));
+                    && (hasOwnId(reply, echo) || mayBeEarlierAttempt(request, echo));
         } catch (IOException e) {
             return false;
         }
     }
 
-    private static boolean isOwnId(HttpCalls.HttpReply reply, JsonNode echo) {
+    private static boolean hasOwnId(HttpCalls.HttpReply reply, JsonNode echo) {
         return echo.path("requestId").asText().equals(reply.headers().get("Masticpond-Request-Id"));
     }
 
-    /** A repeat under an operation key gets the end of the attempt that ran, with that one's id. */
+    /**
+     * Determines whether an answer may belong to an earlier attempt. A retry under an operation key
+     * receives the answer of the attempt that was executed, with the id of that attempt.
+     */
     private static boolean mayBeEarlierAttempt(SentRequest request, JsonNode echo) {
         return request.attempts() > 1 && !echo.path("operationId").asText("").isEmpty();
     }
 
     /**
-     * What a caller asked for, which the backend server echoes.
+     * Request that a caller sent, whose parts the backend server echoes.
      *
-     * @param target the path and query, which no other request has
-     * @param digest the digest of the body
-     * @param attempts how often the caller sent it, under the same operation key if it has one
+     * @param target the path and query, unique to this request
+     * @param digest the SHA-256 digest of the body, in hexadecimal
+     * @param attempts the number of times that the caller sent it, under the same operation key if
+     *     it has one
      */
     public record SentRequest(String target, String digest, int attempts) {}
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/fleet/LocalFleet.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/fleet/LocalFleet.java
@@ -18,19 +18,20 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Starts a platform, backend servers and instances as processes on loopback, and ends them.
+ * Fleet of a stand-in platform, stand-in backend servers and instances, as processes on loopback.
+ * {@link #close()} stops all of them.
  *
- * <p>Several fleets can run on one machine: each takes a network 127.N of its own.
+ * <p>Several fleets can run on one machine: each uses the first free loopback network 127.N.
  *
  * @since 0.1
  */
 public final class LocalFleet implements AutoCloseable {
 
-    private static final int HIGHEST_NETWORK = 200;
+    private static final int MAX_NETWORK = 200;
     private static final int PLATFORM_PORT = 7100;
     private static final int CONTROL_PORT = 7101;
     private static final Duration START_TIMEOUT = Duration.ofSeconds(30);
-    private static final Duration POLL = Duration.ofMillis(50);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(50);
     private static final ObjectMapper MAPPER =
             JsonMapper.builder()
                     .enable(com.fasterxml.jackson.core.json.JsonReadFeature.ALLOW_JAVA_COMMENTS)
@@ -47,9 +48,9 @@
     private final Map<String, ChildProcess> mProcesses = new LinkedHashMap<>();
 
     /**
-     * Prepares a fleet without starting anything.
+     * Prepares the files of a fleet without starting any process.
      *
-     * @param settings what it is made of
+     * @param settings the settings of the fleet
      * @throws IOException if a file cannot be read or written
      */
     public LocalFleet(FleetSettings settings) throws IOException {
@@ -69,30 +70,34 @@
     }
 
     /**
-     * Starts the stand-in platform and the stand-in backend servers.
+     * Starts the stand-in platform and the stand-in backend servers, waits until they answer, and
+     * adds all instances to the platform's list.
      *
      * @throws IOException if a settings file cannot be written
      */
     public void startOutside() throws IOException {
         startPlatform();
-        Path backends = mSettings.directory().resolve("backends.json");
+        Path backendsFile = mSettings.directory().resolve("backends.json");
         MAPPER.writeValue(
-                backends.toFile(), FleetFiles.backends(mContent, mSettings.serviceMillis()));
+                backendsFile.toFile(),
+                FleetFiles.backendSettings(mContent, mSettings.serviceMillis()));
         start(
                 "backends",
                 "tools/bin/masticpond-standin",
                 "backends",
                 "--settings",
-                backends.toString(),
+                backendsFile.toString(),
                 "--control-port",
                 Integer.toString(CONTROL_PORT + mNetwork * 2));
-        await("the backend servers", () -> answers(controlAddress(), "/control/counts"));
+        await(
+                "the backend servers",
+                () -> answersSuccessfully(controlAddress(), "/control/counts"));
         for (FleetInstance instance : mInstances) {
             list(instance, false);
         }
     }
 
-    /** Starts the stand-in platform alone, empty as after a loss of all its objects. */
+    /** Starts only the stand-in platform, which is empty as after a loss of all its objects. */
     public void startPlatform() {
         start(
                 "platform",
@@ -100,11 +105,11 @@
                 "platform",
                 "--port",
                 Integer.toString(PLATFORM_PORT + mNetwork * 2));
-        await("the platform", () -> answers(platformAddress(), "/control/counts"));
+        await("the platform", () -> answersSuccessfully(platformAddress(), "/control/counts"));
     }
 
     /**
-     * Starts an instance, and does not wait for it.
+     * Starts an instance without waiting for it.
      *
      * @param instance the instance
      * @throws IOException if its settings cannot be written
@@ -113,25 +118,25 @@
         Path settings = mSettings.directory().resolve(instance.id() + ".json");
         MAPPER.writeValue(
                 settings.toFile(),
-                FleetFiles.instance(instance, mInstances, mToken, platformAddress()));
+                FleetFiles.instanceSettings(instance, mInstances, mToken, platformAddress()));
         start(instance.id(), "bin/masticpond", "--settings", settings.toString());
     }
 
     /**
-     * Waits until an instance answers on its caller route.
+     * Waits until an instance answers with success on a caller route.
      *
      * @param instance the instance
      * @param route "/health" or "/ready"
      */
     public void awaitInstance(FleetInstance instance, String route) {
-        await(instance.id() + route, () -> answers(instance.callerAddress(), route));
+        await(instance.id() + route, () -> answersSuccessfully(instance.callerAddress(), route));
     }
 
     /**
-     * Puts an instance on the platform's list.
+     * Adds an instance to the platform's list, or replaces its entry there.
      *
      * @param instance the instance
-     * @param leaving whether the list says that it leaves
+     * @param leaving whether the entry marks the instance as leaving
      * @throws IOException if the platform does not answer
      */
     public void list(FleetInstance instance, boolean leaving) throws IOException {
@@ -148,9 +153,9 @@
     }
 
     /**
-     * Reads what all backend servers have seen.
+     * Returns the counts of all backend servers.
      *
-     * @return the counts, as the control route gives them
+     * @return the counts in the format of the control route
      * @throws IOException if the stand-in does not answer
      */
     public JsonNode backendCounts() throws IOException {
@@ -158,10 +163,10 @@
     }
 
     /**
-     * Runs the operators' command line against this fleet.
+     * Runs the operators' command line against this fleet and waits for its end.
      *
      * @param arguments the arguments after the global options
-     * @return the exit code and all output
+     * @return the exit code and the complete output
      * @throws IOException if its output cannot be read
      */
     public CommandRun control(String... arguments) throws IOException {
@@ -180,20 +185,20 @@
     }
 
     /**
-     * States the whole configuration as an intent, and confirms the plan made of it.
+     * Submits the whole configuration as an intent and confirms the resulting plan.
      *
-     * @return the plan, as the operator route gives it
-     * @throws IOException if it is refused or not answered
+     * @return the plan in the format of the operator route
+     * @throws IOException if the intent or the plan is refused or not answered
      */
     public JsonNode configure() throws IOException {
         ObjectNode intent = MAPPER.createObjectNode();
         intent.set("content", mContent);
-        JsonNode plan = operate("/v1/intents", MAPPER.writeValueAsBytes(intent));
-        operate("/v1/plans/" + plan.get("id").asText() + "/confirm", new byte[0]);
+        JsonNode plan = callOperatorRoute("/v1/intents", MAPPER.writeValueAsBytes(intent));
+        callOperatorRoute("/v1/plans/" + plan.get("id").asText() + "/confirm", new byte[0]);
         return plan;
     }
 
-    private JsonNode operate(String route, byte[] body) throws IOException {
+    private JsonNode callOperatorRoute(String route, byte[] body) throws IOException {
         HttpCalls.HttpReply reply =
                 mCalls.call(
                         "POST",
@@ -212,53 +217,53 @@
     }
 
     /**
-     * Gives the instances, whether they run or not.
+     * Returns all instances, whether or not they are running.
      *
-     * @return the instances in the order of their zones
+     * @return the instances in the order of their availability zones
      */
     public List<FleetInstance> instances() {
         return List.copyOf(mInstances);
     }
 
     /**
-     * Gives a process.
+     * Returns the process that was started last under a name.
      *
      * @param name "platform", "backends" or the id of an instance
-     * @return the process that was started last under the name
+     * @return the process, or {@code null} if none was started under this name
      */
     public ChildProcess process(String name) {
         return mProcesses.get(name);
     }
 
     /**
-     * Gives the operators' configuration of this fleet.
+     * Returns the operators' configuration of this fleet.
      *
-     * @return the document
+     * @return the configuration as a JSON document
      */
     public JsonNode content() {
         return mContent;
     }
 
     /**
-     * Gives the file with the operators' configuration of this fleet.
+     * Returns the file with the operators' configuration of this fleet.
      *
-     * @return the file
+     * @return the path of the file
      */
     public Path configurationFile() {
         return mConfiguration;
     }
 
     /**
-     * Gives the file with the operators' token.
+     * Returns the file with the operators' token.
      *
-     * @return the file
+     * @return the path of the file
      */
     public Path tokenFile() {
         return mTokenFile;
     }
 
     /**
-     * Gives the operators' token.
+     * Returns the operators' token.
      *
      * @return the token
      */
@@ -267,7 +272,7 @@
     }
 
     /**
-     * Gives the address of the platform and its control routes.
+     * Returns the address of the platform and its control routes.
      *
      * @return the address as "ip:port"
      */
@@ -276,7 +281,7 @@
     }
 
     /**
-     * Gives the address of the control routes of the backend servers.
+     * Returns the address of the control routes of the backend servers.
      *
      * @return the address as "ip:port"
      */
@@ -285,10 +290,10 @@
     }
 
     /**
-     * Waits until a condition holds.
+     * Waits up to 30 s until a condition holds.
      *
-     * @param what what an error calls it
-     * @param condition the condition
+     * @param what the name of the condition in the error message
+     * @param condition the condition, evaluated every 50 ms
      * @throws IllegalStateException if it does not hold in time
      */
     public void await(String what, BooleanSupplier condition) {
@@ -298,25 +303,25 @@
                 throw new IllegalStateException(
                         "Waited too long for " + what + "; outputs: " + mSettings.directory());
             }
-            LockSupport.parkNanos(POLL.toNanos());
+            LockSupport.parkNanos(POLL_INTERVAL.toNanos());
         }
     }
 
-    /** Ends all processes: instances as planned and together, then what is outside. */
+    /** Stops all processes: first the instances, at the same time, and then the stand-ins. */
     @Override
     public void close() {
-        List<ChildProcess> outside = new ArrayList<>();
+        List<ChildProcess> standIns = new ArrayList<>();
         for (Map.Entry<String, ChildProcess> entry : mProcesses.entrySet()) {
             if (entry.getKey().equals("platform") || entry.getKey().equals("backends")) {
-                outside.add(entry.getValue());
+                standIns.add(entry.getValue());
             } else {
                 entry.getValue().terminate();
             }
         }
         mProcesses.values().stream()
-                .filter(process -> !outside.contains(process))
+                .filter(process -> !standIns.contains(process))
                 .forEach(ChildProcess::stop);
-        outside.forEach(ChildProcess::stop);
+        standIns.forEach(ChildProcess::stop);
     }
 
     private void start(String name, String program, String... arguments) {
@@ -328,7 +333,7 @@
                 ChildProcess.start(name, command, mSettings.directory().resolve(name + ".log")));
     }
 
-    private boolean answers(String address, String target) {
+    private boolean answersSuccessfully(String address, String target) {
         try {
             return mCalls.call("GET", address, target, Map.of(), new byte[0]).status() == 200;
         } catch (IOException e) {
@@ -353,7 +358,7 @@
     }
 
     private static int freeNetwork() throws IOException {
-        for (int network = 1; network <= HIGHEST_NETWORK; network++) {
+        for (int network = 1; network <= MAX_NETWORK; network++) {
             if (isFree(network)) {
                 return network;
             }
@@ -373,10 +378,10 @@
     }
 
     /**
-     * A finished run of the command line.
+     * Completed run of the command line.
      *
      * @param exitCode the exit code
-     * @param output all output
+     * @param output the complete output
      */
     public record CommandRun(int exitCode, String output) {}
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/fleet/package-info.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A small deployment of real processes on loopback, for the quickstart and the measures that kill
+ * Small deployment of separate processes on loopback, for the quickstart and the measures that kill
  * and replace instances.
  */
 package io.masticpond.measure.fleet;
--- a/masticpond-measure/src/test/java/io/masticpond/measure/fleet/LoadStatisticsTest.java
+++ b/masticpond-measure/src/test/java/io/masticpond/measure/fleet/LoadStatisticsTest.java
@@ -6,53 +6,54 @@
 import net.jqwik.api.Example;
 import okhttp3.Headers;
 
-/** Arranges echoes and asserts which are answers to the caller's own request. */
+/** Tests for which echoes {@link LoadStatistics} accepts as answers to the caller's own request. */
 class LoadStatisticsTest {
 
     private static final String TARGET = "/reservations/1-288";
     private static final String DIGEST = "0f9c";
 
-    private final LoadStatistics mTally = new LoadStatistics();
+    private final LoadStatistics mStatistics = new LoadStatistics();
 
     @Example
-    void theEchoOfTheRequestItselfMatches() {
-        end(echo("own", "null", TARGET, DIGEST), 1);
-        assertThat(mTally.mismatched()).isZero();
+    void acceptsEchoOfOwnRequest() {
+        recordReply(echo("own", "null", TARGET, DIGEST), 1);
+        assertThat(mStatistics.mismatched()).isZero();
     }
 
     @Example
-    void anotherRequestsIdIsMismatchForRequestsThatWereSentOnce() {
-        end(echo("earlier", "\"home@1:10\"", TARGET, DIGEST), 1);
-        assertThat(mTally.mismatched()).isEqualTo(1);
-        assertThat(mTally.mismatches().get(0)).contains(TARGET, "own", "earlier");
+    void reportsMismatchForOtherIdWhenRequestWasSentOnce() {
+        recordReply(echo("earlier", "\"home@1:10\"", TARGET, DIGEST), 1);
+        assertThat(mStatistics.mismatched()).isEqualTo(1);
+        assertThat(mStatistics.mismatches().get(0)).contains(TARGET, "own", "earlier");
     }
 
     @Example
-    void repeatsUnderAnOperationKeyGetTheEndOfAnEarlierAttempt() {
-        end(echo("earlier", "\"home@1:10\"", TARGET, DIGEST), 2);
-        assertThat(mTally.mismatched()).isZero();
+    void acceptsEchoOfEarlierAttemptForRetryUnderOperationKey() {
+        recordReply(echo("earlier", "\"home@1:10\"", TARGET, DIGEST), 2);
+        assertThat(mStatistics.mismatched()).isZero();
     }
 
     @Example
-    void repeatsWithoutOperationKeyMustMatchThemselves() {
-        end(echo("earlier", "null", TARGET, DIGEST), 2);
-        assertThat(mTally.mismatched()).isEqualTo(1);
+    void reportsMismatchForEarlierIdWithoutOperationKey() {
+        recordReply(echo("earlier", "null", TARGET, DIGEST), 2);
+        assertThat(mStatistics.mismatched()).isEqualTo(1);
     }
 
     @Example
-    void repeatsMustMatchTheirOwnTargetAndBody() {
-        end(echo("earlier", "\"home@1:10\"", "/reservations/1-289", DIGEST), 2);
-        end(echo("earlier", "\"home@1:10\"", TARGET, "1a2b"), 2);
-        assertThat(mTally.mismatched()).isEqualTo(2);
+    void reportsMismatchForOtherTargetOrBodyOfRetry() {
+        recordReply(echo("earlier", "\"home@1:10\"", "/reservations/1-289", DIGEST), 2);
+        recordReply(echo("earlier", "\"home@1:10\"", TARGET, "1a2b"), 2);
+        assertThat(mStatistics.mismatched()).isEqualTo(2);
     }
 
-    private void end(String body, int attempts) {
+    private void recordReply(String body, int attempts) {
         HttpCalls.HttpReply reply =
                 new HttpCalls.HttpReply(
                         200,
                         Headers.of("Masticpond-Request-Id", "own"),
                         body.getBytes(StandardCharsets.UTF_8));
-        mTally.ended(reply, 1_000, new LoadStatistics.SentRequest(TARGET, DIGEST, attempts));
+        mStatistics.recordReply(
+                reply, 1_000, new LoadStatistics.SentRequest(TARGET, DIGEST, attempts));
     }
 
     private static String echo(String id, String operationId, String target, String digest) {
