--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/Connection.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/Connection.java
@@ -21,18 +21,19 @@
 import java.util.Optional;
 
 /**
- * One authenticated TCP connection on one lane; all methods run on the thread of the links.
+ * Channel handler for one authenticated TCP connection on one lane. All methods run on the event
+ * loop of the links.
  *
- * <p>Both sides send requests on it: the dialer numbers its calls odd, the acceptor even, so that a
- * call id tells an answer from a request.
+ * <p>Both sides send requests over the connection. The dialer uses odd call ids and the acceptor
+ * even ones, so that a call id distinguishes an answer from a request.
  */
 final class Connection extends SimpleChannelInboundHandler<Envelope> {
 
-    /** The largest frame before the other side is authenticated. */
+    /** Maximum size of a frame, in bytes, before the other side is authenticated. */
     static final int HANDSHAKE_FRAME_BYTES = 4_096;
 
     private static final int CALL_ID_STEP = 2;
-    private static final int PINGS_IN_SILENCE = 3;
+    private static final int PINGS_PER_TIMEOUT = 3;
     private static final Envelope PING = Envelope.getDefaultInstance();
 
     private final Handshake mHandshake;
@@ -51,19 +52,19 @@
     private boolean mReady;
     private long mLastCallId;
     private long mLastPeerCallId;
-    private int mUnanswered;
-    private long mAnswerBytes;
+    private int mUnansweredRequests;
+    private long mPendingAnswerBytes;
     private long mLastReadNanos;
     private long mLastWriteNanos;
     private long mBusySinceNanos;
     private String mCloseReason = "The connection was closed by the peer.";
 
     /**
-     * Makes one side of a connection.
+     * Creates a new handler for one side of a connection.
      *
-     * @param dialer whether it is the side that dials
-     * @param expected the only instance that may answer, or empty if any may
-     * @param lane the lane; the accepting side takes that of the dialer
+     * @param dialer whether this side opened the connection
+     * @param expected the only instance accepted as the peer, or empty to accept any
+     * @param lane the lane; the accepting side adopts the lane of the dialer
      */
     Connection(
             Handshake handshake,
@@ -87,7 +88,7 @@
         mLastWriteNanos = mLastReadNanos;
     }
 
-    /** Gives the instance that was dialed, if one was expected. */
+    /** Returns the instance that this side intended to connect to, if it is known. */
     Optional<InstanceId> expected() {
         return mExpected;
     }
@@ -100,7 +101,7 @@
         return mReady;
     }
 
-    /** Gives the authenticated peer; only once the connection is ready. */
+    /** Returns the authenticated peer, or {@code null} until the connection is ready. */
     Incarnation peer() {
         return mPeer;
     }
@@ -113,13 +114,16 @@
         return mChannel.isWritable();
     }
 
-    /** Writes a message, and counts it as a call if it is one; {@link #flush} sends it. */
+    /**
+     * Writes a message without flushing it, and registers it as a pending call if it is one; {@link
+     * #flush} sends it.
+     */
     void write(OutboundMessage message, Runnable onDone) {
         Envelope envelope = message.envelope();
         if (message instanceof OutboundCall call) {
             mLastCallId += CALL_ID_STEP;
             long id = mLastCallId;
-            noteBusy();
+            startBusyPeriod();
             mCalls.put(id, call);
             call.handedOver(() -> mCalls.remove(id));
             envelope = envelope.toBuilder().setCallId(id).build();
@@ -133,53 +137,61 @@
         mChannel.flush();
     }
 
-    /** Answers a request; closes the connection if the peer leaves its answers unread. */
+    /**
+     * Sends the answer to a request. Closes the connection if the peer does not read its answers
+     * and more bytes are pending than may be queued.
+     */
     void answer(long callId, Envelope answer) {
-        mUnanswered--;
+        mUnansweredRequests--;
         if (!mChannel.isActive()) {
             mCounters.mAnswersDropped.increment();
             return;
         }
         int bytes = answer.getSerializedSize();
-        mAnswerBytes += bytes;
-        if (mAnswerBytes > mSettings.maximumQueuedBytes()) {
+        mPendingAnswerBytes += bytes;
+        if (mPendingAnswerBytes > mSettings.maximumQueuedBytes()) {
             mCounters.mAnswersDropped.increment();
             close("The peer leaves its answers unread.");
             return;
         }
         ChannelProgressivePromise promise = mChannel.newProgressivePromise();
-        promise.addListener(future -> mAnswerBytes -= bytes);
+        promise.addListener(future -> mPendingAnswerBytes -= bytes);
         write(answer.toBuilder().setCallId(callId).build(), promise);
         mChannel.flush();
     }
 
-    /** Sends a ping when nothing was sent for long, and closes a connection that is silent. */
-    void sweep() {
+    /**
+     * Closes the connection if nothing was received within the inactivity timeout, and sends a ping
+     * if nothing was written for a third of it.
+     */
+    void checkInactivity() {
         if (!mReady) {
             return;
         }
         long now = mTimeSource.monotonicNanos();
         boolean busy = isBusy();
-        long limit =
+        long timeoutNanos =
                 (busy ? mSettings.busyInactivityTimeout() : mSettings.idleInactivityTimeout())
                         .toNanos();
-        long sinceRead = now - mLastReadNanos;
-        long silent = busy ? Math.min(sinceRead, now - mBusySinceNanos) : sinceRead;
-        if (silent > limit) {
+        long sinceReadNanos = now - mLastReadNanos;
+        long inactiveNanos =
+                busy ? Math.min(sinceReadNanos, now - mBusySinceNanos) : sinceReadNanos;
+        if (inactiveNanos > timeoutNanos) {
             close("The peer was silent for too long.");
-        } else if (now - mLastWriteNanos > limit / PINGS_IN_SILENCE && mChannel.isWritable()) {
+        } else if (now - mLastWriteNanos > timeoutNanos / PINGS_PER_TIMEOUT
+                && mChannel.isWritable()) {
             write(PING, mChannel.newProgressivePromise());
             mChannel.flush();
         }
     }
 
-    /** Closes the connection. */
+    /** Closes the connection for the given reason. */
     void close(String reason) {
         mCloseReason = reason;
         Future<?> unused = mChannel.close();
     }
 
-    /** Closes the connection if it is not ready by now. */
+    /** Closes the connection if the handshake is not complete. */
     void handshakeTimedOut() {
         if (!mReady) {
             close("The handshake took too long.");
@@ -206,7 +218,7 @@
         } else if (envelope.hasLinkError()) {
             refuseHandshake(envelope.getLinkError().getReason(), false);
         } else if (envelope.hasHello()) {
-            shakeHands(envelope.getHello());
+            processHello(envelope.getHello());
         } else {
             refuseHandshake("A message came before the handshake had ended.", true);
         }
@@ -232,23 +244,23 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (cause instanceof DecoderException) {
-            breakProtocol("A frame cannot be read: " + cause.getMessage());
+            closeOnProtocolError("A frame cannot be read: " + cause.getMessage());
         } else {
             close("The connection failed: " + cause.getMessage());
         }
     }
 
-    /** Takes the count of bytes that came in, also of frames that are not whole yet. */
+    /** Records received bytes, including those of incomplete frames. */
     void bytesRead(int bytes) {
         mLastReadNanos = mTimeSource.monotonicNanos();
         mCounters.read(mLane, bytes);
     }
 
     private boolean isBusy() {
-        return !mCalls.isEmpty() || mUnanswered > 0;
+        return !mCalls.isEmpty() || mUnansweredRequests > 0;
     }
 
-    private void noteBusy() {
+    private void startBusyPeriod() {
         if (!isBusy()) {
             mBusySinceNanos = mTimeSource.monotonicNanos();
         }
@@ -265,9 +277,9 @@
         mChannel.flush();
     }
 
-    private void shakeHands(Hello hello) {
+    private void processHello(Hello hello) {
         if (isDialer()) {
-            finish(
+            finishHandshake(
                     hello,
                     mHandshake
                             .confirm(mDialerHello, hello, mExpected)
@@ -283,22 +295,22 @@
                     .peekLeft(reason -> refuseHandshake(reason, true));
         } else {
             Optional<String> fault = mHandshake.verify(mDialerHello, mAcceptorHello, hello);
-            finish(
+            finishHandshake(
                     hello,
                     fault.<Either<String, Hello>>map(Either::left).orElse(Either.right(hello)));
         }
     }
 
-    private void finish(Hello hello, Either<String, Hello> outcome) {
+    private void finishHandshake(Hello hello, Either<String, Hello> outcome) {
         if (outcome.isLeft()) {
             refuseHandshake(outcome.getLeft(), true);
             return;
         }
         Incarnation peer =
                 new Incarnation(new InstanceId(hello.getInstance()), hello.getIncarnation());
-        Optional<String> objection = mOwner.rejectionReason(peer);
-        if (objection.isPresent()) {
-            refuseHandshake(objection.get(), true);
+        Optional<String> rejection = mOwner.rejectionReason(peer);
+        if (rejection.isPresent()) {
+            refuseHandshake(rejection.get(), true);
             return;
         }
         mPeer = peer;
@@ -311,10 +323,10 @@
         mOwner.ready(this);
     }
 
-    private void refuseHandshake(String reason, boolean tellPeer) {
+    private void refuseHandshake(String reason, boolean reportToPeer) {
         mCounters.mHandshakesRefused.increment();
         mCloseReason = reason;
-        if (tellPeer) {
+        if (reportToPeer) {
             Envelope error =
                     Envelope.newBuilder()
                             .setLinkError(LinkError.newBuilder().setReason(reason))
@@ -326,7 +338,7 @@
         }
     }
 
-    private void breakProtocol(String reason) {
+    private void closeOnProtocolError(String reason) {
         mCounters.mProtocolErrors.increment();
         close(reason);
     }
@@ -334,7 +346,7 @@
     private void dispatch(Envelope envelope) {
         long id = envelope.getCallId();
         if (envelope.hasHello()) {
-            breakProtocol("A Hello came after the handshake.");
+            closeOnProtocolError("A Hello came after the handshake.");
         } else if (id == 0) {
             dispatchMessage(envelope);
         } else if ((id & 1) == (mLastCallId & 1)) {
@@ -355,7 +367,7 @@
     private void dispatchAnswer(long id, Envelope envelope) {
         OutboundCall call = mCalls.remove(id);
         if (call == null && Long.compareUnsigned(id, Math.max(0, mLastCallId)) > 0) {
-            breakProtocol("An answer came to a call that was never made.");
+            closeOnProtocolError("An answer came to a call that was never made.");
         } else if (call == null) {
             mCounters.mAnswersNotAwaited.increment();
         } else if (envelope.hasLinkError()) {
@@ -367,17 +379,17 @@
 
     private void dispatchRequest(long id, Envelope envelope) {
         if (Long.compareUnsigned(id, mLastPeerCallId) <= 0) {
-            breakProtocol("A call id came twice.");
+            closeOnProtocolError("A call id came twice.");
             return;
         }
-        noteBusy();
+        startBusyPeriod();
         mLastPeerCallId = id;
-        mUnanswered++;
+        mUnansweredRequests++;
         mOwner.received(this, envelope);
     }
 
-    /** Tells whether the peer has as many unanswered requests here as it may. */
-    boolean isFull() {
-        return mUnanswered > mSettings.maximumCalls();
+    /** Returns whether the peer has more unanswered requests than the maximum. */
+    boolean exceedsCallLimit() {
+        return mUnansweredRequests > mSettings.maximumCalls();
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/ConnectionOwner.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/ConnectionOwner.java
@@ -4,21 +4,24 @@
 import io.masticpond.protocol.generated.Envelope;
 import java.util.Optional;
 
-/** Learns what happens on a connection, on the thread of the links. */
+/** Callback interface for the events of a connection, invoked on the event loop of the links. */
 interface ConnectionOwner {
 
-    /** Says why a run of an instance is not welcome, if so. */
+    /** Returns why a run of an instance is rejected, or empty if it is accepted. */
     Optional<String> rejectionReason(Incarnation peer);
 
-    /** The connection is authenticated and takes messages. */
+    /** Invoked when the connection is authenticated and accepts messages. */
     void ready(Connection connection);
 
-    /** The connection takes messages again after it was full. */
+    /** Invoked when the connection accepts messages again after its write buffer was full. */
     void writable(Connection connection);
 
-    /** The connection closed; {@link Connection#isReady} tells whether it ever was ready. */
+    /**
+     * Invoked when the connection was closed; {@link Connection#isReady} returns whether it ever
+     * was ready.
+     */
     void closed(Connection connection, String reason);
 
-    /** A request or a message came in. */
+    /** Invoked when a request or a message was received. */
     void received(Connection connection, Envelope envelope);
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/DefaultResponder.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/DefaultResponder.java
@@ -7,18 +7,18 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.atomic.AtomicBoolean;
 
-/** Answers one request on the connection that it came on. */
+/** {@link Responder} that answers one request over the connection on which it was received. */
 final class DefaultResponder implements Responder {
 
     private final Connection mConnection;
     private final long mCallId;
-    private final Executor mLoop;
+    private final Executor mEventLoop;
     private final AtomicBoolean mAnswered = new AtomicBoolean();
 
-    DefaultResponder(Connection connection, long callId, Executor loop) {
+    DefaultResponder(Connection connection, long callId, Executor eventLoop) {
         mConnection = connection;
         mCallId = callId;
-        mLoop = loop;
+        mEventLoop = eventLoop;
     }
 
     @Override
@@ -32,9 +32,9 @@
             return;
         }
         try {
-            mLoop.execute(() -> mConnection.answer(mCallId, answer));
+            mEventLoop.execute(() -> mConnection.answer(mCallId, answer));
         } catch (RejectedExecutionException e) {
-            // The links are closed: the other side sees its call lost.
+            // The links are closed, so the call of the other side ends as lost.
             mAnswered.set(true);
         }
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/EnvelopeDecoder.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/EnvelopeDecoder.java
@@ -8,29 +8,30 @@
 import java.io.IOException;
 import java.util.function.IntConsumer;
 
-/** Reads envelopes from frames that start with their length in four bytes. */
+/** Decoder of envelopes from frames that are prefixed with their length in four bytes. */
 final class EnvelopeDecoder extends LengthFieldBasedFrameDecoder {
 
-    /** The bytes of the length that a frame starts with. */
+    /** Size of the length prefix of a frame, in bytes. */
     static final int LENGTH_BYTES = 4;
 
-    private final IntConsumer mOnBytes;
+    private final IntConsumer mBytesListener;
 
     /**
-     * Makes a decoder that fails on frames above a size, before it has read them.
+     * Creates a decoder that fails on frames above the given size, before it has read them.
      *
-     * @param maximumFrameBytes the size
-     * @param onBytes learns how many bytes came, also of frames that are not whole yet
+     * @param maximumFrameBytes the maximum size of a frame, in bytes, without its prefix
+     * @param bytesListener receives the number of bytes of each read, including those of incomplete
+     *     frames
      */
-    EnvelopeDecoder(int maximumFrameBytes, IntConsumer onBytes) {
+    EnvelopeDecoder(int maximumFrameBytes, IntConsumer bytesListener) {
         super(maximumFrameBytes + LENGTH_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES);
-        mOnBytes = onBytes;
+        mBytesListener = bytesListener;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
         if (message instanceof ByteBuf bytes) {
-            mOnBytes.accept(bytes.readableBytes());
+            mBytesListener.accept(bytes.readableBytes());
         }
         super.channelRead(context, message);
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/EnvelopeEncoder.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/EnvelopeEncoder.java
@@ -7,7 +7,10 @@
 import io.netty.handler.codec.MessageToByteEncoder;
 import java.io.IOException;
 
-/** Writes each envelope as one buffer, so that its promise tells how much of it was written. */
+/**
+ * Encoder that writes each envelope as a single buffer, so that the promise of the write reports
+ * how much of the envelope was written.
+ */
 final class EnvelopeEncoder extends MessageToByteEncoder<Envelope> {
 
     EnvelopeEncoder() {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/EnvelopeHandler.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/EnvelopeHandler.java
@@ -4,7 +4,7 @@
 import io.masticpond.protocol.generated.Envelope;
 
 /**
- * Takes the messages of one kind that other instances send.
+ * Strategy interface for handling the messages of one kind from other instances.
  *
  * @since 0.1
  */
@@ -12,11 +12,13 @@
 public interface EnvelopeHandler {
 
     /**
-     * Takes a message, on the thread of the links: hand it to a duty and return at once.
+     * Handles a message. Invoked on the event loop of the links: hand the message to another event
+     * loop and return immediately.
      *
-     * @param from the instance that sent it, authenticated
+     * @param from the authenticated instance that sent the message
      * @param message the message
-     * @param responder takes the answer, from any thread; one that awaits none drops it
+     * @param responder receives the answer, from any thread; for a message that expects no answer
+     *     it does nothing
      */
     void handle(InstanceId from, Envelope message, Responder responder);
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/Handshake.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/Handshake.java
@@ -13,10 +13,11 @@
 import java.util.Optional;
 
 /**
- * Makes and checks the three Hello messages of a connection; see docs/PROTOCOL.md.
+ * Creates and verifies the three Hello messages of a connection; see docs/PROTOCOL.md.
  *
- * <p>Each side proves that it knows the shared key over both challenges, both names, the versions
- * and the lane. The role is part of the text, so a proof cannot be reflected.
+ * <p>Each side proves that it knows the shared key with an HMAC over both challenges, both names,
+ * the versions and the lane. The authenticated text includes the role, so that a proof cannot be
+ * reflected.
  */
 final class Handshake {
 
@@ -33,29 +34,35 @@
         mSettings = settings;
     }
 
-    /** Makes the first Hello of the dialer. */
+    /** Creates the first Hello of the dialer for the given lane. */
     Hello dial(Lane lane) {
-        return hello(mSettings.keys().inUse(), lane).build();
+        return newHello(mSettings.keys().inUse(), lane).build();
     }
 
-    /** Checks the dialer's first Hello and answers it, or says why not. */
+    /**
+     * Validates the first Hello of the dialer and returns the acceptor's Hello, or the reason for
+     * the rejection.
+     */
     Either<String, Hello> accept(Hello dialer) {
-        Optional<String> fault = faultOf(dialer);
+        Optional<String> fault = validate(dialer);
         if (fault.isPresent()) {
             return Either.left(fault.get());
         }
-        Hello answer = hello(dialer.getKeyId(), Lane.of(dialer.getLane())).build();
+        Hello answer = newHello(dialer.getKeyId(), Lane.of(dialer.getLane())).build();
         return proof(ACCEPTOR, dialer, answer)
                 .map(
                         proof ->
                                 Either.<String, Hello>right(
                                         answer.toBuilder().setProof(proof).build()))
-                .orElseGet(() -> Either.left(unknownKey(dialer)));
+                .orElseGet(() -> Either.left(unknownKeyReason(dialer)));
     }
 
-    /** Checks the acceptor's Hello and makes the dialer's proof, or says why not. */
+    /**
+     * Validates the Hello of the acceptor and returns the dialer's Hello with its proof, or the
+     * reason for the rejection.
+     */
     Either<String, Hello> confirm(Hello dialer, Hello acceptor, Optional<InstanceId> expected) {
-        Optional<String> fault = faultOf(acceptor);
+        Optional<String> fault = validate(acceptor);
         if (fault.isPresent()) {
             return Either.left(fault.get());
         }
@@ -63,7 +70,7 @@
         if (expected.isPresent() && !name.equals(expected.get().value())) {
             return Either.left("The address of " + expected.get() + " is that of " + name + ".");
         }
-        if (!proves(ACCEPTOR, dialer, acceptor, acceptor.getProof())) {
+        if (!isProofValid(ACCEPTOR, dialer, acceptor, acceptor.getProof())) {
             return Either.left("The proof of " + name + " is wrong.");
         }
         return proof(DIALER, dialer, acceptor)
@@ -71,19 +78,22 @@
                         proof ->
                                 Either.<String, Hello>right(
                                         dialer.toBuilder().setProof(proof).build()))
-                .orElseGet(() -> Either.left(unknownKey(dialer)));
+                .orElseGet(() -> Either.left(unknownKeyReason(dialer)));
     }
 
-    /** Checks the dialer's proof; returns what is wrong with it. */
+    /**
+     * Verifies the proof of the dialer. Returns the reason for the rejection, or empty if it is
+     * valid.
+     */
     Optional<String> verify(Hello dialer, Hello acceptor, Hello proof) {
         boolean same = proof.toBuilder().clearProof().build().equals(dialer);
-        if (same && proves(DIALER, dialer, acceptor, proof.getProof())) {
+        if (same && isProofValid(DIALER, dialer, acceptor, proof.getProof())) {
             return Optional.empty();
         }
         return Optional.of("The proof of " + dialer.getInstance() + " is wrong.");
     }
 
-    private Hello.Builder hello(String keyId, Lane lane) {
+    private Hello.Builder newHello(String keyId, Lane lane) {
         byte[] challenge = new byte[CHALLENGE_BYTES];
         sRandom.nextBytes(challenge);
         return Hello.newBuilder()
@@ -96,7 +106,7 @@
                 .setLane(lane.kind());
     }
 
-    private Optional<String> faultOf(Hello hello) {
+    private Optional<String> validate(Hello hello) {
         if (hello.getLowestVersion() > mSettings.highestVersion()
                 || hello.getHighestVersion() < mSettings.lowestVersion()) {
             return Optional.of(
@@ -110,13 +120,13 @@
         if (hello.getChallenge().size() != CHALLENGE_BYTES) {
             return Optional.of("The challenge has the wrong size.");
         }
-        if (!isName(hello) || hello.getInstance().equals(mSelf.instance().value())) {
+        if (!isValidPeer(hello) || hello.getInstance().equals(mSelf.instance().value())) {
             return Optional.of("The instance '" + hello.getInstance() + "' cannot be a peer.");
         }
         return Optional.empty();
     }
 
-    private static boolean isName(Hello hello) {
+    private static boolean isValidPeer(Hello hello) {
         try {
             return new Incarnation(new InstanceId(hello.getInstance()), hello.getIncarnation())
                             .number()
@@ -126,11 +136,11 @@
         }
     }
 
-    private static String unknownKey(Hello dialer) {
+    private static String unknownKeyReason(Hello dialer) {
         return "The key '" + dialer.getKeyId() + "' is not on the ring.";
     }
 
-    private boolean proves(String role, Hello dialer, Hello acceptor, ByteString proof) {
+    private boolean isProofValid(String role, Hello dialer, Hello acceptor, ByteString proof) {
         return proof(role, dialer, acceptor)
                 .map(own -> MessageDigest.isEqual(own.toByteArray(), proof.toByteArray()))
                 .orElse(false);
@@ -143,7 +153,7 @@
             writeTo(out, dialer);
             writeTo(out, acceptor);
         } catch (IOException e) {
-            throw new IllegalStateException("A buffer in memory failed.", e);
+            throw new IllegalStateException("Writing to an in-memory buffer failed.", e);
         }
         return mSettings
                 .keys()
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/InstanceLinks.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/InstanceLinks.java
@@ -8,83 +8,85 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Sends messages to other instances and takes theirs.
+ * Interface for sending messages to other instances and receiving messages from them.
  *
- * <p>Safe for all threads; nothing blocks. A connection is made when a message needs one.
+ * <p>Thread-safe and non-blocking. A connection is opened when a message requires one.
  *
  * @since 0.1
  */
 public interface InstanceLinks {
 
     /**
-     * Sends a request and awaits the answer to it.
+     * Sends a request and returns a future for its answer.
      *
-     * @param to the instance to ask
-     * @param request the request; its call id is filled in
+     * @param to the instance that receives the request
+     * @param request the request, whose call id is assigned here
      * @param timeout how long to wait for the answer
-     * @return the answer or why there is none; completes on the thread of the links, never
-     *     exceptionally, so hand the result to a duty and do no work in a callback
+     * @return the answer, or the error if there is none; completes on the event loop of the links
+     *     and never exceptionally, so hand the result to another event loop and do no work in a
+     *     callback
      */
     CompletableFuture<Either<LinkError, Envelope>> call(
             InstanceId to, Envelope request, Duration timeout);
 
     /**
-     * Sends a message that no answer is awaited for.
+     * Sends a message that expects no answer.
      *
-     * @param to the instance to tell
+     * @param to the instance that receives the message
      * @param message the message
-     * @return whether the queue took it; it may still be lost
+     * @return whether the message was queued; it may still be lost
      */
     boolean send(InstanceId to, Envelope message);
 
     /**
-     * Says where an instance is reached, in place of what was said before.
+     * Sets the address of an instance, replacing any earlier one.
      *
      * @param id the instance
-     * @param ipAndPort its link address, as "ip:port"
+     * @param ipAndPort the link address of the instance, as "ip:port"
      */
     void address(InstanceId id, String ipAndPort);
 
     /**
-     * Connects to whatever instance is at an address; a {@link LinkListener} learns which it is.
+     * Connects to the instance at an address without knowing its id; a {@link LinkListener} is
+     * notified of the id once the connection is ready.
      *
      * @param ipAndPort the link address, as "ip:port"
      */
     void contact(String ipAndPort);
 
     /**
-     * Closes the connections to an instance and forgets its address.
+     * Closes the connections to an instance and removes its address.
      *
      * @param id the instance
      */
     void forget(InstanceId id);
 
     /**
-     * Gives the instances that a connection is ready to.
+     * Returns the instances to which a connection is ready.
      *
-     * @return a copy
+     * @return an immutable copy
      */
     Set<InstanceId> connected();
 
     /**
-     * Takes the requests and messages of one kind; replaces an earlier handler of the kind.
+     * Sets the handler for the requests and messages of one kind, replacing any earlier one.
      *
-     * @param body the kind
-     * @param handler what takes them
+     * @param body the kind of message
+     * @param handler the handler
      */
     void handle(Envelope.BodyCase body, EnvelopeHandler handler);
 
     /**
-     * Adds a listener to connections that come and go.
+     * Adds a listener that is notified of established and lost connections.
      *
      * @param listener the listener
      */
     void addListener(LinkListener listener);
 
     /**
-     * Counts what the links did since the start.
+     * Returns the counters since the start of the links.
      *
-     * @return the counts
+     * @return a snapshot of the counters
      */
     LinkStatistics statistics();
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/KeyRing.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/KeyRing.java
@@ -8,10 +8,10 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * The shared keys that instances prove to each other that they know.
+ * Immutable set of shared keys with which instances authenticate each other.
  *
- * <p>To rotate: add the new key to the ring of every instance, then use it everywhere, then remove
- * the old one. At every moment all instances accept every key in use.
+ * <p>To rotate a key, add the new key to the ring of every instance, then use it everywhere, then
+ * remove the old one. This way, all instances accept every key in use at any time.
  *
  * @param inUse the id of the key for connections that this instance dials
  * @param keys all accepted keys by id, each at least 16 bytes
@@ -20,9 +20,9 @@
 public record KeyRing(String inUse, Map<String, byte[]> keys) {
 
     private static final String ALGORITHM = "HmacSHA256";
-    private static final int SHORTEST_KEY = 16;
+    private static final int MINIMUM_KEY_BYTES = 16;
 
-    /** Checks that the key in use is on the ring and that no key is short. */
+    /** Validates that the key in use is on the ring and that every key has the minimum length. */
     public KeyRing {
         Assert.hasText(inUse, "The id of the key in use");
         keys = Map.copyOf(keys);
@@ -30,15 +30,15 @@
         keys.forEach(
                 (id, key) ->
                         Assert.isTrue(
-                                key.length >= SHORTEST_KEY,
+                                key.length >= MINIMUM_KEY_BYTES,
                                 "The key '%s' must have at least %d bytes, but had %d.",
                                 id,
-                                SHORTEST_KEY,
+                                MINIMUM_KEY_BYTES,
                                 key.length));
     }
 
     /**
-     * Authenticates a text with one of the keys.
+     * Computes the authentication code of a text with one of the keys.
      *
      * @param keyId the id of the key
      * @param text the text
@@ -54,7 +54,8 @@
             mac.init(new SecretKeySpec(key, ALGORITHM));
             return Optional.of(mac.doFinal(text));
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("The machine has no " + ALGORITHM + ".", e);
+            throw new IllegalStateException(
+                    "The Java runtime does not support " + ALGORITHM + ".", e);
         }
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/Lane.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/Lane.java
@@ -3,7 +3,10 @@
 import io.masticpond.protocol.generated.Envelope;
 import io.masticpond.protocol.generated.LaneKind;
 
-/** The kinds of connection between two instances: large frames do not delay small ones. */
+/**
+ * Kind of connection between two instances. Large and small frames use separate connections, so
+ * that large frames do not delay small ones.
+ */
 enum Lane {
     /** Heartbeats, cancellations and other small messages. */
     CONTROL(LaneKind.CONTROL),
@@ -20,7 +23,7 @@
         return mKind;
     }
 
-    /** Gives the lane for a message. */
+    /** Returns the lane for a kind of message. */
     static Lane of(Envelope.BodyCase body) {
         return switch (body) {
             case FORWARD,
@@ -36,7 +39,7 @@
         };
     }
 
-    /** Gives the lane that a Hello asks for. */
+    /** Returns the lane that a Hello requests. */
     static Lane of(LaneKind kind) {
         return kind == LaneKind.BULK ? BULK : CONTROL;
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/LinkChannels.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/LinkChannels.java
@@ -20,17 +20,20 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** Makes the sockets of the links, all on one thread, and puts the codecs on them. */
+/**
+ * Factory for the sockets of the links, which all run on one event loop, and for their channel
+ * pipelines.
+ */
 final class LinkChannels {
 
-    private static final WriteBufferWaterMark WATER_MARK =
+    private static final WriteBufferWaterMark WRITE_BUFFER_WATER_MARK_BYTES =
             new WriteBufferWaterMark(64 << 10, 256 << 10);
-    private static final long STOP_SECONDS = 5;
+    private static final long STOP_TIMEOUT_SECONDS = 5;
 
     private final MultiThreadIoEventLoopGroup mGroup =
             new MultiThreadIoEventLoopGroup(
                     1, new DefaultThreadFactory("instance-links", true), NioIoHandler.newFactory());
-    private final EventLoop mLoop = mGroup.next();
+    private final EventLoop mEventLoop = mGroup.next();
     private final Duration mHandshakeTimeout;
     private volatile Channel mServer;
 
@@ -38,15 +41,16 @@
         mHandshakeTimeout = handshakeTimeout;
     }
 
-    /** Gives the one thread, which owns all state of the links. */
+    /** Returns the single event loop, which owns all state of the links. */
     EventLoop loop() {
-        return mLoop;
+        return mEventLoop;
     }
 
     /**
-     * Listens, and asks for a connection for each socket that comes in; empty turns it away.
+     * Listens on an address and requests a connection handler for each accepted socket. A socket
+     * for which the supplier returns empty is closed.
      *
-     * @throws IllegalStateException if the address cannot be listened on
+     * @throws IllegalStateException if the address cannot be bound
      */
     InetSocketAddress listen(
             InetSocketAddress address, Supplier<Optional<Connection>> connections) {
@@ -57,63 +61,67 @@
                         .option(ChannelOption.SO_REUSEADDR, true)
                         .childOption(ChannelOption.TCP_NODELAY, true)
                         .childOption(ChannelOption.SO_KEEPALIVE, true)
-                        .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK)
-                        .childHandler(new Initializer(connections))
+                        .childOption(
+                                ChannelOption.WRITE_BUFFER_WATER_MARK,
+                                WRITE_BUFFER_WATER_MARK_BYTES)
+                        .childHandler(new PipelineInitializer(connections))
                         .bind(address)
                         .awaitUninterruptibly();
         if (!bound.isSuccess()) {
             throw new IllegalStateException(
-                    "The link address " + address + " cannot be listened on.", bound.cause());
+                    "The link address " + address + " cannot be bound.", bound.cause());
         }
         mServer = bound.channel();
         return (InetSocketAddress) mServer.localAddress();
     }
 
-    /** Dials an address for a connection. */
+    /** Connects to an address with the given connection handler. */
     ChannelFuture dial(InetSocketAddress address, Connection connection) {
         return new Bootstrap()
                 .group(mGroup)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.SO_KEEPALIVE, true)
-                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK)
+                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_BUFFER_WATER_MARK_BYTES)
                 .option(
                         ChannelOption.CONNECT_TIMEOUT_MILLIS,
                         Math.toIntExact(mHandshakeTimeout.toMillis()))
-                .handler(new Initializer(() -> Optional.of(connection)))
+                .handler(new PipelineInitializer(() -> Optional.of(connection)))
                 .connect(address);
     }
 
-    /** Listens no more. */
+    /** Stops listening; waits for at most 5 seconds. */
     void stopListening() {
         if (mServer != null) {
-            mServer.close().awaitUninterruptibly(STOP_SECONDS, TimeUnit.SECONDS);
+            mServer.close().awaitUninterruptibly(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
     }
 
-    /** Stops the thread after the tasks given before. */
+    /** Stops the event loop after the tasks submitted before; waits for at most 5 seconds. */
     void close() {
-        mGroup.shutdownGracefully(0, STOP_SECONDS, TimeUnit.SECONDS)
-                .awaitUninterruptibly(STOP_SECONDS, TimeUnit.SECONDS);
+        mGroup.shutdownGracefully(0, STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS)
+                .awaitUninterruptibly(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** Puts the codecs and the connection on a new socket. */
-    private final class Initializer extends ChannelInitializer<Channel> {
+    /**
+     * Initializer that adds the codecs and the connection handler to the pipeline of a new socket.
+     */
+    private final class PipelineInitializer extends ChannelInitializer<Channel> {
 
         private final Supplier<Optional<Connection>> mConnections;
 
-        Initializer(Supplier<Optional<Connection>> connections) {
+        PipelineInitializer(Supplier<Optional<Connection>> connections) {
             mConnections = connections;
         }
 
         @Override
         protected void initChannel(Channel channel) {
-            Optional<Connection> given = mConnections.get();
-            if (given.isEmpty()) {
+            Optional<Connection> supplied = mConnections.get();
+            if (supplied.isEmpty()) {
                 Future<?> unused = channel.close();
                 return;
             }
-            Connection connection = given.get();
+            Connection connection = supplied.get();
             channel.pipeline()
                     .addLast(
                             new EnvelopeDecoder(
@@ -121,7 +129,7 @@
                             new EnvelopeEncoder(),
                             connection);
             Future<?> unused =
-                    mLoop.schedule(
+                    mEventLoop.schedule(
                             connection::handshakeTimedOut,
                             mHandshakeTimeout.toMillis(),
                             TimeUnit.MILLISECONDS);
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/LinkCounters.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/LinkCounters.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.LongAdder;
 
-/** The counters behind {@link LinkStatistics}; safe for all threads. */
+/** Thread-safe counters from which {@link LinkStatistics} are taken. */
 final class LinkCounters {
 
     final LongAdder mConnections = new LongAdder();
@@ -16,7 +16,7 @@
     private final LongAdder mControlBytesRead = new LongAdder();
     private final LongAdder mControlBytesWritten = new LongAdder();
 
-    /** Counts a frame that came in. */
+    /** Records bytes read on a lane. */
     void read(Lane lane, int bytes) {
         mBytesRead.add(bytes);
         if (lane == Lane.CONTROL) {
@@ -24,7 +24,7 @@
         }
     }
 
-    /** Counts a frame that went out. */
+    /** Records bytes written on a lane. */
     void written(Lane lane, int bytes) {
         mBytesWritten.add(bytes);
         if (lane == Lane.CONTROL) {
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Takes a copy of the counts. */
+    /** Returns a snapshot of the counters. */
     LinkStatistics snapshot() {
         return new LinkStatistics(
                 mConnections.sum(),
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/LinkError.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/LinkError.java
@@ -1,28 +1,29 @@
 package io.masticpond.daemon.instance;
 
 /**
- * Says why a call to another instance brought no answer, and whether the request may have arrived.
+ * Reason why a call to another instance returned no answer, and whether the request may have
+ * arrived.
  *
  * @since 0.1
  */
 public sealed interface LinkError {
 
     /**
-     * Gives one sentence for logs.
+     * Returns a description of the error.
      *
-     * @return the sentence
+     * @return one sentence
      */
     String message();
 
     /**
-     * Tells whether the other instance may have acted on the request, or may still do so.
+     * Returns whether the other instance may have acted on the request or may still do so.
      *
-     * @return false only if it certainly has not and will not
+     * @return {@code false} only if the other instance certainly has not acted on it and will not
      */
     boolean mayHaveArrived();
 
     /**
-     * No byte of the request was written, and none will be.
+     * Error of a request of which no byte was written, and none will be.
      *
      * @param message one sentence
      */
@@ -35,7 +36,7 @@
     }
 
     /**
-     * The queue to the other instance is full; nothing was sent.
+     * Error of a request that was not sent because the queue to the other instance was full.
      *
      * @param message one sentence
      */
@@ -48,7 +49,7 @@
     }
 
     /**
-     * The other instance took the request off the link and declined to act on it.
+     * Error of a request that the other instance received and declined without acting on it.
      *
      * @param message one sentence
      */
@@ -61,7 +62,7 @@
     }
 
     /**
-     * The connection broke after the write of the request had begun.
+     * Error of a request whose connection was lost after writing the request had begun.
      *
      * @param message one sentence
      */
@@ -74,7 +75,7 @@
     }
 
     /**
-     * No answer came in time; the write of the request may have begun.
+     * Error of a request that was not answered in time; writing the request may have begun.
      *
      * @param message one sentence
      */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/LinkListener.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/LinkListener.java
@@ -4,28 +4,30 @@
 import io.masticpond.core.id.InstanceId;
 
 /**
- * Learns of connections that come and go, on the thread of the links: hand over and return at once.
+ * Callback interface for established and lost connections. Invoked on the event loop of the links:
+ * hand the event to another event loop and return immediately.
  *
  * @since 0.1
  */
 public interface LinkListener {
 
     /**
-     * A first connection to a run of an instance is authenticated and ready.
+     * Invoked when the first connection to a run of an instance is authenticated and ready.
      *
      * @param peer the run of the other instance
      */
     void connected(Incarnation peer);
 
     /**
-     * The last connection to a run of an instance is gone.
+     * Invoked when the last connection to a run of an instance is closed.
      *
      * @param peer the run of the other instance
      */
     void disconnected(Incarnation peer);
 
     /**
-     * The address of an instance refused a connection: nothing listens there now.
+     * Invoked when the address of an instance refused a connection, because no process listens on
+     * it.
      *
      * @param peer the other instance
      */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/LinkStatistics.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/LinkStatistics.java
@@ -1,18 +1,24 @@
 package io.masticpond.daemon.instance;
 
 /**
- * Counts since the start of the links.
+ * Immutable snapshot of the counters of the links since their start.
  *
- * @param connections the connections that are ready now
- * @param calls the calls made
- * @param answersNotAwaited the answers dropped because their call had timed out or was answered
- * @param answersDropped the answers to other instances dropped because the connection was gone
- * @param handshakesRefused the connections refused for a key, version, name or incarnation
- * @param protocolErrors the connections closed because of a frame that breaks the protocol
- * @param bytesRead the bytes read in frames
- * @param bytesWritten the bytes written in frames
- * @param controlBytesRead the part of the bytes read on connections for control
- * @param controlBytesWritten the part of the bytes written on connections for control
+ * @param connections the number of connections that are ready now
+ * @param calls the number of calls made
+ * @param answersNotAwaited the number of answers dropped because their call had timed out or was
+ *     already answered
+ * @param answersDropped the number of answers to other instances dropped because the connection was
+ *     closed
+ * @param handshakesRefused the number of connections refused because of a key, version, name or
+ *     incarnation
+ * @param protocolErrors the number of connections closed because of a frame that violates the
+ *     protocol
+ * @param bytesRead the number of bytes read in frames
+ * @param bytesWritten the number of bytes written in frames
+ * @param controlBytesRead the part of the bytes read that belongs to connections of the control
+ *     lane
+ * @param controlBytesWritten the part of the bytes written that belongs to connections of the
+ *     control lane
  * @since 0.1
  */
 public record LinkStatistics(
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/NettyInstanceLinks.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/NettyInstanceLinks.java
@@ -27,14 +27,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Links over TCP with one thread, which owns every connection.
+ * {@link InstanceLinks} implementation over TCP, with a single Netty event loop that owns every
+ * connection.
  *
  * @since 0.1
  */
 public final class NettyInstanceLinks implements InstanceLinks, ConnectionOwner, AutoCloseable {
 
     private static final Logger sLogger = LoggerFactory.getLogger(NettyInstanceLinks.class);
-    private static final int SWEEP_MILLIS = 250;
+    private static final int INACTIVITY_CHECK_PERIOD_MILLIS = 250;
     private static final int MAXIMUM_HANDSHAKES = 256;
 
     private final LinkSettings mSettings;
@@ -45,17 +46,17 @@
     private final Map<InstanceId, Peer> mPeers = new ConcurrentHashMap<>();
     private final Map<Envelope.BodyCase, EnvelopeHandler> mHandlers = new ConcurrentHashMap<>();
     private final List<LinkListener> mListeners = new CopyOnWriteArrayList<>();
-    private final Set<Connection> mOpen = new HashSet<>();
-    private final Set<InstanceId> mConnected = ConcurrentHashMap.newKeySet();
+    private final Set<Connection> mOpenConnections = new HashSet<>();
+    private final Set<InstanceId> mConnectedInstances = ConcurrentHashMap.newKeySet();
     private final LinkChannels mChannels;
 
     /**
-     * Makes links that do not listen yet.
+     * Creates new links, which do not listen until {@link #start} is called.
      *
      * @param self this run of this instance
-     * @param settings the limits and times
-     * @param timeSource the clock of silences and waits
-     * @param seed the seed of the jitter
+     * @param settings the limits and timeouts
+     * @param timeSource the clock for inactivity timeouts and backoff
+     * @param seed the seed of the jitter of the backoff
      */
     public NettyInstanceLinks(
             Incarnation self, LinkSettings settings, TimeSource timeSource, long seed) {
@@ -67,10 +68,10 @@
     }
 
     /**
-     * Starts to listen.
+     * Starts listening and checking connections for inactivity.
      *
-     * @return the address that is listened on
-     * @throws IllegalStateException if the address cannot be listened on
+     * @return the bound address
+     * @throws IllegalStateException if the address cannot be bound
      */
     public InetSocketAddress start() {
         InetSocketAddress address =
@@ -80,7 +81,10 @@
                 mChannels
                         .loop()
                         .scheduleAtFixedRate(
-                                this::sweep, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+                                this::checkInactivity,
+                                INACTIVITY_CHECK_PERIOD_MILLIS,
+                                INACTIVITY_CHECK_PERIOD_MILLIS,
+                                TimeUnit.MILLISECONDS);
         return address;
     }
 
@@ -90,7 +94,7 @@
         mCounters.mCalls.increment();
         OutboundCall call = new OutboundCall(to, request, timeout);
         PeerLane lane = peer(to).lane(Lane.of(request.getBodyCase()));
-        Optional<LinkError> error = takeRoom(to, lane, call);
+        Optional<LinkError> error = reserve(to, lane, call);
         if (error.isPresent()) {
             return CompletableFuture.completedFuture(Either.left(error.get()));
         }
@@ -117,7 +121,7 @@
     public boolean send(InstanceId to, Envelope message) {
         OutboundMessage outbound = new OutboundMessage(message);
         PeerLane lane = peer(to).lane(Lane.of(message.getBodyCase()));
-        return takeRoom(to, lane, outbound).isEmpty() && execute(() -> lane.submit(outbound));
+        return reserve(to, lane, outbound).isEmpty() && execute(() -> lane.submit(outbound));
     }
 
     @Override
@@ -136,10 +140,10 @@
         InetSocketAddress address = SocketAddresses.parse(ipAndPort);
         execute(
                 () -> {
-                    Connection connection = connection(true, Optional.empty(), Lane.CONTROL);
+                    Connection connection = newConnection(true, Optional.empty(), Lane.CONTROL);
                     mChannels
                             .dial(address, connection)
-                            .addListener(future -> contactEnded(connection, future.cause()));
+                            .addListener(future -> contactCompleted(connection, future.cause()));
                 });
     }
 
@@ -153,17 +157,17 @@
 
     @Override
     public Set<InstanceId> connected() {
-        return Set.copyOf(mConnected);
+        return Set.copyOf(mConnectedInstances);
     }
 
     @Override
     public void handle(Envelope.BodyCase body, EnvelopeHandler handler) {
-        mHandlers.put(body, Assert.notNull(handler, "A handler of envelopes"));
+        mHandlers.put(body, Assert.notNull(handler, "An envelope handler"));
     }
 
     @Override
     public void addListener(LinkListener listener) {
-        mListeners.add(Assert.notNull(listener, "A listener to links"));
+        mListeners.add(Assert.notNull(listener, "A link listener"));
     }
 
     @Override
@@ -171,21 +175,24 @@
         return mCounters.snapshot();
     }
 
-    /** Closes all connections; calls that wait end as not sent or lost. */
+    /** Closes all connections. Pending calls end as not sent or lost. */
     @Override
     public void close() {
         mChannels.stopListening();
         execute(() -> mPeers.values().forEach(peer -> peer.close("The links are closed.")));
-        execute(() -> List.copyOf(mOpen).forEach(open -> open.close("The links are closed.")));
+        execute(
+                () ->
+                        List.copyOf(mOpenConnections)
+                                .forEach(connection -> connection.close("The links are closed.")));
         mChannels.close();
     }
 
     @Override
     public Optional<String> rejectionReason(Incarnation peer) {
-        return readyTo(peer.instance()).stream()
-                .filter(open -> open.peer().number() > peer.number())
+        return readyConnections(peer.instance()).stream()
+                .filter(connection -> connection.peer().number() > peer.number())
                 .findFirst()
-                .map(open -> "A later run, " + open.peer() + ", is connected.");
+                .map(connection -> "A later run, " + connection.peer() + ", is connected.");
     }
 
     @Override
@@ -193,7 +200,7 @@
         Incarnation incarnation = connection.peer();
         closeEarlierRuns(incarnation);
         mCounters.mConnections.increment();
-        mConnected.add(incarnation.instance());
+        mConnectedInstances.add(incarnation.instance());
         if (countReady(incarnation) == 1) {
             sLogger.info("INSTANCE  Connected to {}.", incarnation);
             mListeners.forEach(listener -> listener.connected(incarnation));
@@ -203,20 +210,20 @@
 
     @Override
     public void writable(Connection connection) {
-        peer(connection.peer().instance()).lane(connection.lane()).pump();
+        peer(connection.peer().instance()).lane(connection.lane()).writeQueued();
     }
 
     @Override
     public void closed(Connection connection, String reason) {
-        mOpen.remove(connection);
+        mOpenConnections.remove(connection);
         if (!connection.isReady()) {
             connection.expected().ifPresent(id -> dialFailed(id, connection.lane(), reason));
             return;
         }
         Incarnation incarnation = connection.peer();
         mCounters.mConnections.decrement();
-        if (readyTo(incarnation.instance()).isEmpty()) {
-            mConnected.remove(incarnation.instance());
+        if (readyConnections(incarnation.instance()).isEmpty()) {
+            mConnectedInstances.remove(incarnation.instance());
         }
         if (countReady(incarnation) == 0) {
             sLogger.info("INSTANCE  Disconnected from {}: {}", incarnation, reason);
@@ -230,7 +237,7 @@
         Responder responder =
                 new DefaultResponder(connection, envelope.getCallId(), mChannels.loop());
         EnvelopeHandler handler = mHandlers.get(envelope.getBodyCase());
-        if (connection.isFull()) {
+        if (connection.exceedsCallLimit()) {
             responder.refuse("Too many requests are unanswered.");
         } else if (handler == null) {
             responder.refuse("Nothing here takes a " + envelope.getBodyCase() + ".");
@@ -239,7 +246,7 @@
         }
     }
 
-    private Optional<LinkError> takeRoom(InstanceId to, PeerLane lane, OutboundMessage message) {
+    private Optional<LinkError> reserve(InstanceId to, PeerLane lane, OutboundMessage message) {
         if (message.bytes() > mSettings.maximumFrameBytes()) {
             return Optional.of(
                     new LinkError.NotSent(
@@ -268,24 +275,28 @@
         return new PeerLane(mSettings, mTimeSource, mRandom, () -> dial(id, lane));
     }
 
-    private void sweep() {
-        List.copyOf(mOpen).forEach(Connection::sweep);
+    private void checkInactivity() {
+        List.copyOf(mOpenConnections).forEach(Connection::checkInactivity);
     }
 
-    private List<Connection> readyTo(InstanceId id) {
-        return mOpen.stream()
-                .filter(open -> open.isReady() && open.peer().instance().equals(id))
+    private List<Connection> readyConnections(InstanceId id) {
+        return mOpenConnections.stream()
+                .filter(
+                        connection ->
+                                connection.isReady() && connection.peer().instance().equals(id))
                 .toList();
     }
 
     private long countReady(Incarnation run) {
-        return readyTo(run.instance()).stream().filter(open -> open.peer().equals(run)).count();
+        return readyConnections(run.instance()).stream()
+                .filter(connection -> connection.peer().equals(run))
+                .count();
     }
 
     private void closeEarlierRuns(Incarnation run) {
-        for (Connection open : readyTo(run.instance())) {
-            if (open.peer().number() < run.number()) {
-                open.close("A later run of the instance connected.");
+        for (Connection connection : readyConnections(run.instance())) {
+            if (connection.peer().number() < run.number()) {
+                connection.close("A later run of the instance connected.");
             }
         }
     }
@@ -296,44 +307,45 @@
             dialFailed(id, lane, "The address is not known.");
             return;
         }
-        Connection connection = connection(true, Optional.of(id), lane);
+        Connection connection = newConnection(true, Optional.of(id), lane);
         mChannels
                 .dial(address, connection)
-                .addListener(future -> dialEnded(connection, id, future.cause()));
+                .addListener(future -> dialCompleted(connection, id, future.cause()));
     }
 
-    private void dialEnded(Connection connection, InstanceId id, Throwable cause) {
+    private void dialCompleted(Connection connection, InstanceId id, Throwable cause) {
         if (cause == null) {
             return;
         }
-        mOpen.remove(connection);
+        mOpenConnections.remove(connection);
         if (cause instanceof ConnectException && !(cause instanceof ConnectTimeoutException)) {
             mListeners.forEach(listener -> listener.connectionRefused(id));
         }
         dialFailed(id, connection.lane(), cause.getMessage());
     }
 
-    private void contactEnded(Connection connection, Throwable cause) {
+    private void contactCompleted(Connection connection, Throwable cause) {
         if (cause != null) {
-            mOpen.remove(connection);
-            sLogger.debug("INSTANCE  No instance was found: {}", cause.getMessage());
+            mOpenConnections.remove(connection);
+            sLogger.debug("INSTANCE  No instance could be contacted: {}", cause.getMessage());
         }
     }
 
     private void dialFailed(InstanceId id, Lane lane, String reason) {
-        sLogger.debug("INSTANCE  No connection to {}: {}", id, reason);
+        sLogger.debug("INSTANCE  Failed to connect to {}: {}", id, reason);
         peer(id).lane(lane).dialFailed(reason);
     }
 
     private Optional<Connection> acceptConnection() {
-        long handshakes = mOpen.stream().filter(open -> !open.isReady()).count();
+        long handshakes =
+                mOpenConnections.stream().filter(connection -> !connection.isReady()).count();
         if (handshakes >= MAXIMUM_HANDSHAKES) {
             return Optional.empty();
         }
-        return Optional.of(connection(false, Optional.empty(), Lane.CONTROL));
+        return Optional.of(newConnection(false, Optional.empty(), Lane.CONTROL));
     }
 
-    private Connection connection(boolean dialer, Optional<InstanceId> expected, Lane lane) {
+    private Connection newConnection(boolean dialer, Optional<InstanceId> expected, Lane lane) {
         Connection connection =
                 new Connection(
                         mHandshake,
@@ -344,7 +356,7 @@
                         dialer,
                         expected,
                         lane);
-        mOpen.add(connection);
+        mOpenConnections.add(connection);
         return connection;
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/OutboundCall.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/OutboundCall.java
@@ -8,9 +8,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A request that awaits its answer; used on the thread of the links only, save for its future.
+ * Request that awaits its answer. Confined to the event loop of the links, except for its future.
  *
- * <p>It ends once: by an answer, a timeout, or the loss of its connection.
+ * <p>A call ends exactly once: by an answer, a refusal, a timeout or the loss of its connection.
  */
 final class OutboundCall extends OutboundMessage {
 
@@ -42,12 +42,15 @@
         mTimer = timer;
     }
 
-    /** Says what to do when the call ends; before it is submitted. */
+    /** Sets the callback for the end of the call; must be set before the call is submitted. */
     void onEnd(Runnable onEnd) {
         mOnEnd = onEnd;
     }
 
-    /** Notes that the connection has the call now, and what to do there if its time runs out. */
+    /**
+     * Records that a connection has taken over the call, and sets the callback that removes it from
+     * there on a timeout.
+     */
     void handedOver(Runnable onTimeout) {
         mHandedOver = true;
         mOnTimeout = onTimeout;
@@ -68,27 +71,27 @@
         if (mWriteBegan) {
             lost(reason);
         } else {
-            end(new LinkError.NotSent(sentence("was not sent", reason)));
+            end(new LinkError.NotSent(describe("was not sent", reason)));
         }
     }
 
-    /** Ends the call because the connection that it was written to is gone. */
+    /** Ends the call because its connection was lost. */
     void lost(String reason) {
-        end(new LinkError.Lost(sentence("may have arrived", reason)));
+        end(new LinkError.Lost(describe("may have arrived", reason)));
     }
 
-    /** Ends the call because the other instance declined it. */
+    /** Ends the call because the other instance refused it. */
     void refused(String reason) {
-        end(new LinkError.Refused(sentence("was declined", reason)));
+        end(new LinkError.Refused(describe("was declined", reason)));
     }
 
-    /** Ends the call because its time ran out. */
+    /** Ends the call because its timeout elapsed. */
     void timedOut() {
         if (mHandedOver) {
             mOnTimeout.run();
-            end(new LinkError.Timeout(sentence("was not answered", "The time ran out.")));
+            end(new LinkError.Timeout(describe("was not answered", "The time ran out.")));
         } else {
-            end(new LinkError.NotSent(sentence("was not sent", "The time ran out.")));
+            end(new LinkError.NotSent(describe("was not sent", "The time ran out.")));
         }
     }
 
@@ -110,7 +113,7 @@
         }
     }
 
-    private String sentence(String what, String reason) {
-        return "A " + envelope().getBodyCase() + " to " + mTo + " " + what + ": " + reason;
+    private String describe(String outcome, String reason) {
+        return "A " + envelope().getBodyCase() + " to " + mTo + " " + outcome + ": " + reason;
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/OutboundMessage.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/OutboundMessage.java
@@ -2,7 +2,7 @@
 
 import io.masticpond.protocol.generated.Envelope;
 
-/** A message on its way to another instance; used on the thread of the links only. */
+/** Message that waits to be sent to another instance. Confined to the event loop of the links. */
 class OutboundMessage {
 
     private final Envelope mEnvelope;
@@ -21,14 +21,14 @@
         return mBytes;
     }
 
-    /** Tells whether nobody waits for the message to be sent any more. */
+    /** Returns whether the sender no longer needs the message to be sent. */
     boolean isAbandoned() {
         return false;
     }
 
-    /** Notes that the first byte may have left. */
+    /** Records that the first byte of the message may have been sent. */
     void writeBegan() {}
 
-    /** Notes that the message will not be written, or not whole. */
+    /** Records that the message will not be written, or not completely. */
     void notWritten(String reason) {}
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/Peer.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/Peer.java
@@ -5,15 +5,15 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** Another instance: its address and its lanes. */
+/** Holder of the address and the lanes of another instance. */
 final class Peer {
 
     private final Map<Lane, PeerLane> mLanes = new EnumMap<>(Lane.class);
     private volatile InetSocketAddress mAddress;
 
-    Peer(Function<Lane, PeerLane> lanes) {
+    Peer(Function<Lane, PeerLane> laneFactory) {
         for (Lane lane : Lane.values()) {
-            mLanes.put(lane, lanes.apply(lane));
+            mLanes.put(lane, laneFactory.apply(lane));
         }
     }
 
@@ -21,7 +21,7 @@
         return mLanes.get(lane);
     }
 
-    /** Gives the address, or {@code null} if none is known. */
+    /** Returns the address, or {@code null} if none is known. */
     InetSocketAddress address() {
         return mAddress;
     }
@@ -30,12 +30,18 @@
         mAddress = address;
     }
 
-    /** Lets the next message dial at once; on the thread of the links. */
+    /**
+     * Resets the backoff of every lane, so that the next message connects immediately; must be
+     * called on the event loop of the links.
+     */
     void resetBackoff() {
         mLanes.values().forEach(PeerLane::resetBackoff);
     }
 
-    /** Drops what waits and closes the connections; on the thread of the links. */
+    /**
+     * Drops the queued messages and closes the connections; must be called on the event loop of the
+     * links.
+     */
     void close(String reason) {
         mLanes.values().forEach(lane -> lane.close(reason));
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/PeerLane.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/PeerLane.java
@@ -10,40 +10,43 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The queue of messages to one instance on one lane, and the connections that carry them.
+ * Queue of the messages to one instance on one lane, with the connections that carry them.
  *
- * <p>Reservations may be made from any thread; all else runs on the thread of the links. When the
- * queue is full a reservation fails, and the message is not taken.
+ * <p>Any thread may reserve space; all other methods run on the event loop of the links. When the
+ * queue is full, a reservation fails and the message is not queued.
  */
 final class PeerLane {
 
-    private static final int LARGEST_SHIFT = 16;
+    private static final int MAXIMUM_BACKOFF_SHIFT = 16;
 
     private final LinkSettings mSettings;
     private final TimeSource mTimeSource;
     private final UniformRandomProvider mRandom;
-    private final Runnable mDial;
+    private final Runnable mDialAction;
     private final AtomicLong mReservedBytes = new AtomicLong();
     private final AtomicInteger mReservedCalls = new AtomicInteger();
     private final Queue<OutboundMessage> mQueue = new ArrayDeque<>();
     private final List<Connection> mConnections = new ArrayList<>();
     private boolean mDialing;
-    private int mFailures;
+    private int mConsecutiveFailures;
     private long mNextDialNanos;
 
     PeerLane(
             LinkSettings settings,
             TimeSource timeSource,
             UniformRandomProvider random,
-            Runnable dial) {
+            Runnable dialAction) {
         mSettings = settings;
         mTimeSource = timeSource;
         mRandom = random;
-        mDial = dial;
+        mDialAction = dialAction;
         mNextDialNanos = timeSource.monotonicNanos();
     }
 
-    /** Takes room for a message, from any thread; {@link #release} gives it back. */
+    /**
+     * Reserves space for a message; may be called from any thread. {@link #release} returns the
+     * space.
+     */
     boolean reserve(OutboundMessage message) {
         if (message instanceof OutboundCall) {
             if (mReservedCalls.incrementAndGet() > mSettings.maximumCalls()) {
@@ -60,7 +63,7 @@
         return false;
     }
 
-    /** Gives back the room of a call that ended. */
+    /** Returns the reservation of a call that ended. */
     void endCall(OutboundMessage message) {
         if (message instanceof OutboundCall) {
             mReservedCalls.decrementAndGet();
@@ -71,14 +74,16 @@
         mReservedBytes.addAndGet(-message.bytes());
     }
 
-    /** Queues a message for which room was reserved. */
+    /** Queues a message for which space was reserved. */
     void submit(OutboundMessage message) {
         mQueue.add(message);
-        pump();
+        writeQueued();
     }
 
-    /** Writes what waits while the connection takes it; dials if there is no connection. */
-    void pump() {
+    /**
+     * Writes queued messages while the connection is writable, or dials if there is no connection.
+     */
+    void writeQueued() {
         if (mQueue.isEmpty()) {
             return;
         }
@@ -86,53 +91,63 @@
             writeTo(mConnections.get(0));
         } else if (!mDialing) {
             if (mTimeSource.monotonicNanos() - mNextDialNanos < 0) {
-                dropAll("The last connection failed a moment ago.");
+                dropQueued("The last connection failed a moment ago.");
             } else {
                 mDialing = true;
-                mDial.run();
+                mDialAction.run();
             }
         }
     }
 
-    /** Adds a connection that became ready. */
+    /** Adds a connection that has become ready. */
     void connected(Connection connection) {
         if (connection.isDialer()) {
             mDialing = false;
         }
-        mFailures = 0;
+        mConsecutiveFailures = 0;
         mConnections.add(connection);
-        pump();
+        writeQueued();
     }
 
     /** Removes a connection that was ready. */
     void disconnected(Connection connection) {
         mConnections.remove(connection);
-        pump();
+        writeQueued();
     }
 
-    /** Notes that dialing failed. */
+    /**
+     * Records that dialing failed, and schedules the next attempt with exponential backoff and
+     * jitter.
+     */
     void dialFailed(String reason) {
         mDialing = false;
-        long longest = mSettings.maximumBackoff().toNanos();
-        long backoff = mSettings.minimumBackoff().toNanos() << Math.min(mFailures, LARGEST_SHIFT);
-        long bounded = Math.min(longest, backoff);
-        mFailures++;
+        long maximumNanos = mSettings.maximumBackoff().toNanos();
+        long backoffNanos =
+                mSettings.minimumBackoff().toNanos()
+                        << Math.min(mConsecutiveFailures, MAXIMUM_BACKOFF_SHIFT);
+        long boundedNanos = Math.min(maximumNanos, backoffNanos);
+        mConsecutiveFailures++;
         mNextDialNanos =
-                mTimeSource.monotonicNanos() + bounded / 2 + mRandom.nextLong(bounded / 2 + 1);
+                mTimeSource.monotonicNanos()
+                        + boundedNanos / 2
+                        + mRandom.nextLong(boundedNanos / 2 + 1);
         if (mConnections.isEmpty()) {
-            dropAll(reason);
+            dropQueued(reason);
         }
     }
 
-    /** Lets the next message dial at once, because the address is new. */
+    /**
+     * Resets the backoff, so that the next message dials immediately, because the address has
+     * changed.
+     */
     void resetBackoff() {
-        mFailures = 0;
+        mConsecutiveFailures = 0;
         mNextDialNanos = mTimeSource.monotonicNanos();
     }
 
-    /** Drops what waits and closes the connections. */
+    /** Drops the queued messages and closes the connections. */
     void close(String reason) {
-        dropAll(reason);
+        dropQueued(reason);
         List.copyOf(mConnections).forEach(connection -> connection.close(reason));
     }
 
@@ -152,7 +167,7 @@
         }
     }
 
-    private void dropAll(String reason) {
+    private void dropQueued(String reason) {
         for (OutboundMessage message = mQueue.poll(); message != null; message = mQueue.poll()) {
             release(message);
             message.notWritten(reason);
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/Responder.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/Responder.java
@@ -4,29 +4,30 @@
 import io.masticpond.protocol.generated.Envelope;
 
 /**
- * Takes the answer to one request of another instance; safe for all threads.
+ * Strategy interface for answering one request of another instance. Implementations are
+ * thread-safe.
  *
  * @since 0.1
  */
 public interface Responder {
 
     /**
-     * Gives the run of the instance that sent the message, authenticated.
+     * Returns the authenticated run of the instance that sent the message.
      *
      * @return the run
      */
     Incarnation peer();
 
     /**
-     * Sends the answer. Only the first answer to a request goes out; the call id of the envelope is
-     * filled in. If the connection is gone the answer is dropped and counted.
+     * Sends the answer. Only the first answer to a request is sent; its call id is assigned here.
+     * If the connection is closed, the answer is dropped and counted.
      *
      * @param answer the answer
      */
     void answer(Envelope answer);
 
     /**
-     * Declines the request; it must not have been acted on.
+     * Refuses the request. The receiver must not have acted on it.
      *
      * @param reason one sentence
      */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/SocketAddresses.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/SocketAddresses.java
@@ -6,18 +6,18 @@
 import java.net.InetSocketAddress;
 
 /**
- * Reads addresses of the form "ip:port"; names are not looked up.
+ * Utility methods for parsing addresses of the form "ip:port". Host names are not resolved.
  *
  * @since 0.1
  */
 public final class SocketAddresses {
 
-    private static final int LARGEST_PORT = 65_535;
+    private static final int MAXIMUM_PORT = 65_535;
 
     private SocketAddresses() {}
 
     /**
-     * Reads an address.
+     * Parses an address.
      *
      * @param text the text, such as "10.0.0.1:7400" or "[::1]:7400"
      * @return the address
@@ -27,19 +27,19 @@
         int colon = text.lastIndexOf(':');
         Assert.isTrue(colon > 0, "An address must be 'ip:port', but was '%s'.", text);
         InetAddress ip = NetUtil.createInetAddressFromIpAddressString(text.substring(0, colon));
-        int port = portOf(text.substring(colon + 1));
+        int port = parsePort(text.substring(colon + 1));
         Assert.isTrue(
-                ip != null && port >= 0 && port <= LARGEST_PORT,
+                ip != null && port >= 0 && port <= MAXIMUM_PORT,
                 "An address must be 'ip:port', but was '%s'.",
                 text);
         return new InetSocketAddress(ip, port);
     }
 
     /**
-     * Tells whether a text is an address.
+     * Returns whether a text is an address with a port above 0.
      *
      * @param text the text
-     * @return whether it has the form "ip:port"
+     * @return whether it has the form "ip:port" and its port is not 0
      */
     public static boolean isAddress(String text) {
         try {
@@ -49,7 +49,7 @@
         }
     }
 
-    private static int portOf(String text) {
+    private static int parsePort(String text) {
         try {
             return Integer.parseInt(text);
         } catch (NumberFormatException e) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/WriteListener.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/WriteListener.java
@@ -3,15 +3,18 @@
 import io.netty.channel.ChannelProgressiveFuture;
 import io.netty.channel.ChannelProgressiveFutureListener;
 
-/** Follows the write of one message, so that it knows whether any byte of it left. */
+/**
+ * Listener that tracks the write of one message and records on the message whether any byte of it
+ * was sent.
+ */
 final class WriteListener implements ChannelProgressiveFutureListener {
 
     private final OutboundMessage mMessage;
-    private final Runnable mOnDone;
+    private final Runnable mCompletionCallback;
 
-    WriteListener(OutboundMessage message, Runnable onDone) {
+    WriteListener(OutboundMessage message, Runnable completionCallback) {
         mMessage = message;
-        mOnDone = onDone;
+        mCompletionCallback = completionCallback;
     }
 
     @Override
@@ -28,6 +31,6 @@
         } else {
             mMessage.notWritten("The connection broke: " + future.cause().getMessage());
         }
-        mOnDone.run();
+        mCompletionCallback.run();
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/package-info.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/package-info.java
@@ -1,6 +1,7 @@
 /**
  * Links to other instances over TCP: authenticated connections that carry envelopes.
  *
- * <p>The package moves messages and knows nothing of what they mean; decisions are made elsewhere.
+ * <p>This package only transports messages. It does not interpret them and must not depend on the
+ * packages that make decisions.
  */
 package io.masticpond.daemon.instance;
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/instance/LinkFailureTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/instance/LinkFailureTest.java
@@ -27,10 +27,13 @@
 import net.jqwik.api.Example;
 import net.jqwik.api.lifecycle.AfterTry;
 
-/** Links whose other end breaks, stalls, lies or speaks nonsense. */
+/**
+ * Tests of links whose peer closes the connection, stops reading or answering, claims a false
+ * identity or violates the protocol.
+ */
 class LinkFailureTest {
 
-    private static final Duration BUSY = Duration.ofMillis(600);
+    private static final Duration BUSY_TIMEOUT = Duration.ofMillis(600);
 
     private final LinkFixture mFixture = new LinkFixture();
     private final List<RawPeer> mRawPeers = new ArrayList<>();
@@ -45,10 +48,10 @@
     }
 
     private static LinkSettings settings(Duration connectTimeout) {
-        LinkSettings normal = LinkFixture.settings();
+        LinkSettings defaults = LinkFixture.settings();
         return new LinkSettings(
-                normal.listenAddress(),
-                normal.keys(),
+                defaults.listenAddress(),
+                defaults.keys(),
                 1,
                 1,
                 1 << 20,
@@ -57,35 +60,35 @@
                 connectTimeout,
                 Duration.ofMillis(20),
                 Duration.ofMillis(100),
-                BUSY,
+                BUSY_TIMEOUT,
                 Duration.ofSeconds(20));
     }
 
-    private static LinkSettings versions(int lowest, int highest) {
-        LinkSettings normal = LinkFixture.settings();
+    private static LinkSettings settingsForVersions(int lowest, int highest) {
+        LinkSettings defaults = LinkFixture.settings();
         return new LinkSettings(
-                normal.listenAddress(),
-                normal.keys(),
+                defaults.listenAddress(),
+                defaults.keys(),
                 lowest,
                 highest,
                 1 << 20,
                 8 << 20,
                 16,
-                normal.connectTimeout(),
-                normal.minimumBackoff(),
-                normal.maximumBackoff(),
-                normal.busyInactivityTimeout(),
-                normal.idleInactivityTimeout());
+                defaults.connectTimeout(),
+                defaults.minimumBackoff(),
+                defaults.maximumBackoff(),
+                defaults.busyInactivityTimeout(),
+                defaults.idleInactivityTimeout());
     }
 
-    private RawPeer raw(LinkSettings settings) {
+    private RawPeer newPeer(LinkSettings settings) {
         RawPeer peer = new RawPeer(SECOND, 1, settings);
         mRawPeers.add(peer);
         return peer;
     }
 
-    private RawPeer raw() {
-        RawPeer peer = raw(LinkFixture.settings());
+    private RawPeer newPeer() {
+        RawPeer peer = newPeer(LinkFixture.settings());
         mLinks.address(SECOND, peer.address());
         return peer;
     }
@@ -101,8 +104,8 @@
     }
 
     @Example
-    void theLinkIsCutAfterTheRequestArrived() throws IOException {
-        RawPeer peer = raw();
+    void callIsLostWhenConnectionIsClosedAfterRequestArrived() throws IOException {
+        RawPeer peer = newPeer();
         CompletableFuture<Either<LinkError, Envelope>> call = call("a");
         assertThat(peer.accept().read().getForward().getRequest()).isEqualTo("a");
         peer.closeSocket();
@@ -110,8 +113,8 @@
     }
 
     @Example
-    void theLinkIsCutInTheMiddleOfTheAnswer() throws IOException {
-        RawPeer peer = raw();
+    void callIsLostWhenConnectionIsClosedWithinAnswer() throws IOException {
+        RawPeer peer = newPeer();
         CompletableFuture<Either<LinkError, Envelope>> call = call("a");
         long id = peer.accept().read().getCallId();
         peer.sendPart(LinkFixture.answer("a").toBuilder().setCallId(id).build());
@@ -120,8 +123,8 @@
     }
 
     @Example
-    void aPeerThatStopsReadingLeavesWhatWasNotBegunAsNotSent() throws IOException {
-        RawPeer peer = raw();
+    void unstartedCallsAreNotSentWhenPeerStopsReading() throws IOException {
+        RawPeer peer = newPeer();
         CompletableFuture<Either<LinkError, Envelope>> first = call("first");
         peer.accept().read();
         List<CompletableFuture<Either<LinkError, Envelope>>> calls = new ArrayList<>();
@@ -132,38 +135,39 @@
         } while (!next.isDone());
         assertThat(errorOf(next)).isInstanceOf(LinkError.QueueFull.class);
         assertThat(first.isDone()).isFalse();
-        mTime.advance(BUSY.plusMillis(1));
+        mTime.advance(BUSY_TIMEOUT.plusMillis(1));
         assertThat(errorOf(first)).isInstanceOf(LinkError.Lost.class);
         peer.close();
         assertThat(errorOf(calls.get(calls.size() - 2))).isInstanceOf(LinkError.NotSent.class);
     }
 
     @Example
-    void theHandshakeThatNeverEndsLeavesTheRequestNotSent() throws IOException {
-        RawPeer peer = raw();
-        NettyInstanceLinks hasty = mFixture.make(FIRST, 6, settings(Duration.ofMillis(300)), mTime);
-        hasty.address(SECOND, peer.address());
+    void requestIsNotSentWhenHandshakeNeverEnds() throws IOException {
+        RawPeer peer = newPeer();
+        NettyInstanceLinks shortTimeoutLinks =
+                mFixture.make(FIRST, 6, settings(Duration.ofMillis(300)), mTime);
+        shortTimeoutLinks.address(SECOND, peer.address());
         CompletableFuture<Either<LinkError, Envelope>> call =
-                hasty.call(SECOND, forward("a"), LONG);
+                shortTimeoutLinks.call(SECOND, forward("a"), LONG);
         peer.acceptSocket();
         assertThat(errorOf(call)).isInstanceOf(LinkError.NotSent.class);
     }
 
     @Example
-    void aHalfOpenLinkWithRequestsOutstandingIsGivenUpSoon() throws IOException {
-        RawPeer peer = raw();
+    void halfOpenConnectionWithOutstandingCallIsClosedAfterBusyTimeout() throws IOException {
+        RawPeer peer = newPeer();
         CompletableFuture<Either<LinkError, Envelope>> call = call("a");
         peer.accept().read();
-        mTime.advance(BUSY);
+        mTime.advance(BUSY_TIMEOUT);
         assertThat(call.isDone()).isFalse();
         mTime.advance(Duration.ofMillis(1));
         assertThat(errorOf(call)).isInstanceOf(LinkError.Lost.class);
     }
 
     @Example
-    void theWrongKeyIsRefusedOnBothSides() throws IOException {
+    void wrongKeyIsRefusedOnBothSides() throws IOException {
         LinkSettings wrong = LinkSettings.of("127.0.0.1:0", LinkFixture.keys("k9", "k9"));
-        RawPeer peer = raw(wrong).dialSocket(mAddress);
+        RawPeer peer = newPeer(wrong).dialSocket(mAddress);
         peer.send(peer.hello());
         assertThat(peer.read().getLinkError().getReason()).contains("not on the ring");
         assertThat(peer.isClosed()).isTrue();
@@ -171,8 +175,8 @@
     }
 
     @Example
-    void theWrongProofIsRefused() throws IOException {
-        RawPeer peer = raw().dialSocket(mAddress);
+    void wrongProofIsRefused() throws IOException {
+        RawPeer peer = newPeer().dialSocket(mAddress);
         Hello hello = peer.hello();
         peer.send(hello);
         peer.read();
@@ -182,8 +186,8 @@
     }
 
     @Example
-    void versionsThatDoNotMeetAreRefused() throws IOException {
-        RawPeer peer = raw(versions(2, 3)).dialSocket(mAddress);
+    void disjointVersionsAreRefused() throws IOException {
+        RawPeer peer = newPeer(settingsForVersions(2, 3)).dialSocket(mAddress);
         peer.send(peer.hello());
         assertThat(peer.read().getLinkError().getReason())
                 .isEqualTo("Versions 1 to 1 are spoken here, 2 to 3 there.");
@@ -191,14 +195,14 @@
     }
 
     @Example
-    void versionsThatOverlapAgree() throws IOException {
-        raw(versions(1, 4)).dial(mAddress);
+    void overlappingVersionsAreAccepted() throws IOException {
+        newPeer(settingsForVersions(1, 4)).dial(mAddress);
         LinkFixture.awaitTrue("connected", () -> mLinks.connected().contains(SECOND));
     }
 
     @Example
-    void anAnswerToNoCallClosesTheLink() throws IOException {
-        RawPeer peer = raw();
+    void answerWithoutCallClosesConnection() throws IOException {
+        RawPeer peer = newPeer();
         CompletableFuture<Either<LinkError, Envelope>> call = call("a");
         long id = peer.accept().read().getCallId();
         peer.send(LinkFixture.answer("x").toBuilder().setCallId(id + 2).build());
@@ -207,8 +211,8 @@
     }
 
     @Example
-    void theSameAnswerTwiceIsDroppedOnce() throws IOException {
-        RawPeer peer = raw();
+    void duplicateAnswerIsDropped() throws IOException {
+        RawPeer peer = newPeer();
         CompletableFuture<Either<LinkError, Envelope>> call = call("a");
         long id = peer.accept().read().getCallId();
         peer.send(LinkFixture.answer("a").toBuilder().setCallId(id).build());
@@ -219,74 +223,75 @@
     }
 
     @Example
-    void theSameRequestTwiceRunsOnceAndClosesTheLink() throws IOException {
-        AtomicInteger taken = new AtomicInteger();
-        mLinks.handle(Envelope.BodyCase.FORWARD, (from, message, to) -> taken.incrementAndGet());
-        RawPeer peer = raw().dial(mAddress);
+    void duplicateRequestRunsOnceAndClosesConnection() throws IOException {
+        AtomicInteger handled = new AtomicInteger();
+        mLinks.handle(Envelope.BodyCase.FORWARD, (from, message, to) -> handled.incrementAndGet());
+        RawPeer peer = newPeer().dial(mAddress);
         peer.send(forward("a").toBuilder().setCallId(1).build());
         peer.send(forward("a").toBuilder().setCallId(1).build());
         assertThat(peer.isClosed()).isTrue();
-        assertThat(taken).hasValue(1);
+        assertThat(handled).hasValue(1);
     }
 
     @Example
-    void theFrameThatIsTooLargeClosesTheLink() throws IOException {
-        RawPeer peer = raw().dial(mAddress);
+    void oversizedFrameClosesConnection() throws IOException {
+        RawPeer peer = newPeer().dial(mAddress);
         peer.sendLength((1 << 20) + 1);
         assertThat(peer.isClosed()).isTrue();
         assertThat(mLinks.statistics().protocolErrors()).isEqualTo(1);
     }
 
     @Example
-    void theLargeFrameBeforeTheHandshakeClosesTheLink() throws IOException {
-        RawPeer peer = raw().dialSocket(mAddress);
+    void oversizedFrameBeforeHandshakeClosesConnection() throws IOException {
+        RawPeer peer = newPeer().dialSocket(mAddress);
         peer.sendLength(Connection.HANDSHAKE_FRAME_BYTES + 1);
         assertThat(peer.isClosed()).isTrue();
     }
 
     @Example
-    void nonsenseInTheFrameClosesTheLink() throws IOException {
-        RawPeer peer = raw().dial(mAddress);
+    void malformedFrameClosesConnection() throws IOException {
+        RawPeer peer = newPeer().dial(mAddress);
         peer.sendBytes(new byte[] {(byte) 0xff, (byte) 0xff, (byte) 0xff, 1, 2, 3});
         assertThat(peer.isClosed()).isTrue();
         assertThat(mLinks.statistics().protocolErrors()).isEqualTo(1);
     }
 
     @Example
-    void theSecondHelloClosesTheLink() throws IOException {
-        RawPeer peer = raw().dial(mAddress);
+    void secondHelloClosesConnection() throws IOException {
+        RawPeer peer = newPeer().dial(mAddress);
         peer.send(peer.hello());
         assertThat(peer.isClosed()).isTrue();
         assertThat(mLinks.statistics().protocolErrors()).isEqualTo(1);
     }
 
     @Example
-    void theMessageBeforeTheHandshakeIsNotTaken() throws IOException {
-        AtomicInteger taken = new AtomicInteger();
-        mLinks.handle(Envelope.BodyCase.HEARTBEAT, (from, message, to) -> taken.incrementAndGet());
-        RawPeer peer = raw().dialSocket(mAddress);
+    void messageBeforeHandshakeIsNotHandled() throws IOException {
+        AtomicInteger handled = new AtomicInteger();
+        mLinks.handle(
+                Envelope.BodyCase.HEARTBEAT, (from, message, to) -> handled.incrementAndGet());
+        RawPeer peer = newPeer().dialSocket(mAddress);
         peer.send(Envelope.newBuilder().setHeartbeat(Heartbeat.getDefaultInstance()).build());
         assertThat(peer.read().hasLinkError()).isTrue();
         assertThat(peer.isClosed()).isTrue();
-        assertThat(taken).hasValue(0);
+        assertThat(handled).hasValue(0);
     }
 
     @Example
-    void theLaterRunClosesTheEarlierAndTheEarlierIsRefused() throws IOException {
-        RawPeer earlier = raw().dial(mAddress);
+    void laterRunClosesEarlierRunAndEarlierRunIsRefused() throws IOException {
+        RawPeer earlier = newPeer().dial(mAddress);
         LinkFixture.awaitTrue("connected", () -> mLinks.connected().contains(SECOND));
         RawPeer later = new RawPeer(SECOND, 2, LinkFixture.settings());
         mRawPeers.add(later);
         later.dial(mAddress);
         assertThat(earlier.isClosed()).isTrue();
-        RawPeer woken = raw().dial(mAddress);
-        assertThat(woken.read().getLinkError().getReason()).contains("later run");
+        RawPeer restarted = newPeer().dial(mAddress);
+        assertThat(restarted.read().getLinkError().getReason()).contains("later run");
         assertThat(mLinks.connected()).containsExactly(SECOND);
     }
 
     @Example
-    void theAddressOfAnotherInstanceIsNotSentTo() throws IOException {
-        RawPeer peer = raw();
+    void requestIsNotSentToAddressOfAnotherInstance() throws IOException {
+        RawPeer peer = newPeer();
         CompletableFuture<Either<LinkError, Envelope>> call =
                 mLinks.call(new InstanceId("third"), forward("a"), LONG);
         assertThat(errorOf(call)).isInstanceOf(LinkError.NotSent.class);
@@ -302,22 +307,22 @@
     }
 
     @Example
-    void requestsBeyondTheLimitAreRefusedAndDidNotRun() throws IOException {
-        AtomicInteger taken = new AtomicInteger();
-        mLinks.handle(Envelope.BodyCase.FORWARD, (from, message, to) -> taken.incrementAndGet());
-        RawPeer peer = raw().dial(mAddress);
+    void requestsAboveLimitAreRefusedWithoutRunning() throws IOException {
+        AtomicInteger handled = new AtomicInteger();
+        mLinks.handle(Envelope.BodyCase.FORWARD, (from, message, to) -> handled.incrementAndGet());
+        RawPeer peer = newPeer().dial(mAddress);
         for (int i = 0; i < 17; i++) {
             peer.send(forward("r" + i).toBuilder().setCallId(2 * i + 1).build());
         }
         Envelope answer = peer.read();
         assertThat(answer.hasLinkError()).isTrue();
         assertThat(answer.getCallId()).isEqualTo(33);
-        assertThat(taken).hasValue(16);
+        assertThat(handled).hasValue(16);
     }
 
     @Example
-    void theLargeMessageDoesNotHoldUpHeartbeats() throws IOException {
-        RawPeer bulk = raw();
+    void largeMessageDoesNotDelayHeartbeats() throws IOException {
+        RawPeer bulk = newPeer();
         mLinks.call(SECOND, large(1_000_000), LONG);
         bulk.accept();
         assertThat(
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/instance/LinkFixture.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/instance/LinkFixture.java
@@ -21,18 +21,18 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.BooleanSupplier;
 
-/** Links and messages that tests share; closes what it made. */
+/** Test fixture that creates links and messages, and closes the links that it created. */
 final class LinkFixture implements AutoCloseable {
 
     static final InstanceId FIRST = new InstanceId("first");
     static final InstanceId SECOND = new InstanceId("second");
 
-    /** Only bounds a hang: no verdict rests on how soon something comes. */
+    /** Timeout that only bounds a hang; no assertion depends on how soon an event occurs. */
     static final Duration LONG = Duration.ofSeconds(60);
 
     private static final byte[] SECRET = "0123456789abcdef0123".getBytes(StandardCharsets.UTF_8);
 
-    private final List<NettyInstanceLinks> mOpen = new ArrayList<>();
+    private final List<NettyInstanceLinks> mLinks = new ArrayList<>();
 
     static KeyRing keys(String inUse, String... ids) {
         Map<String, byte[]> keys = new HashMap<>();
@@ -49,20 +49,20 @@
         return settings(keys("k1", "k1"));
     }
 
-    /** Gives settings whose times pass in no test. */
+    /** Returns settings whose timeouts elapse in no test. */
     static LinkSettings settings(KeyRing keys) {
-        LinkSettings normal = LinkSettings.of("127.0.0.1:0", keys);
+        LinkSettings defaults = LinkSettings.of("127.0.0.1:0", keys);
         return new LinkSettings(
-                normal.listenAddress(),
-                normal.keys(),
-                normal.lowestVersion(),
-                normal.highestVersion(),
-                normal.maximumFrameBytes(),
-                normal.maximumQueuedBytes(),
-                normal.maximumCalls(),
+                defaults.listenAddress(),
+                defaults.keys(),
+                defaults.lowestVersion(),
+                defaults.highestVersion(),
+                defaults.maximumFrameBytes(),
+                defaults.maximumQueuedBytes(),
+                defaults.maximumCalls(),
                 LONG,
-                normal.minimumBackoff(),
-                normal.maximumBackoff(),
+                defaults.minimumBackoff(),
+                defaults.maximumBackoff(),
                 LONG,
                 LONG);
     }
@@ -89,27 +89,27 @@
         return await(call).getLeft();
     }
 
-    static void awaitTrue(String what, BooleanSupplier condition) {
+    static void awaitTrue(String description, BooleanSupplier condition) {
         long end = System.nanoTime() + LONG.toNanos();
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
-                throw new AssertionError("It never became true: " + what);
+                throw new AssertionError("The condition never became true: " + description);
             }
             Thread.yield();
         }
     }
 
-    /** Makes links that do not listen yet. */
+    /** Creates links that are not started. */
     NettyInstanceLinks make(InstanceId id, long incarnation, LinkSettings settings) {
         return make(id, incarnation, settings, new SystemTimeSource());
     }
 
-    /** Makes links whose silences and waits follow a clock of the test. */
+    /** Creates links whose inactivity timeouts and backoff use the given clock. */
     NettyInstanceLinks make(
             InstanceId id, long incarnation, LinkSettings settings, TimeSource timeSource) {
         NettyInstanceLinks links =
                 new NettyInstanceLinks(new Incarnation(id, incarnation), settings, timeSource, 1);
-        mOpen.add(links);
+        mLinks.add(links);
         return links;
     }
 
@@ -126,6 +126,6 @@
 
     @Override
     public void close() {
-        mOpen.forEach(NettyInstanceLinks::close);
+        mLinks.forEach(NettyInstanceLinks::close);
     }
 }
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/instance/NettyInstanceLinksTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/instance/NettyInstanceLinksTest.java
@@ -23,7 +23,7 @@
 import net.jqwik.api.Example;
 import net.jqwik.api.lifecycle.AfterTry;
 
-/** Two instances that talk over loopback. */
+/** Tests of the links between two instances over loopback. */
 class NettyInstanceLinksTest {
 
     private final LinkFixture mFixture = new LinkFixture();
@@ -43,21 +43,21 @@
     }
 
     @Example
-    void answersReachTheCallsThatTheyBelongTo() {
+    void answersAreMatchedToTheirCalls() {
         connect(LinkFixture.settings(), LinkFixture.settings());
-        Queue<Runnable> held = new ConcurrentLinkedQueue<>();
+        Queue<Runnable> pending = new ConcurrentLinkedQueue<>();
         mSecond.handle(
                 Envelope.BodyCase.FORWARD,
                 (from, message, responder) -> {
                     String request = message.getForward().getRequest();
-                    held.add(() -> responder.answer(LinkFixture.answer(request)));
+                    pending.add(() -> responder.answer(LinkFixture.answer(request)));
                 });
         List<CompletableFuture<Either<LinkError, Envelope>>> calls = new ArrayList<>();
         for (int i = 0; i < 500; i++) {
             calls.add(mFirst.call(SECOND, forward("r" + i), LONG));
         }
-        LinkFixture.awaitTrue("all requests came", () -> held.size() == 500);
-        List<Runnable> reversed = new ArrayList<>(held);
+        LinkFixture.awaitTrue("all requests received", () -> pending.size() == 500);
+        List<Runnable> reversed = new ArrayList<>(pending);
         Collections.reverse(reversed);
         reversed.forEach(Runnable::run);
         reversed.forEach(Runnable::run);
@@ -68,7 +68,7 @@
     }
 
     @Example
-    void bothSidesCallOnOneConnection() {
+    void bothSidesCallOverOneConnection() {
         connect(LinkFixture.settings(), LinkFixture.settings());
         LinkFixture.echo(mFirst);
         LinkFixture.echo(mSecond);
@@ -79,25 +79,25 @@
     }
 
     @Example
-    void aLateAnswerIsDroppedAndCounted() {
+    void lateAnswerIsDroppedAndCounted() {
         connect(LinkFixture.settings(), LinkFixture.settings());
         Queue<Responder> arrived = new ConcurrentLinkedQueue<>();
         mSecond.handle(Envelope.BodyCase.FORWARD, (from, message, to) -> arrived.add(to));
-        CompletableFuture<Either<LinkError, Envelope>> opening =
+        CompletableFuture<Either<LinkError, Envelope>> openingCall =
                 mFirst.call(SECOND, forward("open"), LONG);
         LinkFixture.awaitTrue("the link is open", () -> arrived.size() == 1);
         arrived.remove().answer(LinkFixture.answer("open"));
-        assertThat(await(opening).isRight()).isTrue();
+        assertThat(await(openingCall).isRight()).isTrue();
         LinkError error = errorOf(mFirst.call(SECOND, forward("a"), Duration.ofMillis(200)));
         assertThat(error).isInstanceOf(LinkError.Timeout.class);
-        LinkFixture.awaitTrue("the request came", () -> arrived.size() == 1);
+        LinkFixture.awaitTrue("request received", () -> arrived.size() == 1);
         arrived.remove().answer(LinkFixture.answer("a"));
         LinkFixture.awaitTrue("counted", () -> mFirst.statistics().answersNotAwaited() == 1);
         assertThat(mFirst.statistics().connections()).isEqualTo(1);
     }
 
     @Example
-    void aRequestThatNothingTakesIsRefused() {
+    void requestWithoutHandlerIsRefused() {
         connect(LinkFixture.settings(), LinkFixture.settings());
         LinkError error = errorOf(mFirst.call(SECOND, forward("a"), LONG));
         assertThat(error).isInstanceOf(LinkError.Refused.class);
@@ -105,14 +105,14 @@
     }
 
     @Example
-    void anUnknownAddressIsNotSent() {
+    void requestIsNotSentToUnknownAddress() {
         mFirst = mFixture.make(FIRST, 1, LinkFixture.settings());
         LinkError error = errorOf(mFirst.call(new InstanceId("nobody"), forward("a"), LONG));
         assertThat(error).isInstanceOf(LinkError.NotSent.class);
     }
 
     @Example
-    void aPeerThatDiesWithTheRequestMayHaveRunIt() {
+    void callIsLostWhenPeerTerminatesWithRequest() {
         connect(LinkFixture.settings(), LinkFixture.settings());
         CompletableFuture<Responder> arrived = new CompletableFuture<>();
         mSecond.handle(Envelope.BodyCase.FORWARD, (from, message, to) -> arrived.complete(to));
@@ -127,7 +127,7 @@
     }
 
     @Example
-    void theFirstConnectionAndTheLastLossAreTold() {
+    void listenerIsNotifiedOfConnectionAndRefusal() {
         connect(LinkFixture.settings(), LinkFixture.settings());
         RecordingListener listener = new RecordingListener();
         mFirst.addListener(listener);
@@ -136,12 +136,13 @@
         mSecond.close();
         LinkFixture.awaitTrue("told", () -> listener.mEvents.size() >= 2);
         mFirst.call(SECOND, forward("b"), LONG);
-        LinkFixture.awaitTrue("refusal told", () -> listener.mEvents.contains("refused second"));
+        LinkFixture.awaitTrue(
+                "refusal notified", () -> listener.mEvents.contains("refused second"));
         assertThat(listener.mEvents.peek()).isEqualTo("connected second@1");
     }
 
     @Example
-    void aRotatedKeyIsAcceptedBeforeItIsUsed() {
+    void rotatedKeyIsAcceptedBeforeItIsInUse() {
         connect(
                 LinkFixture.settings(LinkFixture.keys("k2", "k1", "k2")),
                 LinkFixture.settings(LinkFixture.keys("k1", "k1", "k2")));
@@ -150,7 +151,7 @@
     }
 
     @Example
-    void aKeyThatIsNotOnTheRingIsRefused() {
+    void keyOutsideRingIsRefused() {
         connect(
                 LinkFixture.settings(LinkFixture.keys("k2", "k2")),
                 LinkFixture.settings(LinkFixture.keys("k1", "k1")));
@@ -161,7 +162,7 @@
         assertThat(mSecond.connected().isEmpty()).isTrue();
     }
 
-    /** Keeps what it is told as text. */
+    /** Listener that records its events as text. */
     private static final class RecordingListener implements LinkListener {
 
         private final Queue<String> mEvents = new ConcurrentLinkedQueue<>();
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/instance/RawPeer.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/instance/RawPeer.java
@@ -14,7 +14,10 @@
 import java.net.Socket;
 import java.util.Optional;
 
-/** The other end of a link as a plain blocking socket, which a test can misuse in every way. */
+/**
+ * Stand-in for the peer of a link that uses a plain blocking socket, with which a test can violate
+ * the protocol.
+ */
 final class RawPeer implements AutoCloseable {
 
     private static final int TIMEOUT_MILLIS = 60_000;
@@ -40,12 +43,12 @@
         return "127.0.0.1:" + mServer.getLocalPort();
     }
 
-    /** Takes a connection, without a word. */
+    /** Accepts a connection without a handshake. */
     RawPeer acceptSocket() throws IOException {
-        return use(mServer.accept());
+        return useSocket(mServer.accept());
     }
 
-    /** Takes a connection and shakes hands. */
+    /** Accepts a connection and completes the handshake. */
     RawPeer accept() throws IOException {
         acceptSocket();
         Hello dialer = read().getHello();
@@ -54,12 +57,12 @@
         return this;
     }
 
-    /** Dials without a word. */
+    /** Connects without a handshake. */
     RawPeer dialSocket(InetSocketAddress address) throws IOException {
-        return use(new Socket(address.getAddress(), address.getPort()));
+        return useSocket(new Socket(address.getAddress(), address.getPort()));
     }
 
-    /** Dials and shakes hands. */
+    /** Connects and completes the handshake. */
     RawPeer dial(InetSocketAddress address) throws IOException {
         dialSocket(address);
         Hello hello = mHandshake.dial(Lane.BULK);
@@ -83,7 +86,7 @@
         mOut.flush();
     }
 
-    /** Starts a frame and leaves it unfinished. */
+    /** Sends the first half of a frame. */
     void sendPart(Envelope envelope) throws IOException {
         byte[] bytes = envelope.toByteArray();
         mOut.writeInt(bytes.length);
@@ -102,7 +105,7 @@
         mOut.flush();
     }
 
-    /** Reads the next envelope that is no ping. */
+    /** Reads the next envelope that is not a ping. */
     Envelope read() throws IOException {
         while (true) {
             byte[] bytes = new byte[mIn.readInt()];
@@ -114,7 +117,10 @@
         }
     }
 
-    /** Reads until the other side closes; returns whether it did within the time. */
+    /**
+     * Reads until the other side closes the connection; returns whether it did so before the
+     * timeout.
+     */
     boolean isClosed() {
         try {
             while (mIn.read() >= 0) {
@@ -132,7 +138,7 @@
         mSocket.close();
     }
 
-    private RawPeer use(Socket socket) throws IOException {
+    private RawPeer useSocket(Socket socket) throws IOException {
         mSocket = socket;
         mSocket.setSoTimeout(TIMEOUT_MILLIS);
         mIn = new DataInputStream(socket.getInputStream());
