--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/HeadroomListener.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/HeadroomListener.java
@@ -5,7 +5,8 @@
 import java.util.List;
 
 /**
- * Learns what admitters tell of their headroom, on the thread of the duty: hand over and return.
+ * Callback interface for the headroom that admitters report. Invoked on the event loop of the
+ * {@link MembershipService}: hand the event to another event loop and return immediately.
  *
  * @since 0.1
  */
@@ -13,10 +14,10 @@
 public interface HeadroomListener {
 
     /**
-     * A heartbeat told of headroom.
+     * Invoked when a heartbeat reported headroom.
      *
      * @param from the admitter
-     * @param headroom its counts, by service and region
+     * @param headroom the headroom of the admitter, by service and region
      */
     void onHeadroom(InstanceId from, List<HeadroomEntry> headroom);
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/LinkedMembershipSink.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/LinkedMembershipSink.java
@@ -19,7 +19,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends what the table decides over the links; used on the thread of the duty only. */
+/**
+ * {@link MembershipSink} that sends the messages of the membership table over the links. Confined
+ * to the event loop of the {@link MembershipService}.
+ */
 final class LinkedMembershipSink implements MembershipSink {
 
     private static final Logger sLogger = LoggerFactory.getLogger(LinkedMembershipSink.class);
@@ -27,9 +30,9 @@
     private final InstanceLinks mLinks;
     private final HybridLogicalClock mClock;
     private final Timeline mTimeline;
-    private final Supplier<List<HeadroomEntry>> mHeadroom;
-    private final LongSupplier mDigest;
-    private final Runnable mOnChange;
+    private final Supplier<List<HeadroomEntry>> mHeadroomSupplier;
+    private final LongSupplier mDigestSupplier;
+    private final Runnable mChangeCallback;
 
     LinkedMembershipSink(
             InstanceLinks links,
@@ -37,20 +40,20 @@
             Timeline timeline,
             Supplier<List<HeadroomEntry>> headroom,
             LongSupplier digest,
-            Runnable onChange) {
+            Runnable changeCallback) {
         mLinks = links;
         mClock = clock;
         mTimeline = timeline;
-        mHeadroom = headroom;
-        mDigest = digest;
-        mOnChange = onChange;
+        mHeadroomSupplier = headroom;
+        mDigestSupplier = digest;
+        mChangeCallback = changeCallback;
     }
 
     @Override
     public void send(InstanceId to, MemberUpdate own, List<MemberUpdate> others) {
         Heartbeat.Builder heartbeat = heartbeat(own, others);
         if (others.isEmpty()) {
-            heartbeat.addAllHeadroom(mHeadroom.get());
+            heartbeat.addAllHeadroom(mHeadroomSupplier.get());
         }
         send(to, heartbeat);
     }
@@ -76,15 +79,15 @@
                 "",
                 member.id().value(),
                 "run " + member.incarnation().number());
-        mOnChange.run();
+        mChangeCallback.run();
     }
 
     private Heartbeat.Builder heartbeat(MemberUpdate own, List<MemberUpdate> others) {
         Heartbeat.Builder heartbeat =
                 Heartbeat.newBuilder()
-                        .setSelf(MembershipMessages.entry(own))
-                        .setDigest(mDigest.getAsLong());
-        others.forEach(news -> heartbeat.addOthers(MembershipMessages.entry(news)));
+                        .setSelf(MembershipMessages.toEntry(own))
+                        .setDigest(mDigestSupplier.getAsLong());
+        others.forEach(update -> heartbeat.addOthers(MembershipMessages.toEntry(update)));
         return heartbeat;
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipListener.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipListener.java
@@ -3,7 +3,8 @@
 import io.masticpond.core.membership.MembershipView;
 
 /**
- * Learns of changes of membership, on the thread of the duty: hand over and return at once.
+ * Callback interface for changes of the membership. Invoked on the event loop of the {@link
+ * MembershipService}: hand the event to another event loop and return immediately.
  *
  * @since 0.1
  */
@@ -11,9 +12,10 @@
 public interface MembershipListener {
 
     /**
-     * The members, their states or the trust in the own view are others than before.
+     * Invoked when the members, their states, or whether the view of this instance is considered
+     * current have changed.
      *
-     * @param view what is known now
+     * @param view the current view
      */
     void changed(MembershipView view);
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipMessages.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipMessages.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Turns news of members into messages and back; what cannot be read is dropped. */
+/** Codec for member updates. Entries that cannot be read are dropped. */
 final class MembershipMessages {
 
     private static final Map<MemberClaim, io.masticpond.protocol.generated.MemberClaim> CLAIMS =
@@ -29,23 +29,23 @@
 
     private MembershipMessages() {}
 
-    /** Writes news. */
-    static MemberEntry entry(MemberUpdate news) {
+    /** Converts an update to its message. */
+    static MemberEntry toEntry(MemberUpdate update) {
         return MemberEntry.newBuilder()
-                .setInstance(news.id().value())
-                .setIncarnation(news.incarnation().number())
-                .setZone(news.zone().value())
-                .setLinkAddress(news.linkAddress())
-                .setCallerAddress(news.callerAddress())
-                .setOperatorAddress(news.operatorAddress())
-                .setLeaving(news.leaving())
-                .setConfigurationVersion(news.configuration().number())
-                .setSequence(news.sequence())
-                .setClaim(CLAIMS.get(news.claim()))
+                .setInstance(update.id().value())
+                .setIncarnation(update.incarnation().number())
+                .setZone(update.zone().value())
+                .setLinkAddress(update.linkAddress())
+                .setCallerAddress(update.callerAddress())
+                .setOperatorAddress(update.operatorAddress())
+                .setLeaving(update.leaving())
+                .setConfigurationVersion(update.configuration().number())
+                .setSequence(update.sequence())
+                .setClaim(CLAIMS.get(update.claim()))
                 .build();
     }
 
-    /** Reads news; empty if a part is not as it must be. */
+    /** Converts a message to an update. Returns empty if any field is invalid. */
     static Optional<MemberUpdate> toUpdate(MemberEntry entry) {
         Optional<MemberClaim> claim =
                 CLAIMS.entrySet().stream()
@@ -58,7 +58,7 @@
         try {
             return Optional.of(
                     new MemberUpdate(
-                            run(entry.getInstance(), entry.getIncarnation()),
+                            toIncarnation(entry.getInstance(), entry.getIncarnation()),
                             entry.getSequence(),
                             new ZoneId(entry.getZone()),
                             entry.getLinkAddress(),
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Reads all news that can be read. */
+    /** Converts all valid messages to updates and drops the others. */
     static List<MemberUpdate> toUpdate(List<MemberEntry> entries) {
         return entries.stream()
                 .map(MembershipMessages::toUpdate)
@@ -80,7 +80,7 @@
                 .toList();
     }
 
-    /** Writes a question for newer news. */
+    /** Creates a query for updates of a run that are newer than a sequence number. */
     static MemberAsk toQuery(Incarnation run, long sequence) {
         return MemberAsk.newBuilder()
                 .setInstance(run.instance().value())
@@ -89,16 +89,16 @@
                 .build();
     }
 
-    /** Reads the run that a question is about; empty if it is no run. */
-    static Optional<Incarnation> run(MemberAsk ask) {
+    /** Returns the run that a query is about, or empty if it is invalid. */
+    static Optional<Incarnation> toIncarnation(MemberAsk query) {
         try {
-            return Optional.of(run(ask.getInstance(), ask.getIncarnation()));
+            return Optional.of(toIncarnation(query.getInstance(), query.getIncarnation()));
         } catch (IllegalArgumentException e) {
             return Optional.empty();
         }
     }
 
-    private static Incarnation run(String instance, long number) {
+    private static Incarnation toIncarnation(String instance, long number) {
         return new Incarnation(new InstanceId(instance), number);
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipService.java
@@ -40,21 +40,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Drives membership on a thread of its own: heartbeats, the platform's list, and the published
- * view.
+ * Service that maintains the membership on an event loop of its own. It exchanges heartbeats, reads
+ * the platform's list of instances and publishes the view.
  *
- * <p>When its ring is full a heartbeat is dropped and the next one makes up for it.
+ * <p>When the queue of the event loop is full, a heartbeat is dropped; the next one supersedes it.
  *
  * @since 0.1
  */
 public final class MembershipService implements AutoCloseable {
 
     private static final Logger sLogger = LoggerFactory.getLogger(MembershipService.class);
-    private static final int RING_CAPACITY = 4_096;
-    private static final Duration TICK = Duration.ofMillis(100);
+    private static final int QUEUE_CAPACITY = 4_096;
+    private static final Duration TICK_PERIOD = Duration.ofMillis(100);
     private static final long LIST_PERIOD_NANOS = Duration.ofSeconds(30).toNanos();
     private static final long LIST_RETRY_NANOS = Duration.ofSeconds(2).toNanos();
-    private static final double JITTER = 0.1;
+    private static final double JITTER_RATIO = 0.1;
 
     private final MembershipTable mTable;
     private final InstanceLinks mLinks;
@@ -64,29 +64,29 @@
     private final MembershipTimings mTimings;
     private final List<String> mSeeds;
     private final UniformRandomProvider mRandom;
-    private final EventLoop mDuty;
+    private final EventLoop mEventLoop;
     private final List<MembershipListener> mListeners = new CopyOnWriteArrayList<>();
     private final List<HeadroomListener> mHeadroomListeners = new CopyOnWriteArrayList<>();
-    private final LongAdder mRejected = new LongAdder();
-    private volatile Supplier<List<HeadroomEntry>> mHeadroom = List::of;
+    private final LongAdder mRejectedHeartbeats = new LongAdder();
+    private volatile Supplier<List<HeadroomEntry>> mHeadroomSupplier = List::of;
     private volatile MembershipView mView;
-    private boolean mChanged = true;
-    private long mNextBeatNanos;
+    private boolean mViewChanged = true;
+    private long mNextHeartbeatNanos;
     private long mNextListNanos;
     private long mNextSeedNanos;
 
     /**
-     * Makes a duty that is not started yet.
+     * Creates a new service that is not started.
      *
      * @param self what this instance states about itself
-     * @param seeds link addresses to ask while no other instance is known
-     * @param timings the times
-     * @param links the links
-     * @param objectStore the platform
-     * @param clock the clock that heartbeats carry
-     * @param timeline takes the events
-     * @param timeSource the clock of silences
-     * @param seed the seed of the jitter
+     * @param seeds link addresses to contact while no other instance is connected
+     * @param timings the periods and timeouts of membership
+     * @param links the links to other instances
+     * @param objectStore the object store of the platform
+     * @param clock the clock whose time heartbeats carry
+     * @param timeline the timeline that receives the events
+     * @param timeSource the clock for the periods and inactivity timeouts
+     * @param seed the seed of the jitter of the periods
      */
     public MembershipService(
             OwnState self,
@@ -99,7 +99,7 @@
             TimeSource timeSource,
             long seed) {
         mSeeds = seeds.stream().filter(each -> !each.equals(self.linkAddress())).toList();
-        mTimings = Assert.notNull(timings, "The times of membership");
+        mTimings = Assert.notNull(timings, "The membership timings");
         mLinks = Assert.notNull(links, "The links");
         mObjectStore = Assert.notNull(objectStore, "An object store");
         mClock = Assert.notNull(clock, "A hybrid clock");
@@ -110,28 +110,28 @@
                         links,
                         clock,
                         timeline,
-                        () -> mHeadroom.get(),
+                        () -> mHeadroomSupplier.get(),
                         this::digest,
-                        () -> mChanged = true);
+                        () -> mViewChanged = true);
         mTable = new MembershipTable(self, timings, timeSource, sink);
         mView = mTable.view();
-        mDuty = new EventLoop("membership", RING_CAPACITY, timeSource);
-        mDuty.every(TICK, this::tick);
+        mEventLoop = new EventLoop("membership", QUEUE_CAPACITY, timeSource);
+        mEventLoop.every(TICK_PERIOD, this::tick);
         long now = timeSource.monotonicNanos();
-        mNextBeatNanos = now;
+        mNextHeartbeatNanos = now;
         mNextListNanos = now;
         mNextSeedNanos = now;
     }
 
-    /** Starts to take and send heartbeats. */
+    /** Starts receiving and sending heartbeats. */
     public void start() {
-        mLinks.handle(Envelope.BodyCase.HEARTBEAT, this::takeHeartbeat);
-        mLinks.addListener(new Listener());
-        mDuty.start();
+        mLinks.handle(Envelope.BodyCase.HEARTBEAT, this::onHeartbeat);
+        mLinks.addListener(new LinkEventListener());
+        mEventLoop.start();
     }
 
     /**
-     * Gives what is known now.
+     * Returns the current view of the membership.
      *
      * @return an immutable view
      */
@@ -140,80 +140,87 @@
     }
 
     /**
-     * Adds a listener to changes.
+     * Adds a listener for changes of the membership.
      *
      * @param listener the listener
      */
     public void addListener(MembershipListener listener) {
-        mListeners.add(Assert.notNull(listener, "A listener to membership"));
+        mListeners.add(Assert.notNull(listener, "A membership listener"));
     }
 
     /**
-     * Adds a listener to the headroom that heartbeats tell.
+     * Adds a listener for the headroom that heartbeats report.
      *
      * @param listener the listener
      */
     public void addHeadroomListener(HeadroomListener listener) {
-        mHeadroomListeners.add(Assert.notNull(listener, "A listener to headroom"));
+        mHeadroomListeners.add(Assert.notNull(listener, "A headroom listener"));
     }
 
     /**
-     * Says what heartbeats tell of the headroom of this instance.
+     * Sets the supplier of the headroom that the heartbeats of this instance report.
      *
-     * @param headroom gives the entries; called on the thread of the duty, and must not block
+     * @param headroomSupplier the supplier of the entries; invoked on the event loop, and must not
+     *     block
      */
-    public void setHeadroomSupplier(Supplier<List<HeadroomEntry>> headroom) {
-        mHeadroom = Assert.notNull(headroom, "The headroom");
+    public void setHeadroomSupplier(Supplier<List<HeadroomEntry>> headroomSupplier) {
+        mHeadroomSupplier = Assert.notNull(headroomSupplier, "A headroom supplier");
     }
 
     /**
-     * Takes the configuration in force: its version for heartbeats, its regions for the view.
+     * Sets the configuration in force. Its version is reported in heartbeats, and its regions are
+     * used for the view.
      *
      * @param configuration the configuration
      */
     public void configure(Configuration configuration) {
-        mDuty.offer(
+        mEventLoop.offer(
                 () -> {
                     mTable.setConfiguration(configuration.version());
                     mTable.setRegions(configuration::regionOf);
-                    mChanged = true;
+                    mViewChanged = true;
                 });
     }
 
     /**
-     * Says whether this instance stops as planned, and tells the others at once.
+     * Sets whether this instance is leaving because of a planned stop, and reports it to the other
+     * instances immediately.
      *
-     * @param leaving whether it does
+     * @param leaving whether this instance is leaving
      */
     public void setLeaving(boolean leaving) {
-        mDuty.offer(
+        mEventLoop.offer(
                 () -> {
                     mTable.setLeaving(leaving);
                     mTable.sendHeartbeats();
-                    mChanged = true;
+                    mViewChanged = true;
                 });
     }
 
     /**
-     * Counts the heartbeats that were dropped because they could not be read or the ring was full.
+     * Returns the number of heartbeats that were dropped because they were invalid or the queue was
+     * full.
      *
      * @return the count since the start
      */
     public long rejectedHeartbeats() {
-        return mRejected.sum();
+        return mRejectedHeartbeats.sum();
     }
 
-    /** Tells the others that this run ends, and stops. */
+    /** Announces the termination of this run to the other instances, and stops the event loop. */
     @Override
     public void close() {
-        mDuty.offer(mTable::announceTermination);
-        mDuty.close();
+        mEventLoop.offer(mTable::announceTermination);
+        mEventLoop.close();
     }
 
-    /** Acts on the time that it is now, besides the ticks; completes once that is done. */
+    /**
+     * Runs an additional tick at the current time. The returned future completes when the tick has
+     * run.
+     */
     CompletableFuture<Void> tickNow() {
         CompletableFuture<Void> ticked = new CompletableFuture<>();
-        mDuty.put(
+        mEventLoop.put(
                 () -> {
                     tick();
                     ticked.complete(null);
@@ -229,42 +236,45 @@
         long now = mTimeSource.monotonicNanos();
         boolean paused = mTable.isSelfPaused();
         mTable.advance();
-        if (now - mNextBeatNanos >= 0) {
-            mNextBeatNanos = now + jittered(mTimings.heartbeat().toNanos());
+        if (now - mNextHeartbeatNanos >= 0) {
+            mNextHeartbeatNanos = now + withJitter(mTimings.heartbeat().toNanos());
             mTable.sendHeartbeats();
         }
         if (now - mNextListNanos >= 0) {
-            mNextListNanos = now + jittered(LIST_RETRY_NANOS);
+            mNextListNanos = now + withJitter(LIST_RETRY_NANOS);
             CompletableFuture<Boolean> unused =
-                    mObjectStore.instances().thenApply(list -> mDuty.offer(() -> takeList(list)));
+                    mObjectStore
+                            .instances()
+                            .thenApply(list -> mEventLoop.offer(() -> applyList(list)));
         }
         if (now - mNextSeedNanos >= 0 && mLinks.connected().isEmpty()) {
-            mNextSeedNanos = now + jittered(mTimings.heartbeat().toNanos());
+            mNextSeedNanos = now + withJitter(mTimings.heartbeat().toNanos());
             mSeeds.forEach(mLinks::contact);
         }
         publish(paused != mTable.isSelfPaused());
     }
 
-    private long jittered(long nanos) {
-        return (long) (nanos * (1 + JITTER * (2 * mRandom.nextDouble() - 1)));
+    private long withJitter(long nanos) {
+        return (long) (nanos * (1 + JITTER_RATIO * (2 * mRandom.nextDouble() - 1)));
     }
 
-    private void publish(boolean trustChanged) {
-        if (!mChanged && !trustChanged) {
+    private void publish(boolean force) {
+        if (!mViewChanged && !force) {
             return;
         }
-        mChanged = false;
+        mViewChanged = false;
         MembershipView view = mTable.view();
         mView = view;
         mListeners.forEach(listener -> listener.changed(view));
     }
 
-    private void takeList(Either<PlatformError, List<ListedInstance>> list) {
+    private void applyList(Either<PlatformError, List<ListedInstance>> list) {
         if (list.isLeft()) {
-            sLogger.debug("MEMBER  The list was not read: {}", list.getLeft().message());
+            sLogger.debug(
+                    "MEMBER  Failed to read the list of instances: {}", list.getLeft().message());
             return;
         }
-        mNextListNanos = mTimeSource.monotonicNanos() + jittered(LIST_PERIOD_NANOS);
+        mNextListNanos = mTimeSource.monotonicNanos() + withJitter(LIST_PERIOD_NANOS);
         mTable.updateListedMembers(
                 list.get().stream()
                         .filter(entry -> SocketAddresses.isAddress(entry.linkAddress()))
@@ -279,22 +289,22 @@
         publish(true);
     }
 
-    private void takeHeartbeat(InstanceId from, Envelope message, Responder responder) {
+    private void onHeartbeat(InstanceId from, Envelope message, Responder responder) {
         Incarnation peer = responder.peer();
-        if (!mDuty.offer(() -> take(peer, message.getHeartbeat()))) {
-            mRejected.increment();
+        if (!mEventLoop.offer(() -> applyHeartbeat(peer, message.getHeartbeat()))) {
+            mRejectedHeartbeats.increment();
         }
     }
 
-    private void take(Incarnation peer, Heartbeat heartbeat) {
+    private void applyHeartbeat(Incarnation peer, Heartbeat heartbeat) {
         mClock.merge(new HybridTime(Math.max(0, heartbeat.getHybridTime())));
-        heartbeat.getAsksList().forEach(ask -> takeAsk(peer, ask));
+        heartbeat.getAsksList().forEach(query -> applyQuery(peer, query));
         if (!heartbeat.hasSelf()) {
             return;
         }
         Optional<MemberUpdate> own = MembershipMessages.toUpdate(heartbeat.getSelf());
         if (own.isEmpty() || !own.get().incarnation().equals(peer)) {
-            mRejected.increment();
+            mRejectedHeartbeats.increment();
             return;
         }
         mTable.receiveHeartbeat(
@@ -309,30 +319,30 @@
         publish(false);
     }
 
-    private void takeAsk(Incarnation peer, MemberAsk ask) {
-        MembershipMessages.run(ask)
+    private void applyQuery(Incarnation peer, MemberAsk query) {
+        MembershipMessages.toIncarnation(query)
                 .ifPresent(
                         run ->
                                 mTable.receiveUpdateRequest(
-                                        peer.instance(), run, ask.getSequence()));
+                                        peer.instance(), run, query.getSequence()));
     }
 
-    /** Hands over what the links tell. */
-    private final class Listener implements LinkListener {
+    /** Listener that passes the events of the links to the event loop. */
+    private final class LinkEventListener implements LinkListener {
 
         @Override
         public void connected(Incarnation peer) {
-            mDuty.offer(() -> mTable.sendHeartbeat(peer.instance()));
+            mEventLoop.offer(() -> mTable.sendHeartbeat(peer.instance()));
         }
 
         @Override
         public void disconnected(Incarnation peer) {
-            mDuty.offer(() -> mTable.onDisconnected(peer));
+            mEventLoop.offer(() -> mTable.onDisconnected(peer));
         }
 
         @Override
         public void connectionRefused(InstanceId peer) {
-            mDuty.offer(
+            mEventLoop.offer(
                     () -> {
                         mTable.onConnectionRefused(peer);
                         publish(true);
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/package-info.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The duty of membership: sends and takes heartbeats over the links and reads the platform's list.
+ * Membership service, which exchanges heartbeats over the links and reads the platform's list of
+ * instances.
  *
- * <p>What the heartbeats mean is decided in {@code io.masticpond.core.membership}.
+ * <p>Heartbeats are evaluated in {@code io.masticpond.core.membership}.
  */
 package io.masticpond.daemon.membership;
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/membership/ListOnlyStore.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/membership/ListOnlyStore.java
@@ -12,52 +12,53 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** A platform that knows only its list of instances, or is away. */
+/** Stand-in for a platform that only returns its list of instances, or is unavailable. */
 final class ListOnlyStore implements ObjectStore {
 
-    private volatile Optional<List<ListedInstance>> mList = Optional.empty();
+    private volatile Optional<List<ListedInstance>> mInstances = Optional.empty();
 
-    void list(List<ListedInstance> list) {
-        mList = Optional.of(List.copyOf(list));
+    void setInstances(List<ListedInstance> instances) {
+        mInstances = Optional.of(List.copyOf(instances));
     }
 
     @Override
     public CompletableFuture<Either<PlatformError, List<ListedInstance>>> instances() {
         return CompletableFuture.completedFuture(
-                mList.<Either<PlatformError, List<ListedInstance>>>map(Either::right)
-                        .orElseGet(ListOnlyStore::away));
+                mInstances
+                        .<Either<PlatformError, List<ListedInstance>>>map(Either::right)
+                        .orElseGet(ListOnlyStore::unavailable));
     }
 
     @Override
     public CompletableFuture<Either<PlatformError, Optional<StoredObject>>> read(ObjectKey key) {
-        return CompletableFuture.completedFuture(away());
+        return CompletableFuture.completedFuture(unavailable());
     }
 
     @Override
     public CompletableFuture<Either<PlatformError, Long>> write(
             ObjectKey key, long expectedVersion, byte[] value) {
-        return CompletableFuture.completedFuture(away());
+        return CompletableFuture.completedFuture(unavailable());
     }
 
     @Override
     public CompletableFuture<Either<PlatformError, Optional<StoredObject>>> watch(
             ObjectKey key, long afterVersion, Duration timeout) {
-        return CompletableFuture.completedFuture(away());
+        return CompletableFuture.completedFuture(unavailable());
     }
 
     @Override
     public CompletableFuture<Either<PlatformError, List<String>>> list(
             ObjectKind kind, String prefix) {
-        return CompletableFuture.completedFuture(away());
+        return CompletableFuture.completedFuture(unavailable());
     }
 
     @Override
     public CompletableFuture<Either<PlatformError, Void>> delete(
             ObjectKey key, long expectedVersion) {
-        return CompletableFuture.completedFuture(away());
+        return CompletableFuture.completedFuture(unavailable());
     }
 
-    private static <T> Either<PlatformError, T> away() {
-        return Either.left(new PlatformError.Away("The platform is away."));
+    private static <T> Either<PlatformError, T> unavailable() {
+        return Either.left(new PlatformError.Away("The platform is unavailable."));
     }
 }
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/membership/MembershipMessagesProperties.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/membership/MembershipMessagesProperties.java
@@ -10,11 +10,13 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.StringLength;
 
-/** News from the wire are read whole or dropped, whatever they hold. */
+/**
+ * Properties of member updates from the network: every entry is either read completely or dropped.
+ */
 class MembershipMessagesProperties {
 
     @Property(seed = "1")
-    void nonsenseIsDroppedAndNeverThrows(
+    void invalidEntryIsDroppedWithoutException(
             @ForAll @StringLength(max = 80) String instance,
             @ForAll long incarnation,
             @ForAll @StringLength(max = 80) String zone,
@@ -33,11 +35,12 @@
                         .setClaimValue(claim)
                         .build();
         MembershipMessages.toUpdate(entry)
-                .ifPresent(news -> assertThat(MembershipMessages.entry(news)).isEqualTo(entry));
+                .ifPresent(
+                        update -> assertThat(MembershipMessages.toEntry(update)).isEqualTo(entry));
     }
 
     @Property(seed = "1")
-    void whatIsWrittenIsReadAgain(
+    void validEntryIsPreserved(
             @ForAll @IntRange(min = 1, max = 65_535) int port,
             @ForAll @IntRange(min = 1) int incarnation,
             @ForAll @IntRange(min = 0) int sequence,
@@ -51,7 +54,7 @@
                         .setSequence(sequence)
                         .setClaimValue(claim)
                         .build();
-        Optional<MemberUpdate> news = MembershipMessages.toUpdate(entry);
-        assertThat(news.map(MembershipMessages::entry)).contains(entry);
+        Optional<MemberUpdate> update = MembershipMessages.toUpdate(entry);
+        assertThat(update.map(MembershipMessages::toEntry)).contains(entry);
     }
 }
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/membership/MembershipServiceTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/membership/MembershipServiceTest.java
@@ -32,37 +32,40 @@
 import net.jqwik.api.Example;
 import net.jqwik.api.lifecycle.AfterTry;
 
-/** Duties that talk over real links on loopback. */
+/** Tests of membership services that communicate over real links on loopback. */
 class MembershipServiceTest {
 
     private static final InstanceId A = new InstanceId("a");
     private static final InstanceId B = new InstanceId("b");
     private static final InstanceId C = new InstanceId("c");
 
-    /** Only bounds a hang: time passes for the duties only as the test lets it. */
-    private static final long LONGEST_NANOS = TimeUnit.SECONDS.toNanos(60);
+    /**
+     * Timeout that only bounds a hang; the clock of the services advances only when the test
+     * advances it.
+     */
+    private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(60);
 
-    private static final long SETTLE_NANOS = TimeUnit.SECONDS.toNanos(2);
+    private static final long SOCKET_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
     private static final Duration STEP = Duration.ofMillis(5);
     private static final Duration TICK = Duration.ofMillis(100);
-    private static final Duration LONGEST_BEAT = Duration.ofMillis(1_500);
-    private static final int TICKS_TO_NOTICE = 29;
+    private static final Duration MAXIMUM_HEARTBEAT_AGE = Duration.ofMillis(1_500);
+    private static final int MAXIMUM_TICKS_TO_DETECT = 29;
 
     private final ManualTimeSource mTime =
             new ManualTimeSource(Instant.parse("2026-12-02T06:00:00Z"));
     private final ListOnlyStore mStore = new ListOnlyStore();
     private final List<Node> mNodes = new ArrayList<>();
 
-    /** One instance: its links and its duty. */
+    /** Links and membership service of one instance. */
     private record Node(
             InstanceId id,
             String address,
             NettyInstanceLinks links,
-            MembershipService duty,
-            Map<InstanceId, Long> heardNanos) {
+            MembershipService service,
+            Map<InstanceId, Long> heartbeatNanos) {
 
         MemberState stateOf(InstanceId other) {
-            return duty.view()
+            return service.view()
                     .member(other)
                     .map(member -> member.state())
                     .orElse(MemberState.EXPECTED);
@@ -72,7 +75,7 @@
     @AfterTry
     void close() {
         for (Node node : mNodes) {
-            node.duty().close();
+            node.service().close();
             node.links().close();
         }
     }
@@ -81,10 +84,11 @@
         KeyRing keys =
                 new KeyRing("k", Map.of("k", "0123456789abcdef".getBytes(StandardCharsets.UTF_8)));
         Incarnation incarnation = new Incarnation(id, run);
-        NettyInstanceLinks links = new NettyInstanceLinks(incarnation, patient(keys), mTime, run);
+        NettyInstanceLinks links =
+                new NettyInstanceLinks(incarnation, settingsWithLongTimeout(keys), mTime, run);
         InetSocketAddress bound = links.start();
         String address = "127.0.0.1:" + bound.getPort();
-        MembershipService duty =
+        MembershipService service =
                 new MembershipService(
                         new OwnState(incarnation, new ZoneId("z1"), address, "", ""),
                         seeds,
@@ -95,18 +99,18 @@
                         Timeline.NONE,
                         mTime,
                         run);
-        Node node = new Node(id, address, links, duty, new ConcurrentHashMap<>());
-        duty.setHeadroomSupplier(
+        Node node = new Node(id, address, links, service, new ConcurrentHashMap<>());
+        service.setHeadroomSupplier(
                 () -> List.of(HeadroomEntry.newBuilder().setService("any").build()));
-        duty.addHeadroomListener(
-                (from, entries) -> node.heardNanos().put(from, mTime.monotonicNanos()));
+        service.addHeadroomListener(
+                (from, entries) -> node.heartbeatNanos().put(from, mTime.monotonicNanos()));
         mNodes.add(node);
-        duty.start();
+        service.start();
         return node;
     }
 
-    private void list() {
-        mStore.list(
+    private void listAllNodes() {
+        mStore.setInstances(
                 mNodes.stream()
                         .map(
                                 node ->
@@ -115,126 +119,136 @@
                         .toList());
     }
 
-    /** Gives settings of links with which a slow handshake is no failure. */
-    private static LinkSettings patient(KeyRing keys) {
-        LinkSettings normal = LinkSettings.of("127.0.0.1:0", keys);
+    /** Returns link settings with which a slow handshake does not fail. */
+    private static LinkSettings settingsWithLongTimeout(KeyRing keys) {
+        LinkSettings defaults = LinkSettings.of("127.0.0.1:0", keys);
         return new LinkSettings(
-                normal.listenAddress(),
-                normal.keys(),
-                normal.lowestVersion(),
-                normal.highestVersion(),
-                normal.maximumFrameBytes(),
-                normal.maximumQueuedBytes(),
-                normal.maximumCalls(),
-                Duration.ofNanos(LONGEST_NANOS),
-                normal.minimumBackoff(),
-                normal.maximumBackoff(),
-                normal.busyInactivityTimeout(),
-                normal.idleInactivityTimeout());
+                defaults.listenAddress(),
+                defaults.keys(),
+                defaults.lowestVersion(),
+                defaults.highestVersion(),
+                defaults.maximumFrameBytes(),
+                defaults.maximumQueuedBytes(),
+                defaults.maximumCalls(),
+                Duration.ofNanos(TIMEOUT_NANOS),
+                defaults.minimumBackoff(),
+                defaults.maximumBackoff(),
+                defaults.busyInactivityTimeout(),
+                defaults.idleInactivityTimeout());
     }
 
-    /** Lets time pass until something holds. */
-    private void awaitTrue(String what, BooleanSupplier condition) {
-        await(what, condition, STEP);
+    /** Advances the clock until a condition holds. */
+    private void awaitTrue(String description, BooleanSupplier condition) {
+        await(description, condition, STEP);
     }
 
-    private void await(String what, BooleanSupplier condition, Duration step) {
-        long end = System.nanoTime() + LONGEST_NANOS;
+    private void await(String description, BooleanSupplier condition, Duration step) {
+        long end = System.nanoTime() + TIMEOUT_NANOS;
         while (!condition.getAsBoolean()) {
-            assertThat(System.nanoTime()).as(what).isLessThan(end);
+            assertThat(System.nanoTime()).as(description).isLessThan(end);
             mTime.advance(step);
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(1));
         }
     }
 
-    /** Lets one tick pass for both, and waits until both have acted on it and heard each other. */
+    /**
+     * Advances the clock by one tick, and waits until both instances have processed it and received
+     * a heartbeat from each other.
+     */
     private void tick(Node first, Node second) {
         mTime.advance(TICK);
         List<CompletableFuture<Void>> ticks =
-                List.of(first.duty().tickNow(), second.duty().tickNow());
-        ticks.forEach(each -> each.orTimeout(LONGEST_NANOS, TimeUnit.NANOSECONDS).join());
-        awaitNow("the first hears the second", () -> hasHeard(first, second));
-        awaitNow("the second hears the first", () -> hasHeard(second, first));
+                List.of(first.service().tickNow(), second.service().tickNow());
+        ticks.forEach(each -> each.orTimeout(TIMEOUT_NANOS, TimeUnit.NANOSECONDS).join());
+        awaitNow(
+                "the first instance receives a heartbeat of the second",
+                () -> hasRecentHeartbeat(first, second));
+        awaitNow(
+                "the second instance receives a heartbeat of the first",
+                () -> hasRecentHeartbeat(second, first));
     }
 
-    /** Gives the sockets time to tell what happened at this instant of the duties. */
-    private static void settle(BooleanSupplier condition) {
-        long end = System.nanoTime() + SETTLE_NANOS;
+    /** Waits for the sockets to report their events while the clock of the services is stopped. */
+    private static void awaitSocketEvents(BooleanSupplier condition) {
+        long end = System.nanoTime() + SOCKET_TIMEOUT_NANOS;
         while (!condition.getAsBoolean() && System.nanoTime() < end) {
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(1));
         }
     }
 
-    /** Waits until something holds while the time of the duties stands still. */
-    private void awaitNow(String what, BooleanSupplier condition) {
-        await(what, condition, Duration.ZERO);
+    /** Waits until a condition holds while the clock of the services is stopped. */
+    private void awaitNow(String description, BooleanSupplier condition) {
+        await(description, condition, Duration.ZERO);
     }
 
-    private boolean hasHeard(Node node, Node other) {
-        Long heard = node.heardNanos().get(other.id());
-        return heard != null && mTime.monotonicNanos() - heard <= LONGEST_BEAT.toNanos();
+    private boolean hasRecentHeartbeat(Node node, Node other) {
+        Long receivedNanos = node.heartbeatNanos().get(other.id());
+        return receivedNanos != null
+                && mTime.monotonicNanos() - receivedNanos <= MAXIMUM_HEARTBEAT_AGE.toNanos();
     }
 
     @Example
-    void listedInstancesFindEachOtherAndNoticeOneDeath() {
+    void listedInstancesConnectAndDetectTermination() {
         Node a = start(A, 1, List.of());
         Node b = start(B, 1, List.of());
         Node c = start(C, 1, List.of());
-        list();
+        listAllNodes();
         awaitTrue("a sees c live", () -> a.stateOf(C) == MemberState.LIVE);
         awaitTrue("b sees c live", () -> b.stateOf(C) == MemberState.LIVE);
-        awaitTrue("a has heard b", () -> hasHeard(a, b));
-        awaitTrue("b has heard a", () -> hasHeard(b, a));
+        awaitTrue("a has received a heartbeat of b", () -> hasRecentHeartbeat(a, b));
+        awaitTrue("b has received a heartbeat of a", () -> hasRecentHeartbeat(b, a));
         c.links().close();
-        BooleanSupplier noticed =
+        BooleanSupplier detected =
                 () ->
                         a.stateOf(C) == MemberState.DEAD
                                 && b.stateOf(C) == MemberState.DEAD
-                                && a.duty().view().missing().isEmpty();
-        for (int ticks = 0; !noticed.getAsBoolean(); ticks++) {
-            assertThat(ticks).as("ticks until c is known to be dead").isLessThan(TICKS_TO_NOTICE);
+                                && a.service().view().missing().isEmpty();
+        for (int ticks = 0; !detected.getAsBoolean(); ticks++) {
+            assertThat(ticks)
+                    .as("ticks until c is known to be dead")
+                    .isLessThan(MAXIMUM_TICKS_TO_DETECT);
             tick(a, b);
-            settle(noticed);
+            awaitSocketEvents(detected);
         }
     }
 
     @Example
-    void seedsAreEnoughWhileThePlatformIsAway() {
+    void seedsSufficeWhilePlatformIsUnavailable() {
         Node a = start(A, 1, List.of());
         Node b = start(B, 1, List.of(a.address()));
         Node c = start(C, 1, List.of(a.address()));
         awaitTrue("c sees b live", () -> c.stateOf(B) == MemberState.LIVE);
         awaitTrue("b sees c live", () -> b.stateOf(C) == MemberState.LIVE);
-        assertThat(c.duty().view().live()).hasSize(3);
+        assertThat(c.service().view().live()).hasSize(3);
     }
 
     @Example
-    void headroomComesWithHeartbeats() {
+    void headroomIsReportedInHeartbeats() {
         Node a = start(A, 1, List.of());
         Node b = start(B, 1, List.of(a.address()));
-        CountDownLatch told = new CountDownLatch(1);
-        b.duty()
+        CountDownLatch received = new CountDownLatch(1);
+        b.service()
                 .setHeadroomSupplier(
                         () -> List.of(HeadroomEntry.newBuilder().setService("s").build()));
-        a.duty()
+        a.service()
                 .addHeadroomListener(
                         (from, entries) -> {
                             if (from.equals(B) && entries.get(0).getService().equals("s")) {
-                                told.countDown();
+                                received.countDown();
                             }
                         });
-        awaitTrue("a is told", () -> told.getCount() == 0);
+        awaitTrue("a receives the headroom of b", () -> received.getCount() == 0);
     }
 
     @Example
-    void aPlannedStopIsSeenAtOnce() {
+    void plannedStopIsReportedImmediately() {
         Node a = start(A, 1, List.of());
         Node b = start(B, 1, List.of(a.address()));
         awaitTrue("a sees b live", () -> a.stateOf(B) == MemberState.LIVE);
-        b.duty().setLeaving(true);
+        b.service().setLeaving(true);
         awaitTrue("a sees b leaving", () -> a.stateOf(B) == MemberState.LEAVING);
-        b.duty().close();
-        awaitTrue("a sees b gone", () -> a.stateOf(B) == MemberState.DEAD);
-        assertThat(a.duty().view().missing()).isEmpty();
+        b.service().close();
+        awaitTrue("a sees b dead", () -> a.stateOf(B) == MemberState.DEAD);
+        assertThat(a.service().view().missing()).isEmpty();
     }
 }
