--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/lifecycle/DrainState.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/lifecycle/DrainState.java
@@ -1,17 +1,17 @@
 package io.masticpond.daemon.lifecycle;
 
 /**
- * How far a planned stop of this instance is.
+ * State of a planned stop of this instance.
  *
  * @since 0.1
  */
 public enum DrainState {
-    /** It takes callers. */
+    /** The instance accepts callers. */
     SERVING,
-    /** Look-ups name it no more; it serves what still comes. */
+    /** Look-ups no longer return the instance, which serves the requests that still arrive. */
     LEAVING,
-    /** Cached look-ups have run out and nothing is in flight. */
+    /** Cached look-ups have expired and no request is in flight. */
     DRAINED,
-    /** It is about to exit. */
+    /** The instance is about to exit. */
     STOPPING
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/lifecycle/PlannedStop.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/lifecycle/PlannedStop.java
@@ -9,86 +9,89 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Stops this instance without cutting a request.
+ * Planned stop of this instance, which lets requests in flight complete.
  *
- * <p>It marks itself as leaving, so that look-ups name it no more; serves on until cached look-ups
- * have run out and what is in flight has ended; then hands over outcomes, returns allotments and
- * closes. Safe for all threads.
+ * <p>The stop marks the instance as leaving, so that look-ups no longer return it. It then
+ * continues to serve until cached look-ups have expired and all requests in flight have ended,
+ * hands over outcomes and returns allotments. Thread-safe.
  *
  * @since 0.1
  */
 public final class PlannedStop {
 
     private static final Logger sLogger = LoggerFactory.getLogger(PlannedStop.class);
-    private static final Duration POLL = Duration.ofMillis(20);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(20);
 
-    /** How long news of the leaving flag may take to reach every peer. */
-    private static final Duration NEWS_MARGIN = Duration.ofMillis(1_500);
+    /** Time allowed for the leaving flag to reach every peer. */
+    private static final Duration LEAVING_PROPAGATION_TIME = Duration.ofMillis(1_500);
 
-    /** How long no request must have been in flight before nothing more is expected. */
-    private static final Duration QUIET = Duration.ofMillis(200);
+    /** Time without a request in flight after which no further requests are expected. */
+    private static final Duration IDLE_PERIOD = Duration.ofMillis(200);
 
-    private static final Duration HANDOVER_BOUND = Duration.ofSeconds(5);
+    private static final Duration HANDOVER_TIMEOUT = Duration.ofSeconds(5);
 
     private final StoppableParts mParts;
     private final TimeSource mTimeSource;
     private final Timeline mTimeline;
     private final Duration mLookupLifetime;
-    private final Duration mBound;
+    private final Duration mDrainTimeout;
     private final Consumer<Duration> mPause;
     private volatile DrainState mState = DrainState.SERVING;
-    private volatile long mDrainedSinceNanos;
+    private volatile long mLeavingSinceNanos;
 
     /**
-     * Makes a stop that has not begun.
+     * Creates a planned stop that has not begun.
      *
-     * @param parts the rest of the daemon
-     * @param timeSource the clocks
-     * @param timeline takes events
-     * @param lookupLifetime how long look-up answers may be cached
-     * @param bound the longest time until what is in flight is given up
-     * @param pause waits for a duration
+     * @param parts the parts of the daemon to stop
+     * @param timeSource the clock
+     * @param timeline the timeline that receives the events
+     * @param lookupLifetime the time for which callers may cache look-up answers
+     * @param drainTimeout the maximum time to wait for requests in flight
+     * @param pause blocks the calling thread for a duration
      */
     public PlannedStop(
             StoppableParts parts,
             TimeSource timeSource,
             Timeline timeline,
             Duration lookupLifetime,
-            Duration bound,
+            Duration drainTimeout,
             Consumer<Duration> pause) {
         mParts = parts;
         mTimeSource = timeSource;
         mTimeline = timeline;
         mLookupLifetime = lookupLifetime;
-        mBound = bound;
+        mDrainTimeout = drainTimeout;
         mPause = pause;
     }
 
     /**
-     * Tells how far the stop is.
+     * Returns the state of the stop.
      *
      * @return the state
      */
     public DrainState state() {
-        boolean empty = mState == DrainState.LEAVING && lookupsHaveRunOut() && isIdle();
-        return empty ? DrainState.DRAINED : mState;
+        boolean drained = mState == DrainState.LEAVING && haveLookupsExpired() && isIdle();
+        return drained ? DrainState.DRAINED : mState;
     }
 
-    /** Begins to leave: no new callers, while everything in flight is served on. */
+    /**
+     * Marks this instance as leaving, so that it gets no new callers; all requests in flight are
+     * still served.
+     */
     public synchronized void drain() {
         if (mState != DrainState.SERVING) {
             return;
         }
         mState = DrainState.LEAVING;
-        mDrainedSinceNanos = mTimeSource.monotonicNanos();
+        mLeavingSinceNanos = mTimeSource.monotonicNanos();
         mParts.setLeaving(true);
         record("instance-leaving");
     }
 
     /**
-     * Takes back a {@link #drain}.
+     * Cancels a {@link #drain}.
      *
-     * @return whether this instance serves again; false once it stops
+     * @return whether this instance is serving again; {@code false} once it is stopping
      */
     public synchronized boolean undrain() {
         if (mState == DrainState.STOPPING) {
@@ -103,10 +106,10 @@
     }
 
     /**
-     * Brings all work to its end, within the bound and a few seconds more; then the process may
-     * close everything.
+     * Completes all work, within the drain timeout and a few seconds more. The process may close
+     * all its parts afterwards.
      *
-     * @return whether no request was cut
+     * @return whether no request was interrupted
      */
     public boolean stop() {
         drain();
@@ -121,10 +124,10 @@
             sLogger.warn("PROCESS  Stopping with {} requests in flight.", mParts.inFlight());
         }
         mParts.refuseNewRequests();
-        if (!mParts.handOverOutcomes(HANDOVER_BOUND)) {
+        if (!mParts.handOverOutcomes(HANDOVER_TIMEOUT)) {
             sLogger.warn("PROCESS  Not all outcomes were handed over.");
         }
-        if (!mParts.returnAllotments(HANDOVER_BOUND)) {
+        if (!mParts.returnAllotments(HANDOVER_TIMEOUT)) {
             sLogger.warn("PROCESS  Not all allotments were returned.");
         }
         record("instance-stopped");
@@ -132,16 +135,16 @@
     }
 
     private boolean awaitIdle() {
-        long end = mDrainedSinceNanos + mBound.toNanos();
-        long quietSince = mTimeSource.monotonicNanos();
+        long end = mLeavingSinceNanos + mDrainTimeout.toNanos();
+        long idleSinceNanos = mTimeSource.monotonicNanos();
         while (mTimeSource.monotonicNanos() - end < 0) {
             long now = mTimeSource.monotonicNanos();
             if (!isIdle()) {
-                quietSince = now;
-            } else if (lookupsHaveRunOut() && now - quietSince >= QUIET.toNanos()) {
+                idleSinceNanos = now;
+            } else if (haveLookupsExpired() && now - idleSinceNanos >= IDLE_PERIOD.toNanos()) {
                 return true;
             }
-            mPause.accept(POLL);
+            mPause.accept(POLL_INTERVAL);
         }
         return isIdle();
     }
@@ -150,9 +153,9 @@
         return mParts.inFlight() == 0;
     }
 
-    private boolean lookupsHaveRunOut() {
-        long age = mTimeSource.monotonicNanos() - mDrainedSinceNanos;
-        return age >= mLookupLifetime.plus(NEWS_MARGIN).toNanos();
+    private boolean haveLookupsExpired() {
+        long age = mTimeSource.monotonicNanos() - mLeavingSinceNanos;
+        return age >= mLookupLifetime.plus(LEAVING_PROPAGATION_TIME).toNanos();
     }
 
     private void record(String event) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/lifecycle/StoppableParts.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/lifecycle/StoppableParts.java
@@ -3,38 +3,38 @@
 import java.time.Duration;
 
 /**
- * What a planned stop asks of the rest of the daemon.
+ * Strategy interface for the operations that a planned stop requires from the rest of the daemon.
  *
  * @since 0.1
  */
 public interface StoppableParts {
 
-    /** Says to peers and look-ups that this instance is leaving, or that it stays after all. */
+    /** Sets whether this instance is leaving, which is reported to peers and in look-ups. */
     void setLeaving(boolean leaving);
 
     /**
-     * Counts the requests of callers and of other instances that have not ended.
+     * Returns the number of requests of callers and other instances that have not ended.
      *
-     * @return the count
+     * @return the number of requests
      */
     int inFlight();
 
-    /** Refuses new requests truthfully from now on. */
+    /** Refuses all new requests from now on, stating that they did not run. */
     void refuseNewRequests();
 
     /**
-     * Hands the kept outcomes of once-only operations to a peer and to the platform.
+     * Hands over the stored outcomes of once-only operations to a peer and to the platform.
      *
-     * @param bound how long it may take
-     * @return whether all were taken
+     * @param timeout the maximum time to wait
+     * @return whether all outcomes were accepted
      */
-    boolean handOverOutcomes(Duration bound);
+    boolean handOverOutcomes(Duration timeout);
 
     /**
-     * Returns what is left of spending allotments.
+     * Returns the remainders of the spending allotments to the platform.
      *
-     * @param bound how long it may take
-     * @return whether the platform took them back
+     * @param timeout the maximum time to wait
+     * @return whether the platform accepted them
      */
-    boolean returnAllotments(Duration bound);
+    boolean returnAllotments(Duration timeout);
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/lifecycle/package-info.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/lifecycle/package-info.java
@@ -1,2 +1,4 @@
-/** Planned stops and drains of this instance; it must not know the parts that it stops. */
+/**
+ * Planned stop and drain of this instance. This package must not depend on the parts that it stops.
+ */
 package io.masticpond.daemon.lifecycle;
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/lifecycle/PlannedStopTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/lifecycle/PlannedStopTest.java
@@ -13,45 +13,46 @@
 
 class PlannedStopTest {
 
-    private static final Duration CACHE = Duration.ofSeconds(2);
-    private static final Duration BOUND = Duration.ofSeconds(30);
+    private static final Duration LOOKUP_LIFETIME = Duration.ofSeconds(2);
+    private static final Duration DRAIN_TIMEOUT = Duration.ofSeconds(30);
 
     private final ManualTimeSource mTime =
             new ManualTimeSource(Instant.parse("2026-12-02T08:00:00Z"));
-    private final Parts mParts = new Parts();
+    private final RecordingParts mParts = new RecordingParts();
     private final PlannedStop mStop =
-            new PlannedStop(mParts, mTime, Timeline.NONE, CACHE, BOUND, mTime::advance);
+            new PlannedStop(
+                    mParts, mTime, Timeline.NONE, LOOKUP_LIFETIME, DRAIN_TIMEOUT, mTime::advance);
 
     @Example
-    void itServesOnUntilCachedLookupsHaveRunOut() {
+    void servesUntilCachedLookupsHaveExpired() {
         assertThat(mStop.stop()).isTrue();
-        assertThat(mParts.mRefusedAtMillis).isGreaterThanOrEqualTo(CACHE.toMillis());
+        assertThat(mParts.mRefusingSinceMillis).isGreaterThanOrEqualTo(LOOKUP_LIFETIME.toMillis());
         assertThat(mParts.mSteps).containsExactly("leaving", "refuse", "outcomes", "allotments");
     }
 
     @Example
-    void itWaitsForWhatIsInFlightAndForWhatArrivesMeanwhile() {
+    void waitsForRequestsInFlightAndForThoseThatArriveMeanwhile() {
         mParts.mInFlight = millis -> millis < 9_000 || (millis > 9_100 && millis < 12_000) ? 1 : 0;
         assertThat(mStop.stop()).isTrue();
-        assertThat(mParts.mRefusedAtMillis).isGreaterThanOrEqualTo(12_000);
+        assertThat(mParts.mRefusingSinceMillis).isGreaterThanOrEqualTo(12_000);
     }
 
     @Example
-    void workThatNeverEndsIsGivenUpAtTheBoundAndSaidSo() {
+    void stopReportsRequestsThatDoNotEndWithinTimeout() {
         mParts.mInFlight = millis -> 1;
         assertThat(mStop.stop()).isFalse();
-        assertThat(mParts.mRefusedAtMillis).isBetween(30_000L, 30_100L);
+        assertThat(mParts.mRefusingSinceMillis).isBetween(30_000L, 30_100L);
     }
 
     @Example
-    void anUnreachablePlatformDoesNotStopTheStop() {
-        mParts.mTaken = false;
+    void unavailablePlatformDoesNotPreventStop() {
+        mParts.mAccepted = false;
         assertThat(mStop.stop()).isTrue();
         assertThat(mParts.mSteps).endsWith("allotments");
     }
 
     @Example
-    void aDrainCanBeTakenBackUntilItStops() {
+    void drainCanBeCancelledUntilStop() {
         mStop.drain();
         assertThat(mStop.state()).isEqualTo(DrainState.LEAVING);
         mTime.advance(Duration.ofSeconds(5));
@@ -63,12 +64,12 @@
         assertThat(mStop.undrain()).isFalse();
     }
 
-    private final class Parts implements StoppableParts {
+    private final class RecordingParts implements StoppableParts {
 
         private final List<String> mSteps = new ArrayList<>();
         private LongUnaryOperator mInFlight = millis -> 0;
-        private boolean mTaken = true;
-        private long mRefusedAtMillis;
+        private boolean mAccepted = true;
+        private long mRefusingSinceMillis;
 
         @Override
         public void setLeaving(boolean leaving) {
@@ -82,20 +83,20 @@
 
         @Override
         public void refuseNewRequests() {
-            mRefusedAtMillis = millis();
+            mRefusingSinceMillis = millis();
             mSteps.add("refuse");
         }
 
         @Override
-        public boolean handOverOutcomes(Duration bound) {
+        public boolean handOverOutcomes(Duration timeout) {
             mSteps.add("outcomes");
-            return mTaken;
+            return mAccepted;
         }
 
         @Override
-        public boolean returnAllotments(Duration bound) {
+        public boolean returnAllotments(Duration timeout) {
             mSteps.add("allotments");
-            return mTaken;
+            return mAccepted;
         }
 
         private long millis() {
