--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/logging/LogFormat.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/logging/LogFormat.java
@@ -19,12 +19,12 @@
 import net.logstash.logback.mask.MaskingJsonGeneratorDecorator;
 
 /**
- * The form of a log line.
+ * Format of log lines.
  *
  * @since 0.1
  */
 public enum LogFormat {
-    /** For people. */
+    /** Human-readable text. */
     TEXT {
         @Override
         Encoder<ILoggingEvent> encoder(LoggerContext context) {
@@ -38,7 +38,7 @@
             return encoder;
         }
     },
-    /** For programs: a JSON object on a line. */
+    /** Machine-readable: one JSON object per line. */
     JSON {
         @Override
         Encoder<ILoggingEvent> encoder(LoggerContext context) {
@@ -61,11 +61,11 @@
         }
     };
 
-    /** Makes an encoder that is not started yet. */
+    /** Creates an encoder that is not started. */
     abstract Encoder<ILoggingEvent> encoder(LoggerContext context);
 
     /**
-     * Reads the text form.
+     * Parses the text form.
      *
      * @param text the name in lower case
      * @return the format
@@ -83,7 +83,7 @@
     }
 
     /**
-     * Gives the text form.
+     * Returns the text form.
      *
      * @return the name in lower case
      */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/logging/LogLevel.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/logging/LogLevel.java
@@ -6,24 +6,24 @@
 import java.util.Locale;
 
 /**
- * How much is logged, from least to most.
+ * Log level, from the fewest to the most lines.
  *
  * @since 0.1
  */
 public enum LogLevel {
     /** Faults of the system itself. */
     ERROR,
-    /** What an operator should look at. */
+    /** Conditions that an operator should investigate. */
     WARN,
     /** Changes of state. */
     INFO,
-    /** Decisions, for finding a fault. */
+    /** Decisions, for diagnosing a fault. */
     DEBUG,
-    /** Every step, for finding a fault on a quiet instance. */
+    /** Every step, for diagnosing a fault on an instance with little load. */
     TRACE;
 
     /**
-     * Reads the text form.
+     * Parses the text form.
      *
      * @param text the name in lower case
      * @return the level
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Gives the text form.
+     * Returns the text form.
      *
      * @return the name in lower case
      */
@@ -50,8 +50,8 @@
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** Gives the level of Logback. */
-    Level logback() {
+    /** Returns the corresponding Logback level. */
+    Level toLogback() {
         return Level.toLevel(name());
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/logging/LogText.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/logging/LogText.java
@@ -4,16 +4,22 @@
 import io.masticpond.core.timeline.TimelinePart;
 import java.util.regex.Pattern;
 
-/** Takes the text of log lines apart, and hides what must not be in it. */
+/**
+ * Utility methods for splitting the messages of log events into part and sentence, and for
+ * redacting secrets.
+ */
 final class LogText {
 
-    /** The part that lines of libraries are given. */
+    /** The part of lines that libraries log. */
     static final String LIBRARY_PART = "LIBRARY";
 
-    /** What stands in the place of a secret. */
+    /** The replacement of a secret. */
     static final String MASK = "***";
 
-    /** The value of a bearer token or of a field that is called a token, secret or password. */
+    /**
+     * Pattern of the value of a bearer token, or of a field whose name is or ends in token, secret,
+     * password or shared-key.
+     */
     static final Pattern SECRET =
             Pattern.compile(
                     "(?i)(?<=bearer\\s)\\s*[^\\s\"',;]+"
@@ -24,7 +30,7 @@
 
     private LogText() {}
 
-    /** Finds the part that a line comes from: the prefix of its message. */
+    /** Returns the part of the system that logged an event, which is the prefix of its message. */
     static String partOf(ILoggingEvent event) {
         String message = event.getFormattedMessage();
         for (TimelinePart part : TimelinePart.values()) {
@@ -35,7 +41,7 @@
         return LIBRARY_PART;
     }
 
-    /** Gives the message without the prefix of its part, on one line. */
+    /** Returns the message without the prefix of its part, with line breaks escaped. */
     static String sentenceOf(ILoggingEvent event) {
         String message = event.getFormattedMessage();
         String prefix = partOf(event) + SEPARATOR;
@@ -43,7 +49,7 @@
         return sentence.replace("\r", "\\r").replace("\n", "\\n");
     }
 
-    /** Hides secrets. */
+    /** Replaces all secrets in a text with {@link #MASK}. */
     static String redact(String text) {
         return SECRET.matcher(text).replaceAll(MASK);
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/logging/Logging.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/logging/Logging.java
@@ -14,20 +14,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Logback as the settings want it: lines go to one stream, by a thread of their own.
+ * Logback set-up according to the settings, with all lines written to one stream by a separate
+ * thread.
  *
- * <p>A stream that blocks never blocks a thread that logs: when {@value #QUEUE_CAPACITY} lines
- * wait, further ones are dropped. Lines of libraries are logged from WARN on. Safe for all threads.
+ * <p>A blocked stream never blocks a thread that logs: when {@value #QUEUE_CAPACITY} lines are
+ * queued, further lines are dropped. Lines of libraries are logged at WARN and above. Thread-safe.
  *
  * @since 0.1
  */
 public final class Logging implements AutoCloseable {
 
-    /** The logger above all of the system's own. */
+    /** The name of the parent logger of all loggers of the system. */
     public static final String OWN_LOGGER = "io.masticpond";
 
     private static final int QUEUE_CAPACITY = 2_048;
-    private static final int LONGEST_FLUSH_MILLIS = 2_000;
+    private static final int MAXIMUM_FLUSH_MILLIS = 2_000;
 
     private final LoggerContext mContext;
     private final AsyncAppender mQueue;
@@ -38,23 +39,23 @@
     }
 
     /**
-     * Sets up Logback for this process; call it first thing in main.
+     * Sets up Logback for this process. Call this method first in main.
      *
-     * @param settings what the settings say
-     * @param stream where lines go
-     * @return the set-up, to be closed last so that waiting lines are written
+     * @param settings the logging settings
+     * @param stream the stream to which lines are written
+     * @return the set-up, to be closed last so that queued lines are written
      */
     public static Logging start(LoggingSettings settings, OutputStream stream) {
         return start((LoggerContext) LoggerFactory.getILoggerFactory(), settings, stream);
     }
 
     /**
-     * Sets up a given context.
+     * Sets up the given context.
      *
      * @param context the context, which is reset first
-     * @param settings what the settings say
-     * @param stream where lines go
-     * @return the set-up, to be closed last so that waiting lines are written
+     * @param settings the logging settings
+     * @param stream the stream to which lines are written
+     * @return the set-up, to be closed last so that queued lines are written
      */
     public static Logging start(
             LoggerContext context, LoggingSettings settings, OutputStream stream) {
@@ -69,36 +70,37 @@
         queue.setQueueSize(QUEUE_CAPACITY);
         queue.setDiscardingThreshold(0);
         queue.setNeverBlock(true);
-        queue.setMaxFlushTime(LONGEST_FLUSH_MILLIS);
-        queue.addAppender(output(context, settings.format(), stream));
+        queue.setMaxFlushTime(MAXIMUM_FLUSH_MILLIS);
+        queue.addAppender(newOutputAppender(context, settings.format(), stream));
         queue.start();
         Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
-        root.setLevel(LogLevel.WARN.logback());
+        root.setLevel(LogLevel.WARN.toLogback());
         root.addAppender(queue);
-        context.getLogger(OWN_LOGGER).setLevel(settings.level().logback());
+        context.getLogger(OWN_LOGGER).setLevel(settings.level().toLogback());
         return new Logging(context, queue);
     }
 
     /**
-     * Changes the level of one logger and those below it that have none of their own.
+     * Sets the level of a logger, which also applies to its descendants without a level of their
+     * own.
      *
-     * @param logger the name of a logger that exists
+     * @param logger the name of an existing logger
      * @param level the level
-     * @return whether there is such a logger; if not, nothing changed
+     * @return whether the logger exists; if not, nothing is changed
      */
     public boolean setLevel(String logger, LogLevel level) {
         Logger found = mContext.exists(logger);
         if (found == null) {
             return false;
         }
-        found.setLevel(level.logback());
+        found.setLevel(level.toLogback());
         return true;
     }
 
     /**
-     * Gives the levels that were set.
+     * Returns the levels that are set explicitly.
      *
-     * @return the level by the name of the logger
+     * @return the levels by logger name
      */
     public Map<String, String> levels() {
         Map<String, String> levels = new TreeMap<>();
@@ -110,14 +112,14 @@
         return levels;
     }
 
-    /** Writes the lines that wait and stops logging. */
+    /** Writes the queued lines, within 2 seconds at most, and stops logging. */
     @Override
     public void close() {
         mQueue.stop();
         mContext.stop();
     }
 
-    private static OutputStreamAppender<ILoggingEvent> output(
+    private static OutputStreamAppender<ILoggingEvent> newOutputAppender(
             LoggerContext context, LogFormat format, OutputStream stream) {
         Encoder<ILoggingEvent> encoder = format.encoder(context);
         encoder.start();
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/logging/LoggingRoutes.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/logging/LoggingRoutes.java
@@ -15,7 +15,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The route /v1/logging, which shows levels and changes them while running.
+ * Operator routes for {@code /v1/logging}, which show and change log levels at run time.
  *
  * @since 0.1
  */
@@ -27,9 +27,9 @@
     private final ObjectMapper mMapper = new ObjectMapper();
 
     /**
-     * Makes the route.
+     * Creates new routes.
      *
-     * @param logging what it changes
+     * @param logging the logging set-up to show and change
      */
     public LoggingRoutes(Logging logging) {
         mLogging = Assert.notNull(logging, "A logging set-up");
@@ -38,7 +38,7 @@
     @Override
     public void addTo(JavalinConfig config) {
         config.routes.get("/v1/logging", this::show);
-        config.routes.put("/v1/logging", this::change);
+        config.routes.put("/v1/logging", this::applyChange);
     }
 
     private void show(Context context) throws JsonProcessingException {
@@ -46,17 +46,19 @@
                 .result(mMapper.writeValueAsBytes(Map.of("levels", mLogging.levels())));
     }
 
-    private void change(Context context) throws JsonProcessingException {
-        Change change = read(context.bodyAsBytes());
+    private void applyChange(Context context) throws JsonProcessingException {
+        Change change = parse(context.bodyAsBytes());
         if (!mLogging.setLevel(change.logger(), change.level())) {
             throw new NotFoundResponse("There is no logger of that name.");
         }
         sLogger.warn(
-                "OPERATOR  The log level of {} is {} now.", change.logger(), change.level().text());
+                "OPERATOR  The log level of {} has been set to {}.",
+                change.logger(),
+                change.level().text());
         show(context);
     }
 
-    private Change read(byte[] body) {
+    private Change parse(byte[] body) {
         try {
             return mMapper.readValue(body, Change.class);
         } catch (JsonMappingException e) {
@@ -69,9 +71,9 @@
     }
 
     /**
-     * A change of a level.
+     * Request body that changes a level.
      *
-     * @param logger the name of the logger; all of the system's own if absent
+     * @param logger the name of the logger; all loggers of the system if absent
      * @param level the level
      */
     record Change(String logger, LogLevel level) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/logging/LoggingSettings.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/logging/LoggingSettings.java
@@ -3,19 +3,19 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * What the settings say about logging.
+ * Settings for logging.
  *
- * @param format the form of a line
- * @param level how much of the system's own lines is logged
+ * @param format the format of log lines
+ * @param level the level of the loggers of the system
  * @since 0.1
  */
 public record LoggingSettings(LogFormat format, LogLevel level) {
 
-    /** Text for people, changes of state. */
+    /** The default settings: text format and level INFO. */
     public static final LoggingSettings DEFAULT =
             new LoggingSettings(LogFormat.TEXT, LogLevel.INFO);
 
-    /** Checks that both are given. */
+    /** Validates that both are set. */
     public LoggingSettings {
         Assert.notNull(format, "A log format");
         Assert.notNull(level, "A log level");
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/logging/PartJsonProvider.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/logging/PartJsonProvider.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import net.logstash.logback.composite.AbstractJsonProvider;
 
-/** Writes the part and the sentence of a log line as two fields. */
+/** JSON provider that writes the part and the sentence of a log event as two fields. */
 final class PartJsonProvider extends AbstractJsonProvider<ILoggingEvent> {
 
     @Override
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/logging/RedactingLayout.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/logging/RedactingLayout.java
@@ -4,7 +4,7 @@
 import ch.qos.logback.classic.pattern.ClassicConverter;
 import ch.qos.logback.classic.spi.ILoggingEvent;
 
-/** Lays out a log line for people, each with the prefix of its part and without secrets. */
+/** Layout for human-readable log lines that shows the part of the system and redacts secrets. */
 final class RedactingLayout extends PatternLayout {
 
     private static final String PATTERN =
@@ -21,7 +21,7 @@
         return LogText.redact(super.doLayout(event));
     }
 
-    /** Writes the part. */
+    /** Converter that writes the part of a log event. */
     static final class PartConverter extends ClassicConverter {
 
         @Override
@@ -30,7 +30,7 @@
         }
     }
 
-    /** Writes the sentence. */
+    /** Converter that writes the sentence of a log event. */
     static final class SentenceConverter extends ClassicConverter {
 
         @Override
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/logging/package-info.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/logging/package-info.java
@@ -1,2 +1,4 @@
-/** Sets up Logback from the settings, and the route that changes levels while running. */
+/**
+ * Set-up of Logback from the settings, and the operator routes that change log levels at run time.
+ */
 package io.masticpond.daemon.logging;
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/logging/LoggingTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/logging/LoggingTest.java
@@ -14,20 +14,20 @@
 
 class LoggingTest {
 
-    private static final String OWN = "io.masticpond.daemon.steering.Steering";
+    private static final String STEERING_LOGGER = "io.masticpond.daemon.steering.Steering";
 
     private final LoggerContext mContext = new LoggerContext();
     private final ByteArrayOutputStream mOutput = new ByteArrayOutputStream();
 
     @Example
-    void textLineHasThePartAndTheSentence() {
-        String text = logged(LogFormat.TEXT, "STEER  Region {} closed.", "bunbury");
+    void textLineContainsPartAndSentence() {
+        String text = log(LogFormat.TEXT, "STEER  Region {} closed.", "bunbury");
         assertThat(text).contains(" INFO  STEER     Region bunbury closed. [");
     }
 
     @Example
-    void jsonLineHasPartAsField() throws Exception {
-        String text = logged(LogFormat.JSON, "STEER  Region {} closed.", "bunbury");
+    void jsonLineContainsPartAsField() throws Exception {
+        String text = log(LogFormat.JSON, "STEER  Region {} closed.", "bunbury");
         JsonNode line = new ObjectMapper().readTree(text);
         assertThat(line.path("part").asText()).isEqualTo("STEER");
         assertThat(line.path("message").asText()).isEqualTo("Region bunbury closed.");
@@ -35,11 +35,11 @@
     }
 
     @Example
-    void secretsAreHiddenInBothFormats() {
+    void secretsAreRedactedInBothFormats() {
         for (LogFormat format : LogFormat.values()) {
             mOutput.reset();
             String text =
-                    logged(
+                    log(
                             format,
                             "OPERATOR  Got {}.",
                             "Authorization: Bearer s3cr3t-1, token=s3cr3t-2, secret: s3cr3t-3");
@@ -48,13 +48,13 @@
     }
 
     @Example
-    void lineBreakInValueForgesNoLine() {
-        String text = logged(LogFormat.TEXT, "CALLER  Path {}.", "/a\r\nSTEER  Forged.");
+    void lineBreakInValueDoesNotAddLine() {
+        String text = log(LogFormat.TEXT, "CALLER  Path {}.", "/a\r\nSTEER  Forged.");
         assertThat(text.lines()).hasSize(1);
     }
 
     @Example
-    void lineOfLibraryIsMarkedAndKeptFromWarnOn() {
+    void libraryLinesAreMarkedAndLoggedFromWarn() {
         try (Logging logging = Logging.start(mContext, LoggingSettings.DEFAULT, mOutput)) {
             mContext.getLogger("org.eclipse.jetty").info("Started.");
             mContext.getLogger("org.eclipse.jetty").warn("Slow.");
@@ -64,8 +64,8 @@
     }
 
     @Example
-    void levelChangesWhileRunning() {
-        Logger logger = mContext.getLogger(OWN);
+    void levelCanBeChangedAtRunTime() {
+        Logger logger = mContext.getLogger(STEERING_LOGGER);
         try (Logging logging = Logging.start(mContext, LoggingSettings.DEFAULT, mOutput)) {
             logger.debug("STEER  Before.");
             assertThat(logging.setLevel(Logging.OWN_LOGGER, LogLevel.DEBUG)).isTrue();
@@ -76,7 +76,7 @@
     }
 
     @Example
-    void blockedStreamBlocksNoThreadThatLogs() {
+    void blockedStreamDoesNotBlockLoggingThread() {
         CountDownLatch release = new CountDownLatch(1);
         OutputStream blocked =
                 new OutputStream() {
@@ -91,17 +91,17 @@
                 };
         Logging logging = Logging.start(mContext, LoggingSettings.DEFAULT, blocked);
         for (int line = 0; line < 20_000; line++) {
-            mContext.getLogger(OWN).info("STEER  Line {}.", line);
+            mContext.getLogger(STEERING_LOGGER).info("STEER  Line {}.", line);
         }
         release.countDown();
         logging.close();
     }
 
-    private String logged(LogFormat format, String message, Object value) {
+    private String log(LogFormat format, String message, Object value) {
         try (Logging logging =
                 Logging.start(mContext, new LoggingSettings(format, LogLevel.INFO), mOutput)) {
             assertThat(logging.levels()).containsKey(Logging.OWN_LOGGER);
-            mContext.getLogger(OWN).info(message, value);
+            mContext.getLogger(STEERING_LOGGER).info(message, value);
         }
         return text();
     }
