--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/AttemptKind.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/AttemptKind.java
@@ -1,14 +1,14 @@
 package io.masticpond.daemon.metrics;
 
 /**
- * Says why another attempt of a request was made.
+ * Reason for a further attempt of a request.
  *
  * @since 0.1
  */
 public enum AttemptKind {
-    /** The attempt before failed. */
+    /** The previous attempt failed. */
     RETRY("retry"),
-    /** The shard or region before refused it. */
+    /** The previous shard or region refused the request. */
     SPILL("spill");
 
     private final String mLabel;
@@ -17,7 +17,7 @@
         mLabel = label;
     }
 
-    /** Gives the value of the label. */
+    /** Returns the value of the label. */
     String label() {
         return mLabel;
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/CapacityMetrics.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/CapacityMetrics.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Shows slots, headroom and the step of degradation; safe for all threads.
+ * Metrics of slots, headroom and the degradation step. Thread-safe.
  *
  * @since 0.1
  */
@@ -49,11 +49,11 @@
     }
 
     /**
-     * Shows what is known of a service in a region.
+     * Updates the metrics of a service in a region.
      *
      * @param service the service
      * @param region the region
-     * @param headroom the counts, over all shards
+     * @param headroom the headroom, over all shards
      */
     public void updateHeadroom(ServiceId service, RegionId region, Headroom headroom) {
         String[] labels = labels(service, region);
@@ -66,7 +66,8 @@
     }
 
     /**
-     * Shows a service in a region no longer, as when another instance admits to it now.
+     * Removes the metrics of a service in a region, for example after another instance has become
+     * its admitter.
      *
      * @param service the service
      * @param region the region
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/ConfigurationMetrics.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/ConfigurationMetrics.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Shows which configuration is in force and how old the news of it is; safe for all threads.
+ * Metrics of the version and the age of the configuration in force. Thread-safe.
  *
  * @since 0.1
  */
@@ -18,13 +18,13 @@
 
     private final TimeSource mTimeSource;
     private final Gauge mVersion;
-    private volatile long mInForceNanos;
-    private volatile long mCheckedNanos;
+    private volatile long mInForceSinceNanos;
+    private volatile long mLastCheckNanos;
 
     ConfigurationMetrics(PrometheusRegistry registry, TimeSource timeSource) {
         mTimeSource = timeSource;
-        mInForceNanos = timeSource.monotonicNanos();
-        mCheckedNanos = mInForceNanos;
+        mInForceSinceNanos = timeSource.monotonicNanos();
+        mLastCheckNanos = mInForceSinceNanos;
         mVersion =
                 Gauge.builder()
                         .name("masticpond_configuration_version")
@@ -33,29 +33,29 @@
         GaugeWithCallback.builder()
                 .name("masticpond_configuration_in_force_seconds")
                 .help("Time since the configuration in force was taken.")
-                .callback(callback -> callback.call(secondsSince(mInForceNanos)))
+                .callback(callback -> callback.call(secondsSince(mInForceSinceNanos)))
                 .register(registry);
         GaugeWithCallback.builder()
                 .name("masticpond_configuration_age_seconds")
                 .help("Time since the platform or a peer last said which version is the newest.")
-                .callback(callback -> callback.call(secondsSince(mCheckedNanos)))
+                .callback(callback -> callback.call(secondsSince(mLastCheckNanos)))
                 .register(registry);
     }
 
     /**
-     * Shows a version that came in force now.
+     * Records that a version has come into force now.
      *
-     * @param version the version
+     * @param version the version in force
      */
     public void updateVersion(ConfigurationVersion version) {
         mVersion.set((double) version.number());
-        mInForceNanos = mTimeSource.monotonicNanos();
-        mCheckedNanos = mInForceNanos;
+        mInForceSinceNanos = mTimeSource.monotonicNanos();
+        mLastCheckNanos = mInForceSinceNanos;
     }
 
-    /** Notes that the platform or a peer has just said which version is the newest. */
+    /** Records that the platform or a peer has just confirmed which version is the latest. */
     public void recordCheck() {
-        mCheckedNanos = mTimeSource.monotonicNanos();
+        mLastCheckNanos = mTimeSource.monotonicNanos();
     }
 
     private double secondsSince(long nanos) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/ControlMetrics.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/ControlMetrics.java
@@ -15,7 +15,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Shows what the process spends on control, and the state of its rings; safe for all threads.
+ * Metrics of the resources that the process uses for control, and of its bounded queues.
+ * Thread-safe.
  *
  * @since 0.1
  */
@@ -24,7 +25,7 @@
     private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
     private static final double MILLIS_PER_SECOND = TimeUnit.SECONDS.toMillis(1);
 
-    private final Map<String, RingWatch> mRings = new ConcurrentHashMap<>();
+    private final Map<String, QueueCounters> mQueues = new ConcurrentHashMap<>();
     private final ThreadCpuMeter mThreadCpuMeter = new ThreadCpuMeter();
     private final PrometheusRegistry mRegistry;
     private final Gauge mPeers;
@@ -36,36 +37,38 @@
                         .name("masticpond_peers")
                         .help("Instances known to be alive, without this one.")
                         .register(registry);
-        registerRings();
+        registerQueues();
         registerCpu();
         registerMemory();
     }
 
     /**
-     * Shows how many peers are alive.
+     * Updates the number of live peers.
      *
-     * @param count the count, without this instance
+     * @param count the number of live peers, without this instance
      */
     public void updatePeerCount(int count) {
         mPeers.set(count);
     }
 
     /**
-     * Watches a bounded ring; a ring of the same name is watched no longer.
+     * Registers a bounded queue, replacing any queue of the same name.
      *
-     * @param name the name of the ring, of a fixed set
-     * @param refused counts the tasks that found it full
-     * @param waiting counts the tasks in it
+     * @param name the name of the queue, which must be one of a fixed set because it is the value
+     *     of a label
+     * @param refused the supplier of the number of tasks that were refused because the queue was
+     *     full
+     * @param waiting the supplier of the number of queued tasks
      */
     public void watchRing(String name, LongSupplier refused, IntSupplier waiting) {
-        mRings.put(name, new RingWatch(refused, waiting));
+        mQueues.put(name, new QueueCounters(refused, waiting));
     }
 
     /**
-     * Watches the time line; must be called once at most.
+     * Registers the timeline. Must be called at most once.
      *
-     * @param clock its clock
-     * @param ring its events
+     * @param clock the clock of the timeline
+     * @param ring the events of the timeline
      */
     public void watchTimeline(HybridLogicalClock clock, TimelineRing ring) {
         GaugeWithCallback.builder()
@@ -86,11 +89,12 @@
     }
 
     /**
-     * Watches the links to other instances; must be called once at most.
+     * Registers the links to other instances. Must be called at most once.
      *
-     * @param sent counts the bytes written for control
-     * @param received counts the bytes read for control
-     * @param lateAnswers counts the answers that nothing awaited any more
+     * @param sent the supplier of the number of bytes written for control
+     * @param received the supplier of the number of bytes read for control
+     * @param lateAnswers the supplier of the number of answers that arrived after their call had
+     *     ended
      */
     public void watchLinks(LongSupplier sent, LongSupplier received, LongSupplier lateAnswers) {
         CounterWithCallback.builder()
@@ -111,9 +115,10 @@
     }
 
     /**
-     * Watches the heartbeats that come in; must be called once at most.
+     * Registers the received heartbeats. Must be called at most once.
      *
-     * @param rejected counts those that were dropped, unreadable or with a ring full
+     * @param rejected the supplier of the number of heartbeats that were dropped because they were
+     *     invalid or the queue was full
      */
     public void watchHeartbeats(LongSupplier rejected) {
         CounterWithCallback.builder()
@@ -123,17 +128,18 @@
                 .register(mRegistry);
     }
 
-    private void registerRings() {
+    private void registerQueues() {
         CounterWithCallback.builder()
                 .name("masticpond_ring_refusals_total")
                 .help("Tasks that found a ring full and were refused or dropped.")
                 .labelNames("ring")
                 .callback(
                         callback ->
-                                mRings.forEach(
-                                        (name, ring) ->
+                                mQueues.forEach(
+                                        (name, queue) ->
                                                 callback.call(
-                                                        (double) ring.refused().getAsLong(), name)))
+                                                        (double) queue.refused().getAsLong(),
+                                                        name)))
                 .register(mRegistry);
         GaugeWithCallback.builder()
                 .name("masticpond_ring_waiting")
@@ -141,9 +147,9 @@
                 .labelNames("ring")
                 .callback(
                         callback ->
-                                mRings.forEach(
-                                        (name, ring) ->
-                                                callback.call(ring.waiting().getAsInt(), name)))
+                                mQueues.forEach(
+                                        (name, queue) ->
+                                                callback.call(queue.waiting().getAsInt(), name)))
                 .register(mRegistry);
     }
 
@@ -179,6 +185,6 @@
                 .register(mRegistry);
     }
 
-    /** The counts of one ring. */
-    private record RingWatch(LongSupplier refused, IntSupplier waiting) {}
+    /** Suppliers of the counters of one bounded queue. */
+    private record QueueCounters(LongSupplier refused, IntSupplier waiting) {}
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/DaemonMetrics.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/DaemonMetrics.java
@@ -6,9 +6,9 @@
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 
 /**
- * All metrics of this process, by the part that they come from.
+ * Registry of all metrics of this process, grouped by the part of the system that records them.
  *
- * <p>Safe for all threads.
+ * <p>Thread-safe.
  *
  * @since 0.1
  */
@@ -24,9 +24,9 @@
     private final PlatformMetrics mPlatform;
 
     /**
-     * Makes the metrics, all at zero.
+     * Creates new metrics, all at zero.
      *
-     * @param timeSource the clock of ages
+     * @param timeSource the clock for the ages that the metrics report
      */
     public DaemonMetrics(TimeSource timeSource) {
         Assert.notNull(timeSource, "A time source");
@@ -39,7 +39,8 @@
     }
 
     /**
-     * Allows the names of a configuration as values of labels; call it when one comes in force.
+     * Allows the names in a configuration as label values. Call this method when a configuration
+     * comes into force.
      *
      * @param content the configuration
      */
@@ -48,7 +49,7 @@
     }
 
     /**
-     * Gives the metrics of requests and their attempts.
+     * Returns the metrics of requests and their attempts.
      *
      * @return the metrics
      */
@@ -57,7 +58,7 @@
     }
 
     /**
-     * Gives the metrics of slots and headroom.
+     * Returns the metrics of slots and headroom.
      *
      * @return the metrics
      */
@@ -66,7 +67,7 @@
     }
 
     /**
-     * Gives the metrics of spending.
+     * Returns the metrics of spending.
      *
      * @return the metrics
      */
@@ -75,7 +76,7 @@
     }
 
     /**
-     * Gives the metrics of the configuration.
+     * Returns the metrics of the configuration.
      *
      * @return the metrics
      */
@@ -84,7 +85,7 @@
     }
 
     /**
-     * Gives the metrics of the process itself and what control costs.
+     * Returns the metrics of the process itself and of the cost of control.
      *
      * @return the metrics
      */
@@ -93,7 +94,7 @@
     }
 
     /**
-     * Gives the metrics of calls to the platform.
+     * Returns the metrics of calls to the platform.
      *
      * @return the metrics
      */
@@ -102,7 +103,7 @@
     }
 
     /**
-     * Gives the registry, for the route that shows it.
+     * Returns the registry, for the route that exposes it.
      *
      * @return the registry
      */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/LabelBudget.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/LabelBudget.java
@@ -7,35 +7,38 @@
 import java.util.TreeSet;
 
 /**
- * Caps how many values a label ever has in this process, so that a fleet's metrics stay cheap.
+ * Limit on the number of values that a label has during the lifetime of this process, so that the
+ * metrics of a fleet remain cheap.
  *
- * <p>Only names that were allowed count, so a caller that asks for made-up services uses up
- * nothing. Every other name becomes {@link #OTHER}. A name stays allowed until the process ends,
- * also when it leaves the configuration, since its series stay too.
+ * <p>Only allowed names count, so that a caller that requests made-up services does not use up the
+ * budget. Every other name is replaced with {@link #OTHER}. A name remains allowed until the
+ * process ends, even after it was removed from the configuration, because its time series also
+ * remain.
  *
- * <p>Safe for all threads.
+ * <p>Thread-safe.
  *
  * @since 0.1
  */
 public final class LabelBudget {
 
-    /** The value that stands for every name beyond the cap. */
+    /** The value that replaces every name that is not allowed. */
     public static final String OTHER = "other";
 
     private final int mMaximumValues;
     private volatile Set<String> mAllowed = Set.of();
 
     /**
-     * Makes a budget with no names allowed.
+     * Creates a budget without allowed names.
      *
-     * @param maximumValues how many names may be allowed, positive; {@link #OTHER} comes on top
+     * @param maximumValues the maximum number of allowed names, positive; {@link #OTHER} is not
+     *     counted
      */
     public LabelBudget(int maximumValues) {
         mMaximumValues = (int) Assert.positive(maximumValues, "A label budget");
     }
 
     /**
-     * Allows names, in alphabetical order, until the budget is used up.
+     * Allows names in alphabetical order until the budget is exhausted.
      *
      * @param names the names
      */
@@ -51,10 +54,10 @@
     }
 
     /**
-     * Gives the value of a label.
+     * Returns the label value for a name.
      *
      * @param name the name
-     * @return the name if it is allowed, else {@link #OTHER}
+     * @return the name if it is allowed, otherwise {@link #OTHER}
      */
     public String value(String name) {
         return mAllowed.contains(name) ? name : OTHER;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/MetricLabels.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/MetricLabels.java
@@ -7,7 +7,7 @@
 import io.masticpond.core.id.ServiceId;
 import java.util.List;
 
-/** The labels that all metrics share, each with its budget; safe for all threads. */
+/** Labels that the metrics share, each with its own budget. Thread-safe. */
 final class MetricLabels {
 
     static final String SERVICE = "service";
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/MetricsRoutes.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/MetricsRoutes.java
@@ -11,7 +11,8 @@
 import java.io.UncheckedIOException;
 
 /**
- * The route /metrics, in the format that the scraper asks for.
+ * Operator route for {@code /metrics}, which returns the metrics in the format that the scraper
+ * requests.
  *
  * @since 0.1
  */
@@ -22,22 +23,23 @@
     private final ExpositionFormats mFormats = ExpositionFormats.init();
 
     /**
-     * Makes the route.
+     * Creates a new route.
      *
-     * @param metrics what it shows
-     * @param refresh runs before each scrape, on a thread of the server; must not wait
+     * @param metrics the metrics to expose
+     * @param refresh the action to run before each scrape, on a thread of the server; must not
+     *     block
      */
     public MetricsRoutes(DaemonMetrics metrics, Runnable refresh) {
-        mRefresh = Assert.notNull(refresh, "A refresh");
+        mRefresh = Assert.notNull(refresh, "A refresh action");
         mMetrics = Assert.notNull(metrics, "Metrics");
     }
 
     @Override
     public void addTo(JavalinConfig config) {
-        config.routes.get("/metrics", this::show);
+        config.routes.get("/metrics", this::scrape);
     }
 
-    private void show(Context context) {
+    private void scrape(Context context) {
         mRefresh.run();
         ExpositionFormatWriter writer = mFormats.findWriter(context.header("Accept"));
         ByteArrayOutputStream text = new ByteArrayOutputStream();
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/PlatformMetrics.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/PlatformMetrics.java
@@ -13,14 +13,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Shows the calls to the platform; safe for all threads.
+ * {@link PlatformObserver} that records metrics of the calls to the platform. Thread-safe.
  *
  * @since 0.1
  */
 public final class PlatformMetrics implements PlatformObserver {
 
     private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
-    private static final double[] SECONDS = {0.002, 0.01, 0.05, 0.2, 1, 5};
+    private static final double[] LATENCY_BOUNDS_SECONDS = {0.002, 0.01, 0.05, 0.2, 1, 5};
 
     private final Counter mAttempts;
     private final Counter mResults;
@@ -45,7 +45,7 @@
                         .name("masticpond_platform_call_seconds")
                         .help("Time of calls to the platform with their retries, without watches.")
                         .classicOnly()
-                        .classicUpperBounds(SECONDS)
+                        .classicUpperBounds(LATENCY_BOUNDS_SECONDS)
                         .register(registry);
         mBreakers =
                 Gauge.builder()
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/RequestMetrics.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/RequestMetrics.java
@@ -8,14 +8,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Counts requests, refusals and attempts, and measures how long they took; safe for all threads.
+ * Metrics of the number and duration of requests, refusals and attempts. Thread-safe.
  *
  * @since 0.1
  */
 public final class RequestMetrics {
 
     private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
-    private static final double[] LATENCY_BOUNDS = {
+    private static final double[] LATENCY_BOUNDS_SECONDS = {
         0.002, 0.005, 0.01, 0.02, 0.04, 0.08, 0.15, 0.3, 0.6, 1.2, 2.5, 5, 10, 30
     };
 
@@ -25,7 +25,7 @@
     private final Histogram mAttemptLatency;
     private final Histogram mQueueWait;
     private final Counter mRefusals;
-    private final Counter mAttempts;
+    private final Counter mFurtherAttempts;
 
     RequestMetrics(PrometheusRegistry registry, MetricLabels labels) {
         mLabels = labels;
@@ -36,19 +36,19 @@
                         .labelNames(MetricLabels.SERVICE)
                         .register(registry);
         mLatency =
-                latency(
+                newLatencyHistogram(
                         registry,
                         "masticpond_request_seconds",
                         "Time from the whole request to the whole answer, at the entry instance.",
                         MetricLabels.SERVICE);
         mAttemptLatency =
-                latency(
+                newLatencyHistogram(
                         registry,
                         "masticpond_attempt_seconds",
                         "Time from an attempt sent to a backend server to its whole answer.",
                         MetricLabels.SERVICE);
         mQueueWait =
-                latency(
+                newLatencyHistogram(
                         registry,
                         "masticpond_queue_wait_seconds",
                         "Time that admitted requests waited for a slot, at the admitter.",
@@ -59,7 +59,7 @@
                         .help("Requests refused, by cause and by whether they ran.")
                         .labelNames(MetricLabels.SERVICE, "cause", "verdict")
                         .register(registry);
-        mAttempts =
+        mFurtherAttempts =
                 Counter.builder()
                         .name("masticpond_further_attempts_total")
                         .help("Attempts after the first of a request.")
@@ -68,49 +68,49 @@
     }
 
     /**
-     * Counts a look-up.
+     * Records a look-up.
      *
-     * @param service the service asked for
+     * @param service the requested service
      */
     public void recordLookup(ServiceId service) {
         mLookups.labelValues(mLabels.service(service)).inc();
     }
 
     /**
-     * Measures a request that was answered.
+     * Records the duration of an answered request.
      *
      * @param service the service
-     * @param nanos from the whole request to the whole answer, in nanoseconds
+     * @param nanos the time from the complete request to the complete answer, in nanoseconds
      */
     public void recordAnswer(ServiceId service, long nanos) {
         mLatency.labelValues(mLabels.service(service)).observe(nanos / NANOS_PER_SECOND);
     }
 
     /**
-     * Measures an attempt that a backend server answered.
+     * Records the duration of an attempt that a backend server answered.
      *
      * @param service the service
-     * @param nanos from the attempt sent to its whole answer, in nanoseconds
+     * @param nanos the time from sending the attempt to its complete answer, in nanoseconds
      */
     public void recordAttemptAnswer(ServiceId service, long nanos) {
         mAttemptLatency.labelValues(mLabels.service(service)).observe(nanos / NANOS_PER_SECOND);
     }
 
     /**
-     * Measures the wait of a request that got a slot.
+     * Records the time for which a request waited for its slot.
      *
      * @param service the service
-     * @param nanos from its offer to its slot, in nanoseconds
+     * @param nanos the time from offering the request to assigning its slot, in nanoseconds
      */
     public void recordQueueWait(ServiceId service, long nanos) {
         mQueueWait.labelValues(mLabels.service(service)).observe(nanos / NANOS_PER_SECOND);
     }
 
     /**
-     * Counts a request that was refused.
+     * Records a refused request.
      *
      * @param service the service
-     * @param refusal the refusal as the caller gets it
+     * @param refusal the refusal that the caller receives
      */
     public void recordRefusal(ServiceId service, Refusal refusal) {
         mRefusals
@@ -120,23 +120,23 @@
     }
 
     /**
-     * Counts an attempt after the first.
+     * Records an attempt after the first.
      *
      * @param service the service
-     * @param kind why it was made
+     * @param kind the reason for the attempt
      */
     public void recordFurtherAttempt(ServiceId service, AttemptKind kind) {
-        mAttempts.labelValues(mLabels.service(service), kind.label()).inc();
+        mFurtherAttempts.labelValues(mLabels.service(service), kind.label()).inc();
     }
 
-    private static Histogram latency(
+    private static Histogram newLatencyHistogram(
             PrometheusRegistry registry, String name, String help, String... labelNames) {
         return Histogram.builder()
                 .name(name)
                 .help(help)
                 .labelNames(labelNames)
                 .classicOnly()
-                .classicUpperBounds(LATENCY_BOUNDS)
+                .classicUpperBounds(LATENCY_BOUNDS_SECONDS)
                 .register(registry);
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/SpendingMetrics.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/SpendingMetrics.java
@@ -6,8 +6,7 @@
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 
 /**
- * Shows the spending of the current shift; amounts are in the operators' unit of money. Safe for
- * all threads.
+ * Metrics of the spending of the current shift, in the operators' unit of money. Thread-safe.
  *
  * @since 0.1
  */
@@ -49,12 +48,13 @@
     }
 
     /**
-     * Shows the ledger of a service as this instance last saw it.
+     * Updates the metrics of the ledger of a service, as last read by this instance.
      *
      * @param service the service
      * @param capMicros the cap in millionths of the unit of money
-     * @param allottedMicros the sum of the allotments, likewise
-     * @param forecastMicros what is expected at the end of the shift, likewise
+     * @param allottedMicros the sum of the allotments in millionths of the unit of money
+     * @param forecastMicros the spending expected at the end of the shift, in millionths of the
+     *     unit of money
      */
     public void updateLedger(
             ServiceId service, long capMicros, long allottedMicros, long forecastMicros) {
@@ -65,7 +65,7 @@
     }
 
     /**
-     * Shows what this instance may still spend.
+     * Updates the amount that this instance may still spend.
      *
      * @param service the service
      * @param heldMicros the remainder in millionths of the unit of money
@@ -75,7 +75,7 @@
     }
 
     /**
-     * Counts a charge that will not be refunded.
+     * Records a charge that will not be refunded.
      *
      * @param service the service
      * @param micros the amount in millionths of the unit of money, not negative
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/ThreadCpuMeter.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/ThreadCpuMeter.java
@@ -8,24 +8,24 @@
 import java.util.Map;
 
 /**
- * Adds up the processor time of threads by their roles; safe for all threads.
+ * Meter of the processor time of threads by role. Thread-safe.
  *
- * <p>Time of threads that have ended since the last measure counts up to that measure, so sums
- * never fall.
+ * <p>The time of a thread that has ended counts up to the last measurement before its end, so that
+ * the sums never decrease.
  */
 final class ThreadCpuMeter {
 
     private final ThreadMXBean mThreads = ManagementFactory.getThreadMXBean();
-    private final Map<ThreadRole, Long> mSums = new EnumMap<>(ThreadRole.class);
-    private Map<Long, Long> mLastById = new HashMap<>();
+    private final Map<ThreadRole, Long> mNanosByRole = new EnumMap<>(ThreadRole.class);
+    private Map<Long, Long> mLastNanosById = new HashMap<>();
 
     ThreadCpuMeter() {
         for (ThreadRole role : ThreadRole.values()) {
-            mSums.put(role, 0L);
+            mNanosByRole.put(role, 0L);
         }
     }
 
-    /** Measures now and gives the sums in nanoseconds. */
+    /** Measures the processor time now, and returns the sums by role, in nanoseconds. */
     synchronized Map<ThreadRole, Long> measure() {
         Map<Long, Long> nanosById = new HashMap<>();
         for (ThreadInfo thread : mThreads.getThreadInfo(mThreads.getAllThreadIds())) {
@@ -34,10 +34,10 @@
                 continue;
             }
             nanosById.put(thread.getThreadId(), nanos);
-            long used = nanos - mLastById.getOrDefault(thread.getThreadId(), 0L);
-            mSums.merge(ThreadRole.ofThread(thread.getThreadName()), used, Long::sum);
+            long used = nanos - mLastNanosById.getOrDefault(thread.getThreadId(), 0L);
+            mNanosByRole.merge(ThreadRole.ofThread(thread.getThreadName()), used, Long::sum);
         }
-        mLastById = nanosById;
-        return new EnumMap<>(mSums);
+        mLastNanosById = nanosById;
+        return new EnumMap<>(mNanosByRole);
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/ThreadRole.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/ThreadRole.java
@@ -2,39 +2,39 @@
 
 import java.util.regex.Pattern;
 
-/** What a thread works for, as its name tells. */
+/** Purpose of a thread, determined by its name. */
 enum ThreadRole {
-    /** Carries callers' requests. */
+    /** Processes requests of callers. */
     REQUEST("request", "(steering|caller|backend|OkHttp|qtp).*"),
-    /** Carries requests and heartbeats between instances. */
+    /** Transports requests and heartbeats between instances. */
     LINKS("links", "instance-links.*"),
     /** Works for the virtual machine. */
     RUNTIME(
             "runtime",
             "Reference Handler|Finalizer|Signal Dispatcher|Common-Cleaner|Notification Thread"
                     + "|Attach Listener"),
-    /** Works for control; takes every name that no other role has. */
+    /** Works for control. Matches every name that no other role matches. */
     CONTROL("control", ".*");
 
     private final String mLabel;
-    private final Pattern mNames;
+    private final Pattern mNamePattern;
 
     ThreadRole(String label, String names) {
         mLabel = label;
-        mNames = Pattern.compile(names);
+        mNamePattern = Pattern.compile(names);
     }
 
-    /** Finds the role of a thread by its name. */
+    /** Returns the role of a thread by its name. */
     static ThreadRole ofThread(String name) {
         for (ThreadRole role : values()) {
-            if (role.mNames.matcher(name).matches()) {
+            if (role.mNamePattern.matcher(name).matches()) {
                 return role;
             }
         }
         return CONTROL;
     }
 
-    /** Gives the value of the label. */
+    /** Returns the value of the label. */
     String label() {
         return mLabel;
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/package-info.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What this process counts and measures, and the route that shows it; names, units and labels are
- * in docs/operations/metrics.md. Must not know the decisions, only the values that they hand over.
+ * Metrics of this process and the operator route that exposes them. Names, units and labels are
+ * documented in docs/operations/metrics.md. This package must not depend on the parts that make
+ * decisions, only on the values that they pass to it.
  */
 package io.masticpond.daemon.metrics;
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/metrics/AttemptMetricsTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/metrics/AttemptMetricsTest.java
@@ -41,7 +41,7 @@
 import java.util.function.Consumer;
 import net.jqwik.api.Example;
 
-/** Waits for a slot and answers of backend servers reach the scrape. */
+/** Tests that queue waits and answers of backend servers are exposed as metrics. */
 class AttemptMetricsTest {
 
     private static final ServiceId BOOKING = new ServiceId("booking");
@@ -83,7 +83,7 @@
     }
 
     @Example
-    void waitsOfDispatchedRequestsAreMeasuredAndThoseOfCancelledOnesAreNot() throws IOException {
+    void queueWaitIsMeasuredForDispatchedButNotForCancelledRequests() throws IOException {
         MeteredAdmission admission =
                 new MeteredAdmission(
                         sink ->
@@ -111,9 +111,9 @@
     }
 
     @Example
-    void answersOfBackendServersAreMeasuredAndRefusalsAreNot() throws IOException {
+    void attemptTimeIsMeasuredForAnswersButNotForRefusals() throws IOException {
         List<Consumer<AttemptResult>> listeners = new ArrayList<>();
-        List<AttemptResult> ends = new ArrayList<>();
+        List<AttemptResult> results = new ArrayList<>();
         BackendDispatcher dispatcher =
                 new MeteredDispatcher(
                         (request, server, listener) -> {
@@ -131,8 +131,8 @@
                         List.of(),
                         new byte[0],
                         Optional.empty());
-        dispatcher.dispatch(request, SERVER, ends::add);
-        dispatcher.dispatch(request, SERVER, ends::add);
+        dispatcher.dispatch(request, SERVER, results::add);
+        dispatcher.dispatch(request, SERVER, results::add);
         mTime.advance(Duration.ofMillis(30));
         AttemptResult answered =
                 new AttemptResult(
@@ -147,14 +147,14 @@
                         false);
         listeners.get(0).accept(answered);
         listeners.get(1).accept(refused);
-        assertThat(ends).containsExactly(answered, refused);
+        assertThat(results).containsExactly(answered, refused);
         assertThat(scrape())
                 .contains("masticpond_attempt_seconds_count{service=\"booking\"} 1")
                 .contains("masticpond_attempt_seconds_sum{service=\"booking\"} 0.03");
     }
 
     @Example
-    void linksAreShownAsTheyCount() throws IOException {
+    void linkAndHeartbeatCountersAreExposed() throws IOException {
         mMetrics.control().watchLinks(() -> 7, () -> 5, () -> 3);
         mMetrics.control().watchHeartbeats(() -> 2);
         assertThat(scrape())
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/metrics/DaemonMetricsTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/metrics/DaemonMetricsTest.java
@@ -26,7 +26,7 @@
 
 class DaemonMetricsTest {
 
-    /** What one daemon may add to a scrape, whatever callers and operators do. */
+    /** Maximum size of the scrape of one daemon, regardless of what callers and operators do. */
     private static final int MAXIMUM_SCRAPE_BYTES = 600_000;
 
     private static final RegionId PERTH = new RegionId("perth");
@@ -36,7 +36,7 @@
     private final DaemonMetrics mMetrics = new DaemonMetrics(mTime);
 
     @Example
-    void madeUpServicesUseUpNoLabels() throws IOException {
+    void unknownServicesDoNotUseUpLabelBudget() throws IOException {
         allow(List.of("perth"), List.of());
         for (int service = 0; service < 10_000; service++) {
             mMetrics.requests().recordLookup(new ServiceId("made-up-" + service));
@@ -45,7 +45,7 @@
     }
 
     @Example
-    void namesBeyondTheBudgetBecomeOther() {
+    void namesBeyondBudgetAreReplacedWithOther() {
         LabelBudget budget = new LabelBudget(2);
         budget.allow(List.of("c", "b", "a"));
         budget.allow(List.of("d"));
@@ -55,16 +55,16 @@
     }
 
     @Example
-    void scrapeStaysBoundedWithEveryLabelInUse() throws IOException {
+    void scrapeSizeIsBoundedWithAllLabelsInUse() throws IOException {
         allow(names("region-", 100), names("service-", 200));
         for (int service = 0; service < 200; service++) {
-            touchAll(new ServiceId("service-" + service));
+            recordAll(new ServiceId("service-" + service));
         }
         assertThat(scrape().length()).isLessThan(MAXIMUM_SCRAPE_BYTES);
     }
 
     @Example
-    void forgottenHeadroomIsNoLongerShown() throws IOException {
+    void removedHeadroomIsNoLongerExposed() throws IOException {
         allow(List.of("perth"), List.of());
         ServiceId booking = new ServiceId("booking");
         Headroom headroom = new Headroom(36, 27, 2, Long.MAX_VALUE, DegradationStep.STALE);
@@ -80,7 +80,7 @@
     }
 
     @Example
-    void ageOfTheConfigurationIgnoresStepsOfTheWallClock() throws IOException {
+    void configurationAgeIgnoresWallClockSteps() throws IOException {
         mTime.advance(Duration.ofSeconds(90));
         mTime.stepWallClock(Duration.ofDays(3));
         assertThat(scrape()).contains("masticpond_configuration_age_seconds 90.0");
@@ -89,7 +89,7 @@
     }
 
     @Example
-    void processorTimeOfEndedThreadsIsNotLost() throws InterruptedException {
+    void processorTimeOfTerminatedThreadsIsKept() throws InterruptedException {
         ThreadCpuMeter meter = new ThreadCpuMeter();
         Thread worker = new Thread(() -> spin(Duration.ofMillis(30)), "heartbeats");
         worker.start();
@@ -101,7 +101,7 @@
         assertThat(ThreadRole.ofThread("membership")).isEqualTo(ThreadRole.CONTROL);
     }
 
-    private void touchAll(ServiceId service) {
+    private void recordAll(ServiceId service) {
         RequestMetrics requests = mMetrics.requests();
         requests.recordLookup(service);
         requests.recordAnswer(service, 1_000_000);
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/metrics/PlatformMetricsTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/metrics/PlatformMetricsTest.java
@@ -13,14 +13,14 @@
 import java.util.Optional;
 import net.jqwik.api.Example;
 
-/** Tells the metrics of lost writes, an exhausted budget and an outage. */
+/** Tests of the metrics for uncertain writes, an exhausted budget and an open circuit breaker. */
 class PlatformMetricsTest {
 
     private final PrometheusRegistry mRegistry = new PrometheusRegistry();
     private final PlatformMetrics mMetrics = new PlatformMetrics(mRegistry);
 
     @Example
-    void failuresShowByKindAndCause() throws IOException {
+    void failuresAreCountedByKindAndCause() throws IOException {
         mMetrics.attempted(PlatformCallKind.WRITE, "10.0.0.1:80");
         end(PlatformCallKind.WRITE, new PlatformError.Uncertain("Lost."));
         end(PlatformCallKind.READ, new PlatformError.OverBudget("Too many."));
