--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/header/package-info.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/header/package-info.java
@@ -1,2 +1,2 @@
-/** Names of HTTP header fields, which the edges towards callers and backend servers share. */
+/** Names of the HTTP header fields that the interfaces to callers and to backend servers share. */
 package io.masticpond.daemon.header;
