--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/http/HttpClients.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/http/HttpClients.java
@@ -12,10 +12,10 @@
 import okhttp3.Protocol;
 
 /**
- * Sets up HTTP clients that do nothing behind the back of their users.
+ * Factory for HTTP clients without implicit retries or redirects.
  *
- * <p>They speak HTTP/1.1, keep connections, never try again by themselves and follow no
- * redirection. The time of a call is limited by the call alone.
+ * <p>The clients use HTTP/1.1, keep connections alive, never retry a call and follow no redirects.
+ * They have no read or write timeout; only the call itself limits its duration.
  *
  * @since 0.1
  */
@@ -24,14 +24,15 @@
     private HttpClients() {}
 
     /**
-     * Starts a client.
+     * Returns a builder for a client.
      *
-     * @param executor runs the calls, one thread for each in flight
-     * @param maximumInFlight how many calls may be in flight; others wait in the client
-     * @param maximumIdleConnections how many connections are kept without a call
-     * @param keepAlive how long they are kept
-     * @param connectTimeout how long a connection may take
-     * @return a builder, to which listeners may be added
+     * @param executor the executor of the calls, which occupies one thread for each call in flight
+     * @param maximumInFlight the maximum number of calls in flight; further calls are queued in the
+     *     client
+     * @param maximumIdleConnections the maximum number of idle connections
+     * @param keepAlive the time for which idle connections are kept
+     * @param connectTimeout the timeout for establishing a connection
+     * @return the builder, to which listeners may be added
      */
     public static OkHttpClient.Builder builder(
             ExecutorService executor,
@@ -59,9 +60,9 @@
     }
 
     /**
-     * Makes an executor of named daemon threads, as many as calls are in flight.
+     * Creates an executor with one named daemon thread for each call in flight.
      *
-     * @param threadName the name of its threads
+     * @param threadName the name of the threads
      * @return the executor
      */
     public static ExecutorService executor(String threadName) {
@@ -74,7 +75,7 @@
     }
 
     /**
-     * Ends all calls of a client and closes its connections.
+     * Cancels all calls of a client, and closes its executor and its idle connections.
      *
      * @param client the client
      */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/http/package-info.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/http/package-info.java
@@ -1,2 +1,4 @@
-/** What all HTTP clients of the daemon share; it must not know whom they call. */
+/**
+ * Support shared by all HTTP clients of the daemon. This package must not depend on what they call.
+ */
 package io.masticpond.daemon.http;
