--- a/masticpond-measure/src/main/java/io/masticpond/measure/hostile/ConfigurationUpdateTarget.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/hostile/ConfigurationUpdateTarget.java
@@ -28,7 +28,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.zip.DeflaterOutputStream;
 
-/** The configuration's duty, which gets messages of an instance that has gone wrong. */
+/** Target that feeds messages of a faulty peer instance to the {@link ConfigurationService}. */
 final class ConfigurationUpdateTarget implements HostileTarget, ConfigurationPeers {
 
     private static final int INPUTS = 25_000;
@@ -36,21 +36,21 @@
 
     private final ConfigurationCodec mCodec = new ConfigurationCodec();
     private final ConfigurationHolder mHolder = new ConfigurationHolder();
-    private final ConfigurationService mDuty =
+    private final ConfigurationService mService =
             new ConfigurationService(
                     new InstanceId("entry-1"),
                     new ZoneId("casa-1"),
-                    platformAway(),
+                    unavailablePlatform(),
                     this,
                     mHolder,
                     mCodec,
                     new SystemTimeSource(),
                     Timeline.NONE);
     private Handler mHandler;
-    private long mNumber;
+    private long mInputCount;
 
     ConfigurationUpdateTarget() {
-        mDuty.start();
+        mService.start();
     }
 
     @Override
@@ -73,11 +73,11 @@
         return List.of(mCodec.encode(ConfigurationUpdate.of(next)));
     }
 
-    /** Every third document is broken only after it was deflated. */
+    /** Feeds one document as a push; every third one is sent as it is, without being deflated. */
     @Override
     public void feed(byte[] input) throws IOException {
-        mNumber++;
-        byte[] document = mNumber % 3 == 0 ? input : deflate(input);
+        mInputCount++;
+        byte[] document = mInputCount % 3 == 0 ? input : deflate(input);
         mHandler.onPush(
                 PEER,
                 ConfigurationPush.newBuilder()
@@ -86,7 +86,7 @@
                         .build());
         CompletableFuture<ConfigurationPush> processed = new CompletableFuture<>();
         mHandler.onFetch(
-                ConfigurationFetch.newBuilder().setKnownVersion(-mNumber).build(),
+                ConfigurationFetch.newBuilder().setKnownVersion(-mInputCount).build(),
                 processed::complete);
         processed.join();
     }
@@ -98,7 +98,7 @@
 
     @Override
     public void push(InstanceId to, ConfigurationPush push) {
-        throw new IllegalStateException("There is nobody to tell.");
+        throw new IllegalStateException("This target has no peers to push to.");
     }
 
     @Override
@@ -114,7 +114,7 @@
 
     @Override
     public void close() {
-        mDuty.close();
+        mService.close();
     }
 
     private static byte[] deflate(byte[] document) throws IOException {
@@ -125,13 +125,13 @@
         return output.toByteArray();
     }
 
-    private static ObjectStore platformAway() {
-        PlatformError away = new PlatformError.Away("The platform is away.");
+    private static ObjectStore unavailablePlatform() {
+        PlatformError unavailable = new PlatformError.Away("The platform is unavailable.");
         return (ObjectStore)
                 Proxy.newProxyInstance(
                         ObjectStore.class.getClassLoader(),
                         new Class<?>[] {ObjectStore.class},
                         (proxy, method, arguments) ->
-                                CompletableFuture.completedFuture(Either.left(away)));
+                                CompletableFuture.completedFuture(Either.left(unavailable)));
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/hostile/DocumentTarget.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/hostile/DocumentTarget.java
@@ -4,11 +4,11 @@
 import java.util.function.Consumer;
 
 /**
- * A reader of documents, which must not throw.
+ * Target that passes each input to a document reader, which must not throw.
  *
- * @param name names the place
+ * @param name the name of this target in the report
  * @param samples valid inputs
- * @param inputs how many inputs it gets
+ * @param inputs the number of inputs to feed
  * @param reader reads one input
  */
 record DocumentTarget(String name, List<byte[]> samples, int inputs, Consumer<byte[]> reader)
--- a/masticpond-measure/src/main/java/io/masticpond/measure/hostile/ErrorLog.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/hostile/ErrorLog.java
@@ -7,7 +7,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.slf4j.LoggerFactory;
 
-/** Counts errors that the process logs, since a duty that fails a task logs it and goes on. */
+/**
+ * Log appender that counts the errors that the process logs, since a service whose task fails logs
+ * the failure and continues.
+ */
 final class ErrorLog extends AppenderBase<ILoggingEvent> implements AutoCloseable {
 
     private static final String PACKAGE = "io.masticpond";
--- a/masticpond-measure/src/main/java/io/masticpond/measure/hostile/HostileInputMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/hostile/HostileInputMeasure.java
@@ -16,17 +16,18 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * Feeds at least 100,000 generated inputs to every place where something crosses into the process.
+ * Feeds at least 100,000 generated inputs in total to all interfaces through which data enters the
+ * process.
  *
  * @since 0.1
  */
 public final class HostileInputMeasure implements Measure {
 
-    private static final int LEAST_INPUTS = 100_000;
+    private static final int MINIMUM_INPUTS = 100_000;
     private static final long HANG_SECONDS = 5;
     private static final double MEGABYTE = 1 << 20;
     private static final double HEAP_LIMIT_MEGABYTES = 64;
-    private static final int SHOWN = 60;
+    private static final int MAXIMUM_TEXT_LENGTH = 60;
 
     @Override
     public String name() {
@@ -49,19 +50,21 @@
         ErrorLog log = new ErrorLog();
         long heapBefore = usedHeap();
         List<Outcome> outcomes = new ArrayList<>();
-        long number = seed;
-        for (HostileTargets.Maker maker : HostileTargets.all()) {
-            number++;
-            outcomes.add(attack(maker, new HostileInputs(number), log));
+        long inputSeed = seed;
+        for (HostileTargets.Factory factory : HostileTargets.all()) {
+            inputSeed++;
+            outcomes.add(feedAll(factory, new HostileInputs(inputSeed), log));
         }
         double heapGrowth = (usedHeap() - heapBefore) / MEGABYTE;
         log.close();
         return report(outcomes, heapGrowth);
     }
 
-    private static Outcome attack(HostileTargets.Maker maker, HostileInputs inputs, ErrorLog log) {
-        ExecutorService executor = Executors.newSingleThreadExecutor(HostileInputMeasure::daemon);
-        try (HostileTarget target = maker.make()) {
+    private static Outcome feedAll(
+            HostileTargets.Factory factory, HostileInputs inputs, ErrorLog log) {
+        ExecutorService executor =
+                Executors.newSingleThreadExecutor(HostileInputMeasure::daemonThread);
+        try (HostileTarget target = factory.create()) {
             Outcome outcome = new Outcome(target.name());
             long errorsBefore = log.count();
             long start = System.nanoTime();
@@ -76,13 +79,13 @@
             outcome.addLogged(log.count() - errorsBefore, log.first());
             return outcome;
         } catch (Exception e) {
-            throw new IllegalStateException("A target could not be closed.", e);
+            throw new IllegalStateException("Failed to close a target.", e);
         } finally {
             executor.shutdownNow();
         }
     }
 
-    private static Thread daemon(Runnable task) {
+    private static Thread daemonThread(Runnable task) {
         Thread thread = new Thread(task, "hostile-input");
         thread.setDaemon(true);
         return thread;
@@ -104,7 +107,7 @@
                                 "Inputs by place",
                                 List.of("Place", "Inputs", "Crashes", "Hangs", "Seconds", "First"),
                                 outcomes.stream().map(Outcome::row).toList()))
-                .figure("inputs", inputs, MeasureTarget.atLeast(LEAST_INPUTS))
+                .figure("inputs", inputs, MeasureTarget.atLeast(MINIMUM_INPUTS))
                 .figure("places", outcomes.size())
                 .figure("crashes", crashes, MeasureTarget.atMost(0))
                 .figure("hangs", hangs, MeasureTarget.atMost(0))
@@ -114,7 +117,7 @@
                         MeasureTarget.atMost(HEAP_LIMIT_MEGABYTES));
     }
 
-    /** What became of the inputs of one place. */
+    /** Mutable result of one target: its inputs, crashes, hangs and run time. */
     private static final class Outcome {
 
         private final String mName;
@@ -130,24 +133,24 @@
 
         void feed(ExecutorService executor, HostileTarget target, byte[] input) {
             mInputs++;
-            Future<Void> end =
+            Future<Void> completion =
                     executor.submit(
                             () -> {
                                 target.feed(input);
                                 return null;
                             });
             try {
-                end.get(HANG_SECONDS, TimeUnit.SECONDS);
+                completion.get(HANG_SECONDS, TimeUnit.SECONDS);
             } catch (TimeoutException e) {
                 mHangs++;
-                note("no end");
+                recordFirst("no end");
             } catch (ExecutionException e) {
                 if (e.getCause() instanceof SocketTimeoutException) {
                     mHangs++;
                 } else {
                     mCrashes++;
                 }
-                note(String.valueOf(e.getCause()));
+                recordFirst(String.valueOf(e.getCause()));
             } catch (InterruptedException e) {
                 throw new IllegalStateException("The measure was interrupted.", e);
             }
@@ -156,13 +159,13 @@
         void addLogged(long errors, String first) {
             mCrashes += errors;
             if (errors > 0) {
-                note(first);
+                recordFirst(first);
             }
         }
 
-        private void note(String text) {
+        private void recordFirst(String text) {
             if (mFirst.isEmpty()) {
-                mFirst = text.substring(0, Math.min(SHOWN, text.length()));
+                mFirst = text.substring(0, Math.min(MAXIMUM_TEXT_LENGTH, text.length()));
             }
         }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/hostile/HostileInputs.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/hostile/HostileInputs.java
@@ -6,16 +6,16 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Makes inputs from valid samples by seeded mutations, and some from nothing but random bytes. */
+/** Generator of inputs by seeded mutations of valid samples; some consist of random bytes only. */
 final class HostileInputs {
 
     private static final int MAXIMUM_MUTATIONS = 4;
-    private static final int RANDOM_EVERY = 20;
-    private static final int RANDOM_BYTES = 300;
-    private static final int REPEATS = 2_000;
-    private static final int REPEAT_EVERY = 200;
-    private static final int RANGE = 24;
-    private static final int BYTE = 256;
+    private static final int RANDOM_INTERVAL = 20;
+    private static final int MAXIMUM_RANDOM_BYTES = 300;
+    private static final int TOKEN_REPETITIONS = 2_000;
+    private static final int REPEAT_INTERVAL = 200;
+    private static final int MAXIMUM_RANGE_BYTES = 24;
+    private static final int BYTE_VALUES = 256;
     private static final List<String> TOKENS =
             List.of(
                     "\"",
@@ -78,15 +78,15 @@
         mRandom = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     }
 
-    /** Makes the next input from one of the samples. */
+    /** Returns the next input, generated from one of the samples. */
     byte[] next(List<byte[]> samples) {
-        if (mRandom.nextInt(RANDOM_EVERY) == 0) {
-            byte[] bytes = new byte[mRandom.nextInt(RANDOM_BYTES)];
+        if (mRandom.nextInt(RANDOM_INTERVAL) == 0) {
+            byte[] bytes = new byte[mRandom.nextInt(MAXIMUM_RANDOM_BYTES)];
             mRandom.nextBytes(bytes);
             return bytes;
         }
         byte[] input = samples.get(mRandom.nextInt(samples.size()));
-        if (mRandom.nextInt(REPEAT_EVERY) == 0) {
+        if (mRandom.nextInt(REPEAT_INTERVAL) == 0) {
             return repeat(input);
         }
         int mutations = 1 + mRandom.nextInt(MAXIMUM_MUTATIONS);
@@ -97,27 +97,27 @@
     }
 
     private byte[] mutate(byte[] input) {
-        int at = mRandom.nextInt(input.length + 1);
-        int end = Math.min(input.length, at + mRandom.nextInt(RANGE));
-        byte[] range = Arrays.copyOfRange(input, at, end);
+        int position = mRandom.nextInt(input.length + 1);
+        int end = Math.min(input.length, position + mRandom.nextInt(MAXIMUM_RANGE_BYTES));
+        byte[] range = Arrays.copyOfRange(input, position, end);
         return switch (mRandom.nextInt(6)) {
-            case 0 -> splice(input, at, end, new byte[0]);
-            case 1 -> splice(input, at, at, range);
-            case 2 -> splice(input, at, Math.min(input.length, at + 1), randomByte());
-            case 3 -> splice(input, at, end, token());
-            case 4 -> splice(input, at, at, token());
-            default -> Arrays.copyOf(input, at);
+            case 0 -> splice(input, position, end, new byte[0]);
+            case 1 -> splice(input, position, position, range);
+            case 2 -> splice(input, position, Math.min(input.length, position + 1), randomByte());
+            case 3 -> splice(input, position, end, token());
+            case 4 -> splice(input, position, position, token());
+            default -> Arrays.copyOf(input, position);
         };
     }
 
     private byte[] repeat(byte[] input) {
         byte[] token = token();
-        byte[] many = new byte[token.length * REPEATS];
-        for (int i = 0; i < REPEATS; i++) {
-            System.arraycopy(token, 0, many, i * token.length, token.length);
+        byte[] repeated = new byte[token.length * TOKEN_REPETITIONS];
+        for (int i = 0; i < TOKEN_REPETITIONS; i++) {
+            System.arraycopy(token, 0, repeated, i * token.length, token.length);
         }
-        int at = mRandom.nextInt(input.length + 1);
-        return splice(input, at, at, many);
+        int position = mRandom.nextInt(input.length + 1);
+        return splice(input, position, position, repeated);
     }
 
     private byte[] token() {
@@ -125,7 +125,7 @@
     }
 
     private byte[] randomByte() {
-        return new byte[] {(byte) mRandom.nextInt(BYTE)};
+        return new byte[] {(byte) mRandom.nextInt(BYTE_VALUES)};
     }
 
     private static byte[] splice(byte[] input, int from, int to, byte[] insert) {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/hostile/HostileSamples.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/hostile/HostileSamples.java
@@ -12,7 +12,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Valid inputs, which the generated ones start from. */
+/** Valid inputs from which the generated inputs are derived. */
 final class HostileSamples {
 
     static final Incarnation INCARNATION = new Incarnation(new InstanceId("entry-1"), 1);
@@ -85,7 +85,7 @@
                 request("GET /health HTTP/1.1\r\nHost: a\r\n", ""));
     }
 
-    /** Frames as they go over a link: the length in four bytes, then the envelope. */
+    /** Returns frames in the wire format of a link: the length in four bytes, then the envelope. */
     static List<byte[]> frames() {
         return List.of(
                 frame(
--- a/masticpond-measure/src/main/java/io/masticpond/measure/hostile/HostileTarget.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/hostile/HostileTarget.java
@@ -2,23 +2,23 @@
 
 import java.util.List;
 
-/** A place where something crosses into the process. */
+/** Strategy interface for feeding inputs to one interface through which data enters the process. */
 interface HostileTarget extends AutoCloseable {
 
-    /** Names the place. */
+    /** Returns the name of this target in the report. */
     String name();
 
-    /** Gives valid inputs to start from. */
+    /** Returns the valid inputs from which the generated inputs are derived. */
     List<byte[]> samples();
 
-    /** Tells how many inputs it gets. */
+    /** Returns the number of inputs to feed. */
     int inputs();
 
     /**
-     * Feeds one input and waits for its end; an input that is refused is no failure.
+     * Feeds one input and waits until it is processed; a refusal of the input is not a failure.
      *
      * @param input the input
-     * @throws Exception if the process did anything else than take or refuse the input
+     * @throws Exception if the process neither accepted nor refused the input
      */
     void feed(byte[] input) throws Exception;
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/hostile/HostileTargets.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/hostile/HostileTargets.java
@@ -33,25 +33,25 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Makes the places that are fed, in the order in which they are. */
+/** Factory methods for the targets, in the order in which they are fed. */
 final class HostileTargets {
 
-    private static final int DOCUMENTS = 12_000;
-    private static final int TEXTS = 20_000;
-    private static final int REQUESTS = 5_000;
-    private static final int CONNECTIONS = 4_000;
-    private static final int LOG_BYTES = 10_000;
+    private static final int DOCUMENT_INPUTS = 12_000;
+    private static final int TEXT_INPUTS = 20_000;
+    private static final int REQUEST_INPUTS = 5_000;
+    private static final int CONNECTION_INPUTS = 4_000;
+    private static final int MAXIMUM_LOG_BYTES = 10_000;
     private static final String SECRET = "a-token-of-the-measure";
     private static final ConfigurationCodec sCodec = new ConfigurationCodec();
 
     private HostileTargets() {}
 
-    /** Makes a place when its turn comes. */
-    interface Maker {
-        HostileTarget make() throws Exception;
+    /** Factory that creates a target just before it is fed. */
+    interface Factory {
+        HostileTarget create() throws Exception;
     }
 
-    static List<Maker> all() {
+    static List<Factory> all() {
         return List.of(
                 HostileTargets::settings,
                 HostileTargets::intents,
@@ -70,7 +70,7 @@
         return new DocumentTarget(
                 "settings",
                 List.of(bytes(HostileSamples.SETTINGS)),
-                DOCUMENTS,
+                DOCUMENT_INPUTS,
                 input -> reader.parse("settings", new String(input, StandardCharsets.UTF_8)));
     }
 
@@ -79,7 +79,7 @@
         return new DocumentTarget(
                 "intents of operators",
                 List.of(bytes(HostileSamples.INTENT), bytes(HostileSamples.CHANGE)),
-                DOCUMENTS,
+                DOCUMENT_INPUTS,
                 input ->
                         sCodec.decodeIntent(input)
                                 .peek(intent -> plan(planner, intent).peek(sCodec::encode)));
@@ -94,14 +94,14 @@
                         .getOrElseThrow(faults -> new IllegalStateException(faults.toString()));
         ConfigurationHead head =
                 ConfigurationHead.EMPTY.append(
-                        plan, new ConfigurationLogLimits(LOG_BYTES, change -> 1));
+                        plan, new ConfigurationLogLimits(MAXIMUM_LOG_BYTES, change -> 1));
         return new DocumentTarget(
                 "objects of the platform",
                 List.of(sCodec.encode(head), sCodec.encode(plan)),
-                DOCUMENTS,
+                DOCUMENT_INPUTS,
                 input -> {
                     sCodec.decode(input, ConfigurationHead.class)
-                            .peek(read -> read.advance(Configuration.EMPTY));
+                            .peek(decoded -> decoded.advance(Configuration.EMPTY));
                     sCodec.decode(input, Plan.class);
                     sCodec.decode(input, ConfigurationChange.class);
                 });
@@ -111,7 +111,7 @@
         return new DocumentTarget(
                 "client blocks",
                 List.of(bytes("10.1.0.0/16"), bytes("2001:db8::/32"), bytes("::ffff:1.2.3.4/128")),
-                TEXTS,
+                TEXT_INPUTS,
                 input -> ClientBlock.parse(new String(input, StandardCharsets.UTF_8)));
     }
 
@@ -121,7 +121,7 @@
         return new DocumentTarget(
                 "operation keys",
                 List.of(bytes(sample.toString())),
-                TEXTS,
+                TEXT_INPUTS,
                 input -> {
                     String text = new String(input, StandardCharsets.UTF_8);
                     OperationKey.parse(text);
@@ -142,7 +142,7 @@
                 "requests of operators",
                 server.port(),
                 HostileSamples.operatorRequests(SECRET),
-                REQUESTS,
+                REQUEST_INPUTS,
                 server);
     }
 
@@ -158,7 +158,11 @@
                         new SystemTimeSource());
         server.start();
         return new SocketTarget(
-                "requests of callers", port, HostileSamples.callerRequests(), REQUESTS, server);
+                "requests of callers",
+                port,
+                HostileSamples.callerRequests(),
+                REQUEST_INPUTS,
+                server);
     }
 
     private static HostileTarget linkFrames() {
@@ -171,7 +175,7 @@
                         1);
         int port = links.start().getPort();
         return new SocketTarget(
-                "frames of instances", port, HostileSamples.frames(), CONNECTIONS, links);
+                "frames of instances", port, HostileSamples.frames(), CONNECTION_INPUTS, links);
     }
 
     static io.vavr.control.Either<?, Plan> plan(
--- a/masticpond-measure/src/main/java/io/masticpond/measure/hostile/PlanningCommands.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/hostile/PlanningCommands.java
@@ -13,7 +13,9 @@
 import java.time.Instant;
 import java.util.concurrent.CompletableFuture;
 
-/** Makes plans, and knows none afterwards. */
+/**
+ * Configuration commands that compute plans but store none, so that every lookup of a plan fails.
+ */
 final class PlanningCommands implements ConfigurationCommands {
 
     private final ConfigurationPlanner mPlanner = new ConfigurationPlanner(PlanObservations.NONE);
--- a/masticpond-measure/src/main/java/io/masticpond/measure/hostile/PlatformAnswerTarget.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/hostile/PlatformAnswerTarget.java
@@ -17,19 +17,19 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** The client of the platform, which gets each input as the bytes of an answer. */
+/** Target that feeds each input to the platform client as the raw bytes of an HTTP response. */
 final class PlatformAnswerTarget implements HostileTarget {
 
     private static final int INPUTS = 6_000;
     private static final int NO_LIMIT = 1_000_000;
-    private static final int KINDS_OF_CALLS = 4;
+    private static final int CALL_KINDS = 4;
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
     private static final ObjectKey KEY = new ObjectKey(ObjectKind.CONFIGURATION, "head");
 
     private final ServerSocket mServer = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
-    private final AtomicReference<byte[]> mAnswer = new AtomicReference<>(new byte[0]);
+    private final AtomicReference<byte[]> mResponse = new AtomicReference<>(new byte[0]);
     private final HttpObjectStore mStore;
-    private int mNumber;
+    private int mCallCount;
 
     PlatformAnswerTarget() throws IOException {
         Thread server = new Thread(this::serve, "hostile-platform");
@@ -68,22 +68,22 @@
     @Override
     public List<byte[]> samples() {
         return List.of(
-                answer("200 OK\r\nETag: \"3\"", "{\"version\": 3}"),
-                answer("201 Created\r\nETag: \"1\"", ""),
-                answer("200 OK", "{\"names\": [\"a\", \"b\"]}"),
-                answer(
+                response("200 OK\r\nETag: \"3\"", "{\"version\": 3}"),
+                response("201 Created\r\nETag: \"1\"", ""),
+                response("200 OK", "{\"names\": [\"a\", \"b\"]}"),
+                response(
                         "200 OK",
                         "{\"instances\": [{\"id\": \"entry-1\", \"zone\": \"casa-1\","
                                 + " \"linkAddress\": \"127.0.0.1:1\", \"leaving\": false}]}"),
-                answer("412 Precondition Failed\r\nETag: \"4\"", ""),
-                answer("204 No Content", ""));
+                response("412 Precondition Failed\r\nETag: \"4\"", ""),
+                response("204 No Content", ""));
     }
 
     @Override
     public void feed(byte[] input) {
-        mAnswer.set(input);
-        mNumber++;
-        switch (mNumber % KINDS_OF_CALLS) {
+        mResponse.set(input);
+        mCallCount++;
+        switch (mCallCount % CALL_KINDS) {
             case 0 -> mStore.read(KEY).join();
             case 1 -> mStore.write(KEY, 1, input).join();
             case 2 -> mStore.list(ObjectKind.PLAN, "").join();
@@ -103,16 +103,16 @@
             try (Socket socket = mServer.accept()) {
                 if (socket.getInputStream().read(request) >= 0) {
                     OutputStream output = socket.getOutputStream();
-                    output.write(mAnswer.get());
+                    output.write(mResponse.get());
                     output.flush();
                 }
             } catch (IOException e) {
-                // The client went away, or the measure is over.
+                // The client closed the connection, or the measure has ended.
             }
         }
     }
 
-    private static byte[] answer(String head, String body) {
+    private static byte[] response(String head, String body) {
         return ("HTTP/1.1 "
                         + head
                         + "\r\nContent-Length: "
--- a/masticpond-measure/src/main/java/io/masticpond/measure/hostile/RefusingCallerService.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/hostile/RefusingCallerService.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Knows one service and refuses each of its requests. */
+/** Caller service whose configuration has one service, and which refuses each request to it. */
 final class RefusingCallerService extends AbstractRefusingCallerService {
 
     private final Configuration mConfiguration;
--- a/masticpond-measure/src/main/java/io/masticpond/measure/hostile/package-info.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/hostile/package-info.java
@@ -1,2 +1,2 @@
-/** Feeds generated inputs to every place where something crosses into the process. */
+/** Measure that feeds generated inputs to all interfaces through which data enters the process. */
 package io.masticpond.measure.hostile;
