--- a/masticpond-measure/src/main/java/io/masticpond/measure/logging/CountedOutput.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/logging/CountedOutput.java
@@ -4,26 +4,29 @@
 import java.io.OutputStream;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Counts the calls of write, each of which would be a call of the system, and passes all on. */
+/**
+ * Output stream that counts the calls of {@code write}, each of which would be a system call, and
+ * forwards them all.
+ */
 final class CountedOutput extends OutputStream {
 
-    private final OutputStream mNext;
+    private final OutputStream mDelegate;
     private final AtomicLong mCalls = new AtomicLong();
 
-    CountedOutput(OutputStream next) {
-        mNext = next;
+    CountedOutput(OutputStream delegate) {
+        mDelegate = delegate;
     }
 
     @Override
     public void write(int value) throws IOException {
         mCalls.incrementAndGet();
-        mNext.write(value);
+        mDelegate.write(value);
     }
 
     @Override
-    public void write(byte[] bytes, int from, int length) throws IOException {
+    public void write(byte[] bytes, int offset, int length) throws IOException {
         mCalls.incrementAndGet();
-        mNext.write(bytes, from, length);
+        mDelegate.write(bytes, offset, length);
     }
 
     long calls() {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/logging/LineCostRun.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/logging/LineCostRun.java
@@ -18,22 +18,24 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 
-/** Charges the processor time of the logging thread to its lines, at a steady rate. */
+/**
+ * Measures the processor time that the logging thread takes for a line, at a steady rate of lines.
+ */
 final class LineCostRun {
 
     private static final int WARM_UP_LINES = 4_000;
     private static final int LINES = 500;
-    private static final long WARM_UP_PAUSE_NANOS = TimeUnit.MICROSECONDS.toNanos(250);
-    private static final long PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
+    private static final long WARM_UP_INTERVAL_NANOS = TimeUnit.MICROSECONDS.toNanos(250);
+    private static final long INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
     private static final long SETTLE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
-    private static final int BUDGET = 1_000_000;
+    private static final int LINES_PER_SECOND = 1_000_000;
     private static final double NANOS_PER_MICRO = TimeUnit.MICROSECONDS.toNanos(1);
 
     /**
-     * What a run gave.
+     * Result of a run.
      *
-     * @param micros processor time of the logging thread for each line, in microseconds
-     * @param callsPerLine calls of write for each line
+     * @param micros mean processor time of the logging thread for a line, in microseconds
+     * @param callsPerLine mean number of calls of {@code write} for a line
      */
     record Result(double micros, double callsPerLine) {}
 
@@ -44,7 +46,7 @@
         try (OutputPipe pipe = new OutputPipe(true)) {
             CountedOutput output = new CountedOutput(pipe.output());
             LogOptions options =
-                    new LogOptions(BUDGET, Duration.ofMillis(200), Duration.ofSeconds(1));
+                    new LogOptions(LINES_PER_SECOND, Duration.ofMillis(200), Duration.ofSeconds(1));
             try (StandardOutputLog log =
                     StandardOutputLog.start(options, new SystemTimeSource(), output)) {
                 return measure(log::requestEnded, "log", output);
@@ -52,7 +54,7 @@
         }
     }
 
-    /** Measures the logging of the daemon, with a sentence in place of most fields. */
+    /** Measures the logging of the daemon, whose lines have a sentence in place of most fields. */
     static Result daemon() {
         LoggerContext context = new LoggerContext();
         LoggingSettings settings = new LoggingSettings(LogFormat.JSON, LogLevel.INFO);
@@ -76,20 +78,20 @@
     private static Result measure(
             Consumer<RequestRecord> log, String thread, CountedOutput output) {
         SampleRequests requests = new SampleRequests();
-        offer(log, requests, WARM_UP_LINES, WARM_UP_PAUSE_NANOS);
+        logRequests(log, requests, WARM_UP_LINES, WARM_UP_INTERVAL_NANOS);
         long calls = output.calls();
         long nanos = processorNanos(thread);
-        offer(log, requests, LINES, PAUSE_NANOS);
+        logRequests(log, requests, LINES, INTERVAL_NANOS);
         return new Result(
                 (processorNanos(thread) - nanos) / NANOS_PER_MICRO / LINES,
                 (double) (output.calls() - calls) / LINES);
     }
 
-    private static void offer(
-            Consumer<RequestRecord> log, SampleRequests requests, int lines, long pauseNanos) {
+    private static void logRequests(
+            Consumer<RequestRecord> log, SampleRequests requests, int lines, long intervalNanos) {
         for (int index = 0; index < lines; index++) {
             log.accept(requests.next(System.nanoTime()));
-            LockSupport.parkNanos(pauseNanos);
+            LockSupport.parkNanos(intervalNanos);
         }
         LockSupport.parkNanos(SETTLE_NANOS);
     }
@@ -101,6 +103,6 @@
                 return threads.getThreadCpuTime(info.getThreadId());
             }
         }
-        throw new IllegalStateException("There is no thread " + thread + ".");
+        throw new IllegalStateException("Found no thread whose name starts with " + thread + ".");
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/logging/LoggingMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/logging/LoggingMeasure.java
@@ -10,14 +10,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Measures what a line costs the request that it is about, and the process.
+ * Measures the cost of a log line to the request that it describes, and to the process.
  *
  * @since 0.2
  */
 public final class LoggingMeasure implements Measure {
 
-    private static final double RARE = 99.9;
-    private static final double RARE_TARGET_MICROS = 100;
+    private static final double HIGH_PERCENTILE = 99.9;
+    private static final double HIGH_PERCENTILE_TARGET_MICROS = 100;
     private static final double FULL_BUDGET_TARGET_PERCENT = 2;
     private static final double MICROS_PER_PERCENT = TimeUnit.SECONDS.toMicros(1) / 100.0;
     private static final double NANOS_PER_MICRO = TimeUnit.MICROSECONDS.toNanos(1);
@@ -50,9 +50,9 @@
         report.table(costs(entry, daemon));
         report.figure(
                 "stoppedReaderCallP999Micros",
-                micros(stopped, RARE),
-                MeasureTarget.atMost(RARE_TARGET_MICROS));
-        report.figure("readCallP999Micros", micros(read, RARE));
+                micros(stopped, HIGH_PERCENTILE),
+                MeasureTarget.atMost(HIGH_PERCENTILE_TARGET_MICROS));
+        report.figure("readCallP999Micros", micros(read, HIGH_PERCENTILE));
         report.figure("stoppedReaderCallMaxMicros", max(stopped));
         report.figure("readRefusalsLeftOut", read.noteworthyLeftOut());
         report.figure("lineMicros", entry.micros(), MeasureTarget.atMost(daemon.micros()));
@@ -87,7 +87,7 @@
                 title,
                 text(micros(result, 50)),
                 text(micros(result, 99)),
-                text(micros(result, RARE)),
+                text(micros(result, HIGH_PERCENTILE)),
                 text(max(result)),
                 Long.toString(result.written()),
                 Long.toString(result.noteworthyLeftOut()),
--- a/masticpond-measure/src/main/java/io/masticpond/measure/logging/OutputPipe.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/logging/OutputPipe.java
@@ -7,7 +7,10 @@
 import java.nio.channels.Channels;
 import java.nio.channels.Pipe;
 
-/** A pipe of the system in place of standard output, with a reader that reads or does not. */
+/**
+ * Pipe of the operating system in place of standard output, which is either read to its end or
+ * never read.
+ */
 final class OutputPipe implements AutoCloseable {
 
     private static final int READ_BYTES = 64 * 1024;
@@ -19,7 +22,7 @@
         try {
             mPipe = Pipe.open();
         } catch (IOException e) {
-            throw new UncheckedIOException("No pipe could be opened.", e);
+            throw new UncheckedIOException("Failed to open a pipe.", e);
         }
         mOutput = Channels.newOutputStream(mPipe.sink());
         if (read) {
@@ -39,7 +42,7 @@
             mPipe.source().close();
             mPipe.sink().close();
         } catch (IOException e) {
-            throw new UncheckedIOException("The pipe could not be closed.", e);
+            throw new UncheckedIOException("Failed to close the pipe.", e);
         }
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/logging/SampleRequests.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/logging/SampleRequests.java
@@ -9,11 +9,11 @@
 import io.masticpond.entry.log.RequestRecord;
 import java.util.concurrent.TimeUnit;
 
-/** Makes the facts of requests as the request path collects them; one in ten is refused. */
+/** Generator of request records as the request path fills them; one request in ten is refused. */
 final class SampleRequests {
 
     private static final int SERVERS = 24;
-    private static final int REFUSED_EVERY = 10;
+    private static final int REFUSAL_INTERVAL = 10;
     private static final int SLOTS = 8;
     private static final long SERVICE_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
     private static final long TARGET_MILLIS = 400;
@@ -23,7 +23,7 @@
     private final ServiceId mService = new ServiceId("orders-service");
     private final ZoneId mZone = new ZoneId("zone-1");
     private final BackendServerId[] mServers = new BackendServerId[SERVERS];
-    private int mNumber;
+    private int mNextNumber;
 
     SampleRequests() {
         for (int index = 0; index < SERVERS; index++) {
@@ -31,9 +31,9 @@
         }
     }
 
-    /** Makes a request that ends now. */
+    /** Returns the record of a request that ends at the given time. */
     RequestRecord next(long nowNanos) {
-        int number = mNumber++;
+        int number = mNextNumber++;
         RequestRecord request = new RequestRecord("request-" + number, nowNanos - SERVICE_NANOS);
         request.routed(mRoute, mService, TARGET_MILLIS, nowNanos - SERVICE_NANOS + DEADLINE_NANOS);
         request.routing(7, SERVICE_NANOS);
@@ -44,7 +44,7 @@
             request.candidate(server(number + index), index, SLOTS, 0.9 - index);
         }
         request.excluded(Exclusion.LEAVING);
-        if (number % REFUSED_EVERY == 0) {
+        if (number % REFUSAL_INTERVAL == 0) {
             request.refused("overload", 503, 250, nowNanos);
             return request;
         }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/logging/StoppedReaderRun.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/logging/StoppedReaderRun.java
@@ -11,22 +11,24 @@
 import java.util.concurrent.locks.LockSupport;
 import org.HdrHistogram.Histogram;
 
-/** Times what a request pays for its line while the output is read, or is not. */
+/**
+ * Measures how long a request waits for its log line, with an output that is read or never read.
+ */
 final class StoppedReaderRun {
 
     private static final int WARM_UP_BURSTS = 2_000;
     private static final int BURSTS = 4_000;
-    private static final int REQUESTS = 10;
-    private static final int DIGITS = 3;
+    private static final int REQUESTS_PER_BURST = 10;
+    private static final int SIGNIFICANT_DIGITS = 3;
     private static final long PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
     /**
-     * What a run gave.
+     * Result of a run.
      *
-     * @param nanos the time of each call, in nanoseconds
-     * @param written lines that the output took
-     * @param noteworthyLeftOut refusals left out
-     * @param plainLeftOut plain requests left out
+     * @param nanos the durations of the calls, in nanoseconds
+     * @param written the number of lines that were written
+     * @param noteworthyLeftOut the number of refusals that were dropped
+     * @param plainLeftOut the number of plain requests that were dropped
      */
     record Result(Histogram nanos, long written, long noteworthyLeftOut, long plainLeftOut) {}
 
@@ -34,14 +36,14 @@
 
     static Result run(boolean read) {
         SampleRequests requests = new SampleRequests();
-        Histogram nanos = new Histogram(DIGITS);
+        Histogram nanos = new Histogram(SIGNIFICANT_DIGITS);
         try (OutputPipe pipe = new OutputPipe(read)) {
             StandardOutputLog log =
                     StandardOutputLog.start(
                             LogOptions.DEFAULT, new SystemTimeSource(), pipe.output());
-            DecisionLog all = new RecentDecisions(log, new SystemTimeSource());
-            logBursts(all, requests, WARM_UP_BURSTS, new Histogram(DIGITS));
-            logBursts(all, requests, BURSTS, nanos);
+            DecisionLog decisions = new RecentDecisions(log, new SystemTimeSource());
+            logBursts(decisions, requests, WARM_UP_BURSTS, new Histogram(SIGNIFICANT_DIGITS));
+            logBursts(decisions, requests, BURSTS, nanos);
             log.close();
             return new Result(
                     nanos,
@@ -54,11 +56,11 @@
     private static void logBursts(
             DecisionLog log, SampleRequests requests, int bursts, Histogram nanos) {
         for (int burst = 0; burst < bursts; burst++) {
-            for (int index = 0; index < REQUESTS; index++) {
+            for (int index = 0; index < REQUESTS_PER_BURST; index++) {
                 RequestRecord request = requests.next(System.nanoTime());
-                long begin = System.nanoTime();
+                long start = System.nanoTime();
                 log.requestEnded(request);
-                nanos.recordValue(System.nanoTime() - begin);
+                nanos.recordValue(System.nanoTime() - start);
             }
             LockSupport.parkNanos(PAUSE_NANOS);
         }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/logging/package-info.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/logging/package-info.java
@@ -1,2 +1,2 @@
-/** Measures what logging costs a request and a process. */
+/** Measure of the cost of logging to a request and to the process. */
 package io.masticpond.measure.logging;
