--- a/masticpond-measure/src/main/java/io/masticpond/measure/lookup/DirectoryMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/lookup/DirectoryMeasure.java
@@ -22,7 +22,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Measures the decision of the entry's directory, where a client may connect, among many instances.
+ * Measures the processor time in which the entry's directory decides, among many instances, to
+ * which of them a client may connect.
  *
  * @since 0.2
  */
@@ -30,7 +31,7 @@
 
     private static final int ZONES = 16;
     private static final int REGIONS = 5;
-    private static final int FLEET = 410;
+    private static final int FLEET_INSTANCES = 410;
     private static final int WARM_UP = 100_000;
     private static final int DECISIONS = 200_000;
     private static final int ROUNDS = 5;
@@ -60,11 +61,11 @@
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         MeasureReport report = new MeasureReport();
         List<List<String>> rows = new ArrayList<>();
-        for (int instances : new int[] {10, 80, FLEET}) {
+        for (int instances : new int[] {10, 80, FLEET_INSTANCES}) {
             double[] micros = rounds(instances, random);
             rows.add(List.of(Integer.toString(instances), text(micros[0]), text(micros[1])));
-            if (instances == FLEET) {
-                double perSecond = LOOKUPS_PER_SECOND / FLEET;
+            if (instances == FLEET_INSTANCES) {
+                double perSecond = LOOKUPS_PER_SECOND / FLEET_INSTANCES;
                 double share = perSecond * micros[1] / TimeUnit.SECONDS.toMicros(1);
                 report.figure("decisionMicros", micros[0]);
                 report.figure("slowestDecisionMicros", micros[1]);
@@ -83,26 +84,28 @@
         DirectoryDecider decider =
                 new DirectoryDecider(DirectorySettings.DEFAULT, view, view.alive().get(0).id());
         decide(decider, random, WARM_UP);
-        double least = Double.MAX_VALUE;
-        double most = 0;
+        double quickest = Double.MAX_VALUE;
+        double slowest = 0;
         for (int round = 0; round < ROUNDS; round++) {
             double micros = decide(decider, random, DECISIONS);
-            least = Math.min(least, micros);
-            most = Math.max(most, micros);
+            quickest = Math.min(quickest, micros);
+            slowest = Math.max(slowest, micros);
         }
-        return new double[] {least, most};
+        return new double[] {quickest, slowest};
     }
 
-    /** Decides so many times, and gives the processor time of each in microseconds. */
+    /**
+     * Makes the given number of decisions and returns their mean processor time, in microseconds.
+     */
     private double decide(DirectoryDecider decider, UniformRandomProvider random, int count) {
-        long named = 0;
-        long begin = mThreads.getCurrentThreadCpuTime();
+        long addressCount = 0;
+        long start = mThreads.getCurrentThreadCpuTime();
         for (int i = 0; i < count; i++) {
             int zone = random.nextInt(ZONES);
-            named += decider.decide(region(zone), zone(zone)).addresses().size();
+            addressCount += decider.decide(region(zone), zone(zone)).addresses().size();
         }
-        long nanos = mThreads.getCurrentThreadCpuTime() - begin;
-        if (named < count) {
+        long nanos = mThreads.getCurrentThreadCpuTime() - start;
+        if (addressCount < count) {
             throw new IllegalStateException("Each decision must name an instance.");
         }
         return (double) nanos / count / TimeUnit.MICROSECONDS.toNanos(1);
@@ -138,7 +141,7 @@
         return String.format(Locale.ROOT, "%.2f", value);
     }
 
-    /** All alive, nobody suspected. */
+    /** Fixed peer view in which all instances are alive and none is suspected. */
     private record FixedView(List<PeerInstance> alive) implements PeerView {
 
         @Override
--- a/masticpond-measure/src/main/java/io/masticpond/measure/lookup/HttpLookups.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/lookup/HttpLookups.java
@@ -30,7 +30,7 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** Times look-ups through the real caller interface on loopback. */
+/** Measures look-ups through the real caller interface on loopback. */
 final class HttpLookups {
 
     private static final int CONNECTIONS = 8;
@@ -43,10 +43,11 @@
     private final ServiceId mService = Deployment.ATLAS.services().get(0);
 
     /**
-     * What was measured.
+     * Result of the measurement.
      *
-     * @param perSecond the look-ups a second over all connections, with the clients' own work
-     * @param serverMicros the processor time of the server's threads for each look-up
+     * @param perSecond the look-ups a second over all connections, including the clients' own work
+     * @param serverMicros the mean processor time of the server's threads for a look-up, in
+     *     microseconds
      */
     record Result(double perSecond, double serverMicros) {}
 
@@ -68,28 +69,28 @@
                         new RequestIdSource(1),
                         new SystemTimeSource())) {
             server.start();
-            ask(port, WARM_UP_LOOKUPS);
-            long processorBefore = serverProcessorNanos();
+            sendLookups(port, WARM_UP_LOOKUPS);
+            long processorNanosBefore = serverProcessorNanos();
             long start = System.nanoTime();
-            ask(port, LOOKUPS);
+            sendLookups(port, LOOKUPS);
             long nanos = System.nanoTime() - start;
-            long processor = serverProcessorNanos() - processorBefore;
-            int all = LOOKUPS * CONNECTIONS;
+            long processorNanos = serverProcessorNanos() - processorNanosBefore;
+            int totalLookups = LOOKUPS * CONNECTIONS;
             return new Result(
-                    all * (double) TimeUnit.SECONDS.toNanos(1) / nanos,
-                    (double) processor / all / TimeUnit.MICROSECONDS.toNanos(1));
+                    totalLookups * (double) TimeUnit.SECONDS.toNanos(1) / nanos,
+                    (double) processorNanos / totalLookups / TimeUnit.MICROSECONDS.toNanos(1));
         }
     }
 
-    private void ask(int port, int lookups) {
+    private void sendLookups(int port, int lookups) {
         ExecutorService clients = Executors.newFixedThreadPool(CONNECTIONS);
         try {
-            List<Future<Void>> ends = new ArrayList<>();
+            List<Future<Void>> results = new ArrayList<>();
             for (int client = 0; client < CONNECTIONS; client++) {
-                ends.add(clients.submit(asker(port, client, lookups)));
+                results.add(clients.submit(lookupTask(port, client, lookups)));
             }
-            for (Future<Void> end : ends) {
-                end.get();
+            for (Future<Void> result : results) {
+                result.get();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -101,7 +102,7 @@
         }
     }
 
-    private Callable<Void> asker(int port, int client, int lookups) {
+    private Callable<Void> lookupTask(int port, int client, int lookups) {
         HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
         return () -> {
             for (int i = 0; i < lookups; i++) {
@@ -120,7 +121,8 @@
                 HttpResponse<byte[]> answer =
                         http.send(request, HttpResponse.BodyHandlers.ofByteArray());
                 if (answer.statusCode() != OK) {
-                    throw new IllegalStateException("Status " + answer.statusCode() + ".");
+                    throw new IllegalStateException(
+                            "Look-up failed with status " + answer.statusCode() + ".");
                 }
             }
             return null;
@@ -131,12 +133,12 @@
         ThreadMXBean threads = ManagementFactory.getThreadMXBean();
         long sum = 0;
         for (ThreadInfo thread : threads.getThreadInfo(threads.getAllThreadIds())) {
-            boolean ofServer =
+            boolean isServerThread =
                     thread != null
                             && (thread.getThreadName().startsWith("Jetty")
                                     || thread.getThreadName().startsWith("qtp")
                                     || thread.getThreadName().startsWith("caller"));
-            sum += ofServer ? Math.max(0, threads.getThreadCpuTime(thread.getThreadId())) : 0;
+            sum += isServerThread ? Math.max(0, threads.getThreadCpuTime(thread.getThreadId())) : 0;
         }
         return sum;
     }
@@ -146,7 +148,7 @@
                 new ServerSocket(0, 1, InetAddress.getByAddress(new byte[] {127, 0, 0, 1}))) {
             return socket.getLocalPort();
         } catch (IOException e) {
-            throw new UncheckedIOException("No port is free on loopback.", e);
+            throw new UncheckedIOException("Found no free port on loopback.", e);
         }
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/lookup/InstanceFailureCost.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/lookup/InstanceFailureCost.java
@@ -22,13 +22,14 @@
 import java.util.Set;
 
 /**
- * Counts what the death of one instance costs the callers, by which instance the look-up names
- * first: a spread one, or the admitter of the service in the client's region.
+ * Computes the share of callers that lose their first instance when a single instance fails, for
+ * two policies of which instance the look-up returns first: instances spread over the clients, or
+ * the admitter of the service in the client's region.
  */
 final class InstanceFailureCost {
 
     private static final int CLIENTS_PER_ZONE = 500;
-    private static final int HOSTS = 250;
+    private static final int HOSTS_PER_SUBNET = 250;
 
     private InstanceFailureCost() {}
 
@@ -57,7 +58,7 @@
                         LookupParameters.DEFAULT);
         Map<InstanceId, Integer> callers = new HashMap<>();
         int forwarded = 0;
-        int all = 0;
+        int totalCallers = 0;
         for (int zone = 0; zone < deployment.zones().size(); zone++) {
             RegionId region = configuration.regionOf(deployment.zones().get(zone)).orElseThrow();
             for (ServiceId service : deployment.services()) {
@@ -70,7 +71,13 @@
                                         Set.of())
                                 .get(0);
                 for (int client = 0; client < CLIENTS_PER_ZONE; client++) {
-                    String address = "10." + zone + "." + client / HOSTS + "." + client % HOSTS;
+                    String address =
+                            "10."
+                                    + zone
+                                    + "."
+                                    + client / HOSTS_PER_SUBNET
+                                    + "."
+                                    + client % HOSTS_PER_SUBNET;
                     Optional<ClientBlock> block = Optional.of(ClientBlock.parse(address).get());
                     InstanceId first =
                             admitterFirst
@@ -78,15 +85,15 @@
                                     : decider.decide(block).instances().get(0).id();
                     callers.merge(first, 1, Integer::sum);
                     forwarded += first.equals(admitter) ? 0 : 1;
-                    all++;
+                    totalCallers++;
                 }
             }
         }
-        int worst = callers.values().stream().mapToInt(count -> count).max().orElse(0);
+        int maximumCallers = callers.values().stream().mapToInt(count -> count).max().orElse(0);
         return List.of(
                 deployment.name().toLowerCase(Locale.ROOT),
                 policy,
-                String.format(Locale.ROOT, "%.3f", (double) worst / all),
-                String.format(Locale.ROOT, "%.3f", (double) forwarded / all));
+                String.format(Locale.ROOT, "%.3f", (double) maximumCallers / totalCallers),
+                String.format(Locale.ROOT, "%.3f", (double) forwarded / totalCallers));
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/lookup/LookupService.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/lookup/LookupService.java
@@ -9,7 +9,7 @@
 import io.masticpond.core.request.RefusalCause;
 import io.masticpond.measure.support.AbstractRefusingCallerService;
 
-/** Answers look-ups by the real decision and refuses everything else. */
+/** Caller service that answers look-ups by the real decision and refuses all other requests. */
 final class LookupService extends AbstractRefusingCallerService {
 
     private final Configuration mConfiguration;
--- a/masticpond-measure/src/main/java/io/masticpond/measure/lookup/LookupTopology.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/lookup/LookupTopology.java
@@ -16,12 +16,12 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The instances among which look-ups decide. */
+/** Sets of instances among which look-ups choose. */
 enum LookupTopology {
     /** Nine instances in six availability zones of three regions. */
-    TODAY("9 in 6 availability zones", "", 9, 6, 3),
+    SMALL("9 in 6 availability zones", "", 9, 6, 3),
     /** 410 instances in 16 availability zones of five regions. */
-    FLEET("410 in 16 availability zones", "Fleet", 410, 16, 5);
+    LARGE("410 in 16 availability zones", "Fleet", 410, 16, 5);
 
     private final String mTitle;
     private final String mSuffix;
--- a/masticpond-measure/src/main/java/io/masticpond/measure/lookup/LookupsMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/lookup/LookupsMeasure.java
@@ -21,7 +21,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Measures look-ups: the block table, changes of it, and the whole decision.
+ * Measures look-ups: the client block table, changes to it, and complete decisions.
  *
  * @since 0.1
  */
@@ -66,34 +66,37 @@
 
     private ClientBlockTable measureTable(
             MeasureReport report, SyntheticBlocks blocks, boolean longPrefixes) {
-        String kind = longPrefixes ? "LongPrefixes" : "";
+        String suffix = longPrefixes ? "LongPrefixes" : "";
         ClientBlockTable table =
-                ClientBlockTable.EMPTY.with(blocks.make(BLOCKS, longPrefixes)).get();
+                ClientBlockTable.EMPTY.with(blocks.generate(BLOCKS, longPrefixes)).get();
         ClientBlock[] addresses = new ClientBlock[ADDRESSES];
-        Arrays.setAll(addresses, i -> blocks.address());
+        Arrays.setAll(addresses, i -> blocks.randomAddress());
         double nanos = nanosForEach(addresses, address -> table.find(address).hashCode());
         double[] changeMillis = changeMillis(blocks, table, longPrefixes);
-        report.figure("blockLookupNanos" + kind, nanos, MeasureTarget.atMost(500));
-        report.figure("bytesPerBlock" + kind, (double) table.bytes() / table.size());
+        report.figure("blockLookupNanos" + suffix, nanos, MeasureTarget.atMost(500));
+        report.figure("bytesPerBlock" + suffix, (double) table.bytes() / table.size());
         report.figure(
-                "tableMebibytes" + kind,
+                "tableMebibytes" + suffix,
                 table.bytes() / BYTES_PER_MEBIBYTE,
                 MeasureTarget.atMost(48));
-        report.figure("changeMillisMedian" + kind, changeMillis[CHANGE_ROUNDS / 2]);
+        report.figure("changeMillisMedian" + suffix, changeMillis[CHANGE_ROUNDS / 2]);
         report.figure(
-                "changeMillisWorst" + kind,
+                "changeMillisWorst" + suffix,
                 changeMillis[CHANGE_ROUNDS - 1],
                 MeasureTarget.atMost(50));
         return table;
     }
 
-    /** Times changes that add, move and remove blocks; the first rounds warm the code up. */
+    /**
+     * Returns the durations of changes that add or move blocks, in milliseconds and ascending
+     * order; the first rounds only warm up the code.
+     */
     private static double[] changeMillis(
             SyntheticBlocks blocks, ClientBlockTable table, boolean longPrefixes) {
         double[] millis = new double[CHANGE_ROUNDS];
         ClientBlockTable current = table;
         for (int round = -ROUNDS; round < CHANGE_ROUNDS; round++) {
-            List<ClientBlockChange> changes = blocks.make(CHANGES, longPrefixes);
+            List<ClientBlockChange> changes = blocks.generate(CHANGES, longPrefixes);
             long start = System.nanoTime();
             current = current.with(changes).get();
             long end = System.nanoTime();
@@ -109,25 +112,25 @@
             MeasureReport report, SyntheticBlocks blocks, ClientBlockTable table) {
         List<List<String>> rows = new ArrayList<>();
         ClientBlock[] addresses = new ClientBlock[ADDRESSES];
-        Arrays.setAll(addresses, i -> blocks.address());
-        for (LookupTopology places : LookupTopology.values()) {
-            Configuration configuration = places.configuration(SyntheticBlocks.sites());
+        Arrays.setAll(addresses, i -> blocks.randomAddress());
+        for (LookupTopology topology : LookupTopology.values()) {
+            Configuration configuration = topology.configuration(SyntheticBlocks.sites());
             LookupDecider decider =
                     new LookupDecider(
                             configuration,
                             table,
-                            places.members(),
-                            places.ownZone(),
+                            topology.members(),
+                            topology.ownZone(),
                             LookupParameters.DEFAULT);
             double nanos =
                     nanosForEach(
                             addresses,
                             address -> decider.decide(Optional.of(address)).instances().size());
             double perSecond = TimeUnit.SECONDS.toNanos(1) / nanos;
-            report.figure("decisionsPerSecond" + places.suffix(), perSecond);
+            report.figure("decisionsPerSecond" + topology.suffix(), perSecond);
             rows.add(
                     List.of(
-                            places.title(),
+                            topology.title(),
                             String.format(Locale.ROOT, "%.0f", nanos),
                             String.format(Locale.ROOT, "%.0f", perSecond)));
         }
@@ -138,20 +141,24 @@
                         rows));
     }
 
-    /** Times a call for each address on one thread, and gives the mean of the best round. */
+    /**
+     * Calls the function for each address on one thread, and returns the mean duration of a call in
+     * the fastest round, in nanoseconds.
+     */
     private static double nanosForEach(ClientBlock[] addresses, ToLongFunction<ClientBlock> call) {
-        double best = Double.MAX_VALUE;
+        double fastest = Double.MAX_VALUE;
         long sum = 0;
         for (int round = 0; round < ROUNDS; round++) {
             long start = System.nanoTime();
             for (ClientBlock address : addresses) {
                 sum += call.applyAsLong(address);
             }
-            best = Math.min(best, (double) (System.nanoTime() - start) / addresses.length);
+            fastest = Math.min(fastest, (double) (System.nanoTime() - start) / addresses.length);
         }
         if (sum == Long.MIN_VALUE) {
-            throw new IllegalStateException("The sum keeps the calls from being left out.");
+            throw new IllegalStateException(
+                    "The sum only keeps the compiler from eliminating the calls.");
         }
-        return best;
+        return fastest;
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/lookup/SyntheticBlocks.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/lookup/SyntheticBlocks.java
@@ -11,7 +11,9 @@
 import java.util.Set;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Makes client blocks like those of a large network: seven in ten IPv4, some nested. */
+/**
+ * Generator of client blocks like those of a large network: seven in ten are IPv4, some are nested.
+ */
 final class SyntheticBlocks {
 
     private static final int SITES = 94;
@@ -31,25 +33,25 @@
     }
 
     /**
-     * Makes distinct blocks.
+     * Generates changes that add distinct blocks to random sites.
      *
-     * @param count how many
-     * @param longPrefixes whether IPv6 blocks are longer than 64 bits, and there are no others
+     * @param count the number of blocks
+     * @param longPrefixes whether all blocks are IPv6 blocks with prefixes longer than 64 bits
      * @return changes that add the blocks
      */
-    List<ClientBlockChange> make(int count, boolean longPrefixes) {
+    List<ClientBlockChange> generate(int count, boolean longPrefixes) {
         Set<ClientBlock> blocks = new LinkedHashSet<>(2 * count);
         while (blocks.size() < count) {
-            blocks.add(longPrefixes ? ipv6(IPV6_LONG_LENGTH) : mixed());
+            blocks.add(longPrefixes ? ipv6(IPV6_LONG_LENGTH) : randomBlock());
         }
         List<ClientBlockChange> changes = new ArrayList<>(count);
         for (ClientBlock block : blocks) {
-            changes.add(new ClientBlockChange(block, Optional.of(site())));
+            changes.add(new ClientBlockChange(block, Optional.of(randomSite())));
         }
         return changes;
     }
 
-    SiteId site() {
+    SiteId randomSite() {
         return new SiteId("site-" + mRandom.nextInt(SITES));
     }
 
@@ -61,14 +63,14 @@
         return sites;
     }
 
-    /** Makes one address, of the same networks as the blocks. */
-    ClientBlock address() {
+    /** Returns a random address from the same networks as the blocks. */
+    ClientBlock randomAddress() {
         return mRandom.nextDouble() < IPV4_SHARE
                 ? ipv4(AddressFamily.IPV4.bits())
                 : ipv6(AddressFamily.IPV6.bits());
     }
 
-    private ClientBlock mixed() {
+    private ClientBlock randomBlock() {
         return mRandom.nextDouble() < IPV4_SHARE
                 ? ipv4(IPV4_LENGTHS[mRandom.nextInt(IPV4_LENGTHS.length)])
                 : ipv6(IPV6_LENGTHS[mRandom.nextInt(IPV6_LENGTHS.length)]);
--- a/masticpond-measure/src/main/java/io/masticpond/measure/lookup/package-info.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/lookup/package-info.java
@@ -1,2 +1,2 @@
-/** Measures of look-ups. */
+/** Measures of look-ups and of directory decisions. */
 package io.masticpond.measure.lookup;
