--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/AnswerCounters.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/AnswerCounters.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.LongAdder;
 
-/** What became of requests with unique bodies; safe for all threads. */
+/** Counters of the outcomes of requests with unique bodies. Thread-safe. */
 final class AnswerCounters {
 
     final LongAdder mWhole = new LongAdder();
@@ -10,7 +10,10 @@
     final LongAdder mMismatched = new LongAdder();
     final LongAdder mTruncatedAsWhole = new LongAdder();
 
-    /** Sets an answer that was taken for whole against the one that belongs to the request. */
+    /**
+     * Compares an answer that was received as whole with the one that belongs to the request, and
+     * counts the result.
+     */
     void check(String answer, String expected) {
         if (answer.equals(expected)) {
             mWhole.increment();
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/AnswersMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/AnswersMeasure.java
@@ -7,15 +7,15 @@
 import java.util.List;
 
 /**
- * Sends requests with unique bodies through faults and checks that each answer is whole and its
- * own.
+ * Sends requests with unique bodies under faults and checks that each answer is whole and belongs
+ * to its request.
  *
  * @since 0.1
  */
 public final class AnswersMeasure implements Measure {
 
-    private static final int TO_BACKENDS = 25_000;
-    private static final int BETWEEN_INSTANCES = 25_000;
+    private static final int BACKEND_REQUESTS = 25_000;
+    private static final int INSTANCE_REQUESTS = 25_000;
 
     @Override
     public String name() {
@@ -37,9 +37,10 @@
     public MeasureReport run(long seed) {
         try (MeasuredFleet fleet = new MeasuredFleet(seed, 0)) {
             AnswerCounters backends =
-                    new BackendAnswerRun(fleet.backends(), fleet.servers(), seed).run(TO_BACKENDS);
+                    new BackendAnswerRun(fleet.backends(), fleet.servers(), seed)
+                            .run(BACKEND_REQUESTS);
             LinkAnswerRun links = new LinkAnswerRun(seed);
-            AnswerCounters instances = links.run(BETWEEN_INSTANCES);
+            AnswerCounters instances = links.run(INSTANCE_REQUESTS);
             return report(backends, instances, links.resets());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -80,16 +81,16 @@
         return (double) (first + second);
     }
 
-    private static double share(AnswerCounters tally) {
-        return (double) tally.mWhole.sum() / tally.requests();
+    private static double share(AnswerCounters counters) {
+        return (double) counters.mWhole.sum() / counters.requests();
     }
 
-    private static List<String> row(String where, AnswerCounters tally, String broken) {
+    private static List<String> row(String where, AnswerCounters counters, String broken) {
         return List.of(
                 where,
-                Long.toString(tally.requests()),
-                Long.toString(tally.mWhole.sum()),
-                Long.toString(tally.mFailed.sum()),
+                Long.toString(counters.requests()),
+                Long.toString(counters.mWhole.sum()),
+                Long.toString(counters.mFailed.sum()),
                 broken);
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/BackendAnswerRun.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/BackendAnswerRun.java
@@ -24,23 +24,26 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Semaphore;
 
-/** Sends requests with unique bodies to backend servers that answer late, cut short or not. */
+/**
+ * Sends requests with unique bodies to backend servers that answer late, truncate their answers or
+ * do not answer.
+ */
 final class BackendAnswerRun {
 
     private static final TimeSource TIME = new SystemTimeSource();
     private static final ServiceId SERVICE = new ServiceId("layout-view");
-    private static final int CONCURRENT = 400;
-    private static final int MAXIMUM_BODY = 2_000;
+    private static final int MAXIMUM_CONCURRENT = 400;
+    private static final int MAXIMUM_BODY_BYTES = 2_000;
     private static final Duration DEADLINE = Duration.ofMillis(800);
     private static final double FAULT_SHARE = 0.02;
     private static final double SLOW_FACTOR = 200;
-    private static final int SLOW_EVERY = 8;
+    private static final int SLOW_SERVER_INTERVAL = 8;
 
     private final BackendFleet mBackends;
     private final List<BackendServerSpecification> mServers;
     private final SplittableRandom mRandom;
-    private final AnswerCounters mTally = new AnswerCounters();
-    private final Semaphore mRoom = new Semaphore(CONCURRENT);
+    private final AnswerCounters mCounters = new AnswerCounters();
+    private final Semaphore mPermits = new Semaphore(MAXIMUM_CONCURRENT);
 
     BackendAnswerRun(BackendFleet backends, List<BackendServerSpecification> servers, long seed) {
         mBackends = backends;
@@ -51,7 +54,7 @@
     AnswerCounters run(int requests) throws InterruptedException {
         int index = 0;
         for (BackendServerStandIn server : mBackends.servers()) {
-            double slow = index++ % SLOW_EVERY == 0 ? SLOW_FACTOR : 1;
+            double slowFactor = index++ % SLOW_SERVER_INTERVAL == 0 ? SLOW_FACTOR : 1;
             server.setFaults(
                     new BackendServerFaults(
                             BackendServerFaults.HealthClaim.TRUE,
@@ -62,16 +65,16 @@
                             FAULT_SHARE,
                             FAULT_SHARE,
                             FAULT_SHARE,
-                            slow));
+                            slowFactor));
         }
         try (BackendClient client = new BackendClient(TIME, Executors.newCachedThreadPool())) {
             for (int i = 0; i < requests; i++) {
-                mRoom.acquire();
+                mPermits.acquire();
                 send(client, i);
             }
-            mRoom.acquire(CONCURRENT);
+            mPermits.acquire(MAXIMUM_CONCURRENT);
         }
-        return mTally;
+        return mCounters;
     }
 
     private void send(BackendClient client, int number) {
@@ -93,32 +96,33 @@
                 request,
                 server,
                 result -> {
-                    ended(result.completion(), id, path, digest(body));
-                    mRoom.release();
+                    onCompletion(result.completion(), id, path, digest(body));
+                    mPermits.release();
                 });
     }
 
     private byte[] body(int number) {
-        String filler = "x".repeat(mRandom.nextInt(MAXIMUM_BODY));
+        String filler = "x".repeat(mRandom.nextInt(MAXIMUM_BODY_BYTES));
         return ("layout " + number + " " + filler).getBytes(StandardCharsets.UTF_8);
     }
 
-    private void ended(RequestCompletion end, String id, String path, String digest) {
-        if (!(end instanceof RequestCompletion.Answered answered) || answered.status() != 200) {
-            mTally.mFailed.increment();
+    private void onCompletion(RequestCompletion completion, String id, String path, String digest) {
+        if (!(completion instanceof RequestCompletion.Answered answered)
+                || answered.status() != 200) {
+            mCounters.mFailed.increment();
             return;
         }
         String answer = new String(answered.body(), StandardCharsets.UTF_8);
-        boolean own =
+        boolean isOwn =
                 answer.contains("\"" + id + "\"")
                         && answer.contains(" " + path + "\"")
                         && answer.contains("\"" + digest + "\"");
-        if (own && answer.endsWith("}")) {
-            mTally.mWhole.increment();
+        if (isOwn && answer.endsWith("}")) {
+            mCounters.mWhole.increment();
         } else if (answer.endsWith("}")) {
-            mTally.mMismatched.increment();
+            mCounters.mMismatched.increment();
         } else {
-            mTally.mTruncatedAsWhole.increment();
+            mCounters.mTruncatedAsWhole.increment();
         }
     }
 
@@ -126,7 +130,7 @@
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(body));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("Every Java platform has SHA-256.", e);
+            throw new IllegalStateException("Every Java platform must support SHA-256.", e);
         }
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/LinkAnswerRun.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/LinkAnswerRun.java
@@ -22,7 +22,9 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Semaphore;
 
-/** Sends requests with unique bodies between instances whose connections break again and again. */
+/**
+ * Sends requests with unique bodies between two instances whose connections are reset periodically.
+ */
 final class LinkAnswerRun {
 
     private static final TimeSource TIME = new SystemTimeSource();
@@ -31,19 +33,19 @@
                     "k1",
                     Map.of("k1", "a shared key of the measure".getBytes(StandardCharsets.UTF_8)));
     private static final InstanceId SERVER = new InstanceId("casa-1");
-    private static final int CONCURRENT = 1_000;
-    private static final int MAXIMUM_BODY = 20_000;
+    private static final int MAXIMUM_CONCURRENT = 1_000;
+    private static final int MAXIMUM_BODY_BYTES = 20_000;
     private static final int MAXIMUM_DELAY_MILLIS = 360;
-    private static final int RESET_MILLIS = 400;
-    private static final int FAILURE_PAUSE_MILLIS = 30;
+    private static final int RESET_INTERVAL_MILLIS = 400;
+    private static final int FAILURE_DELAY_MILLIS = 30;
     private static final double REFUSED_SHARE = 0.01;
     private static final Duration TIMEOUT = Duration.ofMillis(300);
 
     private final SplittableRandom mRandom;
     private final SplittableRandom mServerRandom;
-    private final AnswerCounters mTally = new AnswerCounters();
-    private final Semaphore mRoom = new Semaphore(CONCURRENT);
-    private final TaskThread mThread = new TaskThread(1);
+    private final AnswerCounters mCounters = new AnswerCounters();
+    private final Semaphore mPermits = new Semaphore(MAXIMUM_CONCURRENT);
+    private final TaskScheduler mScheduler = new TaskScheduler(1);
     private int mResets;
 
     LinkAnswerRun(long seed) {
@@ -57,20 +59,20 @@
             server.handle(
                     Envelope.BodyCase.FORWARD,
                     (from, message, responder) ->
-                            mThread.execute(() -> serve(message.getForward(), responder)));
+                            mScheduler.execute(() -> serve(message.getForward(), responder)));
             String address = "127.0.0.1:" + server.start().getPort();
             client.start();
             client.address(SERVER, address);
-            mThread.everyMillis(RESET_MILLIS, () -> reset(client, address));
+            mScheduler.everyMillis(RESET_INTERVAL_MILLIS, () -> reset(client, address));
             for (int i = 0; i < requests; i++) {
-                mRoom.acquire();
+                mPermits.acquire();
                 send(client, i);
             }
-            mRoom.acquire(CONCURRENT);
+            mPermits.acquire(MAXIMUM_CONCURRENT);
         } finally {
-            mThread.close();
+            mScheduler.close();
         }
-        return mTally;
+        return mCounters;
     }
 
     int resets() {
@@ -91,7 +93,10 @@
         client.address(SERVER, address);
     }
 
-    /** Answers out of order, sometimes too late, and sometimes declines. */
+    /**
+     * Answers a request after a random delay, thus out of order and sometimes too late, or refuses
+     * it.
+     */
     private void serve(Forward request, Responder responder) {
         if (mServerRandom.nextDouble() < REFUSED_SHARE) {
             responder.refuse("The measure declines it.");
@@ -107,12 +112,13 @@
                                                         .setStatus(200)
                                                         .setBody(request.getBody())))
                         .build();
-        mThread.afterMillis(
+        mScheduler.afterMillis(
                 mServerRandom.nextInt(MAXIMUM_DELAY_MILLIS), () -> responder.answer(answer));
     }
 
     private void send(NettyInstanceLinks client, int number) {
-        String body = "layout " + number + " " + "x".repeat(mRandom.nextInt(MAXIMUM_BODY)) + ".";
+        String body =
+                "layout " + number + " " + "x".repeat(mRandom.nextInt(MAXIMUM_BODY_BYTES)) + ".";
         Forward request =
                 Forward.newBuilder()
                         .setRequest("answers-" + number)
@@ -122,19 +128,19 @@
                 client.call(SERVER, Envelope.newBuilder().setForward(request).build(), TIMEOUT)
                         .thenAccept(
                                 answer -> {
-                                    ended(answer, body);
-                                    mThread.afterMillis(
-                                            answer.isLeft() ? FAILURE_PAUSE_MILLIS : 0,
-                                            mRoom::release);
+                                    onAnswer(answer, body);
+                                    mScheduler.afterMillis(
+                                            answer.isLeft() ? FAILURE_DELAY_MILLIS : 0,
+                                            mPermits::release);
                                 });
     }
 
-    private void ended(Either<LinkError, Envelope> answer, String expected) {
+    private void onAnswer(Either<LinkError, Envelope> answer, String expected) {
         if (answer.isLeft()) {
-            mTally.mFailed.increment();
+            mCounters.mFailed.increment();
             return;
         }
         String body = answer.get().getForwardAnswer().getAnswer().getBody().toStringUtf8();
-        mTally.check(body, expected);
+        mCounters.check(body, expected);
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/MeasuredFleet.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/MeasuredFleet.java
@@ -20,7 +20,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicReferenceArray;
 
-/** Nine instances, a stand-in platform and stand-in backend servers in this process. */
+/**
+ * Fleet of up to nine instances with a stand-in platform and stand-in backend servers, all in this
+ * process.
+ */
 final class MeasuredFleet implements AutoCloseable {
 
     static final int INSTANCES = 9;
@@ -38,9 +41,9 @@
     private final Map<InstanceId, Member> mMembers = new ConcurrentHashMap<>();
     private final AtomicReferenceArray<MeasuredInstance> mInstances =
             new AtomicReferenceArray<>(INSTANCES);
-    private final RunLog mRuns;
+    private final OperationExecutions mExecutions;
     private final long mSeed;
-    private long mLastRun;
+    private long mLastIncarnation;
 
     MeasuredFleet(long seed) {
         this(seed, INSTANCES);
@@ -56,7 +59,7 @@
                             "plate-" + i, "127.0.0.1:0", SLOTS, MEAN_MILLIS, SIGMA, seed + i));
         }
         mBackends = new BackendFleet(settings);
-        mRuns = new RunLog(mBackends.log());
+        mExecutions = new OperationExecutions(mBackends.log());
         mServers = mBackends.servers().stream().map(MeasuredFleet::specification).toList();
         for (int i = 0; i < instances; i++) {
             start(i);
@@ -73,30 +76,35 @@
                 false);
     }
 
-    /** Starts a run of an instance, which all others learn of at once. */
+    /**
+     * Starts a new incarnation of an instance and adds it to all live instances as a peer at once.
+     */
     synchronized void start(int index) {
-        Incarnation self = new Incarnation(new InstanceId("entry-" + index), ++mLastRun);
+        Incarnation self = new Incarnation(new InstanceId("entry-" + index), ++mLastIncarnation);
         MeasuredInstance instance =
                 new MeasuredInstance(
                         self,
                         mPlatform.address(),
                         mServers,
                         this::members,
-                        mRuns,
-                        mSeed + mLastRun);
+                        mExecutions,
+                        mSeed + mLastIncarnation);
         mMembers.put(self.instance(), instance.member());
-        mMembers.values().forEach(instance::meet);
+        mMembers.values().forEach(instance::addPeer);
         for (int i = 0; i < INSTANCES; i++) {
             MeasuredInstance other = mInstances.get(i);
             if (other != null && other.isAlive()) {
-                other.meet(instance.member());
+                other.addPeer(instance.member());
             }
         }
         mInstances.set(index, instance);
     }
 
-    /** Lets the others notice that an instance is silent. */
-    void suspect(int index) {
+    /**
+     * Marks an instance as dead in the member list of all instances, as if they had found it
+     * unresponsive.
+     */
+    void markDead(int index) {
         Member member = mInstances.get(index).member();
         mMembers.put(
                 member.id(),
@@ -122,8 +130,8 @@
         return mServers;
     }
 
-    RunLog runs() {
-        return mRuns;
+    OperationExecutions executions() {
+        return mExecutions;
     }
 
     BackendFleet backends() {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/MeasuredInstance.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/MeasuredInstance.java
@@ -52,8 +52,9 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * One run of an instance, of the daemon's own parts: the guard, its duties, the links, the client
- * of the platform and the client of backend servers. Requests go to a random backend server.
+ * One incarnation of an instance, composed of the daemon's own parts: the once-only guard, its
+ * services, the links, the client of the platform and the client of backend servers. Requests go to
+ * a random backend server.
  */
 final class MeasuredInstance {
 
@@ -64,8 +65,8 @@
     private static final Duration KEY_LIFETIME = Duration.ofMinutes(10);
     private static final Duration CLOCK_ERROR = Duration.ofMinutes(2);
     private static final Duration OUTCOME_INTERVAL = Duration.ofMillis(200);
-    private static final Duration SWEEP = Duration.ofMillis(10);
-    private static final Duration HANDOVER_BOUND = Duration.ofSeconds(2);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(10);
+    private static final Duration HANDOVER_TIMEOUT = Duration.ofSeconds(2);
     private static final KeyRing KEYS =
             new KeyRing(
                     "k1",
@@ -73,7 +74,7 @@
 
     private final Incarnation mSelf;
     private final List<BackendServerSpecification> mBackends;
-    private final RunLog mRuns;
+    private final OperationExecutions mExecutions;
     private final SplittableRandom mRandom;
     private final EventLoop mSteering;
     private final EventLoop mOperations;
@@ -81,7 +82,7 @@
     private final HttpObjectStore mStore;
     private final ExecutorService mExecutor = Executors.newCachedThreadPool();
     private final BackendClient mClient;
-    private final PlatformOperationArchive mOperationDuty;
+    private final PlatformOperationArchive mArchive;
     private final LinkOperationPeers mPeers;
     private final OnceOnlyGuard mGuard;
     private final Member mMember;
@@ -92,10 +93,10 @@
             String platform,
             List<BackendServerSpecification> backends,
             Supplier<Collection<Member>> members,
-            RunLog runs,
+            OperationExecutions executions,
             long seed) {
         mSelf = self;
-        mRuns = runs;
+        mExecutions = executions;
         mBackends = backends;
         mRandom = new SplittableRandom(seed);
         mSteering = new EventLoop("steering-" + self, RING_CAPACITY, TIME);
@@ -110,14 +111,14 @@
         mClient = new BackendClient(TIME, mExecutor);
         MemberHomeDirectory homes = new MemberHomeDirectory(self, members);
         mPeers = new LinkOperationPeers(mLinks, homes, self.instance(), TIME);
-        mOperationDuty =
+        mArchive =
                 new PlatformOperationArchive(
                         mOperations,
                         mStore,
                         self,
                         new ClaimBatcher(ClaimLimits.DEFAULT, TIME, mRandom.split()),
                         new OutcomeBatcher<>(TIME, OUTCOME_INTERVAL, CLOCK_ERROR, RING_CAPACITY),
-                        this::onSteering);
+                        this::runOnSteeringLoop);
         mGuard = guard(homes);
         mMember = start();
     }
@@ -134,10 +135,10 @@
                         issuer,
                         new OperationRegistry<>(
                                 issuer, homes, clock, OperationLimits.DEFAULT, AnswerSize::of)),
-                this::run,
+                this::dispatch,
                 mPeers,
-                mOperationDuty,
-                this::onSteering,
+                mArchive,
+                this::runOnSteeringLoop,
                 Timeline.NONE);
     }
 
@@ -168,13 +169,15 @@
         return mGuard.issueKey();
     }
 
-    void meet(Member other) {
+    void addPeer(Member other) {
         if (!other.id().equals(mSelf.instance())) {
             mLinks.address(other.id(), other.linkAddress());
         }
     }
 
-    /** Steers a request under the guard; after a kill nothing is told any more. */
+    /**
+     * Submits a request through the guard; after {@link #kill} the listener is no longer notified.
+     */
     void submit(SteeredRequest request, OnceOnlyKeys keys, Consumer<RequestCompletion> listener) {
         mSteering.offer(
                 () -> {
@@ -184,17 +187,20 @@
                 });
     }
 
-    /** Steers a request past the guard, for comparison. */
+    /** Submits a request without the guard, for comparison. */
     void submitUnguarded(SteeredRequest request, Consumer<RequestCompletion> listener) {
-        mSteering.offer(() -> run(request, listener));
+        mSteering.offer(() -> dispatch(request, listener));
     }
 
-    /** Freezes the instance's steering, as a paused process would be. */
+    /** Blocks the instance's steering loop for a duration, as in a paused process. */
     void pause(Duration duration) {
         mSteering.offer(() -> LockSupport.parkNanos(duration.toNanos()));
     }
 
-    /** Ends this run at once, without a word to anybody; what was sent is on its way. */
+    /**
+     * Terminates this incarnation at once without notifying its peers; messages that were already
+     * sent may still arrive.
+     */
     void kill() {
         mAlive = false;
         mLinks.close();
@@ -203,25 +209,30 @@
         mExecutor.execute(mSteering::close);
     }
 
-    /** Stops as planned: ends what runs, copies and hands over the outcomes, and goes. */
+    /**
+     * Stops as planned: completes the running operations, copies and hands over their outcomes, and
+     * terminates.
+     */
     void stop() {
         mSteering.put(mGuard::stop);
         while (mGuard.running() > 0) {
-            LockSupport.parkNanos(SWEEP.toNanos());
+            LockSupport.parkNanos(POLL_INTERVAL.toNanos());
         }
-        new OperationHandover(mSelf, mSteering, mGuard, mOperationDuty, mPeers)
-                .handOver(HANDOVER_BOUND);
+        new OperationHandover(mSelf, mSteering, mGuard, mArchive, mPeers)
+                .handOver(HANDOVER_TIMEOUT);
         kill();
     }
 
-    private void run(SteeredRequest request, Consumer<RequestCompletion> listener) {
-        mRuns.sent(request);
+    private void dispatch(SteeredRequest request, Consumer<RequestCompletion> listener) {
+        mExecutions.recordSent(request);
         BackendServerSpecification server = mBackends.get(mRandom.nextInt(mBackends.size()));
         mClient.dispatch(
-                request, server, result -> onSteering(() -> listener.accept(result.completion())));
+                request,
+                server,
+                result -> runOnSteeringLoop(() -> listener.accept(result.completion())));
     }
 
-    private void onSteering(Runnable task) {
+    private void runOnSteeringLoop(Runnable task) {
         if (mSteering.isCurrentThread()) {
             task.run();
             return;
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyCaller.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyCaller.java
@@ -20,32 +20,33 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * A caller of one operation: it sends it, loses answers, repeats through other instances until it
- * knows the outcome, and sets what it was told against what ran. Belongs to its scheduler's thread.
+ * Simulated caller of one once-only operation. It sends the operation, loses some answers, retries
+ * through other instances until it knows the outcome, and compares the reported outcome with the
+ * executions at the backend servers. Confined to the thread of its scheduler.
  */
 final class OnceOnlyCaller {
 
     private static final TimeSource TIME = new SystemTimeSource();
     private static final ServiceId SERVICE = new ServiceId("plate-ledger");
     private static final Duration DEADLINE = Duration.ofMillis(800);
-    private static final Duration PATIENCE = Duration.ofMillis(1_300);
+    private static final Duration ANSWER_TIMEOUT = Duration.ofMillis(1_300);
     private static final int MAXIMUM_ATTEMPTS = 16;
     private static final long RETRY_MILLIS = 60;
-    private static final Duration TIME_TO_SETTLE = Duration.ofSeconds(9);
+    private static final Duration RESOLUTION_TIMEOUT = Duration.ofSeconds(9);
     private static final double LOST_ANSWER_SHARE = 0.05;
     private static final double GIVE_UP_SHARE = 0.2;
     private static final double REPEAT_SHARE = 0.1;
     private static final double HOME_SHARE = 0.7;
 
     private final MeasuredFleet mFleet;
-    private final OnceOnlyCounters mTally;
-    private final TaskThread mScheduler;
+    private final OnceOnlyCounters mCounters;
+    private final TaskScheduler mScheduler;
     private final SplittableRandom mRandom;
-    private final Runnable mDone;
+    private final Runnable mDoneHandler;
     private final String mPath;
-    private final boolean mClaims;
+    private final boolean mUsesOwnKey;
     private Optional<String> mHomedKey = Optional.empty();
-    private int mHome;
+    private int mHomeIndex;
     private int mAttempts;
     private String mAnswer;
     private long mStartNanos;
@@ -53,18 +54,18 @@
 
     OnceOnlyCaller(
             MeasuredFleet fleet,
-            OnceOnlyCounters tally,
-            TaskThread scheduler,
+            OnceOnlyCounters counters,
+            TaskScheduler scheduler,
             SplittableRandom random,
             int number,
-            Runnable done) {
+            Runnable doneHandler) {
         mFleet = fleet;
-        mTally = tally;
+        mCounters = counters;
         mScheduler = scheduler;
         mRandom = random;
-        mDone = done;
+        mDoneHandler = doneHandler;
         mPath = "/plates/" + number;
-        mClaims = number % 2 == 0;
+        mUsesOwnKey = number % 2 == 0;
     }
 
     String path() {
@@ -83,38 +84,38 @@
             mScheduler.afterMillis(RETRY_MILLIS, this::attempt);
             return;
         }
-        if (!mClaims && mHomedKey.isEmpty()) {
+        if (!mUsesOwnKey && mHomedKey.isEmpty()) {
             mHomedKey = Optional.of(instance.issueKey().toString());
-            mHome = target;
+            mHomeIndex = target;
         }
         mAttempts++;
-        mTally.mAttempts.increment();
-        boolean loses = mRandom.nextDouble() < LOST_ANSWER_SHARE;
-        AtomicBoolean open = new AtomicBoolean(true);
+        mCounters.mAttempts.increment();
+        boolean losesAnswer = mRandom.nextDouble() < LOST_ANSWER_SHARE;
+        AtomicBoolean pending = new AtomicBoolean(true);
         mScheduler.afterMillis(
-                PATIENCE.toMillis(),
+                ANSWER_TIMEOUT.toMillis(),
                 () -> {
-                    if (open.compareAndSet(true, false)) {
-                        mTally.mLostOnTheWay.increment();
-                        again(0);
+                    if (pending.compareAndSet(true, false)) {
+                        mCounters.mLostAnswers.increment();
+                        retry(0);
                     }
                 });
         instance.submit(
                 request(),
                 keys(),
-                end ->
+                completion ->
                         mScheduler.execute(
                                 () -> {
-                                    if (open.compareAndSet(true, false)) {
-                                        ended(end, loses);
+                                    if (pending.compareAndSet(true, false)) {
+                                        onCompletion(completion, losesAnswer);
                                     }
                                 }));
     }
 
     private int target() {
-        boolean first = mHomedKey.isPresent() && mAttempts <= 1;
-        return first && mRandom.nextDouble() < HOME_SHARE
-                ? mHome
+        boolean isFirst = mHomedKey.isPresent() && mAttempts <= 1;
+        return isFirst && mRandom.nextDouble() < HOME_SHARE
+                ? mHomeIndex
                 : mRandom.nextInt(MeasuredFleet.INSTANCES);
     }
 
@@ -132,85 +133,89 @@
     }
 
     private OnceOnlyKeys keys() {
-        Optional<String> claimed = mClaims ? Optional.of("order " + mPath) : Optional.empty();
+        Optional<String> claimed = mUsesOwnKey ? Optional.of("order " + mPath) : Optional.empty();
         return new OnceOnlyKeys(mHomedKey, claimed, "", mAttempts == 1);
     }
 
-    private void ended(RequestCompletion end, boolean loses) {
-        if (loses) {
-            mTally.mLostOnTheWay.increment();
-            again(0);
-        } else if (end instanceof RequestCompletion.Answered answered) {
-            answered(new String(answered.body(), StandardCharsets.UTF_8));
+    private void onCompletion(RequestCompletion completion, boolean losesAnswer) {
+        if (losesAnswer) {
+            mCounters.mLostAnswers.increment();
+            retry(0);
+        } else if (completion instanceof RequestCompletion.Answered answered) {
+            onAnswer(new String(answered.body(), StandardCharsets.UTF_8));
         } else {
-            refused(((RequestCompletion.Refused) end).refusal());
+            onRefusal(((RequestCompletion.Refused) completion).refusal());
         }
     }
 
-    private void answered(String answer) {
+    private void onAnswer(String answer) {
         if (!answer.contains(" " + mPath + "\"")) {
-            mTally.mMismatched.increment();
+            mCounters.mMismatched.increment();
         }
-        if (mFleet.runs().executions(mPath) == 0) {
-            mTally.mLost.increment();
+        if (mFleet.executions().count(mPath) == 0) {
+            mCounters.mLost.increment();
         }
         if (mAnswer != null) {
-            mTally.mRepeatsAnswered.increment();
+            mCounters.mRepeatsAnswered.increment();
             if (!mAnswer.equals(answer)) {
-                mTally.mChangedAnswers.increment();
+                mCounters.mChangedAnswers.increment();
             }
-            mDone.run();
+            mDoneHandler.run();
             return;
         }
         mAnswer = answer;
-        mTally.mAnswered.increment();
+        mCounters.mAnswered.increment();
         if (mRandom.nextDouble() < REPEAT_SHARE) {
             attempt();
             return;
         }
-        mDone.run();
+        mDoneHandler.run();
     }
 
-    private void refused(Refusal refusal) {
-        int executions = mFleet.runs().executions(mPath);
+    private void onRefusal(Refusal refusal) {
+        int executions = mFleet.executions().count(mPath);
         if (refusal.verdict() == Verdict.DID_NOT_RUN) {
             if (executions > 0) {
-                mTally.mFalseDidNotRun.increment();
+                mCounters.mFalseDidNotRun.increment();
             }
             if (mAnswer == null && mRandom.nextDouble() < GIVE_UP_SHARE) {
-                mTally.mDidNotRun.increment();
-                mScheduler.afterMillis(2 * PATIENCE.toMillis(), this::checkGivenUp);
+                mCounters.mDidNotRun.increment();
+                mScheduler.afterMillis(2 * ANSWER_TIMEOUT.toMillis(), this::checkGivenUp);
                 return;
             }
         }
         if (refusal.verdict() == Verdict.RAN && executions == 0) {
-            mTally.mLost.increment();
+            mCounters.mLost.increment();
         }
         mLastCause = refusal.cause();
         if (refusal.cause() == RefusalCause.OPERATION_HOME_GONE) {
             mAttempts = MAXIMUM_ATTEMPTS;
         }
-        again(refusal.retryAfter().map(Duration::toMillis).orElse(0L));
+        retry(refusal.retryAfter().map(Duration::toMillis).orElse(0L));
     }
 
-    /** What was told not to have run and is not sent again must not run later either. */
+    /**
+     * Checks that an operation that was reported not to have run, and is not retried, has not run
+     * later either.
+     */
     private void checkGivenUp() {
-        if (mFleet.runs().executions(mPath) > 0) {
-            mTally.mFalseDidNotRun.increment();
+        if (mFleet.executions().count(mPath) > 0) {
+            mCounters.mFalseDidNotRun.increment();
         }
-        mDone.run();
+        mDoneHandler.run();
     }
 
-    /** Sends it again after a while, unless its time has run out. */
-    private void again(long leastMillis) {
-        boolean late = TIME.monotonicNanos() - mStartNanos > TIME_TO_SETTLE.toNanos();
-        if (mAttempts < MAXIMUM_ATTEMPTS && !late) {
-            mScheduler.afterMillis(Math.max(leastMillis, RETRY_MILLIS * mAttempts), this::attempt);
+    /** Retries the operation after a delay, unless its attempts or its time are used up. */
+    private void retry(long minimumMillis) {
+        boolean isLate = TIME.monotonicNanos() - mStartNanos > RESOLUTION_TIMEOUT.toNanos();
+        if (mAttempts < MAXIMUM_ATTEMPTS && !isLate) {
+            mScheduler.afterMillis(
+                    Math.max(minimumMillis, RETRY_MILLIS * mAttempts), this::attempt);
             return;
         }
         if (mAnswer == null) {
-            mTally.unknown(mLastCause, mFleet.runs().executions(mPath) > 0);
+            mCounters.recordUnknown(mLastCause, mFleet.executions().count(mPath) > 0);
         }
-        mDone.run();
+        mDoneHandler.run();
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyCounters.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyCounters.java
@@ -6,13 +6,16 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.LongAdder;
 
-/** What the callers of once-only operations saw, set against what ran; safe for all threads. */
+/**
+ * Counters of the outcomes that callers of once-only operations observed, compared with what ran.
+ * Thread-safe.
+ */
 final class OnceOnlyCounters {
 
     final LongAdder mAnswered = new LongAdder();
     final LongAdder mDidNotRun = new LongAdder();
     final LongAdder mAttempts = new LongAdder();
-    final LongAdder mLostOnTheWay = new LongAdder();
+    final LongAdder mLostAnswers = new LongAdder();
     final LongAdder mFalseDidNotRun = new LongAdder();
     final LongAdder mLost = new LongAdder();
     final LongAdder mMismatched = new LongAdder();
@@ -23,8 +26,8 @@
     private final Map<RefusalCause, LongAdder> mUnknown = new ConcurrentHashMap<>();
     private final LongAdder mUnknownThatRan = new LongAdder();
 
-    /** Counts an operation whose caller gave up without knowing its outcome. */
-    void unknown(RefusalCause lastCause, boolean ran) {
+    /** Records an operation whose caller gave up without knowing its outcome. */
+    void recordUnknown(RefusalCause lastCause, boolean ran) {
         mUnknown.computeIfAbsent(lastCause, cause -> new LongAdder()).increment();
         if (ran) {
             mUnknownThatRan.increment();
@@ -39,7 +42,10 @@
         return mUnknownThatRan.sum();
     }
 
-    /** Gives the counts by the cause that the caller was told last. */
+    /**
+     * Returns the number of operations with an unknown outcome, by the last refusal cause that the
+     * caller received.
+     */
     Map<RefusalCause, Long> unknownByCause() {
         Map<RefusalCause, Long> counts = new EnumMap<>(RefusalCause.class);
         mUnknown.forEach((cause, count) -> counts.put(cause, count.sum()));
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyFaultRun.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyFaultRun.java
@@ -15,15 +15,15 @@
 final class OnceOnlyFaultRun {
 
     private static final int OPERATIONS = 20_000;
-    private static final int RATE = 1_000;
+    private static final int OPERATIONS_PER_SECOND = 1_000;
     private static final int BATCH_MILLIS = 10;
-    private static final long KILL_MILLIS = 1_500;
-    private static final long NOTICE_MILLIS = 300;
-    private static final long RESTART_MILLIS = 700;
-    private static final long PAUSE_MILLIS = 2_300;
+    private static final long KILL_INTERVAL_MILLIS = 1_500;
+    private static final long DETECTION_MILLIS = 300;
+    private static final long RESTART_DELAY_MILLIS = 700;
+    private static final long PAUSE_INTERVAL_MILLIS = 2_300;
     private static final Duration PAUSE = Duration.ofSeconds(1);
-    private static final long STOP_MILLIS = 4_300;
-    private static final long OUTAGE_MILLIS = 8_000;
+    private static final long STOP_INTERVAL_MILLIS = 4_300;
+    private static final long OUTAGE_START_MILLIS = 8_000;
     private static final long OUTAGE_LENGTH_MILLIS = 2_000;
     private static final double RESET_SHARE = 0.01;
     private static final double REFUSE_SHARE = 0.02;
@@ -31,18 +31,18 @@
     private static final double SLOW_FACTOR = 300;
     private static final double LOST_WRITE_SHARE = 0.02;
     private static final double LATE_WRITE_SHARE = 0.01;
-    private static final long LATE_MILLIS = 50;
-    private static final long CALM_MILLIS = 1_500;
-    private static final long SETTLE_SECONDS = 20;
+    private static final long LATE_WRITE_MILLIS = 50;
+    private static final long FAULT_CLEARANCE_DELAY_MILLIS = 1_500;
+    private static final long COMPLETION_TIMEOUT_SECONDS = 20;
 
     private final MeasuredFleet mFleet;
     private final SplittableRandom mRandom;
-    private final OnceOnlyCounters mTally = new OnceOnlyCounters();
-    private final TaskThread mCallers = new TaskThread(1);
-    private final TaskThread mFaults = new TaskThread(3);
-    private final CountDownLatch mOpen = new CountDownLatch(OPERATIONS);
+    private final OnceOnlyCounters mCounters = new OnceOnlyCounters();
+    private final TaskScheduler mCallers = new TaskScheduler(1);
+    private final TaskScheduler mFaults = new TaskScheduler(3);
+    private final CountDownLatch mPending = new CountDownLatch(OPERATIONS);
     private final List<OnceOnlyCaller> mOperations = new ArrayList<>();
-    private volatile boolean mStorming = true;
+    private volatile boolean mInjectingFaults = true;
     private int mKills;
     private int mPauses;
     private int mStops;
@@ -53,29 +53,29 @@
     }
 
     OnceOnlyCounters run() throws InterruptedException {
-        backendFaults();
+        setBackendFaults();
         mFleet.platform().setFaults(lossyPlatform());
         scheduleFaults();
         for (int i = 0; i < OPERATIONS; i++) {
             mOperations.add(
                     new OnceOnlyCaller(
-                            mFleet, mTally, mCallers, mRandom.split(), i, mOpen::countDown));
+                            mFleet, mCounters, mCallers, mRandom.split(), i, mPending::countDown));
         }
-        int perBatch = RATE * BATCH_MILLIS / 1_000;
+        int perBatch = OPERATIONS_PER_SECOND * BATCH_MILLIS / 1_000;
         for (int i = 0; i < OPERATIONS; i++) {
             OnceOnlyCaller caller = mOperations.get(i);
-            long due = (long) (i / perBatch) * BATCH_MILLIS;
-            mCallers.afterMillis(due, caller::start);
+            long dueMillis = (long) (i / perBatch) * BATCH_MILLIS;
+            mCallers.afterMillis(dueMillis, caller::start);
         }
-        TimeUnit.MILLISECONDS.sleep(OPERATIONS * 1_000L / RATE);
-        mStorming = false;
-        TimeUnit.MILLISECONDS.sleep(CALM_MILLIS);
+        TimeUnit.MILLISECONDS.sleep(OPERATIONS * 1_000L / OPERATIONS_PER_SECOND);
+        mInjectingFaults = false;
+        TimeUnit.MILLISECONDS.sleep(FAULT_CLEARANCE_DELAY_MILLIS);
         clearFaults();
-        mOpen.await(SETTLE_SECONDS, TimeUnit.SECONDS);
+        mPending.await(COMPLETION_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         mCallers.close();
         mFaults.close();
         countDuplicates();
-        return mTally;
+        return mCounters;
     }
 
     int operations() {
@@ -83,7 +83,7 @@
     }
 
     long unfinished() {
-        return mOpen.getCount();
+        return mPending.getCount();
     }
 
     int kills() {
@@ -98,10 +98,10 @@
         return mStops;
     }
 
-    private void backendFaults() {
+    private void setBackendFaults() {
         int index = 0;
         for (BackendServerStandIn server : mFleet.backends().servers()) {
-            double slow = index++ % MeasuredFleet.BACKENDS == 0 ? SLOW_FACTOR : 1;
+            double slowFactor = index++ % MeasuredFleet.BACKENDS == 0 ? SLOW_FACTOR : 1;
             server.setFaults(
                     new BackendServerFaults(
                             BackendServerFaults.HealthClaim.TRUE,
@@ -112,7 +112,7 @@
                             REFUSE_SHARE,
                             TRUNCATE_SHARE,
                             0,
-                            slow));
+                            slowFactor));
         }
     }
 
@@ -122,7 +122,7 @@
                 0,
                 LOST_WRITE_SHARE,
                 LATE_WRITE_SHARE,
-                LATE_MILLIS,
+                LATE_WRITE_MILLIS,
                 0,
                 0);
     }
@@ -133,30 +133,30 @@
     }
 
     private void scheduleFaults() {
-        every(KILL_MILLIS, this::killOne);
-        every(PAUSE_MILLIS, this::pauseOne);
-        every(STOP_MILLIS, this::stopOne);
+        repeat(KILL_INTERVAL_MILLIS, this::killOne);
+        repeat(PAUSE_INTERVAL_MILLIS, this::pauseOne);
+        repeat(STOP_INTERVAL_MILLIS, this::stopOne);
         mFaults.afterMillis(
-                OUTAGE_MILLIS,
+                OUTAGE_START_MILLIS,
                 () ->
                         mFleet.platform()
                                 .setFaults(PlatformFaults.outage(PlatformCallDisposition.REFUSED)));
         mFaults.afterMillis(
-                OUTAGE_MILLIS + OUTAGE_LENGTH_MILLIS,
+                OUTAGE_START_MILLIS + OUTAGE_LENGTH_MILLIS,
                 () -> mFleet.platform().setFaults(lossyPlatform()));
     }
 
-    private void every(long millis, Runnable fault) {
+    private void repeat(long millis, Runnable fault) {
         mFaults.everyMillis(
                 millis,
                 () -> {
-                    if (mStorming) {
+                    if (mInjectingFaults) {
                         fault.run();
                     }
                 });
     }
 
-    private int anyAlive() {
+    private int randomAliveIndex() {
         int index;
         do {
             index = mRandom.nextInt(MeasuredFleet.INSTANCES);
@@ -165,26 +165,26 @@
     }
 
     private synchronized void killOne() {
-        int index = anyAlive();
+        int index = randomAliveIndex();
         mKills++;
         mFleet.instance(index).kill();
         restartLater(index);
     }
 
     private void restartLater(int index) {
-        mFaults.afterMillis(NOTICE_MILLIS, () -> mFleet.suspect(index));
-        mFaults.afterMillis(RESTART_MILLIS, () -> mFleet.start(index));
+        mFaults.afterMillis(DETECTION_MILLIS, () -> mFleet.markDead(index));
+        mFaults.afterMillis(RESTART_DELAY_MILLIS, () -> mFleet.start(index));
     }
 
     private synchronized void pauseOne() {
         mPauses++;
-        mFleet.instance(anyAlive()).pause(PAUSE);
+        mFleet.instance(randomAliveIndex()).pause(PAUSE);
     }
 
     private void stopOne() {
         int index;
         synchronized (this) {
-            index = anyAlive();
+            index = randomAliveIndex();
             mStops++;
         }
         mFleet.instance(index).stop();
@@ -193,8 +193,8 @@
 
     private void countDuplicates() {
         for (OnceOnlyCaller caller : mOperations) {
-            if (mFleet.runs().executions(caller.path()) > 1) {
-                mTally.mDuplicates.increment();
+            if (mFleet.executions().count(caller.path()) > 1) {
+                mCounters.mDuplicates.increment();
             }
         }
     }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyLatency.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyLatency.java
@@ -21,16 +21,16 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** Compares the latency of the same requests under each kind of key, without faults. */
+/** Measures the latency of the same requests in each key mode, without faults. */
 final class OnceOnlyLatency {
 
     private static final TimeSource TIME = new SystemTimeSource();
     private static final int REQUESTS = 2_000;
-    private static final int RATE = 600;
+    private static final int REQUESTS_PER_SECOND = 600;
     private static final int MICROS_PER_SECOND = 1_000_000;
-    private static final int DIGITS = 3;
+    private static final int SIGNIFICANT_DIGITS = 3;
     private static final Duration DEADLINE = Duration.ofSeconds(5);
-    private static final Duration OUTCOMES_WRITTEN = Duration.ofMillis(500);
+    private static final Duration OUTCOME_WRITE_DELAY = Duration.ofMillis(500);
     private static final ServiceId SERVICE = new ServiceId("plate-ledger");
 
     private final MeasuredFleet mFleet;
@@ -39,57 +39,65 @@
         mFleet = fleet;
     }
 
-    /** How a request is named. */
-    enum Naming {
-        /** Past the guard, as an operation that may repeat. */
+    /** Kinds of keys by which a request is identified. */
+    enum KeyMode {
+        /** No key: the request bypasses the guard, as an operation that may run repeatedly does. */
         NO_KEY("no key") {
             @Override
             void submit(
-                    MeasuredFleet fleet, SteeredRequest request, Consumer<RequestCompletion> end) {
-                instance(fleet, request, 0).submitUnguarded(request, end);
+                    MeasuredFleet fleet,
+                    SteeredRequest request,
+                    Consumer<RequestCompletion> listener) {
+                instance(fleet, request, 0).submitUnguarded(request, listener);
             }
         },
-        /** With a key of the instance that it is sent to, as after a look-up. */
+        /** Key issued by the instance to which the request is sent, as after a look-up. */
         HOMED("homed key at its home") {
             @Override
             void submit(
-                    MeasuredFleet fleet, SteeredRequest request, Consumer<RequestCompletion> end) {
+                    MeasuredFleet fleet,
+                    SteeredRequest request,
+                    Consumer<RequestCompletion> listener) {
                 MeasuredInstance home = instance(fleet, request, 0);
-                home.submit(request, homed(home), end);
+                home.submit(request, homed(home), listener);
             }
         },
-        /** With a key of another instance. */
+        /** Key issued by an instance other than the one to which the request is sent. */
         PASSED_ON("homed key passed on") {
             @Override
             void submit(
-                    MeasuredFleet fleet, SteeredRequest request, Consumer<RequestCompletion> end) {
+                    MeasuredFleet fleet,
+                    SteeredRequest request,
+                    Consumer<RequestCompletion> listener) {
                 MeasuredInstance home = instance(fleet, request, 1);
-                instance(fleet, request, 0).submit(request, homed(home), end);
+                instance(fleet, request, 0).submit(request, homed(home), listener);
             }
         },
-        /** With a key that the caller made. */
+        /** Key chosen by the caller. */
         CLAIMED("caller's own key") {
             @Override
             void submit(
-                    MeasuredFleet fleet, SteeredRequest request, Consumer<RequestCompletion> end) {
+                    MeasuredFleet fleet,
+                    SteeredRequest request,
+                    Consumer<RequestCompletion> listener) {
                 OnceOnlyKeys keys =
                         new OnceOnlyKeys(Optional.empty(), Optional.of(request.path()), "", true);
-                instance(fleet, request, 0).submit(request, keys, end);
+                instance(fleet, request, 0).submit(request, keys, listener);
             }
         };
 
-        private final String mText;
+        private final String mTitle;
 
-        Naming(String text) {
-            mText = text;
+        KeyMode(String text) {
+            mTitle = text;
         }
 
         String text() {
-            return mText;
+            return mTitle;
         }
 
         abstract void submit(
-                MeasuredFleet fleet, SteeredRequest request, Consumer<RequestCompletion> end);
+                MeasuredFleet fleet, SteeredRequest request, Consumer<RequestCompletion> listener);
 
         private static MeasuredInstance instance(
                 MeasuredFleet fleet, SteeredRequest request, int offset) {
@@ -103,34 +111,41 @@
         }
     }
 
-    /** The latencies in nanoseconds, and the writes to the platform for each request. */
-    record Result(Naming naming, Histogram nanos, double writesPerOperation, long failed) {}
+    /**
+     * Result of a run: the latencies in nanoseconds, the mean number of writes to the platform for
+     * a request, and the number of requests that were not answered.
+     */
+    record Result(KeyMode keyMode, Histogram nanos, double writesPerOperation, long failed) {}
 
-    Result run(Naming naming) throws InterruptedException {
+    Result run(KeyMode keyMode) throws InterruptedException {
         long writesBefore = mFleet.platform().counts().of(PlatformCall.WRITE);
-        Histogram nanos = new ConcurrentHistogram(DIGITS);
+        Histogram nanos = new ConcurrentHistogram(SIGNIFICANT_DIGITS);
         ConcurrentHistogram failed = new ConcurrentHistogram(1);
-        CountDownLatch open = new CountDownLatch(REQUESTS);
-        TaskThread callers = new TaskThread(1);
+        CountDownLatch pending = new CountDownLatch(REQUESTS);
+        TaskScheduler callers = new TaskScheduler(1);
         for (int i = 0; i < REQUESTS; i++) {
-            String path = "/" + naming.name().toLowerCase(Locale.ROOT) + "/" + i;
-            callers.after(
-                    (long) i * MICROS_PER_SECOND / RATE,
-                    () -> send(naming, path, nanos, failed, open));
+            String path = "/" + keyMode.name().toLowerCase(Locale.ROOT) + "/" + i;
+            callers.afterMicros(
+                    (long) i * MICROS_PER_SECOND / REQUESTS_PER_SECOND,
+                    () -> send(keyMode, path, nanos, failed, pending));
         }
-        open.await(DEADLINE.toSeconds() * 3, TimeUnit.SECONDS);
+        pending.await(DEADLINE.toSeconds() * 3, TimeUnit.SECONDS);
         callers.close();
-        TimeUnit.MILLISECONDS.sleep(OUTCOMES_WRITTEN.toMillis());
+        TimeUnit.MILLISECONDS.sleep(OUTCOME_WRITE_DELAY.toMillis());
         long writes = mFleet.platform().counts().of(PlatformCall.WRITE) - writesBefore;
         return new Result(
-                naming,
+                keyMode,
                 nanos,
                 (double) writes / REQUESTS,
-                failed.getTotalCount() + open.getCount());
+                failed.getTotalCount() + pending.getCount());
     }
 
     private void send(
-            Naming naming, String path, Histogram nanos, Histogram failed, CountDownLatch open) {
+            KeyMode keyMode,
+            String path,
+            Histogram nanos,
+            Histogram failed,
+            CountDownLatch pending) {
         RequestHead head =
                 new RequestHead(
                         new RequestId("r" + path.replace('/', '.')),
@@ -143,16 +158,16 @@
                 new SteeredRequest(
                         head, Optional.empty(), "POST", path, List.of(), body, Optional.empty());
         long start = TIME.monotonicNanos();
-        naming.submit(
+        keyMode.submit(
                 mFleet,
                 request,
-                end -> {
-                    if (end instanceof RequestCompletion.Answered) {
+                completion -> {
+                    if (completion instanceof RequestCompletion.Answered) {
                         nanos.recordValue(TIME.monotonicNanos() - start);
                     } else {
                         failed.recordValue(1);
                     }
-                    open.countDown();
+                    pending.countDown();
                 });
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyMeasure.java
@@ -13,7 +13,7 @@
 
 /**
  * Runs once-only operations through nine instances that are killed, paused and stopped, and counts
- * at the backend servers what ran.
+ * their executions at the backend servers.
  *
  * @since 0.1
  */
@@ -21,7 +21,7 @@
 
     private static final double NANOS_PER_MILLI = 1e6;
     private static final double MEDIAN = 50;
-    private static final double HIGH = 99;
+    private static final double P99 = 99;
 
     @Override
     public String name() {
@@ -44,8 +44,8 @@
     public MeasureReport run(long seed) {
         MeasureReport report = new MeasureReport();
         try (MeasuredFleet fleet = new MeasuredFleet(seed)) {
-            latencies(fleet, report);
-            storm(fleet, seed, report);
+            measureLatencies(fleet, report);
+            measureUnderFaults(fleet, seed, report);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IllegalStateException("The measure was interrupted.", e);
@@ -53,22 +53,22 @@
         return report;
     }
 
-    private static void latencies(MeasuredFleet fleet, MeasureReport report)
+    private static void measureLatencies(MeasuredFleet fleet, MeasureReport report)
             throws InterruptedException {
         OnceOnlyLatency latency = new OnceOnlyLatency(fleet);
-        latency.run(OnceOnlyLatency.Naming.NO_KEY);
+        latency.run(OnceOnlyLatency.KeyMode.NO_KEY);
         fleet.backends().log().clear();
-        Map<OnceOnlyLatency.Naming, OnceOnlyLatency.Result> results =
-                new EnumMap<>(OnceOnlyLatency.Naming.class);
+        Map<OnceOnlyLatency.KeyMode, OnceOnlyLatency.Result> results =
+                new EnumMap<>(OnceOnlyLatency.KeyMode.class);
         List<List<String>> rows = new ArrayList<>();
-        for (OnceOnlyLatency.Naming naming : OnceOnlyLatency.Naming.values()) {
-            OnceOnlyLatency.Result result = latency.run(naming);
-            results.put(naming, result);
+        for (OnceOnlyLatency.KeyMode keyMode : OnceOnlyLatency.KeyMode.values()) {
+            OnceOnlyLatency.Result result = latency.run(keyMode);
+            results.put(keyMode, result);
             rows.add(
                     List.of(
-                            naming.text(),
+                            keyMode.text(),
                             text(millis(result, MEDIAN)),
-                            text(millis(result, HIGH)),
+                            text(millis(result, P99)),
                             text(result.writesPerOperation()),
                             Long.toString(result.failed())));
         }
@@ -77,62 +77,63 @@
                         "Latency of the same 2,000 requests at 600 a second, without faults",
                         List.of("naming", "p50 ms", "p99 ms", "writes per operation", "failed"),
                         rows));
-        OnceOnlyLatency.Result base = results.get(OnceOnlyLatency.Naming.NO_KEY);
-        added(report, "Homed", results.get(OnceOnlyLatency.Naming.HOMED), base);
-        added(report, "PassedOn", results.get(OnceOnlyLatency.Naming.PASSED_ON), base);
-        added(report, "Claimed", results.get(OnceOnlyLatency.Naming.CLAIMED), base);
+        OnceOnlyLatency.Result base = results.get(OnceOnlyLatency.KeyMode.NO_KEY);
+        reportAddedLatency(report, "Homed", results.get(OnceOnlyLatency.KeyMode.HOMED), base);
+        reportAddedLatency(
+                report, "PassedOn", results.get(OnceOnlyLatency.KeyMode.PASSED_ON), base);
+        reportAddedLatency(report, "Claimed", results.get(OnceOnlyLatency.KeyMode.CLAIMED), base);
     }
 
-    private static void added(
+    private static void reportAddedLatency(
             MeasureReport report,
             String name,
             OnceOnlyLatency.Result result,
             OnceOnlyLatency.Result base) {
         report.figure("addedP50Millis" + name, millis(result, MEDIAN) - millis(base, MEDIAN));
-        report.figure("addedP99Millis" + name, millis(result, HIGH) - millis(base, HIGH));
+        report.figure("addedP99Millis" + name, millis(result, P99) - millis(base, P99));
         report.figure("writesPerOperation" + name, result.writesPerOperation());
     }
 
-    private static void storm(MeasuredFleet fleet, long seed, MeasureReport report)
+    private static void measureUnderFaults(MeasuredFleet fleet, long seed, MeasureReport report)
             throws InterruptedException {
         long writesBefore = fleet.platform().counts().of(PlatformCall.WRITE);
-        OnceOnlyFaultRun storm = new OnceOnlyFaultRun(fleet, seed);
-        OnceOnlyCounters tally = storm.run();
+        OnceOnlyFaultRun faultRun = new OnceOnlyFaultRun(fleet, seed);
+        OnceOnlyCounters counters = faultRun.run();
         long writes = fleet.platform().counts().of(PlatformCall.WRITE) - writesBefore;
         List<List<String>> rows =
                 new ArrayList<>(
                         List.of(
-                                row("operations", storm.operations()),
-                                row("attempts", tally.mAttempts.sum()),
-                                row("answers lost on the way", tally.mLostOnTheWay.sum()),
-                                row("instances killed", storm.kills()),
-                                row("instances paused", storm.pauses()),
-                                row("instances stopped as planned", storm.stops()),
-                                row("answered in the end", tally.mAnswered.sum()),
-                                row("did not run, given up", tally.mDidNotRun.sum()),
-                                row("unknown in the end", tally.unknown()),
-                                row("unknown that ran", tally.unknownThatRan()),
-                                row("answers repeated", tally.mRepeatsAnswered.sum()),
-                                row("not ended", storm.unfinished())));
-        tally.unknownByCause()
+                                row("operations", faultRun.operations()),
+                                row("attempts", counters.mAttempts.sum()),
+                                row("answers lost on the way", counters.mLostAnswers.sum()),
+                                row("instances killed", faultRun.kills()),
+                                row("instances paused", faultRun.pauses()),
+                                row("instances stopped as planned", faultRun.stops()),
+                                row("answered in the end", counters.mAnswered.sum()),
+                                row("did not run, given up", counters.mDidNotRun.sum()),
+                                row("unknown in the end", counters.unknown()),
+                                row("unknown that ran", counters.unknownThatRan()),
+                                row("answers repeated", counters.mRepeatsAnswered.sum()),
+                                row("not ended", faultRun.unfinished())));
+        counters.unknownByCause()
                 .forEach((cause, count) -> rows.add(row("unknown, last " + cause.text(), count)));
         report.table(
                 new MeasureTable(
                         "20,000 operations while everything fails",
                         List.of("what", "count"),
                         rows));
-        report.figure("operations", storm.operations(), MeasureTarget.atLeast(20_000));
-        zero(report, "duplicates", tally.mDuplicates.sum());
-        zero(report, "falseDidNotRun", tally.mFalseDidNotRun.sum());
-        zero(report, "lost", tally.mLost.sum());
-        zero(report, "mismatched", tally.mMismatched.sum());
-        zero(report, "changedAnswers", tally.mChangedAnswers.sum());
-        zero(report, "notEnded", storm.unfinished());
-        report.figure("unknownShare", (double) tally.unknown() / storm.operations());
-        report.figure("writesPerOperationUnderFaults", (double) writes / storm.operations());
+        report.figure("operations", faultRun.operations(), MeasureTarget.atLeast(20_000));
+        reportCountThatMustBeZero(report, "duplicates", counters.mDuplicates.sum());
+        reportCountThatMustBeZero(report, "falseDidNotRun", counters.mFalseDidNotRun.sum());
+        reportCountThatMustBeZero(report, "lost", counters.mLost.sum());
+        reportCountThatMustBeZero(report, "mismatched", counters.mMismatched.sum());
+        reportCountThatMustBeZero(report, "changedAnswers", counters.mChangedAnswers.sum());
+        reportCountThatMustBeZero(report, "notEnded", faultRun.unfinished());
+        report.figure("unknownShare", (double) counters.unknown() / faultRun.operations());
+        report.figure("writesPerOperationUnderFaults", (double) writes / faultRun.operations());
     }
 
-    private static void zero(MeasureReport report, String name, long value) {
+    private static void reportCountThatMustBeZero(MeasureReport report, String name, long value) {
         report.figure(name, (double) value, MeasureTarget.atMost(0));
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/TaskThread.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/TaskScheduler.java
@@ -5,13 +5,16 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 
-/** A few threads that run tasks at once or later; tasks after {@link #close} are dropped. */
-final class TaskThread implements AutoCloseable {
+/**
+ * Fixed pool of threads that runs tasks at once or after a delay. Tasks that are due after {@link
+ * #close} are dropped.
+ */
+final class TaskScheduler implements AutoCloseable {
 
     private final ExecutorService mExecutor;
     private volatile boolean mOpen = true;
 
-    TaskThread(int threads) {
+    TaskScheduler(int threads) {
         mExecutor = Executors.newFixedThreadPool(threads);
     }
 
@@ -21,16 +24,16 @@
         }
     }
 
-    void after(long micros, Runnable task) {
+    void afterMicros(long micros, Runnable task) {
         CompletableFuture.delayedExecutor(micros, TimeUnit.MICROSECONDS, this::execute)
                 .execute(task);
     }
 
     void afterMillis(long millis, Runnable task) {
-        after(TimeUnit.MILLISECONDS.toMicros(millis), task);
+        afterMicros(TimeUnit.MILLISECONDS.toMicros(millis), task);
     }
 
-    /** Runs a task again and again until closed. */
+    /** Runs a task periodically until this scheduler is closed. */
     void everyMillis(long millis, Runnable task) {
         afterMillis(
                 millis,
@@ -46,7 +49,7 @@
         mExecutor.shutdown();
     }
 
-    boolean awaitEnd(long seconds) throws InterruptedException {
+    boolean awaitTermination(long seconds) throws InterruptedException {
         return mExecutor.awaitTermination(seconds, TimeUnit.SECONDS);
     }
 }
