--- a/masticpond-measure/src/main/java/io/masticpond/measure/platform/CallLatency.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/platform/CallLatency.java
@@ -8,28 +8,28 @@
 import java.util.function.Supplier;
 import org.HdrHistogram.Histogram;
 
-/** Measures how long calls take one after the other, against a platform without faults. */
+/** Measures the latency of sequential calls to a platform without faults. */
 final class CallLatency {
 
-    private static final int WARM_CALLS = 1_000;
+    private static final int WARM_UP_CALLS = 1_000;
     private static final int CALLS = 3_000;
     private static final int UNLIMITED = 1_000_000;
-    private static final int DIGITS = 3;
+    private static final int SIGNIFICANT_DIGITS = 3;
     private static final double P50 = 50;
     private static final double P99 = 99;
     private static final double MICROS_PER_MILLI = TimeUnit.MILLISECONDS.toMicros(1);
     private static final byte[] VALUE = new byte[1_024];
 
-    private final Histogram mReads = new Histogram(DIGITS);
-    private final Histogram mWrites = new Histogram(DIGITS);
+    private final Histogram mReads = new Histogram(SIGNIFICANT_DIGITS);
+    private final Histogram mWrites = new Histogram(SIGNIFICANT_DIGITS);
 
-    /** Half and tail of a kind of call in milliseconds. */
+    /** Median and 99th percentile of the latency of a kind of call, in milliseconds. */
     record Quantiles(double p50Millis, double p99Millis) {}
 
     static CallLatency measure(long seed) {
         CallLatency latency = new CallLatency();
         try (PlatformBench bench = new PlatformBench(seed, 1, UNLIMITED)) {
-            latency.run(bench, WARM_CALLS);
+            latency.run(bench, WARM_UP_CALLS);
             latency.mReads.reset();
             latency.mWrites.reset();
             latency.run(bench, CALLS);
--- a/masticpond-measure/src/main/java/io/masticpond/measure/platform/OutageRun.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/platform/OutageRun.java
@@ -10,56 +10,66 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Asks for reads at a steady pace while the platform is away, and until it is back. */
+/**
+ * Requests reads at a steady rate while the platform is unavailable, and until it answers again.
+ */
 final class OutageRun {
 
     private static final int CALLS_PER_SECOND = 200;
     private static final Duration OUTAGE = Duration.ofSeconds(5);
-    private static final Duration LONGEST_RETURN = Duration.ofSeconds(15);
-    private static final long PACE_MILLIS = 20;
+    private static final Duration MAXIMUM_RECOVERY = Duration.ofSeconds(15);
+    private static final long INTERVAL_MILLIS = 20;
 
     /**
-     * What became of the calls.
+     * Result of an outage.
      *
-     * @param asked reads asked for in the outage
-     * @param made calls that the platform saw in the outage
-     * @param slowestMillis the longest time that a read took to fail within the outage
-     * @param returnMillis the time from the end of the outage to the first answer
+     * @param requestedReads the number of reads requested during the outage
+     * @param platformCalls the number of calls that the platform received during the outage
+     * @param slowestMillis the longest time that a read took to fail within the outage, in
+     *     milliseconds
+     * @param recoveryMillis the time from the end of the outage to the first answer, in
+     *     milliseconds
      */
-    record Result(int asked, long made, long slowestMillis, long returnMillis) {}
+    record Result(
+            int requestedReads, long platformCalls, long slowestMillis, long recoveryMillis) {}
 
     private OutageRun() {}
 
-    static Result run(PlatformCallDisposition fate, long seed) throws InterruptedException {
+    static Result run(PlatformCallDisposition disposition, long seed) throws InterruptedException {
         try (PlatformBench bench = new PlatformBench(seed, 1, CALLS_PER_SECOND)) {
-            bench.state().setFaults(PlatformFaults.outage(fate));
+            bench.state().setFaults(PlatformFaults.outage(disposition));
             long start = System.nanoTime();
             AtomicLong slowest = new AtomicLong();
-            int asked = 0;
+            int requestedReads = 0;
             while (System.nanoTime() - start < OUTAGE.toNanos()) {
-                ask(bench, slowest);
-                asked++;
-                Thread.sleep(PACE_MILLIS);
+                requestRead(bench, slowest);
+                requestedReads++;
+                Thread.sleep(INTERVAL_MILLIS);
             }
-            long made = bench.state().counts().total();
+            long platformCalls = bench.state().counts().total();
             bench.state().setFaults(PlatformFaults.NONE);
-            long back = System.nanoTime();
-            while (read(bench).isLeft() && System.nanoTime() - back < LONGEST_RETURN.toNanos()) {
-                Thread.sleep(PACE_MILLIS);
+            long outageEnd = System.nanoTime();
+            while (read(bench).isLeft()
+                    && System.nanoTime() - outageEnd < MAXIMUM_RECOVERY.toNanos()) {
+                Thread.sleep(INTERVAL_MILLIS);
             }
-            return new Result(asked, made, millis(slowest.get()), millis(System.nanoTime() - back));
+            return new Result(
+                    requestedReads,
+                    platformCalls,
+                    millis(slowest.get()),
+                    millis(System.nanoTime() - outageEnd));
         }
     }
 
-    private static void ask(PlatformBench bench, AtomicLong slowest) {
-        long before = System.nanoTime();
+    private static void requestRead(PlatformBench bench, AtomicLong slowest) {
+        long start = System.nanoTime();
         var unused =
                 bench.store()
                         .read(PlatformBench.KEY)
                         .thenAccept(
                                 result ->
                                         slowest.accumulateAndGet(
-                                                System.nanoTime() - before, Math::max));
+                                                System.nanoTime() - start, Math::max));
     }
 
     private static Either<PlatformError, Optional<StoredObject>> read(PlatformBench bench) {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/platform/PlatformBench.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/platform/PlatformBench.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** A stand-in platform with several clients, each as one daemon has it. */
+/** Stand-in platform with several clients, each configured like the client of one daemon. */
 final class PlatformBench implements AutoCloseable {
 
     static final ObjectKey KEY = new ObjectKey(ObjectKind.LEDGER, "plate-ledger");
--- a/masticpond-measure/src/main/java/io/masticpond/measure/platform/PlatformClientMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/platform/PlatformClientMeasure.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 
 /**
- * Measures the client of the platform: its latency and its calls in an outage.
+ * Measures the client of the platform: its latency, and its calls during an outage.
  *
  * @since 0.1
  */
@@ -55,8 +55,8 @@
         addLatency(report, latency);
         Map<PlatformCallDisposition, OutageRun.Result> outages =
                 new EnumMap<>(PlatformCallDisposition.class);
-        for (PlatformCallDisposition fate : OUTAGES) {
-            outages.put(fate, OutageRun.run(fate, seed));
+        for (PlatformCallDisposition disposition : OUTAGES) {
+            outages.put(disposition, OutageRun.run(disposition, seed));
         }
         addOutages(report, outages);
         return report;
@@ -84,19 +84,19 @@
     private static void addOutages(
             MeasureReport report, Map<PlatformCallDisposition, OutageRun.Result> outages) {
         List<List<String>> rows = new ArrayList<>();
-        long made = 0;
-        long returned = 0;
+        long maximumCalls = 0;
+        long longestRecoveryMillis = 0;
         for (Map.Entry<PlatformCallDisposition, OutageRun.Result> each : outages.entrySet()) {
             OutageRun.Result result = each.getValue();
-            made = Math.max(made, result.made());
-            returned = Math.max(returned, result.returnMillis());
+            maximumCalls = Math.max(maximumCalls, result.platformCalls());
+            longestRecoveryMillis = Math.max(longestRecoveryMillis, result.recoveryMillis());
             rows.add(
                     List.of(
                             each.getKey().name().toLowerCase(Locale.ROOT),
-                            Integer.toString(result.asked()),
-                            Long.toString(result.made()),
+                            Integer.toString(result.requestedReads()),
+                            Long.toString(result.platformCalls()),
                             Long.toString(result.slowestMillis()),
-                            Long.toString(result.returnMillis())));
+                            Long.toString(result.recoveryMillis())));
         }
         report.table(
                 new MeasureTable(
@@ -108,7 +108,7 @@
                                 "slowest failure, ms",
                                 "first answer after it, ms"),
                         rows));
-        report.figure("callsMadeInOutage", made);
-        report.figure("returnMillis", returned);
+        report.figure("callsMadeInOutage", maximumCalls);
+        report.figure("returnMillis", longestRecoveryMillis);
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/platform/package-info.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/platform/package-info.java
@@ -1,2 +1,2 @@
-/** The measure of the platform's client, over real sockets in one process. */
+/** Measure of the platform's client, over real sockets in one process. */
 package io.masticpond.measure.platform;
