--- a/masticpond-measure/src/main/java/io/masticpond/measure/quickstart/QuickstartCommand.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/quickstart/QuickstartCommand.java
@@ -20,7 +20,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Starts the whole system on loopback, states an intent, sends requests and checks promises. */
+/**
+ * Command that starts the whole system on loopback, plans and confirms a configuration, sends
+ * requests and checks that the guarantees were held.
+ */
 @Command(
         name = "quickstart",
         mixinStandardHelpOptions = true,
@@ -71,11 +74,11 @@
         try (LocalFleet fleet = new LocalFleet(settings)) {
             Thread stop = new Thread(fleet::close, "stop");
             Runtime.getRuntime().addShutdownHook(stop);
-            boolean held = run(fleet);
+            boolean guaranteesHeld = run(fleet);
             if (mKeep) {
-                keep(fleet);
+                waitUntilStopped(fleet);
             }
-            return held ? 0 : 1;
+            return guaranteesHeld ? 0 : 1;
         } catch (IllegalStateException e) {
             mProgress.println("quickstart: " + e.getMessage());
             return 1;
@@ -99,19 +102,19 @@
         for (FleetInstance instance : fleet.instances()) {
             fleet.awaitInstance(instance, "/ready");
         }
-        LoadStatistics tally = new LoadStatistics();
-        AtomicInteger left = new AtomicInteger(mRequests);
+        LoadStatistics statistics = new LoadStatistics();
+        AtomicInteger remaining = new AtomicInteger(mRequests);
         progress("Sending " + mRequests + " requests.");
-        new CallerLoad(fleet.instances(), tally, mSeed)
-                .run(WORKERS, () -> left.getAndDecrement() > 0);
+        new CallerLoad(fleet.instances(), statistics, mSeed)
+                .run(WORKERS, () -> remaining.getAndDecrement() > 0);
         QuickstartReport report =
-                QuickstartReport.of(fleet.content(), fleet.backendCounts(), tally);
+                QuickstartReport.of(fleet.content(), fleet.backendCounts(), statistics);
         report.print(mOutput);
         if (!mKeep) {
             progress("Stopping.");
             fleet.close();
         }
-        mOutput.println(new ObjectMapper().writeValueAsString(json(report, tally)));
+        mOutput.println(new ObjectMapper().writeValueAsString(json(report, statistics)));
         return report.guaranteesHeld();
     }
 
@@ -131,7 +134,7 @@
         return confirm.exitCode() == 0;
     }
 
-    private void keep(LocalFleet fleet) {
+    private void waitUntilStopped(LocalFleet fleet) {
         FleetInstance first = fleet.instances().get(0);
         mOutput.println();
         mOutput.println("It stays up until Control-C. Try, in another window:");
@@ -160,18 +163,18 @@
         }
     }
 
-    private static Map<String, Object> json(QuickstartReport report, LoadStatistics tally) {
+    private static Map<String, Object> json(QuickstartReport report, LoadStatistics statistics) {
         Map<String, Object> json = new LinkedHashMap<>();
-        json.put("requests", tally.requests());
-        json.put("answered", tally.answered());
-        json.put("mismatched", tally.mismatched());
+        json.put("requests", statistics.requests());
+        json.put("answered", statistics.answered());
+        json.put("mismatched", statistics.mismatched());
         json.put("duplicates", report.duplicates());
         json.put("overCap", report.overCap());
-        json.put("p99Millis", tally.latencyMillis(99));
+        json.put("p99Millis", statistics.latencyMillis(99));
         return json;
     }
 
-    private void progress(String sentence) {
-        mProgress.println(sentence);
+    private void progress(String message) {
+        mProgress.println(message);
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/quickstart/QuickstartMain.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/quickstart/QuickstartMain.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine;
 
 /**
- * Runs the quickstart.
+ * Main class of the quickstart.
  *
  * @since 0.1
  */
--- a/masticpond-measure/src/main/java/io/masticpond/measure/quickstart/QuickstartReport.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/quickstart/QuickstartReport.java
@@ -11,15 +11,15 @@
 import java.util.TreeMap;
 
 /**
- * What a quickstart run showed, counted at the callers and at the backend servers.
+ * Results of a quickstart run, counted at the callers and at the backend servers.
  *
- * @param duplicates the once-only operations that ran more than once
- * @param overCap the services whose executions cost more than their cap
+ * @param duplicates the number of once-only operations that ran more than once
+ * @param overCap the number of services whose executions cost more than their cap
  * @param spending the price of all executions, by service
  * @param caps the lowest cap of a shift, by service
  * @param slotUse the highest slot use of a backend server, by region
- * @param executions the executions, by region
- * @param statistics how the requests ended
+ * @param executions the number of executions, by region
+ * @param statistics the outcomes of the requests
  */
 record QuickstartReport(
         long duplicates,
@@ -34,11 +34,11 @@
      * Evaluates a run.
      *
      * @param content the operators' configuration
-     * @param counts what the backend servers have seen
-     * @param tally how the requests ended
+     * @param counts the counts of the backend servers
+     * @param statistics the outcomes of the requests
      * @return the report
      */
-    static QuickstartReport of(JsonNode content, JsonNode counts, LoadStatistics tally) {
+    static QuickstartReport of(JsonNode content, JsonNode counts, LoadStatistics statistics) {
         Map<String, String> regions = regionsByZone(content);
         Map<String, Long> spending = new TreeMap<>();
         Map<String, Long> caps = new TreeMap<>();
@@ -67,46 +67,46 @@
                 caps,
                 slotUse,
                 executions,
-                tally);
+                statistics);
     }
 
     /**
-     * Tells whether every promise that the run can show was held.
+     * Determines whether every guarantee that the run can show was held.
      *
-     * @return whether no request was mismatched, doubled, over the cap or over the slots, and all
-     *     were answered
+     * @return whether no answer was mismatched, no operation ran more than once, no cap and no
+     *     slots were exceeded, and at least one request was answered
      */
     boolean guaranteesHeld() {
-        return broken().isEmpty();
+        return violations().isEmpty();
     }
 
-    private List<String> broken() {
-        List<String> broken = new ArrayList<>();
+    private List<String> violations() {
+        List<String> violations = new ArrayList<>();
         if (statistics.mismatched() > 0) {
-            broken.add(statistics.mismatched() + " answers were to another request.");
+            violations.add(statistics.mismatched() + " answers were to another request.");
         }
         if (duplicates > 0) {
-            broken.add(duplicates + " once-only operations ran more than once.");
+            violations.add(duplicates + " once-only operations ran more than once.");
         }
         if (overCap > 0) {
-            broken.add(overCap + " services spent more than their cap.");
+            violations.add(overCap + " services spent more than their cap.");
         }
         slotUse.forEach(
                 (region, use) -> {
                     if (use > 1) {
-                        broken.add("A backend server in " + region + " was over its slots.");
+                        violations.add("A backend server in " + region + " was over its slots.");
                     }
                 });
         if (statistics.answered() == 0) {
-            broken.add("No request was answered.");
+            violations.add("No request was answered.");
         }
-        return broken;
+        return violations;
     }
 
     /**
      * Prints the tables.
      *
-     * @param output where to
+     * @param output the stream to print to
      */
     void print(PrintStream output) {
         output.println();
@@ -140,7 +140,7 @@
                                 use,
                                 executions.get(region)));
         output.println();
-        broken().forEach(sentence -> output.println("BROKEN: " + sentence));
+        violations().forEach(violation -> output.println("BROKEN: " + violation));
     }
 
     private static void line(PrintStream output, String name, long value) {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/quickstart/package-info.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/quickstart/package-info.java
@@ -1,2 +1,2 @@
-/** The quickstart: all processes on loopback, one after another. */
+/** Quickstart that starts all processes of the system on loopback, one after another. */
 package io.masticpond.measure.quickstart;
