--- a/masticpond-measure/src/main/java/io/masticpond/measure/rate/RatePattern.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/rate/RatePattern.java
@@ -1,58 +1,61 @@
 package io.masticpond.measure.rate;
 
-/** What happens to the load and the fleet, by seconds. */
+/** Patterns of load and faults over the seconds of a simulation. */
 enum RatePattern {
-    /** The usual load, each region at its peak when another is low. */
-    CALM(Load.USUAL),
-    /** The workspace sends 7.5 times its usual, twice. */
+    /** Typical load, with the peaks of the regions at different times. */
+    CALM(Load.TYPICAL),
+    /** The workspace sends 7.5 times its typical load, in two bursts. */
     HOT(Load.HOT),
-    /** It does so while it was at its rate before. */
+    /** The same bursts, with a load close to the rate before and between them. */
     HOT_AT_THE_RATE(Load.HOT_AT_THE_RATE),
-    /** The usual load while all regions are cut from each other. */
-    CUT(Load.USUAL) {
+    /** Typical load while all regions are partitioned from each other. */
+    CUT(Load.TYPICAL) {
         @Override
-        boolean isCut(double second) {
+        boolean isPartitioned(double second) {
             return second >= 10 && second < 18;
         }
     },
-    /** A hot workspace while all regions are cut from each other. */
+    /** A hot workspace while all regions are partitioned from each other. */
     HOT_AND_CUT(Load.HOT) {
         @Override
-        boolean isCut(double second) {
+        boolean isPartitioned(double second) {
             return second >= 10 && second < 18;
         }
     },
-    /** A hot workspace while all instances are killed, and back a second later. */
+    /** A hot workspace while all instances are killed and start again a second later. */
     HOT_AND_KILLED(Load.HOT) {
         @Override
         boolean isDown(int instance, double second) {
             return second >= 11 && second < 12;
         }
     },
-    /** A hot workspace while those that add up are killed, again and again. */
+    /** A hot workspace while the aggregators are killed repeatedly. */
     HOT_WITHOUT_ADDERS(Load.HOT) {
         @Override
         boolean isDown(int instance, double second) {
-            return instance < ADDERS_KILLED && second % 4 >= 2;
+            return instance < AGGREGATORS_KILLED && second % 4 >= 2;
         }
     },
-    /** A hot workspace, a tenth of all datagrams lost. */
+    /** A hot workspace while a tenth of all datagrams is lost. */
     HOT_AND_LOSSY(Load.HOT) {
         @Override
-        double lost() {
+        double lossShare() {
             return 0.1;
         }
     },
-    /** The rate is lowered to a third of what comes. */
-    LOWERED(Load.USUAL) {
+    /** The rate is lowered to a third of the load. */
+    LOWERED(Load.TYPICAL) {
         @Override
         double rate(double second) {
             return second >= 10 ? 0.2 : 1;
         }
     };
 
-    /** Instances are numbered by zone, the first of each zone first. */
-    private static final int ADDERS_KILLED = 12;
+    /**
+     * Instances are numbered round-robin over the zones, so that the first instances of all zones
+     * come first.
+     */
+    private static final int AGGREGATORS_KILLED = 12;
 
     private final Load mLoad;
 
@@ -60,46 +63,44 @@
         mLoad = load;
     }
 
-    /** Gives the load against the usual. */
+    /** Returns the load relative to the typical load. */
     double load(double second) {
-        boolean isHot = second >= 8 && second < 14 || second >= 18 && second < 21;
-        return isHot ? mLoad.mHot : mLoad.mCalm;
+        boolean isBurst = second >= 8 && second < 14 || second >= 18 && second < 21;
+        return isBurst ? mLoad.mBurstFactor : mLoad.mBaseFactor;
     }
 
-    /** Gives the rate against the first one. */
+    /** Returns the rate relative to the initial rate. */
     double rate(double second) {
         return 1;
     }
 
-    /** Tells whether the regions are cut from each other. */
-    boolean isCut(double second) {
+    /** Determines whether the regions are partitioned from each other. */
+    boolean isPartitioned(double second) {
         return false;
     }
 
-    /** Tells whether an instance is down. */
+    /** Determines whether an instance is down. */
     boolean isDown(int instance, double second) {
         return false;
     }
 
-    /** Gives the share of datagrams that are lost. */
-    double lost() {
+    /** Returns the share of datagrams that are lost. */
+    double lossShare() {
         return 0;
     }
 
-    /**
-     * How many requests come against the usual, while the workspace is hot and before and after.
-     */
+    /** Number of requests relative to the typical load, outside the bursts and during them. */
     private enum Load {
-        USUAL(1, 1),
+        TYPICAL(1, 1),
         HOT(1, 7.5),
         HOT_AT_THE_RATE(1.55, 7.5);
 
-        private final double mCalm;
-        private final double mHot;
+        private final double mBaseFactor;
+        private final double mBurstFactor;
 
-        Load(double calm, double hot) {
-            mCalm = calm;
-            mHot = hot;
+        Load(double baseFactor, double burstFactor) {
+            mBaseFactor = baseFactor;
+            mBurstFactor = burstFactor;
         }
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/rate/RateSharingStrategy.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/rate/RateSharingStrategy.java
@@ -6,53 +6,53 @@
 import io.masticpond.core.workspace.RateLimit;
 import java.time.Duration;
 
-/** A way to share a rate among instances. */
+/** Strategies for sharing the rate of a workspace among instances. */
 enum RateSharingStrategy {
-    /** As the product does it. */
+    /** Shared credit, as implemented by {@link SharedRate}. */
     SHARED_CREDIT {
         @Override
-        InstanceRate make(RateLimit limit, int instances, long nowNanos) {
-            return new Product(new SharedRate(limit, SETTINGS, instances, nowNanos));
+        InstanceRate create(RateLimit limit, int instances, long nowNanos) {
+            return new SharedCredit(new SharedRate(limit, SETTINGS, instances, nowNanos));
         }
     },
-    /** Each instance has an equal part for itself. */
+    /** Each instance has an equal, fixed part of the rate. */
     FIXED_PARTS {
         @Override
-        InstanceRate make(RateLimit limit, int instances, long nowNanos) {
+        InstanceRate create(RateLimit limit, int instances, long nowNanos) {
             return new FixedPart(limit, instances, nowNanos);
         }
     },
-    /** Each lets through the share of its requests that the whole demand leaves. */
+    /** Each instance admits the share of its requests that the rate covers of the total demand. */
     IN_PROPORTION {
         @Override
-        InstanceRate make(RateLimit limit, int instances, long nowNanos) {
-            return new Proportion(limit, nowNanos);
+        InstanceRate create(RateLimit limit, int instances, long nowNanos) {
+            return new ProportionalShare(limit, nowNanos);
         }
     };
 
-    /** The bound of the rates. */
+    /** Settings that define the bound of the rates. */
     static final SharedRateSettings SETTINGS =
             new SharedRateSettings(Duration.ofSeconds(5), 0.1, 20);
 
-    private static final double NANOS = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
-    abstract InstanceRate make(RateLimit limit, int instances, long nowNanos);
+    abstract InstanceRate create(RateLimit limit, int instances, long nowNanos);
 
-    /** What one instance does. */
+    /** Rate limiter of one instance. */
     interface InstanceRate {
 
         boolean tryAdmit(double draw, long nowNanos);
 
         RateUsage report(long nowNanos);
 
-        void received(RateUsage others, int heardOf, long nowNanos);
+        void received(RateUsage others, int instanceCount, long nowNanos);
 
-        void instances(int all, long nowNanos);
+        void setInstanceCount(int instances, long nowNanos);
 
         void setLimit(RateLimit limit, long nowNanos);
     }
 
-    private record Product(SharedRate rate) implements InstanceRate {
+    private record SharedCredit(SharedRate rate) implements InstanceRate {
 
         @Override
         public boolean tryAdmit(double draw, long nowNanos) {
@@ -69,13 +69,13 @@
         }
 
         @Override
-        public void received(RateUsage others, int heardOf, long nowNanos) {
-            rate.received(others, heardOf, nowNanos);
+        public void received(RateUsage others, int instanceCount, long nowNanos) {
+            rate.received(others, instanceCount, nowNanos);
         }
 
         @Override
-        public void instances(int all, long nowNanos) {
-            rate.setInstanceCount(all, nowNanos);
+        public void setInstanceCount(int instances, long nowNanos) {
+            rate.setInstanceCount(instances, nowNanos);
         }
 
         @Override
@@ -84,25 +84,26 @@
         }
     }
 
-    /** A bucket of a part of the rate. */
+    /** Token bucket with an equal part of the rate. */
     private static class FixedPart implements InstanceRate {
 
         private RateLimit mLimit;
         private int mInstances;
         private double mTokens;
-        private long mNanos;
+        private long mLastNanos;
 
         FixedPart(RateLimit limit, int instances, long nowNanos) {
             mLimit = limit;
             mInstances = instances;
-            mNanos = nowNanos;
+            mLastNanos = nowNanos;
         }
 
         @Override
         public boolean tryAdmit(double draw, long nowNanos) {
-            double grown = mLimit.perSecond() * (nowNanos - mNanos) / NANOS / mInstances;
-            mTokens = Math.min(mLimit.burst() / mInstances, mTokens + grown);
-            mNanos = nowNanos;
+            double refill =
+                    mLimit.perSecond() * (nowNanos - mLastNanos) / NANOS_PER_SECOND / mInstances;
+            mTokens = Math.min(mLimit.burst() / mInstances, mTokens + refill);
+            mLastNanos = nowNanos;
             if (mTokens < 1) {
                 return false;
             }
@@ -116,11 +117,11 @@
         }
 
         @Override
-        public void received(RateUsage others, int heardOf, long nowNanos) {}
+        public void received(RateUsage others, int instanceCount, long nowNanos) {}
 
         @Override
-        public void instances(int all, long nowNanos) {
-            mInstances = all;
+        public void setInstanceCount(int instances, long nowNanos) {
+            mInstances = instances;
         }
 
         @Override
@@ -129,37 +130,39 @@
         }
     }
 
-    /** The share of the demand that the rate covers, by what was last told. */
-    private static class Proportion implements InstanceRate {
+    /**
+     * Admits the share of the demand that the rate covers, by the demand that was last received.
+     */
+    private static class ProportionalShare implements InstanceRate {
 
-        private final SharedRate mCounts;
+        private final SharedRate mDemandMeter;
         private RateLimit mLimit;
         private double mOthers;
 
-        Proportion(RateLimit limit, long nowNanos) {
+        ProportionalShare(RateLimit limit, long nowNanos) {
             mLimit = limit;
-            mCounts = new SharedRate(limit, SETTINGS, 1, nowNanos);
+            mDemandMeter = new SharedRate(limit, SETTINGS, 1, nowNanos);
         }
 
         @Override
         public boolean tryAdmit(double draw, long nowNanos) {
-            mCounts.tryAdmit(1, nowNanos);
-            double demand = mOthers + mCounts.demand(nowNanos);
+            mDemandMeter.tryAdmit(1, nowNanos);
+            double demand = mOthers + mDemandMeter.demand(nowNanos);
             return draw * demand < mLimit.perSecond();
         }
 
         @Override
         public RateUsage report(long nowNanos) {
-            return mCounts.report(nowNanos);
+            return mDemandMeter.report(nowNanos);
         }
 
         @Override
-        public void received(RateUsage others, int heardOf, long nowNanos) {
+        public void received(RateUsage others, int instanceCount, long nowNanos) {
             mOthers = others.demand();
         }
 
         @Override
-        public void instances(int all, long nowNanos) {}
+        public void setInstanceCount(int instances, long nowNanos) {}
 
         @Override
         public void setLimit(RateLimit limit, long nowNanos) {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/rate/RateSimulation.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/rate/RateSimulation.java
@@ -12,39 +12,45 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 
-/** A fleet that keeps the rate of one workspace, on a simulated clock. */
+/** Simulation of a fleet that limits the rate of one workspace, on a simulated clock. */
 final class RateSimulation {
 
-    private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
-    private static final double SECOND = 1e9;
+    private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
+    private static final double NANOS_PER_SECOND = 1e9;
     private static final long END_NANOS = TimeUnit.SECONDS.toNanos(26);
 
-    /** Instances know each other before the first clients come. */
-    private static final long QUIET_NANOS = TimeUnit.SECONDS.toNanos(3);
+    /** Time for which the instances exchange reports before the first request arrives. */
+    private static final long LOAD_START_NANOS = TimeUnit.SECONDS.toNanos(3);
 
-    private static final long TELL_NANOS = 200 * MILLI;
-    private static final long TELL_ZONES_NANOS = 400 * MILLI;
-    private static final long IN_ZONE_NANOS = MILLI / 5;
-    private static final long BETWEEN_REGIONS_NANOS = 21 * MILLI;
+    private static final long REPORT_INTERVAL_NANOS = 200 * NANOS_PER_MILLI;
+    private static final long ZONE_REPORT_INTERVAL_NANOS = 400 * NANOS_PER_MILLI;
+    private static final long IN_REGION_DELAY_NANOS = NANOS_PER_MILLI / 5;
+    private static final long BETWEEN_REGIONS_DELAY_NANOS = 21 * NANOS_PER_MILLI;
 
-    /** Silence is noticed so late, and those that start hear of the others so late. */
-    private static final double NOTICED_SECONDS = 1.5;
+    /** Delay in seconds until an instance that is down is detected. */
+    private static final double DETECTION_SECONDS = 1.5;
 
-    private static final double HEARD_SECONDS = 0.4;
+    /**
+     * Delay in seconds until a started instance has received from the others and reports to them.
+     */
+    private static final double FIRST_REPORT_SECONDS = 0.4;
 
-    /** The store's list of instances is read so soon after a start. */
-    private static final double LISTED_SECONDS = 0.2;
+    /**
+     * Delay in seconds from the start of an instance to its first read of the store's list of
+     * instances.
+     */
+    private static final double FIRST_LIST_SECONDS = 0.2;
 
-    /** Who just started knows of these. */
+    /** Number of other instances that an instance knows when it starts. */
     private static final int SEEDS = 3;
 
-    private static final int HASH = 1;
-    private static final double SWING = 0.55;
-    private static final double WAVE_SECONDS = 36;
+    private static final int WORKSPACE_HASH = 1;
+    private static final double WAVE_AMPLITUDE = 0.55;
+    private static final double WAVE_PERIOD_SECONDS = 36;
 
     private record Event(long nanos, long order, Runnable task) {}
 
-    /** One instance with what it knows. */
+    /** State of one simulated instance. */
     private final class Instance {
 
         private final int mNumber;
@@ -53,30 +59,30 @@
         private RateSharingStrategy.InstanceRate mRate;
         private RateTotals mTotals = new RateTotals();
         private boolean mDown;
-        private int mTurn;
-        private double mStarted = -NOTICED_SECONDS;
+        private int mReportCount;
+        private double mStarted = -DETECTION_SECONDS;
 
         Instance(int number) {
             mNumber = number;
             mId = new InstanceId("instance-" + number);
-            mZone = number % mShape.zones();
-            mRate = mWay.make(limit(), mShape.instances(), 0);
+            mZone = number % mScenario.zones();
+            mRate = mStrategy.create(limit(), mScenario.instances(), 0);
         }
 
         int region() {
-            return mZone % mShape.regions();
+            return mZone % mScenario.regions();
         }
 
         void start() {
             mDown = false;
-            mStarted = mNow / SECOND;
+            mStarted = mNow / NANOS_PER_SECOND;
             mTotals = new RateTotals();
-            mRate = mWay.make(limit(), 1 + SEEDS, mNow);
+            mRate = mStrategy.create(limit(), 1 + SEEDS, mNow);
         }
     }
 
-    private final RateScenario mShape;
-    private final RateSharingStrategy mWay;
+    private final RateScenario mScenario;
+    private final RateSharingStrategy mStrategy;
     private final RatePattern mPattern;
     private final SplittableRandom mRandom;
     private final PriorityQueue<Event> mEvents =
@@ -86,56 +92,62 @@
                                     ? Long.compare(one.nanos(), other.nanos())
                                     : Long.compare(one.order(), other.order()));
     private final List<Instance> mInstances = new ArrayList<>();
-    private final RateStatistics mTally;
+    private final RateStatistics mStatistics;
     private long mNow;
     private long mOrder;
     private double mRateFactor = 1;
 
-    RateSimulation(RateScenario shape, RateSharingStrategy way, RatePattern pattern, long seed) {
-        mShape = shape;
-        mWay = way;
+    RateSimulation(
+            RateScenario scenario, RateSharingStrategy strategy, RatePattern pattern, long seed) {
+        mScenario = scenario;
+        mStrategy = strategy;
         mPattern = pattern;
         mRandom = new SplittableRandom(seed);
-        mTally = new RateStatistics(RateSharingStrategy.SETTINGS);
-        for (int number = 0; number < shape.instances(); number++) {
+        mStatistics = new RateStatistics(RateSharingStrategy.SETTINGS);
+        for (int number = 0; number < scenario.instances(); number++) {
             mInstances.add(new Instance(number));
         }
     }
 
     RateStatistics run() {
         for (Instance each : mInstances) {
-            long phase = (long) (mRandom.nextDouble() * TELL_NANOS);
-            at(phase, () -> tell(each));
+            long phase = (long) (mRandom.nextDouble() * REPORT_INTERVAL_NANOS);
+            schedule(phase, () -> report(each));
         }
-        for (int zone = 0; zone < mShape.zones(); zone++) {
+        for (int zone = 0; zone < mScenario.zones(); zone++) {
             int number = zone;
-            at((long) (mRandom.nextDouble() * TELL_ZONES_NANOS), () -> tellZone(number));
+            schedule(
+                    (long) (mRandom.nextDouble() * ZONE_REPORT_INTERVAL_NANOS),
+                    () -> reportZone(number));
         }
-        at(0, this::look);
-        at(QUIET_NANOS, this::arrive);
+        schedule(0, this::applyPattern);
+        schedule(LOAD_START_NANOS, this::admitNextRequest);
         while (!mEvents.isEmpty() && mEvents.peek().nanos() < END_NANOS) {
             Event event = mEvents.poll();
             mNow = event.nanos();
             event.task().run();
         }
-        return mTally;
+        return mStatistics;
     }
 
-    private void at(long nanos, Runnable task) {
+    private void schedule(long nanos, Runnable task) {
         mEvents.add(new Event(nanos, mOrder++, task));
     }
 
     private double second() {
-        return mNow / SECOND;
+        return mNow / NANOS_PER_SECOND;
     }
 
     private RateLimit limit() {
-        RateLimit first = mShape.limit();
+        RateLimit first = mScenario.limit();
         return new RateLimit(first.perSecond() * mRateFactor, first.burst() * mRateFactor);
     }
 
-    /** Sees what is down, and how many each instance believes to be alive. */
-    private void look() {
+    /**
+     * Applies the faults and the rate of the pattern, and updates the number of instances that each
+     * instance assumes to be alive.
+     */
+    private void applyPattern() {
         double factor = mPattern.rate(second());
         if (factor != mRateFactor) {
             mRateFactor = factor;
@@ -147,126 +159,132 @@
                 each.start();
             }
             each.mDown = down;
-            each.mRate.instances(all(each), mNow);
+            each.mRate.setInstanceCount(knownInstances(each), mNow);
         }
-        at(mNow + 100 * MILLI, this::look);
+        schedule(mNow + 100 * NANOS_PER_MILLI, this::applyPattern);
     }
 
-    private boolean hasHeard(Instance instance) {
-        return second() - instance.mStarted >= HEARD_SECONDS;
+    private boolean canReport(Instance instance) {
+        return second() - instance.mStarted >= FIRST_REPORT_SECONDS;
     }
 
-    private int all(Instance instance) {
-        boolean isListed = second() - instance.mStarted >= LISTED_SECONDS;
-        return isListed ? mShape.instances() : 1 + SEEDS;
+    private int knownInstances(Instance instance) {
+        boolean isListed = second() - instance.mStarted >= FIRST_LIST_SECONDS;
+        return isListed ? mScenario.instances() : 1 + SEEDS;
     }
 
-    /** The two that add up for a zone: the first ones that are not known to be gone. */
-    private List<Instance> adders(int zone) {
-        List<Instance> adders = new ArrayList<>();
-        double noticed = second() - NOTICED_SECONDS;
-        for (int number = zone; number < mInstances.size(); number += mShape.zones()) {
+    /** Returns the aggregators of a zone: its first two instances that are not known to be down. */
+    private List<Instance> aggregators(int zone) {
+        List<Instance> aggregators = new ArrayList<>();
+        double detectableSecond = second() - DETECTION_SECONDS;
+        for (int number = zone; number < mInstances.size(); number += mScenario.zones()) {
             Instance each = mInstances.get(number);
-            boolean isGone = each.mDown && mPattern.isDown(number, noticed);
-            if (!isGone && adders.size() < 2) {
-                adders.add(each);
+            boolean isKnownDown = each.mDown && mPattern.isDown(number, detectableSecond);
+            if (!isKnownDown && aggregators.size() < 2) {
+                aggregators.add(each);
             }
         }
-        return adders;
+        return aggregators;
     }
 
     private void send(Instance from, Instance to, Runnable task) {
         boolean isFar = from.region() != to.region();
-        boolean isLost = mRandom.nextDouble() < mPattern.lost();
-        if (from.mDown || isLost || isFar && mPattern.isCut(second())) {
+        boolean isLost = mRandom.nextDouble() < mPattern.lossShare();
+        if (from.mDown || isLost || isFar && mPattern.isPartitioned(second())) {
             return;
         }
-        long delay = isFar ? BETWEEN_REGIONS_NANOS : IN_ZONE_NANOS;
-        at(
+        long delay = isFar ? BETWEEN_REGIONS_DELAY_NANOS : IN_REGION_DELAY_NANOS;
+        schedule(
                 mNow + delay,
                 () -> {
                     if (!to.mDown) {
-                        mTally.message(isFar || from.mZone != to.mZone);
+                        mStatistics.recordMessage(isFar || from.mZone != to.mZone);
                         task.run();
                     }
                 });
     }
 
-    private void tell(Instance instance) {
-        at(mNow + TELL_NANOS, () -> tell(instance));
-        if (instance.mDown || !hasHeard(instance)) {
+    private void report(Instance instance) {
+        schedule(mNow + REPORT_INTERVAL_NANOS, () -> report(instance));
+        if (instance.mDown || !canReport(instance)) {
             return;
         }
-        RateUsage use = instance.mRate.report(mNow);
-        List<Instance> adders = adders(instance.mZone);
-        if (adders.isEmpty()) {
+        RateUsage usage = instance.mRate.report(mNow);
+        List<Instance> aggregators = aggregators(instance.mZone);
+        if (aggregators.isEmpty()) {
             return;
         }
-        Instance adder = adders.get(instance.mTurn++ % adders.size());
-        if (adder == instance) {
-            hear(adder, instance, use);
+        Instance aggregator = aggregators.get(instance.mReportCount++ % aggregators.size());
+        if (aggregator == instance) {
+            receive(aggregator, instance, usage);
         } else {
-            send(instance, adder, () -> hear(adder, instance, use));
+            send(instance, aggregator, () -> receive(aggregator, instance, usage));
         }
     }
 
-    private void hear(Instance adder, Instance from, RateUsage use) {
-        adder.mTotals.received(from.mId, 0, Map.of(HASH, use), mNow);
-        RateTotals.Sum sum = adder.mTotals.forInstance(from.mId, 0, mNow);
-        RateUsage others = sum.uses().getOrDefault(HASH, RateUsage.NONE);
-        if (adder == from) {
+    private void receive(Instance aggregator, Instance from, RateUsage usage) {
+        aggregator.mTotals.received(from.mId, 0, Map.of(WORKSPACE_HASH, usage), mNow);
+        RateTotals.Sum sum = aggregator.mTotals.forInstance(from.mId, 0, mNow);
+        RateUsage others = sum.uses().getOrDefault(WORKSPACE_HASH, RateUsage.NONE);
+        if (aggregator == from) {
             from.mRate.received(others, sum.instances(), mNow);
         } else {
-            send(adder, from, () -> from.mRate.received(others, sum.instances(), mNow));
+            send(aggregator, from, () -> from.mRate.received(others, sum.instances(), mNow));
         }
     }
 
-    private void tellZone(int zone) {
-        at(mNow + TELL_ZONES_NANOS, () -> tellZone(zone));
-        List<Instance> own = adders(zone);
+    private void reportZone(int zone) {
+        schedule(mNow + ZONE_REPORT_INTERVAL_NANOS, () -> reportZone(zone));
+        List<Instance> own = aggregators(zone);
         if (own.isEmpty() || own.get(0).mDown) {
             return;
         }
         RateTotals.Sum sum = own.get(0).mTotals.ofZone(0, mNow);
         ZoneId id = new ZoneId("zone-" + zone);
-        for (int other = 0; other < mShape.zones(); other++) {
+        for (int other = 0; other < mScenario.zones(); other++) {
             if (other != zone) {
-                for (Instance adder : adders(other)) {
-                    send(own.get(0), adder, () -> adder.mTotals.received(id, 0, sum, mNow));
+                for (Instance aggregator : aggregators(other)) {
+                    send(
+                            own.get(0),
+                            aggregator,
+                            () -> aggregator.mTotals.received(id, 0, sum, mNow));
                 }
             }
         }
     }
 
-    /** The load of each region is a wave, at its peak when that of another is low. */
+    /**
+     * Draws the region of a request. The load of each region is a sine wave, whose phase differs
+     * from region to region.
+     */
     private int drawRegion() {
-        double[] parts = new double[mShape.regions()];
+        double[] weights = new double[mScenario.regions()];
         double sum = 0;
-        for (int region = 0; region < parts.length; region++) {
-            double phase = (double) region / parts.length + second() / WAVE_SECONDS;
-            parts[region] = 1 + SWING * Math.sin(2 * Math.PI * phase);
-            sum += parts[region];
+        for (int region = 0; region < weights.length; region++) {
+            double phase = (double) region / weights.length + second() / WAVE_PERIOD_SECONDS;
+            weights[region] = 1 + WAVE_AMPLITUDE * Math.sin(2 * Math.PI * phase);
+            sum += weights[region];
         }
         double draw = mRandom.nextDouble() * sum;
         int region = 0;
-        while (draw >= parts[region] && region < parts.length - 1) {
-            draw -= parts[region++];
+        while (draw >= weights[region] && region < weights.length - 1) {
+            draw -= weights[region++];
         }
         return region;
     }
 
-    private void arrive() {
-        double load = mShape.typicalRate() * mPattern.load(second());
-        double gap = -Math.log(1 - mRandom.nextDouble()) / load;
-        at(mNow + (long) (gap * SECOND), this::arrive);
+    private void admitNextRequest() {
+        double load = mScenario.typicalRate() * mPattern.load(second());
+        double intervalSeconds = -Math.log(1 - mRandom.nextDouble()) / load;
+        schedule(mNow + (long) (intervalSeconds * NANOS_PER_SECOND), this::admitNextRequest);
         int region = drawRegion();
         List<Instance> near =
                 mInstances.stream().filter(each -> each.region() == region && !each.mDown).toList();
         if (near.isEmpty()) {
             return;
         }
-        Instance at = near.get(mRandom.nextInt(near.size()));
-        boolean isAdmitted = at.mRate.tryAdmit(mRandom.nextDouble(), mNow);
-        mTally.arrived(isAdmitted, limit(), mNow);
+        Instance target = near.get(mRandom.nextInt(near.size()));
+        boolean isAdmitted = target.mRate.tryAdmit(mRandom.nextDouble(), mNow);
+        mStatistics.recordRequest(isAdmitted, limit(), mNow);
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/rate/RateStatistics.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/rate/RateStatistics.java
@@ -5,69 +5,77 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** Holds what was let through against the bound, and against one exact bucket. */
+/**
+ * Statistics that compare the admitted requests with the bound and with a single exact token
+ * bucket.
+ */
 final class RateStatistics {
 
-    private static final double SECOND = 1e9;
-    private static final double UNUSED = 0.9;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final double NEARLY_FULL_SHARE = 0.9;
 
-    /** Under a lowered limit the bound holds once a window has passed. */
+    /**
+     * Settings of the bound. After a change of the limit the bound applies once a window has
+     * passed.
+     */
     private final SharedRateSettings mSettings;
 
     private final Deque<Long> mWindow = new ArrayDeque<>();
     private RateLimit mLimit;
-    private long mLimitNanos;
+    private long mLimitSinceNanos;
     private double mTokens;
-    private long mNanos;
-    private double mWorst;
-    private long mExact;
-    private long mServed;
+    private long mLastNanos;
+    private double mWorstWindow;
+    private long mExactAdmitted;
+    private long mAdmitted;
     private long mArrived;
-    private long mRefusedBelow;
+    private long mRefusedBelowRate;
     private long mMessages;
-    private long mFarMessages;
+    private long mCrossZoneMessages;
 
     RateStatistics(SharedRateSettings settings) {
         mSettings = settings;
     }
 
-    void message(boolean isFar) {
+    void recordMessage(boolean isCrossZone) {
         mMessages++;
-        mFarMessages += isFar ? 1 : 0;
+        mCrossZoneMessages += isCrossZone ? 1 : 0;
     }
 
-    void arrived(boolean isAdmitted, RateLimit limit, long nowNanos) {
+    void recordRequest(boolean isAdmitted, RateLimit limit, long nowNanos) {
         if (!limit.equals(mLimit)) {
             mTokens = mLimit == null ? limit.burst() : Math.min(mTokens, limit.burst());
-            mLimitNanos = mLimit == null ? nowNanos - window() : nowNanos;
+            mLimitSinceNanos = mLimit == null ? nowNanos - window() : nowNanos;
             mLimit = limit;
         }
         mArrived++;
         mTokens =
-                Math.min(limit.burst(), mTokens + limit.perSecond() * (nowNanos - mNanos) / SECOND);
-        mNanos = nowNanos;
-        boolean fits = mTokens >= 1;
-        if (fits) {
+                Math.min(
+                        limit.burst(),
+                        mTokens + limit.perSecond() * (nowNanos - mLastNanos) / NANOS_PER_SECOND);
+        mLastNanos = nowNanos;
+        boolean isExactAdmitted = mTokens >= 1;
+        if (isExactAdmitted) {
             mTokens -= 1;
-            mExact++;
+            mExactAdmitted++;
         }
-        // An exact bucket that is nearly full tells that the rate is not used up.
-        if (!isAdmitted && mTokens >= Math.max(1, UNUSED * limit.burst())) {
-            mRefusedBelow++;
+        // An exact bucket that is nearly full shows that the rate is not used up.
+        if (!isAdmitted && mTokens >= Math.max(1, NEARLY_FULL_SHARE * limit.burst())) {
+            mRefusedBelowRate++;
         }
         if (isAdmitted) {
-            admitted(nowNanos);
+            recordAdmission(nowNanos);
         }
     }
 
-    private void admitted(long nowNanos) {
-        mServed++;
+    private void recordAdmission(long nowNanos) {
+        mAdmitted++;
         mWindow.addLast(nowNanos);
         while (nowNanos - mWindow.peekFirst() >= window()) {
             mWindow.removeFirst();
         }
-        if (nowNanos - mLimitNanos >= window()) {
-            mWorst = Math.max(mWorst, mWindow.size() / bound());
+        if (nowNanos - mLimitSinceNanos >= window()) {
+            mWorstWindow = Math.max(mWorstWindow, mWindow.size() / bound());
         }
     }
 
@@ -76,30 +84,30 @@
     }
 
     private double bound() {
-        double most = mLimit.perSecond() * window() / SECOND + mLimit.burst();
-        return most * (1 + mSettings.tolerance()) + mSettings.slack();
+        double maximum = mLimit.perSecond() * window() / NANOS_PER_SECOND + mLimit.burst();
+        return maximum * (1 + mSettings.tolerance()) + mSettings.slack();
     }
 
-    /** Gives the fullest window against the bound. */
-    double worst() {
-        return mWorst;
+    /** Returns the number of requests in the fullest window relative to the bound. */
+    double worstWindow() {
+        return mWorstWindow;
     }
 
-    /** Gives what was let through against what one exact bucket would have. */
-    double served() {
-        return mExact == 0 ? 1 : (double) mServed / mExact;
+    /** Returns the number of admitted requests relative to that of a single exact bucket. */
+    double servedShare() {
+        return mExactAdmitted == 0 ? 1 : (double) mAdmitted / mExactAdmitted;
     }
 
-    /** Gives the share of all requests that were refused while the rate was not used up. */
-    double refusedBelow() {
-        return mArrived == 0 ? 0 : (double) mRefusedBelow / mArrived;
+    /** Returns the share of all requests that were refused while the rate was not used up. */
+    double refusedBelowRate() {
+        return mArrived == 0 ? 0 : (double) mRefusedBelowRate / mArrived;
     }
 
     long messages() {
         return mMessages;
     }
 
-    long farMessages() {
-        return mFarMessages;
+    long crossZoneMessages() {
+        return mCrossZoneMessages;
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/rate/WorkspaceRatesMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/rate/WorkspaceRatesMeasure.java
@@ -9,7 +9,7 @@
 import java.util.Locale;
 
 /**
- * Plays loads and faults against the rates of workspaces.
+ * Measures the rates of workspaces in simulations of loads and faults.
  *
  * @since 0.2
  */
@@ -28,10 +28,10 @@
                     "of them between zones");
 
     private static final double SECONDS = 26;
-    private static final double MOST_WINDOW = 1.0;
-    private static final double MOST_REFUSED = 0.002;
-    private static final double MOST_REFUSED_CUT = 0.02;
-    private static final List<Double> USUAL = List.of(2.0, 20.0, 100.0, 300.0);
+    private static final double MAXIMUM_WINDOW = 1.0;
+    private static final double MAXIMUM_REFUSED = 0.002;
+    private static final double MAXIMUM_REFUSED_PARTITIONED = 0.02;
+    private static final List<Double> TYPICAL_RATES = List.of(2.0, 20.0, 100.0, 300.0);
 
     @Override
     public String name() {
@@ -50,63 +50,72 @@
     public MeasureReport run(long seed) {
         MeasureReport report = new MeasureReport();
         List<List<String>> rows = new ArrayList<>();
-        double worst = 0;
+        double worstWindow = 0;
         double refused = 0;
-        double refusedCut = 0;
-        for (RateScenario shape : shapes()) {
+        double refusedPartitioned = 0;
+        for (RateScenario scenario : scenarios()) {
             for (RatePattern pattern : RatePattern.values()) {
-                for (RateSharingStrategy way : ways(shape)) {
-                    RateStatistics tally = new RateSimulation(shape, way, pattern, seed).run();
-                    rows.add(row(shape, pattern, way, tally));
-                    if (way == RateSharingStrategy.SHARED_CREDIT) {
-                        worst = Math.max(worst, tally.worst());
-                        boolean isCut = pattern.isCut(SECONDS / 2);
-                        refused = Math.max(refused, isCut ? 0 : tally.refusedBelow());
-                        refusedCut = Math.max(refusedCut, isCut ? tally.refusedBelow() : 0);
+                for (RateSharingStrategy strategy : strategies(scenario)) {
+                    RateStatistics statistics =
+                            new RateSimulation(scenario, strategy, pattern, seed).run();
+                    rows.add(row(scenario, pattern, strategy, statistics));
+                    if (strategy == RateSharingStrategy.SHARED_CREDIT) {
+                        worstWindow = Math.max(worstWindow, statistics.worstWindow());
+                        boolean isPartitioned = pattern.isPartitioned(SECONDS / 2);
+                        refused =
+                                Math.max(
+                                        refused, isPartitioned ? 0 : statistics.refusedBelowRate());
+                        refusedPartitioned =
+                                Math.max(
+                                        refusedPartitioned,
+                                        isPartitioned ? statistics.refusedBelowRate() : 0);
                     }
                 }
             }
         }
         report.table(new MeasureTable("Rates of workspaces, seed " + seed, COLUMNS, rows));
-        report.figure("worstWindow", worst, MeasureTarget.atMost(MOST_WINDOW));
-        report.figure("refusedBelowRate", refused, MeasureTarget.atMost(MOST_REFUSED));
-        report.figure("refusedWhileCut", refusedCut, MeasureTarget.atMost(MOST_REFUSED_CUT));
+        report.figure("worstWindow", worstWindow, MeasureTarget.atMost(MAXIMUM_WINDOW));
+        report.figure("refusedBelowRate", refused, MeasureTarget.atMost(MAXIMUM_REFUSED));
+        report.figure(
+                "refusedWhileCut",
+                refusedPartitioned,
+                MeasureTarget.atMost(MAXIMUM_REFUSED_PARTITIONED));
         return report;
     }
 
-    private static List<RateScenario> shapes() {
-        List<RateScenario> shapes = new ArrayList<>();
-        for (double usual : USUAL) {
-            shapes.add(new RateScenario(10, 3, usual));
-            shapes.add(new RateScenario(67, 3, usual));
-            shapes.add(new RateScenario(95, 3, usual));
-            shapes.add(new RateScenario(410, 5, usual));
+    private static List<RateScenario> scenarios() {
+        List<RateScenario> scenarios = new ArrayList<>();
+        for (double typicalRate : TYPICAL_RATES) {
+            scenarios.add(new RateScenario(10, 3, typicalRate));
+            scenarios.add(new RateScenario(67, 3, typicalRate));
+            scenarios.add(new RateScenario(95, 3, typicalRate));
+            scenarios.add(new RateScenario(410, 5, typicalRate));
         }
-        return shapes;
+        return scenarios;
     }
 
-    private static List<RateSharingStrategy> ways(RateScenario shape) {
-        return shape.instances() == 67
+    private static List<RateSharingStrategy> strategies(RateScenario scenario) {
+        return scenario.instances() == 67
                 ? List.of(RateSharingStrategy.values())
                 : List.of(RateSharingStrategy.SHARED_CREDIT);
     }
 
     private static List<String> row(
-            RateScenario shape,
+            RateScenario scenario,
             RatePattern pattern,
-            RateSharingStrategy way,
-            RateStatistics tally) {
-        double instanceSeconds = shape.instances() * SECONDS;
+            RateSharingStrategy strategy,
+            RateStatistics statistics) {
+        double instanceSeconds = scenario.instances() * SECONDS;
         return List.of(
-                String.valueOf(shape.instances()),
-                number(shape.typicalRate()),
+                String.valueOf(scenario.instances()),
+                number(scenario.typicalRate()),
                 words(pattern),
-                words(way),
-                number(tally.worst()),
-                number(tally.served()),
-                String.format(Locale.ROOT, "%.4f", tally.refusedBelow()),
-                number(tally.messages() / instanceSeconds),
-                number(tally.farMessages() / instanceSeconds));
+                words(strategy),
+                number(statistics.worstWindow()),
+                number(statistics.servedShare()),
+                String.format(Locale.ROOT, "%.4f", statistics.refusedBelowRate()),
+                number(statistics.messages() / instanceSeconds),
+                number(statistics.crossZoneMessages() / instanceSeconds));
     }
 
     private static String words(Enum<?> constant) {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/rate/package-info.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/rate/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A model of the rates of workspaces over many instances: the product's classes on a simulated
- * clock, and the ways that they were weighed against.
+ * Simulation of the rates of workspaces over many instances, with the product's classes on a
+ * simulated clock and the alternative strategies that they were compared with.
  */
 package io.masticpond.measure.rate;
