--- a/masticpond-measure/src/main/java/io/masticpond/measure/support/AbstractRefusingCallerService.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/support/AbstractRefusingCallerService.java
@@ -11,7 +11,8 @@
 import java.util.function.Consumer;
 
 /**
- * Is ready, gives no operation keys and refuses each request at once.
+ * Base class for a {@link CallerService} that is always ready, issues no operation keys and refuses
+ * each request immediately.
  *
  * @since 0.2
  */
@@ -20,9 +21,9 @@
     private final Refusal mRefusal;
 
     /**
-     * Makes a service.
+     * Creates a service.
      *
-     * @param refusal how each request ends
+     * @param refusal the refusal with which each request ends
      */
     protected AbstractRefusingCallerService(Refusal refusal) {
         mRefusal = Assert.notNull(refusal, "A refusal");
--- a/masticpond-measure/src/main/java/io/masticpond/measure/support/Deployment.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/support/Deployment.java
@@ -24,7 +24,7 @@
 import java.util.Optional;
 
 /**
- * The two deployments of today, with nine instances in six availability zones.
+ * The two current deployments, each with nine instances in six availability zones.
  *
  * @since 0.1
  */
@@ -50,7 +50,7 @@
                     new Service("booking", 12, List.of(3)),
                     new Service("billing", 12, List.of(3))));
 
-    /** How many availability zones a region has. */
+    /** Number of availability zones in a region. */
     public static final int ZONES_PER_REGION = 2;
 
     private static final int INSTANCES = 9;
@@ -61,11 +61,11 @@
     private static final int NANOS_PER_MICRO = 1_000;
 
     /**
-     * A service with its backend servers.
+     * A service and its backend servers.
      *
-     * @param name the service
-     * @param servers how many backend servers it has
-     * @param slots the slots of its backend servers, taken in turn
+     * @param name the name of the service
+     * @param servers the number of its backend servers
+     * @param slots the slot counts of its backend servers, assigned cyclically
      */
     private record Service(String name, int servers, List<Integer> slots) {}
 
@@ -89,7 +89,7 @@
     }
 
     /**
-     * Gives the one-way delay between regions.
+     * Returns the one-way delay between regions.
      *
      * @return the delay
      */
@@ -98,7 +98,7 @@
     }
 
     /**
-     * Gives the one-way delay between availability zones of a region.
+     * Returns the one-way delay between the availability zones of a region.
      *
      * @return the delay
      */
@@ -107,7 +107,7 @@
     }
 
     /**
-     * Lists the services, the one under most load first.
+     * Returns the services, the most heavily loaded one first.
      *
      * @return the services
      */
@@ -116,7 +116,7 @@
     }
 
     /**
-     * Lists the availability zones, one of each region in turn.
+     * Returns the availability zones, alternating between the regions.
      *
      * @return the availability zones
      */
@@ -131,8 +131,8 @@
     }
 
     /**
-     * Builds the configuration: every place with a site near it and a block of clients
-     * "10.N.0.0/16".
+     * Builds the configuration, in which every availability zone has a nearby site and a client
+     * block "10.N.0.0/16".
      *
      * @return the configuration
      */
@@ -197,7 +197,7 @@
     }
 
     /**
-     * Lists the instances, all live.
+     * Returns the instances, all of them live.
      *
      * @return the instances
      */
--- a/masticpond-measure/src/main/java/io/masticpond/measure/support/EventQueue.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/support/EventQueue.java
@@ -7,10 +7,11 @@
 import java.util.PriorityQueue;
 
 /**
- * Runs actions in the order of their virtual times, so that a measure needs no real waiting.
+ * Event queue in virtual time, which runs actions in the order of their due times, so that a
+ * measure never waits in real time.
  *
- * <p>Actions of one time run in the order in which they were scheduled. Not safe for several
- * threads.
+ * <p>Actions due at the same time run in the order in which they were scheduled. Instances are not
+ * thread-safe.
  *
  * @since 0.1
  */
@@ -21,7 +22,7 @@
     private long mNextSequence;
 
     /**
-     * Gives the clock that the queue moves.
+     * Returns the clock that this queue advances.
      *
      * @return the clock
      */
@@ -30,7 +31,7 @@
     }
 
     /**
-     * Tells the virtual time.
+     * Returns the virtual time.
      *
      * @return nanoseconds since the start
      */
@@ -39,7 +40,7 @@
     }
 
     /**
-     * Schedules an action at a time.
+     * Schedules an action at an absolute virtual time.
      *
      * @param nanos the time in nanoseconds since the start, not in the past
      * @param action the action
@@ -60,15 +61,15 @@
         schedule(nanos() + delayNanos, action);
     }
 
-    /** Runs until no action is left. */
+    /** Runs all actions until the queue is empty. */
     public void run() {
         runUntil(Long.MAX_VALUE);
     }
 
     /**
-     * Runs the actions that are due up to a time.
+     * Runs the actions that are due up to a time, and advances the clock to that time.
      *
-     * @param nanos the time in nanoseconds since the start; actions at that time run
+     * @param nanos the time in nanoseconds since the start, inclusive
      */
     public void runUntil(long nanos) {
         while (!mEvents.isEmpty() && mEvents.peek().nanos() <= nanos) {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/support/package-info.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/support/package-info.java
@@ -1,2 +1,5 @@
-/** What several measures share: virtual time, deployments, a service that refuses. */
+/**
+ * Classes shared by several measures: virtual time, deployments and a service that refuses every
+ * request.
+ */
 package io.masticpond.measure.support;
