--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/CentralQueuePolicy.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/CentralQueuePolicy.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.Queue;
 
-/** One queue for all slots, first come first served, with no delay. */
+/** Policy with a single first-come, first-served queue for all slots and no delay. */
 final class CentralQueuePolicy implements TailPolicy {
 
     private final TailRun mRun;
@@ -24,12 +24,12 @@
             FakeServer fake = mRun.servers().get(server);
             while (!mWaiting.isEmpty() && fake.load() < fake.slots()) {
                 int request = mWaiting.remove();
-                mRun.serve(server, request, () -> end(request));
+                mRun.serve(server, request, () -> complete(request));
             }
         }
     }
 
-    private void end(int request) {
+    private void complete(int request) {
         mRun.answered(request);
         serveWaiting();
     }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/DirectPolicy.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/DirectPolicy.java
@@ -2,7 +2,10 @@
 
 import io.masticpond.measure.support.EventQueue;
 
-/** Entry instances send straight to a server that they choose, which queues what it must. */
+/**
+ * Policy in which an entry instance sends directly to a server of its choice, which queues requests
+ * beyond its slots.
+ */
 final class DirectPolicy implements TailPolicy {
 
     private final TailRun mRun;
@@ -15,7 +18,7 @@
 
     @Override
     public void arrive(int request) {
-        mRun.events().after(TailTopology.FAR_NANOS, () -> send(request));
+        mRun.events().after(TailTopology.LONG_DELAY_NANOS, () -> send(request));
     }
 
     private void send(int request) {
@@ -23,11 +26,12 @@
         int server = mChooser.choose(instance);
         long delay = TailTopology.instanceToServerNanos(instance, server);
         EventQueue events = mRun.events();
-        Runnable back =
+        Runnable onResponse =
                 () -> {
                     mChooser.answered(instance, server);
-                    events.after(TailTopology.FAR_NANOS, () -> mRun.answered(request));
+                    events.after(TailTopology.LONG_DELAY_NANOS, () -> mRun.answered(request));
                 };
-        events.after(delay, () -> mRun.serve(server, request, () -> events.after(delay, back)));
+        events.after(
+                delay, () -> mRun.serve(server, request, () -> events.after(delay, onResponse)));
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/FakeServer.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/FakeServer.java
@@ -4,17 +4,17 @@
 import java.util.ArrayDeque;
 import java.util.Queue;
 
-/** A backend server that works on as many requests as it has slots and queues the rest. */
+/** Fake backend server that processes as many requests as it has slots and queues the rest. */
 final class FakeServer {
 
     private record Work(long nanos, Runnable done) {}
 
     private final EventQueue mEvents;
     private final int mSlots;
-    private final Queue<Work> mWaiting = new ArrayDeque<>();
+    private final Queue<Work> mQueue = new ArrayDeque<>();
     private int mRunning;
     private int mPeakLoad;
-    private long mSettledNanos;
+    private long mLastUpdateNanos;
     private long mOverloadedNanos;
 
     FakeServer(EventQueue events, int slots) {
@@ -23,25 +23,25 @@
     }
 
     /**
-     * Takes a request.
+     * Submits a request.
      *
-     * @param nanos how long the work takes
-     * @param done called when it is done
+     * @param nanos the service time in nanoseconds
+     * @param done called on completion
      */
     void submit(long nanos, Runnable done) {
-        settle();
-        mWaiting.add(new Work(nanos, done));
+        updateOverloadedTime();
+        mQueue.add(new Work(nanos, done));
         mPeakLoad = Math.max(mPeakLoad, load());
         startNext();
     }
 
     /**
-     * Counts the requests that it works on or queues.
+     * Returns the number of requests that this server processes or queues.
      *
-     * @return the requests
+     * @return the number of requests
      */
     int load() {
-        return mRunning + mWaiting.size();
+        return mRunning + mQueue.size();
     }
 
     int slots() {
@@ -49,42 +49,42 @@
     }
 
     /**
-     * Gives the greatest load so far as a share of the slots.
+     * Returns the peak load so far as a fraction of the slots.
      *
-     * @return above 1 if it ever had to queue
+     * @return the fraction, above 1 if a request was ever queued
      */
     double peakUse() {
         return (double) mPeakLoad / mSlots;
     }
 
     /**
-     * Tells how long it had more requests than slots.
+     * Returns the total time for which this server had more requests than slots.
      *
-     * @return nanoseconds
+     * @return the time in nanoseconds
      */
     long overloadedNanos() {
         return mOverloadedNanos;
     }
 
-    private void settle() {
+    private void updateOverloadedTime() {
         long nanos = mEvents.nanos();
         if (load() > mSlots) {
-            mOverloadedNanos += nanos - mSettledNanos;
+            mOverloadedNanos += nanos - mLastUpdateNanos;
         }
-        mSettledNanos = nanos;
+        mLastUpdateNanos = nanos;
     }
 
     private void startNext() {
-        if (mRunning >= mSlots || mWaiting.isEmpty()) {
+        if (mRunning >= mSlots || mQueue.isEmpty()) {
             return;
         }
-        Work work = mWaiting.remove();
+        Work work = mQueue.remove();
         mRunning++;
-        mEvents.after(work.nanos(), () -> end(work));
+        mEvents.after(work.nanos(), () -> complete(work));
     }
 
-    private void end(Work work) {
-        settle();
+    private void complete(Work work) {
+        updateOverloadedTime();
         mRunning--;
         startNext();
         work.done().run();
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/ForwardPolicy.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/ForwardPolicy.java
@@ -4,7 +4,7 @@
 import io.masticpond.measure.support.EventQueue;
 import java.util.List;
 
-/** Entry instances forward requests to the real admission at one instance. */
+/** Policy in which entry instances forward requests to the real admission at one instance. */
 final class ForwardPolicy implements TailPolicy {
 
     private static final int ADMITTER = 0;
@@ -24,11 +24,14 @@
 
     @Override
     public void arrive(int request) {
-        mEvents.after(TailTopology.FAR_NANOS + toAdmitter(request), () -> mAdmitter.offer(request));
+        mEvents.after(
+                TailTopology.LONG_DELAY_NANOS + toAdmitter(request),
+                () -> mAdmitter.offer(request));
     }
 
     private void answered(int request) {
-        mEvents.after(toAdmitter(request) + TailTopology.FAR_NANOS, () -> mRun.answered(request));
+        mEvents.after(
+                toAdmitter(request) + TailTopology.LONG_DELAY_NANOS, () -> mRun.answered(request));
     }
 
     private long toAdmitter(int request) {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/GrantPolicy.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/GrantPolicy.java
@@ -4,7 +4,10 @@
 import java.util.ArrayDeque;
 import java.util.Queue;
 
-/** Entry instances ask an admitter for a slot and send the request when it is granted. */
+/**
+ * Policy in which an entry instance requests a slot from an admitter and sends the request once the
+ * slot is granted.
+ */
 final class GrantPolicy implements TailPolicy {
 
     private static final int ADMITTER = 0;
@@ -25,7 +28,7 @@
     @Override
     public void arrive(int request) {
         mEvents.after(
-                TailTopology.FAR_NANOS + toAdmitter(request),
+                TailTopology.LONG_DELAY_NANOS + toAdmitter(request),
                 () -> {
                     mWaiting.add(request);
                     grantWaiting();
@@ -44,14 +47,14 @@
         mFree[server]--;
         int instance = mRun.workload().entries()[request];
         long delay = TailTopology.instanceToServerNanos(instance, server);
-        Runnable back =
+        Runnable onResponse =
                 () -> {
-                    mEvents.after(TailTopology.FAR_NANOS, () -> mRun.answered(request));
+                    mEvents.after(TailTopology.LONG_DELAY_NANOS, () -> mRun.answered(request));
                     mEvents.after(toAdmitter(request), () -> release(server));
                 };
         mEvents.after(
                 toAdmitter(request) + delay,
-                () -> mRun.serve(server, request, () -> mEvents.after(delay, back)));
+                () -> mRun.serve(server, request, () -> mEvents.after(delay, onResponse)));
     }
 
     private void release(int server) {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/LoadReportFeed.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/LoadReportFeed.java
@@ -6,10 +6,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** The load reports of the backend servers, 500 to 600 ms old. */
+/** Source of the backend servers' load reports, which are 500 to 600 ms old when used. */
 final class LoadReportFeed {
 
-    /** How old a report may be when it is used. */
+    /** Maximum age of a report when it is used. */
     static final Duration MAXIMUM_AGE = Duration.ofMillis(600);
 
     private static final long LAG_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
@@ -19,39 +19,39 @@
     private final List<FakeServer> mServers;
     private final long mEndNanos;
     private Consumer<int[]> mListener = loads -> {};
-    private int[] mLoads;
+    private int[] mLatestLoads;
 
     /**
-     * Starts with reports of idle servers.
+     * Creates a feed that initially reports idle servers.
      *
-     * @param events the virtual time
+     * @param events the event queue of the run
      * @param servers the servers
-     * @param endNanos when reports stop
+     * @param endNanos the virtual time at which reports stop, in nanoseconds
      */
     LoadReportFeed(EventQueue events, List<FakeServer> servers, long endNanos) {
         mEvents = events;
         mServers = servers;
         mEndNanos = endNanos;
-        mLoads = new int[servers.size()];
+        mLatestLoads = new int[servers.size()];
         events.schedule(0, this::sample);
     }
 
     /**
-     * Tells what the newest report that has arrived says.
+     * Returns the load in the latest report that has arrived.
      *
      * @param server the server
-     * @return the requests that it works on or queues
+     * @return the number of requests that the server processes or queues
      */
     int load(int server) {
-        return mLoads[server];
+        return mLatestLoads[server];
     }
 
     /**
-     * Passes every report on when it arrives.
+     * Sets the listener that receives every report on arrival.
      *
-     * @param listener takes the load of each server
+     * @param listener the listener, which receives the load of each server
      */
-    void listen(Consumer<int[]> listener) {
+    void setListener(Consumer<int[]> listener) {
         mListener = listener;
     }
 
@@ -64,7 +64,7 @@
     }
 
     private void arrive(int[] loads) {
-        mLoads = loads;
+        mLatestLoads = loads;
         mListener.accept(loads);
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/LocalRequestCounts.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/LocalRequestCounts.java
@@ -1,6 +1,6 @@
 package io.masticpond.measure.tail;
 
-/** Counts the requests of each instance at each server. */
+/** Counters of the requests in flight from each instance to each server. */
 final class LocalRequestCounts {
 
     private final int[][] mCounts = new int[TailTopology.INSTANCES][TailTopology.SERVERS];
@@ -10,10 +10,10 @@
     }
 
     /**
-     * Counts what a chooser sends.
+     * Wraps a chooser so that its choices are counted here.
      *
      * @param chooser the chooser
-     * @return the same choices, counted
+     * @return a chooser that makes the same choices and counts them
      */
     ServerChooser counting(ServerChooser chooser) {
         return new ServerChooser() {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/ProbePolicy.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/ProbePolicy.java
@@ -2,7 +2,10 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Entry instances probe two servers, which takes 6 ms, and send to the one with less load. */
+/**
+ * Policy in which an entry instance probes two servers, which takes 6 ms, and sends the request to
+ * the one with the lower load.
+ */
 final class ProbePolicy implements TailPolicy {
 
     private static final long HALF_PROBE_NANOS = TimeUnit.MILLISECONDS.toNanos(3);
@@ -17,19 +20,19 @@
 
     @Override
     public void arrive(int request) {
-        mRun.events().after(TailTopology.FAR_NANOS + HALF_PROBE_NANOS, () -> probe(request));
+        mRun.events().after(TailTopology.LONG_DELAY_NANOS + HALF_PROBE_NANOS, () -> probe(request));
     }
 
     private void probe(int request) {
         int instance = mRun.workload().entries()[request];
         int server = mChooser.choose(instance);
         long delay = TailTopology.instanceToServerNanos(instance, server);
-        Runnable back =
+        Runnable onServed =
                 () ->
                         mRun.events()
                                 .after(
-                                        delay + TailTopology.FAR_NANOS,
+                                        delay + TailTopology.LONG_DELAY_NANOS,
                                         () -> mRun.answered(request));
-        mRun.events().after(HALF_PROBE_NANOS + delay, () -> mRun.serve(server, request, back));
+        mRun.events().after(HALF_PROBE_NANOS + delay, () -> mRun.serve(server, request, onServed));
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/RoundRobinChooser.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/RoundRobinChooser.java
@@ -1,6 +1,6 @@
 package io.masticpond.measure.tail;
 
-/** Takes the servers in turn, each instance for itself. */
+/** {@link ServerChooser} that cycles through the servers, independently for each instance. */
 final class RoundRobinChooser implements ServerChooser {
 
     private final int[] mNext = new int[TailTopology.INSTANCES];
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/ServerChooser.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/ServerChooser.java
@@ -1,6 +1,6 @@
 package io.masticpond.measure.tail;
 
-/** Chooses a backend server at an entry instance. */
+/** Strategy interface for choosing a backend server at an entry instance. */
 @FunctionalInterface
 interface ServerChooser {
 
@@ -13,7 +13,7 @@
     int choose(int instance);
 
     /**
-     * Takes that an answer of a server came back.
+     * Notifies this chooser that an answer of a server arrived at the entry instance.
      *
      * @param instance the entry instance
      * @param server the server
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/StaticSharePolicy.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/StaticSharePolicy.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.Queue;
 
-/** Each entry instance queues for the slots of its own static share; all shares are even. */
+/**
+ * Policy in which each entry instance queues for the slots of its own static share; all shares are
+ * even.
+ */
 final class StaticSharePolicy implements TailPolicy {
 
     private final TailRun mRun;
@@ -17,18 +20,18 @@
         for (int instance = 0; instance < TailTopology.INSTANCES; instance++) {
             mWaiting.add(new ArrayDeque<>());
         }
-        int dealt = 0;
+        int assigned = 0;
         for (int server = 0; server < TailTopology.SERVERS; server++) {
             for (int slot = 0; slot < TailTopology.slots(server); slot++) {
-                mFree[dealt % TailTopology.INSTANCES][server]++;
-                dealt++;
+                mFree[assigned % TailTopology.INSTANCES][server]++;
+                assigned++;
             }
         }
     }
 
     @Override
     public void arrive(int request) {
-        mRun.events().after(TailTopology.FAR_NANOS, () -> queue(request));
+        mRun.events().after(TailTopology.LONG_DELAY_NANOS, () -> queue(request));
     }
 
     private void queue(int request) {
@@ -48,15 +51,20 @@
     private void send(int instance, int server, int request) {
         mFree[instance][server]--;
         long delay = TailTopology.instanceToServerNanos(instance, server);
-        Runnable back =
+        Runnable onResponse =
                 () -> {
                     mFree[instance][server]++;
-                    mRun.events().after(TailTopology.FAR_NANOS, () -> mRun.answered(request));
+                    mRun.events()
+                            .after(TailTopology.LONG_DELAY_NANOS, () -> mRun.answered(request));
                     sendWaiting(instance);
                 };
         mRun.events()
                 .after(
                         delay,
-                        () -> mRun.serve(server, request, () -> mRun.events().after(delay, back)));
+                        () ->
+                                mRun.serve(
+                                        server,
+                                        request,
+                                        () -> mRun.events().after(delay, onResponse)));
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/SteeringTailMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/SteeringTailMeasure.java
@@ -14,30 +14,30 @@
 import java.util.Set;
 
 /**
- * Compares the tail latency of steering policies.
+ * {@link Measure} that compares the tail latency of steering policies.
  *
  * @since 0.1
  */
 public final class SteeringTailMeasure implements Measure {
 
     private static final int REQUESTS = 80_000;
-    private static final Set<TailPolicyKind> ALL = EnumSet.allOf(TailPolicyKind.class);
-    private static final Set<TailPolicyKind> BASE =
+    private static final Set<TailPolicyKind> ALL_KINDS = EnumSet.allOf(TailPolicyKind.class);
+    private static final Set<TailPolicyKind> FAULT_FREE_KINDS =
             EnumSet.complementOf(EnumSet.of(TailPolicyKind.FORWARDED_FAULTS));
     private static final TailScenario SHORT =
-            new TailScenario("15 ms, 0.85", 15, 0.85, REQUESTS, BASE);
-    private static final TailScenario USUAL =
-            new TailScenario("40 ms, 0.85", 40, 0.85, REQUESTS, ALL);
+            new TailScenario("15 ms, 0.85", 15, 0.85, REQUESTS, FAULT_FREE_KINDS);
+    private static final TailScenario MEDIUM =
+            new TailScenario("40 ms, 0.85", 40, 0.85, REQUESTS, ALL_KINDS);
     private static final TailScenario LONG =
-            new TailScenario("120 ms, 0.85", 120, 0.85, REQUESTS, BASE);
+            new TailScenario("120 ms, 0.85", 120, 0.85, REQUESTS, FAULT_FREE_KINDS);
     private static final TailScenario BUSY =
-            new TailScenario("40 ms, 0.93", 40, 0.93, REQUESTS, BASE);
-    private static final List<TailScenario> SCENARIOS = List.of(SHORT, USUAL, LONG, BUSY);
+            new TailScenario("40 ms, 0.93", 40, 0.93, REQUESTS, FAULT_FREE_KINDS);
+    private static final List<TailScenario> SCENARIOS = List.of(SHORT, MEDIUM, LONG, BUSY);
 
     private static final double NANOS_PER_SECOND = 1e9;
-    private static final double USUAL_TARGET = 1.10;
+    private static final double MEDIUM_TARGET = 1.10;
     private static final double TWO_CHOICES_TARGET = 0.50;
-    private static final double HARD_TARGET = 1.20;
+    private static final double SHORT_AND_BUSY_TARGET = 1.20;
 
     @Override
     public String name() {
@@ -70,25 +70,27 @@
 
     private static void addFigures(
             MeasureReport report, Map<TailScenario, Map<TailPolicyKind, TailResult>> results) {
-        MeasureTarget hard = MeasureTarget.atMost(HARD_TARGET);
+        MeasureTarget shortAndBusyTarget = MeasureTarget.atMost(SHORT_AND_BUSY_TARGET);
         report.figure(
-                "p99OverIdeal", overIdeal(results.get(USUAL)), MeasureTarget.atMost(USUAL_TARGET));
+                "p99OverIdeal",
+                overIdeal(results.get(MEDIUM)),
+                MeasureTarget.atMost(MEDIUM_TARGET));
         report.figure(
                 "p99OverPowerOfTwoChoices",
                 ratio(
-                        results.get(USUAL),
+                        results.get(MEDIUM),
                         TailPolicyKind.FORWARDED,
                         TailPolicyKind.TWO_CHOICES_REPORTS),
                 MeasureTarget.atMost(TWO_CHOICES_TARGET));
-        report.figure("p99OverIdealShort", overIdeal(results.get(SHORT)), hard);
-        report.figure("p99OverIdealBusy", overIdeal(results.get(BUSY)), hard);
+        report.figure("p99OverIdealShort", overIdeal(results.get(SHORT)), shortAndBusyTarget);
+        report.figure("p99OverIdealBusy", overIdeal(results.get(BUSY)), shortAndBusyTarget);
         report.figure(
                 "p99OverIdealFaults",
                 ratio(
-                        results.get(USUAL),
+                        results.get(MEDIUM),
                         TailPolicyKind.FORWARDED_FAULTS,
                         TailPolicyKind.CENTRAL_QUEUE));
-        TailResult faults = results.get(USUAL).get(TailPolicyKind.FORWARDED_FAULTS);
+        TailResult faults = results.get(MEDIUM).get(TailPolicyKind.FORWARDED_FAULTS);
         report.figure("peakSlotUseFaults", faults.peakUse());
         report.figure("overloadedSecondsFaults", faults.overloadedNanos() / NANOS_PER_SECOND);
         report.figure("refusedFaults", faults.refused());
@@ -99,8 +101,9 @@
     }
 
     private static double ratio(
-            Map<TailPolicyKind, TailResult> results, TailPolicyKind kind, TailPolicyKind other) {
-        return results.get(kind).millis(TailResult.P99) / results.get(other).millis(TailResult.P99);
+            Map<TailPolicyKind, TailResult> results, TailPolicyKind kind, TailPolicyKind baseline) {
+        return results.get(kind).millis(TailResult.P99)
+                / results.get(baseline).millis(TailResult.P99);
     }
 
     private static MeasureTable table(
@@ -133,18 +136,18 @@
 
     private static MeasurePlot plot(Map<TailScenario, Map<TailPolicyKind, TailResult>> results) {
         List<MeasurePlot.Series> series = new ArrayList<>();
-        for (TailPolicyKind kind : BASE) {
-            Map<TailScenario, TailResult> perScenario = new LinkedHashMap<>();
-            for (TailScenario scenario : List.of(SHORT, USUAL, LONG)) {
-                perScenario.put(scenario, results.get(scenario).get(kind));
+        for (TailPolicyKind kind : FAULT_FREE_KINDS) {
+            Map<TailScenario, TailResult> resultsByScenario = new LinkedHashMap<>();
+            for (TailScenario scenario : List.of(SHORT, MEDIUM, LONG)) {
+                resultsByScenario.put(scenario, results.get(scenario).get(kind));
             }
             series.add(
                     new MeasurePlot.Series(
                             kind.title(),
-                            perScenario.keySet().stream()
+                            resultsByScenario.keySet().stream()
                                     .map(scenario -> (double) scenario.meanMillis())
                                     .toList(),
-                            perScenario.values().stream()
+                            resultsByScenario.values().stream()
                                     .map(result -> result.millis(TailResult.P99))
                                     .toList()));
         }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailAdmitter.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailAdmitter.java
@@ -23,14 +23,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntConsumer;
 
-/** The real admission at one instance, which sends to the fake servers. */
+/** Adapter that runs the real admission at one instance and dispatches to the fake servers. */
 final class TailAdmitter implements AdmissionSink {
 
     private static final ServiceId SERVICE = new ServiceId("layout-view");
     private static final Shard SHARD = new Shard(SERVICE, new RegionId("casa"), 0);
     private static final int PRIORITY = 5;
     private static final long DEADLINE_NANOS = TimeUnit.SECONDS.toNanos(10);
-    private static final long TICK_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+    private static final long TICK_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
     private final TailRun mRun;
     private final EventQueue mEvents;
@@ -42,13 +42,13 @@
     private final List<BackendServerSpecification> mServers = TailTopology.servers();
 
     /**
-     * Starts an admitter without servers.
+     * Creates an admitter without servers and starts its periodic tick.
      *
      * @param run the run
      * @param instance the number of its instance
      * @param process the process of its instance
-     * @param answered takes requests when their answers are back at the admitter
-     * @param refused takes requests that the admitter refuses
+     * @param answered called with a request when its answer has arrived at the admitter
+     * @param refused called with a request that the admitter refuses
      */
     TailAdmitter(
             TailRun run,
@@ -69,13 +69,13 @@
                         mEvents.timeSource(),
                         this,
                         Timeline.NONE);
-        mEvents.after(TICK_NANOS, this::tick);
+        mEvents.after(TICK_PERIOD_NANOS, this::tick);
     }
 
     /**
      * Configures the admission.
      *
-     * @param share how much of the slots it may use
+     * @param share the share of the slots that this admitter may use
      * @param admitters the instances that may admit
      */
     void configure(AdmissionShare share, List<InstanceId> admitters) {
@@ -83,14 +83,17 @@
         mProcess.deliver(() -> mAdmission.configure(mServers, slots));
     }
 
-    /** Gives up the role: what waits is refused at once, what is in flight goes on. */
+    /**
+     * Gives up the admitter role: waiting requests are refused immediately, requests in flight
+     * continue.
+     */
     void handOver() {
         SlotShare slots = SlotShare.whole(TailTopology.instance(mInstance));
         mProcess.deliver(() -> mAdmission.configure(List.of(), slots));
     }
 
     /**
-     * Offers a request, on arrival.
+     * Offers a request that arrives at this admitter.
      *
      * @param request the request
      */
@@ -99,7 +102,7 @@
     }
 
     /**
-     * Gives up a request, on arrival.
+     * Cancels a request, when its cancellation arrives at this admitter.
      *
      * @param request the request
      */
@@ -108,16 +111,16 @@
     }
 
     /**
-     * Takes load reports, on arrival.
+     * Records load reports that arrive at this admitter.
      *
      * @param loads the load that each server reports
      */
     void report(int[] loads) {
         for (int server = 0; server < loads.length; server++) {
-            BackendServerSignal sign =
+            BackendServerSignal signal =
                     new BackendServerSignal(BackendServerSignal.Kind.HEALTHY, loads[server]);
             BackendServerId id = mServers.get(server).id();
-            mProcess.deliver(() -> mAdmission.observe(id, sign));
+            mProcess.deliver(() -> mAdmission.observe(id, signal));
         }
     }
 
@@ -126,13 +129,13 @@
         int request = number(head.id().value());
         int server = number(id.value());
         long delay = TailTopology.instanceToServerNanos(mInstance, server);
-        Runnable back =
+        Runnable onResponse =
                 () -> {
                     mAnswered.accept(request);
                     mAdmission.complete(head.id(), AttemptOutcome.ANSWERED);
                 };
-        Runnable done = () -> mEvents.after(delay, () -> mProcess.deliver(back));
-        mEvents.after(delay, () -> mRun.serve(server, request, done));
+        Runnable onServed = () -> mEvents.after(delay, () -> mProcess.deliver(onResponse));
+        mEvents.after(delay, () -> mRun.serve(server, request, onServed));
     }
 
     @Override
@@ -143,7 +146,7 @@
     private void tick() {
         mProcess.deliver(mAdmission::advance);
         if (mEvents.nanos() < mRun.workload().endNanos()) {
-            mEvents.after(TICK_NANOS, this::tick);
+            mEvents.after(TICK_PERIOD_NANOS, this::tick);
         }
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailBench.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailBench.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.stream.LongStream;
 
-/** Runs every policy under every load, with several seeds. */
+/** Runner of every policy under every load, with several seeds. */
 final class TailBench {
 
     private static final int SEEDS = 3;
@@ -14,7 +14,7 @@
     private TailBench() {}
 
     /**
-     * Runs all.
+     * Runs all policies of all scenarios.
      *
      * @param scenarios the loads
      * @param seed the first seed
@@ -24,11 +24,11 @@
             List<TailScenario> scenarios, long seed) {
         Map<TailScenario, Map<TailPolicyKind, TailResult>> results = new LinkedHashMap<>();
         for (TailScenario scenario : scenarios) {
-            Map<TailPolicyKind, TailResult> perPolicy = new EnumMap<>(TailPolicyKind.class);
+            Map<TailPolicyKind, TailResult> resultsByKind = new EnumMap<>(TailPolicyKind.class);
             for (TailPolicyKind kind : scenario.policies()) {
-                perPolicy.put(kind, runSeeds(scenario, kind, seed));
+                resultsByKind.put(kind, runSeeds(scenario, kind, seed));
             }
-            results.put(scenario, perPolicy);
+            results.put(scenario, resultsByKind);
         }
         return results;
     }
@@ -37,7 +37,7 @@
         return LongStream.range(seed, seed + SEEDS)
                 .parallel()
                 .mapToObj(each -> runOnce(scenario, kind, each))
-                .reduce(TailResult::join)
+                .reduce(TailResult::merge)
                 .orElseThrow();
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailPolicy.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailPolicy.java
@@ -1,11 +1,11 @@
 package io.masticpond.measure.tail;
 
-/** A way to bring requests to backend servers. */
+/** Strategy interface for assigning requests to backend servers. */
 @FunctionalInterface
 interface TailPolicy {
 
     /**
-     * Takes a request that leaves its client now.
+     * Handles a request that leaves its client at the current virtual time.
      *
      * @param request the request
      */
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailPolicyKind.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailPolicyKind.java
@@ -1,22 +1,22 @@
 package io.masticpond.measure.tail;
 
-/** The policies that are compared. */
+/** The policies under comparison. */
 enum TailPolicyKind {
-    /** The bound: one queue with perfect knowledge and no delay anywhere. */
+    /** Lower bound: a single queue with perfect knowledge and no delay. */
     CENTRAL_QUEUE("central queue, no delay") {
         @Override
         TailPolicy create(TailRun run) {
             return new CentralQueuePolicy(run);
         }
     },
-    /** Each instance sends to the servers in turn. */
+    /** Each instance cycles through the servers. */
     ROUND_ROBIN("round robin") {
         @Override
         TailPolicy create(TailRun run) {
             return new DirectPolicy(run, new RoundRobinChooser());
         }
     },
-    /** The better of two random servers by reports that are 500 ms old. */
+    /** The less loaded of two random servers, by reports that are 500 ms old. */
     TWO_CHOICES_REPORTS("two choices, old reports") {
         @Override
         TailPolicy create(TailRun run) {
@@ -24,7 +24,7 @@
                     run, new TwoChoices(run, (instance, server) -> run.reports().load(server)));
         }
     },
-    /** The better of two random servers by the instance's own requests in flight there. */
+    /** The less loaded of two random servers, by the instance's own requests in flight there. */
     TWO_CHOICES_OWN("two choices, own counts") {
         @Override
         TailPolicy create(TailRun run) {
@@ -32,35 +32,35 @@
             return new DirectPolicy(run, counts.counting(new TwoChoices(run, counts::load)));
         }
     },
-    /** Each instance has a fixed part of the slots, and queues for it. */
+    /** Each instance owns a fixed share of the slots and queues requests for them. */
     STATIC_SHARE("static slot share") {
         @Override
         TailPolicy create(TailRun run) {
             return new StaticSharePolicy(run);
         }
     },
-    /** Each request asks an admitter for a slot, and is sent when it is granted. */
+    /** A slot is requested from an admitter, and the request is sent once the slot is granted. */
     GRANTS("grants") {
         @Override
         TailPolicy create(TailRun run) {
             return new GrantPolicy(run);
         }
     },
-    /** The better of two random servers by a probe of each. */
+    /** The less loaded of two random servers, by a probe of each. */
     PROBING("probing") {
         @Override
         TailPolicy create(TailRun run) {
             return new ProbePolicy(run);
         }
     },
-    /** The request itself is forwarded to an admitter, with the real admission. */
+    /** The request itself is forwarded to an admitter, which runs the real admission. */
     FORWARDED("forwarded request") {
         @Override
         TailPolicy create(TailRun run) {
             return new ForwardPolicy(run);
         }
     },
-    /** The same, while one admitter is killed and another paused for 2 s. */
+    /** The same as {@link #FORWARDED}, while one admitter is killed and another paused for 2 s. */
     FORWARDED_FAULTS("forwarded request, faults") {
         @Override
         TailPolicy create(TailRun run) {
@@ -75,7 +75,7 @@
     }
 
     /**
-     * Makes the policy for one run.
+     * Creates the policy for one run.
      *
      * @param run the run
      * @return the policy
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailProcess.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailProcess.java
@@ -3,20 +3,24 @@
 import java.util.ArrayDeque;
 import java.util.Queue;
 
-/** An instance's process, which may be paused or killed; messages to it wait or are lost. */
+/**
+ * Simulated process of an instance. Messages to a paused process are queued, messages to a killed
+ * one are lost.
+ */
 final class TailProcess {
 
     private final Queue<Runnable> mInbox = new ArrayDeque<>();
     private boolean mPaused;
-    private boolean mDead;
+    private boolean mTerminated;
 
     /**
-     * Lets the process act on a message now, on waking, or never.
+     * Runs a message immediately, or on resumption if the process is paused; discards it if the
+     * process was killed.
      *
      * @param message the message
      */
     void deliver(Runnable message) {
-        if (mDead) {
+        if (mTerminated) {
             return;
         }
         if (mPaused) {
@@ -27,15 +31,15 @@
     }
 
     void kill() {
-        mDead = true;
+        mTerminated = true;
     }
 
     void pause() {
         mPaused = true;
     }
 
-    /** Wakes the process, which first takes the messages that came meanwhile. */
-    void wake() {
+    /** Resumes the process, which first handles the messages received while it was paused. */
+    void resume() {
         mPaused = false;
         while (!mInbox.isEmpty()) {
             mInbox.remove().run();
@@ -43,6 +47,6 @@
     }
 
     boolean isTerminated() {
-        return mDead;
+        return mTerminated;
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailResult.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailResult.java
@@ -3,12 +3,13 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What one policy gave under one load, over all seeds.
+ * Result of one policy under one load, over all seeds.
  *
  * @param latencies the latencies at clients in nanoseconds
- * @param refused the requests that were refused
- * @param peakUse the greatest load of a server as a share of its slots
- * @param overloadedNanos how long servers had more requests than slots, over all servers
+ * @param refused the number of requests that were refused
+ * @param peakUse the peak load of a server as a fraction of its slots
+ * @param overloadedNanos the time for which servers had more requests than slots, summed over all
+ *     servers
  */
 record TailResult(Histogram latencies, int refused, double peakUse, long overloadedNanos) {
 
@@ -18,12 +19,12 @@
 
     private static final double NANOS_PER_MILLI = 1e6;
 
-    /** Joins what two seeds gave. */
-    static TailResult join(TailResult first, TailResult second) {
-        Histogram both = first.latencies.copy();
-        both.add(second.latencies);
+    /** Merges the results of two seeds. */
+    static TailResult merge(TailResult first, TailResult second) {
+        Histogram merged = first.latencies.copy();
+        merged.add(second.latencies);
         return new TailResult(
-                both,
+                merged,
                 first.refused + second.refused,
                 Math.max(first.peakUse, second.peakUse),
                 first.overloadedNanos + second.overloadedNanos);
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailRun.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailRun.java
@@ -8,20 +8,22 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** One run of one policy: virtual time, fake servers, arrivals and the latencies at clients. */
+/**
+ * A single run of one policy: virtual time, fake servers, arrivals and the latencies at clients.
+ */
 final class TailRun {
 
     private static final long POLICY_SEED = 0x5eed;
-    private static final int WARM_UP_PART = 20;
-    private static final int DIGITS = 3;
-    private static final long GREATEST_NANOS = TimeUnit.MINUTES.toNanos(10);
+    private static final int WARM_UP_DIVISOR = 20;
+    private static final int SIGNIFICANT_DIGITS = 3;
+    private static final long MAX_LATENCY_NANOS = TimeUnit.MINUTES.toNanos(10);
 
     private final EventQueue mEvents = new EventQueue();
     private final List<FakeServer> mServers = new ArrayList<>();
     private final Workload mWorkload;
     private final LoadReportFeed mReports;
     private final UniformRandomProvider mRandom;
-    private final Histogram mLatencies = new Histogram(GREATEST_NANOS, DIGITS);
+    private final Histogram mLatencies = new Histogram(MAX_LATENCY_NANOS, SIGNIFICANT_DIGITS);
     private int mRefused;
 
     TailRun(Workload workload) {
@@ -34,7 +36,7 @@
     }
 
     /**
-     * Runs all arrivals to their ends.
+     * Runs until all requests have ended.
      *
      * @param kind the policy
      */
@@ -56,17 +58,17 @@
     }
 
     /**
-     * Takes that a client has its answer now.
+     * Records that the client of a request receives its answer at the current virtual time.
      *
      * @param request the request
      */
     void answered(int request) {
-        if (request >= mWorkload.size() / WARM_UP_PART) {
+        if (request >= mWorkload.size() / WARM_UP_DIVISOR) {
             mLatencies.recordValue(mEvents.nanos() - mWorkload.arrivalNanos()[request]);
         }
     }
 
-    /** Counts a request that was refused. */
+    /** Records a refused request. */
     void refused() {
         mRefused++;
     }
@@ -76,7 +78,7 @@
      *
      * @param server the server
      * @param request the request
-     * @param done called at the server when it is done
+     * @param done called at the server on completion
      */
     void serve(int server, int request, Runnable done) {
         mServers.get(server).submit(mWorkload.serviceNanos()[request], done);
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailScenario.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailScenario.java
@@ -4,12 +4,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One load to compare policies under.
+ * A load under which policies are compared.
  *
- * @param name the name in the tables
+ * @param name the name as printed in the tables
  * @param meanMillis the mean of the service times in milliseconds
- * @param load the offered share of the slots' capacity
- * @param requests the requests of one run
+ * @param load the offered load as a fraction of the capacity of all slots
+ * @param requests the number of requests in one run
  * @param policies the policies to compare
  */
 record TailScenario(
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailTopology.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailTopology.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * The places of the run: one region of two availability zones with 16 backend servers, which have 3
- * and 4 slots in turn, and 9 entry instances.
+ * Topology of the run: one region of two availability zones with 16 backend servers, which have
+ * alternately 3 and 4 slots, and 9 entry instances.
  */
 final class TailTopology {
 
@@ -17,11 +17,11 @@
     static final int INSTANCES = 9;
     static final int SLOTS = SERVERS / 2 * (3 + 4);
 
-    /** One way between a client and an instance, and between availability zones. */
-    static final long FAR_NANOS = 1_000_000;
+    /** One-way delay between a client and an instance, and between availability zones. */
+    static final long LONG_DELAY_NANOS = 1_000_000;
 
-    /** One way within an availability zone, which the brief does not give. */
-    static final long NEAR_NANOS = 100_000;
+    /** One-way delay within an availability zone, an assumption that no requirement specifies. */
+    static final long SHORT_DELAY_NANOS = 100_000;
 
     private static final int ZONES = 2;
     private static final int FIRST_PORT = 9_000;
@@ -73,6 +73,6 @@
     }
 
     private static long delay(int fromZone, int toZone) {
-        return fromZone == toZone ? NEAR_NANOS : FAR_NANOS;
+        return fromZone == toZone ? SHORT_DELAY_NANOS : LONG_DELAY_NANOS;
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/TwoChoices.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/TwoChoices.java
@@ -1,39 +1,42 @@
 package io.masticpond.measure.tail;
 
-/** Takes the better of two random servers, by load for each slot. */
+/**
+ * {@link ServerChooser} that picks two servers at random and chooses the one with the lower load
+ * per slot.
+ */
 final class TwoChoices implements ServerChooser {
 
-    /** What an instance knows of a server. */
+    /** Strategy interface for the load of a server as known to an instance. */
     @FunctionalInterface
     interface KnownLoad {
 
         /**
-         * Tells the load.
+         * Returns the known load.
          *
          * @param instance the instance
          * @param server the server
-         * @return the requests that the instance believes to be there
+         * @return the number of requests at the server according to the instance
          */
         int load(int instance, int server);
     }
 
     private final TailRun mRun;
-    private final KnownLoad mLoad;
+    private final KnownLoad mKnownLoad;
 
     TwoChoices(TailRun run, KnownLoad load) {
         mRun = run;
-        mLoad = load;
+        mKnownLoad = load;
     }
 
     @Override
     public int choose(int instance) {
         int first = mRun.random().nextInt(TailTopology.SERVERS);
-        int other = mRun.random().nextInt(TailTopology.SERVERS - 1);
-        int second = other < first ? other : other + 1;
-        return share(instance, second) < share(instance, first) ? second : first;
+        int offset = mRun.random().nextInt(TailTopology.SERVERS - 1);
+        int second = offset < first ? offset : offset + 1;
+        return loadPerSlot(instance, second) < loadPerSlot(instance, first) ? second : first;
     }
 
-    private double share(int instance, int server) {
-        return (double) mLoad.load(instance, server) / TailTopology.slots(server);
+    private double loadPerSlot(int instance, int server) {
+        return (double) mKnownLoad.load(instance, server) / TailTopology.slots(server);
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/Workload.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/Workload.java
@@ -9,41 +9,42 @@
 /**
  * The arrivals of one run, the same for every policy.
  *
- * @param arrivalNanos when each request leaves its client
- * @param entries the instance that each client sends to
- * @param serviceNanos how long a backend server works on each request
+ * @param arrivalNanos the times at which requests leave their clients, in nanoseconds since the
+ *     start
+ * @param entries the entry instance of each request
+ * @param serviceNanos the service time of each request at a backend server, in nanoseconds
  */
 record Workload(long[] arrivalNanos, int[] entries, long[] serviceNanos) {
 
     private static final double SIGMA = 1;
 
     /**
-     * Draws arrivals of a Poisson process and lognormal service times.
+     * Draws the arrivals of a Poisson process and lognormal service times.
      *
-     * @param scenario the rate and the mean
-     * @param slots the slots of all backend servers
-     * @param instances the entry instances
+     * @param scenario the load and the mean service time
+     * @param slots the total number of slots of all backend servers
+     * @param instances the number of entry instances
      * @param seed the seed
      * @return the arrivals
      */
     static Workload draw(TailScenario scenario, int slots, int instances, long seed) {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-        double mean = scenario.meanNanos();
-        SharedStateContinuousSampler gaps =
-                ZigguratSampler.Exponential.of(random, mean / (scenario.load() * slots));
-        SharedStateContinuousSampler times =
+        double meanNanos = scenario.meanNanos();
+        SharedStateContinuousSampler interarrivalTimes =
+                ZigguratSampler.Exponential.of(random, meanNanos / (scenario.load() * slots));
+        SharedStateContinuousSampler serviceTimes =
                 LogNormalSampler.of(
                         ZigguratSampler.NormalizedGaussian.of(random),
-                        Math.log(mean) - SIGMA * SIGMA / 2,
+                        Math.log(meanNanos) - SIGMA * SIGMA / 2,
                         SIGMA);
         int count = scenario.requests();
         Workload workload = new Workload(new long[count], new int[count], new long[count]);
-        double now = 0;
+        double arrival = 0;
         for (int i = 0; i < count; i++) {
-            now += gaps.sample();
-            workload.arrivalNanos[i] = (long) now;
+            arrival += interarrivalTimes.sample();
+            workload.arrivalNanos[i] = (long) arrival;
             workload.entries[i] = random.nextInt(instances);
-            workload.serviceNanos[i] = Math.max(1, (long) times.sample());
+            workload.serviceNanos[i] = Math.max(1, (long) serviceTimes.sample());
         }
         return workload;
     }
