--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/AdmitterHost.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/AdmitterHost.java
@@ -22,18 +22,18 @@
 import java.util.List;
 import java.util.Map;
 
-/** The real admission of a shard at one instance, with its requests. */
+/** Host of the real admission of a shard at one instance, and of the requests offered to it. */
 final class AdmitterHost implements AdmissionSink {
 
-    private final RegionSimulation mWorld;
+    private final RegionSimulation mSimulation;
     private final ZoneId mZone;
     private final Shard mShard;
     private final Admission mAdmission;
     private final Map<RequestId, HeldRequest> mRequests = new HashMap<>();
-    private boolean mAlive = true;
+    private boolean mRunning = true;
 
-    AdmitterHost(RegionSimulation world, ZoneId zone, Shard shard) {
-        mWorld = world;
+    AdmitterHost(RegionSimulation simulation, ZoneId zone, Shard shard) {
+        mSimulation = simulation;
         mZone = zone;
         mShard = shard;
         mAdmission =
@@ -41,7 +41,7 @@
                         shard,
                         AdmissionSettings.DEFAULT.withWideningPeriod(
                                 Duration.ofMillis(Deployment.DEADLINE_MILLIS)),
-                        world.events().timeSource(),
+                        simulation.events().timeSource(),
                         this,
                         Timeline.NONE);
     }
@@ -58,8 +58,8 @@
         mAdmission.advance();
     }
 
-    void observe(BackendServerId server, BackendServerSignal sign) {
-        mAdmission.observe(server, sign);
+    void observe(BackendServerId server, BackendServerSignal signal) {
+        mAdmission.observe(server, signal);
     }
 
     boolean isIdle() {
@@ -71,44 +71,45 @@
         mAdmission.offer(request.head());
     }
 
-    /** Dies with its instance; servers go on with what they have. */
+    /** Terminates together with the instance; backend servers continue their requests. */
     void terminate() {
-        mAlive = false;
-        List<HeldRequest> held = new ArrayList<>(mRequests.values());
+        mRunning = false;
+        List<HeldRequest> heldRequests = new ArrayList<>(mRequests.values());
         mRequests.clear();
-        held.forEach(each -> each.listener().lost());
+        heldRequests.forEach(each -> each.listener().lost());
     }
 
     @Override
     public void refuse(RequestHead request, Refusal refusal) {
-        HeldRequest held = mRequests.remove(request.id());
-        if (held != null) {
-            held.listener().refused(headroomOrNone());
+        HeldRequest heldRequest = mRequests.remove(request.id());
+        if (heldRequest != null) {
+            heldRequest.listener().refused(headroomOrNone());
         }
     }
 
-    /** Gives the counts; a refusal may come before the admission has any. */
+    /** Returns the headroom, or none for a refusal during the construction of the admission. */
     private Headroom headroomOrNone() {
         return mAdmission == null ? Headroom.NONE : mAdmission.headroom();
     }
 
     @Override
     public void dispatch(RequestHead request, BackendServerId id) {
-        HeldRequest held = mRequests.get(request.id());
-        FakeServer server = mWorld.server(id);
+        HeldRequest heldRequest = mRequests.get(request.id());
+        FakeServer server = mSimulation.server(id);
         ZoneId serverZone = server.specification().zone();
-        mWorld.network()
+        mSimulation
+                .network()
                 .send(
                         mZone,
                         serverZone,
-                        () -> arrived(held.request(), server),
+                        () -> arrived(heldRequest.request(), server),
                         () -> complete(request.id(), AttemptOutcome.BROKEN));
     }
 
     private void arrived(EntryRequest request, FakeServer server) {
         ZoneId serverZone = server.specification().zone();
         RequestId id = request.head().id();
-        if (!server.isAlive()) {
+        if (!server.isRunning()) {
             answer(serverZone, id, AttemptOutcome.UNREACHABLE);
             return;
         }
@@ -128,7 +129,8 @@
     }
 
     private void answer(ZoneId from, RequestId id, AttemptOutcome outcome) {
-        mWorld.network()
+        mSimulation
+                .network()
                 .send(
                         from,
                         mZone,
@@ -137,21 +139,21 @@
     }
 
     private void complete(RequestId id, AttemptOutcome outcome) {
-        HeldRequest held = mAlive ? mRequests.remove(id) : null;
-        if (held == null) {
+        HeldRequest heldRequest = mRunning ? mRequests.remove(id) : null;
+        if (heldRequest == null) {
             return;
         }
         mAdmission.complete(id, outcome);
         if (outcome == AttemptOutcome.ANSWERED) {
-            held.listener().answered(mAdmission.headroom());
+            heldRequest.listener().answered(mAdmission.headroom());
         } else if (outcome == AttemptOutcome.UNREACHABLE) {
-            held.listener().refused(mAdmission.headroom());
+            heldRequest.listener().refused(mAdmission.headroom());
         } else {
-            held.listener().lost();
+            heldRequest.listener().lost();
         }
     }
 
-    /** Takes the end of an attempt, at the admitter. */
+    /** Callback interface for the end of an attempt, called at the admitter. */
     interface AttemptListener {
         void answered(Headroom headroom);
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/EntryFlow.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/EntryFlow.java
@@ -14,33 +14,35 @@
 import java.util.Queue;
 import java.util.Set;
 
-/** The way of one request from its entry instance, in the steps of the daemon's entry side. */
+/**
+ * Path of one request from its entry instance, in the same steps as the entry side of the daemon.
+ */
 final class EntryFlow {
 
-    private final RegionSimulation mWorld;
+    private final RegionSimulation mSimulation;
     private final FakeInstance mEntry;
     private final EntryRequest mRequest;
-    private final Set<RegionId> mTried = new HashSet<>();
+    private final Set<RegionId> mTriedRegions = new HashSet<>();
     private Queue<ShardRoute> mRoutes = new ArrayDeque<>();
     private RegionId mRegion;
     private FakeInstance mTarget;
     private int mAttempt;
     private boolean mEnded;
 
-    EntryFlow(RegionSimulation world, FakeInstance entry, EntryRequest request) {
-        mWorld = world;
+    EntryFlow(RegionSimulation simulation, FakeInstance entry, EntryRequest request) {
+        mSimulation = simulation;
         mEntry = entry;
         mRequest = request;
     }
 
     void start() {
         mEntry.add(this);
-        mWorld.events().schedule(mRequest.head().deadlineNanos(), () -> end(Outcome.BROKEN));
-        step();
+        mSimulation.events().schedule(mRequest.head().deadlineNanos(), () -> end(Outcome.BROKEN));
+        tryNextRegion();
     }
 
-    private void step() {
-        Either<Refusal, RegionId> choice = mEntry.selector().select(mRequest.head(), mTried);
+    private void tryNextRegion() {
+        Either<Refusal, RegionId> choice = mEntry.selector().select(mRequest.head(), mTriedRegions);
         if (choice.isLeft()) {
             end(Outcome.REFUSED);
             return;
@@ -62,55 +64,60 @@
         }
         mEntry.directory().sent(route.shard());
         InstanceId id = route.admitters().get(choice);
-        mTarget = mWorld.instance(id);
+        mTarget = mSimulation.instance(id);
         int attempt = ++mAttempt;
-        mWorld.network()
+        mSimulation
+                .network()
                 .send(
                         mEntry.zone(),
                         mTarget.zone(),
                         () -> arrived(route, choice, attempt),
-                        () -> atEntry(attempt, this::lost));
+                        () -> runAtEntry(attempt, this::lost));
     }
 
     private void arrived(ShardRoute route, int choice, int attempt) {
         FakeInstance target = mTarget;
-        if (!target.isAlive() || !target.directory().admitsHere(route.shard())) {
-            back(target, attempt, () -> forward(route, choice + 1));
+        if (!target.isRunning() || !target.directory().admitsHere(route.shard())) {
+            sendToEntry(target, attempt, () -> forward(route, choice + 1));
             return;
         }
-        target.host(route.shard()).offer(mRequest, new Answers(target, route.shard(), attempt));
+        target.host(route.shard())
+                .offer(mRequest, new EntryNotifier(target, route.shard(), attempt));
     }
 
-    private void back(FakeInstance target, int attempt, Runnable action) {
-        mWorld.network()
+    private void sendToEntry(FakeInstance target, int attempt, Runnable action) {
+        mSimulation
+                .network()
                 .send(
                         target.zone(),
                         mEntry.zone(),
-                        () -> atEntry(attempt, action),
-                        () -> atEntry(attempt, this::lost));
+                        () -> runAtEntry(attempt, action),
+                        () -> runAtEntry(attempt, this::lost));
     }
 
-    /** Acts if the entry lives and still waits for this attempt. */
-    private void atEntry(int attempt, Runnable action) {
-        if (!mEnded && mEntry.isAlive() && attempt == mAttempt) {
+    /**
+     * Runs the action if the entry instance is running and this attempt is still the current one.
+     */
+    private void runAtEntry(int attempt, Runnable action) {
+        if (!mEnded && mEntry.isRunning() && attempt == mAttempt) {
             action.run();
         }
     }
 
-    /** Tries the next shard of the region, and the next region after the last. */
-    private void refusedByShard(RegionAttemptOutcome how) {
+    /** Tries the next shard of the region, or the next region after the last shard. */
+    private void refusedByShard(RegionAttemptOutcome outcome) {
         if (mRoutes.isEmpty()) {
-            refused(how);
+            refused(outcome);
             return;
         }
         forward(mRoutes.remove(), 0);
     }
 
-    private void refused(RegionAttemptOutcome how) {
-        mEntry.selector().ended(mRequest.head(), mRegion, how);
-        mTried.add(mRegion);
+    private void refused(RegionAttemptOutcome outcome) {
+        mEntry.selector().ended(mRequest.head(), mRegion, outcome);
+        mTriedRegions.add(mRegion);
         mRegion = null;
-        step();
+        tryNextRegion();
     }
 
     private void lost() {
@@ -119,7 +126,10 @@
         end(Outcome.BROKEN);
     }
 
-    /** Ends the request, once; a region that still holds it then counts as failed. */
+    /**
+     * Ends the request unless it has ended already. If a region still holds the request, that
+     * attempt counts as failed.
+     */
     void end(Outcome outcome) {
         if (mEnded) {
             return;
@@ -129,27 +139,27 @@
         if (mRegion != null) {
             mEntry.selector().ended(mRequest.head(), mRegion, RegionAttemptOutcome.FAILED);
         }
-        mWorld.counts().ended(mRequest, outcome, mWorld.events().nanos());
+        mSimulation.counts().ended(mRequest, outcome, mSimulation.events().nanos());
     }
 
-    /** Takes what the admitter says, back to the entry. */
-    private final class Answers implements AdmitterHost.AttemptListener {
+    /** Listener that sends the admitter's answer back to the entry instance. */
+    private final class EntryNotifier implements AdmitterHost.AttemptListener {
 
         private final FakeInstance mTargetInstance;
         private final Shard mShard;
-        private final int mOfAttempt;
+        private final int mAttemptNumber;
 
-        Answers(FakeInstance target, Shard shard, int attempt) {
+        EntryNotifier(FakeInstance target, Shard shard, int attempt) {
             mTargetInstance = target;
             mShard = shard;
-            mOfAttempt = attempt;
+            mAttemptNumber = attempt;
         }
 
         @Override
         public void answered(Headroom headroom) {
-            back(
+            sendToEntry(
                     mTargetInstance,
-                    mOfAttempt,
+                    mAttemptNumber,
                     () -> {
                         mEntry.observe(mShard, headroom);
                         mEntry.selector()
@@ -161,9 +171,9 @@
 
         @Override
         public void refused(Headroom headroom) {
-            back(
+            sendToEntry(
                     mTargetInstance,
-                    mOfAttempt,
+                    mAttemptNumber,
                     () -> {
                         mEntry.observe(mShard, headroom);
                         refusedByShard(RegionAttemptOutcome.REFUSED);
@@ -172,7 +182,7 @@
 
         @Override
         public void lost() {
-            back(mTargetInstance, mOfAttempt, EntryFlow.this::lost);
+            sendToEntry(mTargetInstance, mAttemptNumber, EntryFlow.this::lost);
         }
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/EntryRequest.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/EntryRequest.java
@@ -5,11 +5,11 @@
 import io.masticpond.core.request.RequestHead;
 
 /**
- * A request that a client sends.
+ * Request sent by a client.
  *
- * @param head what decisions know of it
- * @param clientZone the availability zone that the client is near
- * @param origin the region that the client is near
- * @param workNanos how long a backend server with a warm cache works on it
+ * @param head the part of the request on which decisions are based
+ * @param clientZone the availability zone closest to the client
+ * @param origin the region closest to the client
+ * @param workNanos the service time at a backend server with a warm cache, in nanoseconds
  */
 record EntryRequest(RequestHead head, ZoneId clientZone, RegionId origin, long workNanos) {}
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/FakeClients.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/FakeClients.java
@@ -11,17 +11,19 @@
 import java.util.Optional;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Clients that cache look-ups and try the next instance of an answer if one can't be reached. */
+/**
+ * Fake clients, which cache look-ups and try the next instance of an answer if one is unreachable.
+ */
 final class FakeClients {
 
     private static final int CLIENTS_PER_ZONE = 40;
 
-    private final RegionSimulation mWorld;
+    private final RegionSimulation mSimulation;
     private final UniformRandomProvider mRandom;
     private final Map<ZoneId, List<Client>> mClients = new HashMap<>();
 
-    FakeClients(RegionSimulation world, List<ZoneId> zones, UniformRandomProvider random) {
-        mWorld = world;
+    FakeClients(RegionSimulation simulation, List<ZoneId> zones, UniformRandomProvider random) {
+        mSimulation = simulation;
         mRandom = random;
         for (int zone = 0; zone < zones.size(); zone++) {
             List<Client> clients = new ArrayList<>();
@@ -34,9 +36,9 @@
     }
 
     /**
-     * Finds where a client near a zone sends its next request.
+     * Returns the instance to which a random client near a zone sends its next request.
      *
-     * @return the instance, or empty if the client reaches none
+     * @return the instance, or empty if the client can reach none
      */
     Optional<FakeInstance> entry(ZoneId zone) {
         List<Client> clients = mClients.get(zone);
@@ -56,27 +58,30 @@
         }
 
         Optional<FakeInstance> entry() {
-            long now = mWorld.events().nanos();
-            Optional<FakeInstance> known = mInstances.stream().filter(this::reaches).findFirst();
+            long now = mSimulation.events().nanos();
+            Optional<FakeInstance> known = mInstances.stream().filter(this::canReach).findFirst();
             if (known.isPresent() && now < mExpiresNanos) {
                 return known;
             }
-            Optional<FakeInstance> asked =
+            Optional<FakeInstance> lookupInstance =
                     known.isPresent()
                             ? known
-                            : mWorld.instances().stream().filter(this::reaches).findFirst();
-            if (asked.isEmpty()) {
-                return asked;
+                            : mSimulation.instances().stream().filter(this::canReach).findFirst();
+            if (lookupInstance.isEmpty()) {
+                return lookupInstance;
             }
-            LookupDecision decision = asked.get().decider().decide(Optional.of(mAddress));
+            LookupDecision decision = lookupInstance.get().decider().decide(Optional.of(mAddress));
             mExpiresNanos = now + decision.cacheFor().toNanos();
             mInstances =
-                    decision.instances().stream().map(Member::id).map(mWorld::instance).toList();
-            return mInstances.stream().filter(this::reaches).findFirst();
+                    decision.instances().stream()
+                            .map(Member::id)
+                            .map(mSimulation::instance)
+                            .toList();
+            return mInstances.stream().filter(this::canReach).findFirst();
         }
 
-        private boolean reaches(FakeInstance instance) {
-            return instance.isAlive() && !mWorld.network().isCut(mZone, instance.zone());
+        private boolean canReach(FakeInstance instance) {
+            return instance.isRunning() && !mSimulation.network().isCut(mZone, instance.zone());
         }
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/FakeInstance.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/FakeInstance.java
@@ -23,10 +23,13 @@
 import java.util.Map;
 import java.util.Set;
 
-/** One run of an instance: the real selector, directory, look-ups and admissions. */
+/**
+ * Simulated incarnation of an instance, with the real region selector, shard directory, look-ups
+ * and admissions.
+ */
 final class FakeInstance {
 
-    private final RegionSimulation mWorld;
+    private final RegionSimulation mSimulation;
     private final Member mMember;
     private final Configuration mConfiguration;
     private final RegionId mRegion;
@@ -36,10 +39,10 @@
     private final Map<Shard, AdmitterHost> mHosts = new HashMap<>();
     private final Set<EntryFlow> mFlows = new LinkedHashSet<>();
     private LookupDecider mDecider;
-    private boolean mAlive = true;
+    private boolean mRunning = true;
 
-    FakeInstance(RegionSimulation world, Member member, Configuration configuration) {
-        mWorld = world;
+    FakeInstance(RegionSimulation simulation, Member member, Configuration configuration) {
+        mSimulation = simulation;
         mMember = member;
         mConfiguration = configuration;
         mRegion = configuration.regionOf(member.zone()).orElseThrow();
@@ -47,11 +50,14 @@
                 new DefaultRegionSelector(
                         mRegion,
                         configuration,
-                        world.events().timeSource(),
+                        simulation.events().timeSource(),
                         RegionSelectorParameters.DEFAULT);
         mDirectory =
                 new DefaultShardDirectory(
-                        member.id(), member.zone(), world.scope(), world.events().timeSource());
+                        member.id(),
+                        member.zone(),
+                        simulation.scope(),
+                        simulation.events().timeSource());
         mDirectory.configure(configuration);
         mBlocks = ClientBlockTable.of(configuration.content().clientBlocks()).get();
     }
@@ -68,8 +74,8 @@
         return mMember.zone();
     }
 
-    boolean isAlive() {
-        return mAlive;
+    boolean isRunning() {
+        return mRunning;
     }
 
     DefaultRegionSelector selector() {
@@ -88,7 +94,7 @@
         return mHosts.computeIfAbsent(
                 shard,
                 added -> {
-                    AdmitterHost host = new AdmitterHost(mWorld, zone(), added);
+                    AdmitterHost host = new AdmitterHost(mSimulation, zone(), added);
                     host.configure(mDirectory);
                     return host;
                 });
@@ -107,31 +113,32 @@
     }
 
     void terminate() {
-        mAlive = false;
+        mRunning = false;
         mHosts.values().forEach(AdmitterHost::terminate);
         new ArrayList<>(mFlows).forEach(flow -> flow.end(Outcome.BROKEN));
     }
 
     void observe(Shard shard, Headroom headroom) {
-        if (mWorld.measurementsStopped()) {
+        if (mSimulation.measurementsStopped()) {
             return;
         }
         mSelector.observe(shard.service(), shard.region(), mDirectory.observe(shard, headroom));
     }
 
-    /** Takes the members as seen from here. */
-    void see(MembershipView view) {
+    /** Applies this instance's view of the members. */
+    void updateView(MembershipView view) {
         mDirectory.updateMembers(view);
         List<Member> live = view.live();
-        long near =
+        long inRegion =
                 live.stream()
                         .filter(each -> mConfiguration.regionOf(each.zone()).get().equals(mRegion))
                         .count();
-        mSelector.setInstanceCounts((int) near, live.size());
-        for (ServiceId service : mWorld.services()) {
-            Set<RegionId> reachable = mDirectory.reachableRegions(service);
+        mSelector.setInstanceCounts((int) inRegion, live.size());
+        for (ServiceId service : mSimulation.services()) {
+            Set<RegionId> reachableRegions = mDirectory.reachableRegions(service);
             for (RegionSpecification region : mConfiguration.content().regions()) {
-                mSelector.setReachable(service, region.id(), reachable.contains(region.id()));
+                mSelector.setReachable(
+                        service, region.id(), reachableRegions.contains(region.id()));
             }
         }
         mDecider =
@@ -140,7 +147,10 @@
         reconfigure();
     }
 
-    /** Gives each admission the share that holds now, and ends those that are of no use. */
+    /**
+     * Configures each admission with its current share, and removes idle admissions of shards that
+     * this instance no longer admits to.
+     */
     void reconfigure() {
         mDirectory.shardsHere().forEach(shard -> host(shard).configure(mDirectory));
         mHosts.entrySet()
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/FakeServer.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/FakeServer.java
@@ -11,22 +11,23 @@
 import java.util.Set;
 
 /**
- * A backend server that counts its work itself, whoever sent it.
+ * Fake backend server that counts all of its requests itself, independently of their sender.
  *
- * <p>Its cache is cold for the traffic of a region that it has not served: the first requests take
- * three times as long, and the excess falls by a factor of e with every 30 requests.
+ * <p>The cache is cold for traffic of a region that the server has not served before: the first
+ * requests take three times as long, and the excess decreases by a factor of e with every 30
+ * requests.
  */
 final class FakeServer {
 
     private static final double COLD_EXCESS = 2;
-    private static final double WARMING_REQUESTS = 30;
+    private static final double WARM_UP_REQUESTS = 30;
 
     private final BackendServerSpecification mSpecification;
     private final EventQueue mEvents;
     private final Map<RegionId, Integer> mServed = new HashMap<>();
     private final Set<Work> mWork = new HashSet<>();
-    private boolean mAlive = true;
-    private int mPeak;
+    private boolean mRunning = true;
+    private int mPeakInFlight;
 
     FakeServer(BackendServerSpecification specification, EventQueue events) {
         mSpecification = specification;
@@ -37,8 +38,8 @@
         return mSpecification;
     }
 
-    boolean isAlive() {
-        return mAlive;
+    boolean isRunning() {
+        return mRunning;
     }
 
     int inFlight() {
@@ -46,73 +47,74 @@
     }
 
     double peakUse() {
-        return (double) mPeak / mSpecification.slots();
+        return (double) mPeakInFlight / mSpecification.slots();
     }
 
-    void forgetPeak() {
-        mPeak = mWork.size();
+    void resetPeak() {
+        mPeakInFlight = mWork.size();
     }
 
-    /** Takes the cache for the traffic of a region as warm. */
+    /** Marks the cache as warm for the traffic of a region. */
     void warm(RegionId origin) {
         mServed.put(origin, Integer.MAX_VALUE);
     }
 
     /**
-     * Works on a request until it is done or its deadline passes.
+     * Processes a request until it is done or its deadline passes.
      *
      * @param origin the region of the client
-     * @param warmNanos how long the work takes with a warm cache
-     * @param deadlineNanos when the server gives up
-     * @param end takes whether the work was done; the alternative is that the server died
+     * @param warmNanos the service time with a warm cache, in nanoseconds
+     * @param deadlineNanos the virtual time at which the server abandons the request
+     * @param listener notified of the end: done, too late, or interrupted by the termination of the
+     *     server
      */
-    void start(RegionId origin, long warmNanos, long deadlineNanos, WorkListener end) {
-        Work work = new Work(end);
+    void start(RegionId origin, long warmNanos, long deadlineNanos, WorkListener listener) {
+        Work work = new Work(listener);
         mWork.add(work);
-        mPeak = Math.max(mPeak, mWork.size());
+        mPeakInFlight = Math.max(mPeakInFlight, mWork.size());
         int served = mServed.merge(origin, 1, (a, b) -> a == Integer.MAX_VALUE ? a : a + b);
-        double factor = 1 + COLD_EXCESS * Math.exp(-served / WARMING_REQUESTS);
+        double factor = 1 + COLD_EXCESS * Math.exp(-served / WARM_UP_REQUESTS);
         long nanos = (long) (warmNanos * factor);
         boolean inTime = mEvents.nanos() + nanos <= deadlineNanos;
-        long until = Math.max(mEvents.nanos(), inTime ? mEvents.nanos() + nanos : deadlineNanos);
+        long endNanos = Math.max(mEvents.nanos(), inTime ? mEvents.nanos() + nanos : deadlineNanos);
         mEvents.schedule(
-                until,
+                endNanos,
                 () -> {
                     if (mWork.remove(work)) {
-                        end.ended(inTime ? WorkEnd.DONE : WorkEnd.TOO_LATE);
+                        listener.ended(inTime ? WorkEnd.DONE : WorkEnd.TOO_LATE);
                     }
                 });
     }
 
     void terminate() {
-        mAlive = false;
-        List<Work> broken = new ArrayList<>(mWork);
+        mRunning = false;
+        List<Work> interrupted = new ArrayList<>(mWork);
         mWork.clear();
         mServed.clear();
-        broken.forEach(work -> work.mEnd.ended(WorkEnd.SERVER_TERMINATED));
+        interrupted.forEach(work -> work.mListener.ended(WorkEnd.SERVER_TERMINATED));
     }
 
     void startCold() {
-        mAlive = true;
+        mRunning = true;
     }
 
-    /** How work at a server ended. */
+    /** The ways in which the processing of a request ends. */
     enum WorkEnd {
         DONE,
         TOO_LATE,
         SERVER_TERMINATED
     }
 
-    /** Takes the end of work. */
+    /** Callback interface for the end of processing. */
     interface WorkListener {
         void ended(WorkEnd end);
     }
 
     private static final class Work {
-        private final WorkListener mEnd;
+        private final WorkListener mListener;
 
-        Work(WorkListener end) {
-            mEnd = end;
+        Work(WorkListener listener) {
+            mListener = listener;
         }
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/Network.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/Network.java
@@ -9,10 +9,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Delays between availability zones, one of which may be cut off from all others. */
+/** Simulated network between availability zones, one of which may be cut off from all others. */
 final class Network {
 
-    /** How long silence lasts until a cut is noticed. */
+    /** Duration of inactivity after which a partition is detected. */
     static final Duration PARTITION_DETECTION_DELAY = Duration.ofSeconds(2);
 
     private static final Duration WITHIN_ZONE = Duration.ofNanos(100_000);
@@ -48,33 +48,33 @@
         if (from.equals(to)) {
             return WITHIN_ZONE.toNanos();
         }
-        boolean near = mRegions.get(from).equals(mRegions.get(to));
-        return (near ? mDeployment.zoneDelay() : mDeployment.regionDelay()).toNanos();
+        boolean sameRegion = mRegions.get(from).equals(mRegions.get(to));
+        return (sameRegion ? mDeployment.zoneDelay() : mDeployment.regionDelay()).toNanos();
     }
 
     /**
-     * Sends a message.
+     * Sends a message between availability zones.
      *
-     * @param arrived runs when it arrives
-     * @param lost runs at the sender once it is noticed that the zones are cut off
+     * @param onArrival run on arrival of the message
+     * @param onLoss run at the sender once the partition between the zones is detected
      */
-    void send(ZoneId from, ZoneId to, Runnable arrived, Runnable lost) {
+    void send(ZoneId from, ZoneId to, Runnable onArrival, Runnable onLoss) {
         if (isCut(from, to)) {
-            mEvents.schedule(Math.max(mEvents.nanos(), noticedNanos()), lost);
+            mEvents.schedule(Math.max(mEvents.nanos(), detectionNanos()), onLoss);
             return;
         }
         mEvents.after(
                 delayNanos(from, to),
                 () -> {
                     if (isCut(from, to)) {
-                        mEvents.schedule(Math.max(mEvents.nanos(), noticedNanos()), lost);
+                        mEvents.schedule(Math.max(mEvents.nanos(), detectionNanos()), onLoss);
                     } else {
-                        arrived.run();
+                        onArrival.run();
                     }
                 });
     }
 
-    private long noticedNanos() {
+    private long detectionNanos() {
         return mCutNanos + PARTITION_DETECTION_DELAY.toNanos();
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/Outcome.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/Outcome.java
@@ -1,11 +1,14 @@
 package io.masticpond.measure.region;
 
-/** How a request ended for its client. */
+/** Outcome of a request as seen by its client. */
 enum Outcome {
-    /** With the answer of a backend server. */
+    /** Answered by a backend server. */
     ANSWERED,
-    /** Refused, and it did not run. */
+    /** Refused without having run. */
     REFUSED,
-    /** Broken off by a death, a cut or its deadline. */
+    /**
+     * Interrupted by the termination of an instance or backend server, by a partition or by the
+     * deadline.
+     */
     BROKEN
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/OutcomeCounts.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/OutcomeCounts.java
@@ -9,15 +9,17 @@
 import java.util.function.Predicate;
 import org.HdrHistogram.Histogram;
 
-/** Counts how requests ended, by the second in which they came and the zone of the client. */
+/**
+ * Counters of request outcomes, by the second of arrival and the availability zone of the client.
+ */
 final class OutcomeCounts {
 
     private record Key(ZoneId zone, long second, Outcome outcome) {}
 
     private static final double NANOS_PER_MILLI = 1e6;
-    private static final int DIGITS = 3;
+    private static final int SIGNIFICANT_DIGITS = 3;
 
-    private final Histogram mLatencies = new Histogram(DIGITS);
+    private final Histogram mLatencies = new Histogram(SIGNIFICANT_DIGITS);
     private final long mDeadlineNanos;
     private final Map<Key, Integer> mCounts = new HashMap<>();
     private final Set<ZoneId> mZones = new HashSet<>();
@@ -28,35 +30,41 @@
     }
 
     /**
-     * Counts the end of a request.
+     * Records the end of a request.
      *
      * @param request the request
-     * @param outcome how it ended
-     * @param nowNanos when it ended
+     * @param outcome the outcome
+     * @param nowNanos the virtual time of the end, in nanoseconds
      */
     void ended(EntryRequest request, Outcome outcome, long nowNanos) {
-        long came = request.head().deadlineNanos() - mDeadlineNanos;
+        long arrivalNanos = request.head().deadlineNanos() - mDeadlineNanos;
         if (outcome == Outcome.ANSWERED && mRecordsLatencies) {
-            mLatencies.recordValue(nowNanos - came);
+            mLatencies.recordValue(nowNanos - arrivalNanos);
         }
         mZones.add(request.clientZone());
         mCounts.merge(
-                new Key(request.clientZone(), TimeUnit.NANOSECONDS.toSeconds(came), outcome),
+                new Key(
+                        request.clientZone(),
+                        TimeUnit.NANOSECONDS.toSeconds(arrivalNanos),
+                        outcome),
                 1,
                 Integer::sum);
     }
 
-    /** Starts or stops recording how long answers took. */
-    void recordLatencies(boolean records) {
-        mRecordsLatencies = records;
+    /** Starts or stops recording the latencies of answered requests. */
+    void recordLatencies(boolean enabled) {
+        mRecordsLatencies = enabled;
     }
 
-    /** Gives a percentile of the latencies recorded, in milliseconds. */
+    /** Returns a percentile of the recorded latencies, in milliseconds. */
     double latencyMillis(double percentile) {
         return mLatencies.getValueAtPercentile(percentile) / NANOS_PER_MILLI;
     }
 
-    /** Counts one outcome over seconds from one up to another, which is left out. */
+    /**
+     * Returns the number of requests with an outcome that arrived from one second (inclusive) to
+     * another (exclusive).
+     */
     int count(Predicate<ZoneId> zones, long from, long to, Outcome outcome) {
         int sum = 0;
         for (ZoneId zone : mZones) {
@@ -84,13 +92,13 @@
     }
 
     /**
-     * Finds after how many seconds a disturbance was over.
+     * Returns the time from a disturbance until the answered share is steady again.
      *
      * @param from the second of the disturbance
-     * @param to the end of the time looked at
-     * @param window over how many seconds the share is taken
-     * @param tolerated the share of requests not answered that counts as steady
-     * @return the seconds until every later window was steady
+     * @param to the end of the evaluated period, in seconds, exclusive
+     * @param window the length of the window for each share, in seconds
+     * @param tolerated the highest share of unanswered requests that counts as steady
+     * @return the number of seconds after which every window is steady
      */
     long secondsToSteady(long from, long to, int window, double tolerated) {
         long steadyFrom = from;
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/PartitionMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/PartitionMeasure.java
@@ -14,23 +14,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Measures what an availability zone serves while it is cut off from all others.
+ * {@link Measure} of the share of requests that an availability zone serves while it is cut off
+ * from all others.
  *
  * @since 0.1
  */
 public final class PartitionMeasure implements Measure {
 
     private static final double LOAD = 0.85;
-    private static final int SETTLED_SECOND = 10;
+    private static final int STABLE_SECOND = 10;
     private static final int CUT_SECOND = 25;
     private static final int HEAL_SECOND = 85;
     private static final int END_SECOND = 100;
 
-    /** A zone with two instances, by its place among the zones of the deployment. */
-    private static final int LARGER_ZONE = 0;
+    /** Index, in the deployment's list of availability zones, of a zone with two instances. */
+    private static final int LARGER_ZONE_INDEX = 0;
 
-    /** A zone of the same region with one instance. */
-    private static final int SMALLER_ZONE = 3;
+    /** Index of a zone of the same region with one instance. */
+    private static final int SMALLER_ZONE_INDEX = 3;
 
     private record Run(
             Deployment deployment,
@@ -77,9 +78,9 @@
         List<Run> runs = new ArrayList<>();
         for (Deployment deployment : Deployment.values()) {
             List<ZoneId> zones = deployment.zones();
-            runs.add(run(deployment, ShardScope.ZONE, zones.get(LARGER_ZONE), seed));
-            runs.add(run(deployment, ShardScope.ZONE, zones.get(SMALLER_ZONE), seed));
-            runs.add(run(deployment, ShardScope.REGION, zones.get(SMALLER_ZONE), seed));
+            runs.add(run(deployment, ShardScope.ZONE, zones.get(LARGER_ZONE_INDEX), seed));
+            runs.add(run(deployment, ShardScope.ZONE, zones.get(SMALLER_ZONE_INDEX), seed));
+            runs.add(run(deployment, ShardScope.REGION, zones.get(SMALLER_ZONE_INDEX), seed));
         }
         MeasureReport report = new MeasureReport();
         report.table(
@@ -103,48 +104,52 @@
     }
 
     private static void addFigures(MeasureReport report, ShardScope scope, List<Run> runs) {
-        boolean ours = scope == ShardScope.ZONE;
-        String suffix = ours ? "" : "RegionAdmitter";
+        boolean zoneScope = scope == ShardScope.ZONE;
+        String suffix = zoneScope ? "" : "RegionAdmitter";
         report.figure(
                 "servedShare" + suffix,
                 runs.stream().mapToDouble(Run::servedShare).min().orElse(0),
-                ours ? MeasureTarget.atLeast(0.95) : MeasureTarget.NONE);
+                zoneScope ? MeasureTarget.atLeast(0.95) : MeasureTarget.NONE);
         report.figure(
                 "othersServedShare" + suffix,
                 runs.stream().mapToDouble(Run::othersServedShare).min().orElse(0));
         report.figure(
                 "peakSlotUse" + suffix,
                 runs.stream().mapToDouble(Run::peakSlotUse).max().orElse(0),
-                ours ? MeasureTarget.atMost(1) : MeasureTarget.NONE);
+                zoneScope ? MeasureTarget.atMost(1) : MeasureTarget.NONE);
     }
 
     private static Run run(Deployment deployment, ShardScope scope, ZoneId zone, long seed) {
-        RegionSimulation world = new RegionSimulation(deployment, scope, 1, seed);
-        world.offer(LOAD);
-        runUntil(world, SETTLED_SECOND);
-        world.counts().recordLatencies(true);
-        runUntil(world, CUT_SECOND);
-        world.counts().recordLatencies(false);
-        world.servers(any -> true).forEach(FakeServer::forgetPeak);
-        world.cutOff(zone);
-        runUntil(world, HEAL_SECOND);
-        world.heal();
-        runUntil(world, END_SECOND);
-        int offered = world.counts().offered(zone::equals, CUT_SECOND, HEAL_SECOND);
+        RegionSimulation simulation = new RegionSimulation(deployment, scope, 1, seed);
+        simulation.offer(LOAD);
+        runUntil(simulation, STABLE_SECOND);
+        simulation.counts().recordLatencies(true);
+        runUntil(simulation, CUT_SECOND);
+        simulation.counts().recordLatencies(false);
+        simulation.servers(any -> true).forEach(FakeServer::resetPeak);
+        simulation.cutOff(zone);
+        runUntil(simulation, HEAL_SECOND);
+        simulation.heal();
+        runUntil(simulation, END_SECOND);
+        int offered = simulation.counts().offered(zone::equals, CUT_SECOND, HEAL_SECOND);
         int answered =
-                world.counts().count(zone::equals, CUT_SECOND, HEAL_SECOND, Outcome.ANSWERED);
+                simulation.counts().count(zone::equals, CUT_SECOND, HEAL_SECOND, Outcome.ANSWERED);
         double capacity =
-                world.servers(zone::equals).stream()
+                simulation.servers(zone::equals).stream()
                                 .map(FakeServer::specification)
-                                .filter(each -> world.isServer(each, world.services().get(0)))
+                                .filter(
+                                        each ->
+                                                simulation.servesService(
+                                                        each, simulation.services().get(0)))
                                 .mapToInt(BackendServerSpecification::slots)
                                 .sum()
                         / RegionSimulation.MEAN_WORK_SECONDS
                         * (HEAL_SECOND - CUT_SECOND);
         int othersOffered =
-                world.counts().offered(each -> !each.equals(zone), CUT_SECOND, HEAL_SECOND);
+                simulation.counts().offered(each -> !each.equals(zone), CUT_SECOND, HEAL_SECOND);
         int othersAnswered =
-                world.counts()
+                simulation
+                        .counts()
                         .count(
                                 each -> !each.equals(zone),
                                 CUT_SECOND,
@@ -157,15 +162,15 @@
                 (int) deployment.members().stream().filter(m -> m.zone().equals(zone)).count(),
                 answered / Math.min(offered, capacity),
                 (double) othersAnswered / othersOffered,
-                world.servers(any -> true).stream()
+                simulation.servers(any -> true).stream()
                         .mapToDouble(FakeServer::peakUse)
                         .max()
                         .orElse(0),
-                world.counts().latencyMillis(50),
-                world.counts().latencyMillis(99));
+                simulation.counts().latencyMillis(50),
+                simulation.counts().latencyMillis(99));
     }
 
-    private static void runUntil(RegionSimulation world, int second) {
-        world.events().runUntil(TimeUnit.SECONDS.toNanos(second));
+    private static void runUntil(RegionSimulation simulation, int second) {
+        simulation.events().runUntil(TimeUnit.SECONDS.toNanos(second));
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/RegionFailoverMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/RegionFailoverMeasure.java
@@ -18,7 +18,7 @@
 import java.util.function.Predicate;
 
 /**
- * Measures the loss of a region under load, and its cold return.
+ * {@link Measure} of the loss of a region under load and its cold return.
  *
  * @since 0.1
  */
@@ -26,18 +26,18 @@
 
     private static final double LOAD = 0.6;
 
-    /** A service of each kind: one that is read, one whose operations run once. */
-    private static final int SERVICES = 2;
+    /** One service of each kind: one with reads, one whose operations run once. */
+    private static final int SERVICE_COUNT = 2;
 
     private static final int STOP_SECOND = 10;
     private static final int LOSS_SECOND = 20;
-    private static final int DEATHS_SECOND = 25;
+    private static final int INSTANCES_KILLED_SECOND = 25;
     private static final int RETURN_SECOND = 50;
     private static final int END_SECOND = 80;
-    private static final double STEADY_SHARE = 0.01;
+    private static final double TOLERATED_SHARE = 0.01;
     private static final int STEADY_WINDOW = 5;
 
-    /** What happens besides the loss of the region. */
+    /** Faults injected in addition to the loss of the region. */
     private enum FaultScenario {
         NONE("none"),
         MEASUREMENTS_STOPPED("measurements stopped"),
@@ -53,26 +53,26 @@
     private record Run(
             Deployment deployment,
             ShardScope scope,
-            FaultScenario trouble,
+            FaultScenario faultScenario,
             double peakSlotUse,
             double refusedShare,
             double brokenShare,
             double unavoidableShare,
             long secondsToSteady,
-            long secondsToStable,
+            long secondsToSteadyEachSecond,
             MeasurePlot.Series answered) {
 
         List<String> row() {
             return List.of(
                     deployment.name().toLowerCase(Locale.ROOT),
                     scope.name().toLowerCase(Locale.ROOT),
-                    trouble.mTitle,
+                    faultScenario.mTitle,
                     String.format(Locale.ROOT, "%.2f", peakSlotUse),
                     String.format(Locale.ROOT, "%.4f", refusedShare),
                     String.format(Locale.ROOT, "%.4f", brokenShare),
                     String.format(Locale.ROOT, "%.4f", unavoidableShare),
                     Long.toString(secondsToSteady),
-                    Long.toString(secondsToStable));
+                    Long.toString(secondsToSteadyEachSecond));
         }
     }
 
@@ -96,8 +96,8 @@
     public MeasureReport run(long seed) {
         List<Run> runs = new ArrayList<>();
         for (Deployment deployment : Deployment.values()) {
-            for (FaultScenario trouble : FaultScenario.values()) {
-                runs.add(run(deployment, ShardScope.ZONE, trouble, seed));
+            for (FaultScenario faultScenario : FaultScenario.values()) {
+                runs.add(run(deployment, ShardScope.ZONE, faultScenario, seed));
             }
         }
         runs.add(run(Deployment.ATLAS, ShardScope.REGION, FaultScenario.TWO_INSTANCES_DIE, seed));
@@ -105,80 +105,88 @@
     }
 
     private static Run run(
-            Deployment deployment, ShardScope scope, FaultScenario trouble, long seed) {
-        RegionSimulation world = new RegionSimulation(deployment, scope, SERVICES, seed);
-        RegionId lost = world.regionOf(deployment.zones().get(0));
-        Predicate<ZoneId> others = zone -> !world.regionOf(zone).equals(lost);
-        world.offer(LOAD);
-        runUntil(world, STOP_SECOND);
-        if (trouble == FaultScenario.MEASUREMENTS_STOPPED) {
-            world.stopMeasurements();
+            Deployment deployment, ShardScope scope, FaultScenario faultScenario, long seed) {
+        RegionSimulation simulation = new RegionSimulation(deployment, scope, SERVICE_COUNT, seed);
+        RegionId lostRegion = simulation.regionOf(deployment.zones().get(0));
+        Predicate<ZoneId> otherRegions = zone -> !simulation.regionOf(zone).equals(lostRegion);
+        simulation.offer(LOAD);
+        runUntil(simulation, STOP_SECOND);
+        if (faultScenario == FaultScenario.MEASUREMENTS_STOPPED) {
+            simulation.stopMeasurements();
         }
-        runUntil(world, LOSS_SECOND);
-        world.servers(others).forEach(FakeServer::forgetPeak);
-        double unavoidable = unavoidableShare(world, others);
-        world.killRegion(lost);
-        runUntil(world, DEATHS_SECOND);
-        if (trouble == FaultScenario.TWO_INSTANCES_DIE) {
-            RegionId other = world.regionOf(deployment.zones().get(1));
-            List<InstanceId> victims = world.instancesIn(other).subList(0, 2);
-            victims.forEach(world::killInstance);
+        runUntil(simulation, LOSS_SECOND);
+        simulation.servers(otherRegions).forEach(FakeServer::resetPeak);
+        double unavoidable = unavoidableShare(simulation, otherRegions);
+        simulation.killRegion(lostRegion);
+        runUntil(simulation, INSTANCES_KILLED_SECOND);
+        if (faultScenario == FaultScenario.TWO_INSTANCES_DIE) {
+            RegionId otherRegion = simulation.regionOf(deployment.zones().get(1));
+            List<InstanceId> killedInstances = simulation.instancesIn(otherRegion).subList(0, 2);
+            killedInstances.forEach(simulation::killInstance);
         }
-        runUntil(world, RETURN_SECOND);
-        world.returnRegionCold(lost);
-        runUntil(world, END_SECOND);
-        OutcomeCounts counts = world.counts();
+        runUntil(simulation, RETURN_SECOND);
+        simulation.restartRegionCold(lostRegion);
+        runUntil(simulation, END_SECOND);
+        OutcomeCounts counts = simulation.counts();
         return new Run(
                 deployment,
                 scope,
-                trouble,
-                world.servers(others).stream().mapToDouble(FakeServer::peakUse).max().orElse(0),
+                faultScenario,
+                simulation.servers(otherRegions).stream()
+                        .mapToDouble(FakeServer::peakUse)
+                        .max()
+                        .orElse(0),
                 counts.share(LOSS_SECOND, RETURN_SECOND, Outcome.REFUSED),
                 counts.share(LOSS_SECOND, RETURN_SECOND, Outcome.BROKEN),
                 unavoidable,
                 secondsToSteady(counts, STEADY_WINDOW),
                 secondsToSteady(counts, 1),
-                series(deployment, scope, trouble, counts));
+                series(deployment, scope, faultScenario, counts));
     }
 
     private static long secondsToSteady(OutcomeCounts counts, int window) {
         return Math.max(
-                counts.secondsToSteady(LOSS_SECOND, RETURN_SECOND, window, STEADY_SHARE),
-                counts.secondsToSteady(RETURN_SECOND, lastWhole(), window, STEADY_SHARE));
+                counts.secondsToSteady(LOSS_SECOND, RETURN_SECOND, window, TOLERATED_SHARE),
+                counts.secondsToSteady(
+                        RETURN_SECOND, lastCompleteSecond(), window, TOLERATED_SHARE));
     }
 
-    /** The last second of which every request has ended. */
-    private static int lastWhole() {
+    /** Returns the end, exclusive, of the seconds whose requests have all ended. */
+    private static int lastCompleteSecond() {
         return END_SECOND - Deployment.DEADLINE_MILLIS / 1000;
     }
 
-    private static void runUntil(RegionSimulation world, int second) {
-        world.events().runUntil(TimeUnit.SECONDS.toNanos(second));
+    private static void runUntil(RegionSimulation simulation, int second) {
+        simulation.events().runUntil(TimeUnit.SECONDS.toNanos(second));
     }
 
-    private static double unavoidableShare(RegionSimulation world, Predicate<ZoneId> others) {
-        double left = slots(world, others);
-        double offered = LOAD * slots(world, zone -> true);
-        return Math.max(0, 1 - left / offered);
+    private static double unavoidableShare(
+            RegionSimulation simulation, Predicate<ZoneId> otherRegions) {
+        double remainingSlots = slots(simulation, otherRegions);
+        double offered = LOAD * slots(simulation, zone -> true);
+        return Math.max(0, 1 - remainingSlots / offered);
     }
 
-    private static int slots(RegionSimulation world, Predicate<ZoneId> zones) {
-        return world.servers(zones).stream()
+    private static int slots(RegionSimulation simulation, Predicate<ZoneId> zones) {
+        return simulation.servers(zones).stream()
                 .map(FakeServer::specification)
                 .mapToInt(BackendServerSpecification::slots)
                 .sum();
     }
 
     private static MeasurePlot.Series series(
-            Deployment deployment, ShardScope scope, FaultScenario trouble, OutcomeCounts counts) {
+            Deployment deployment,
+            ShardScope scope,
+            FaultScenario faultScenario,
+            OutcomeCounts counts) {
         List<Double> seconds = new ArrayList<>();
         List<Double> shares = new ArrayList<>();
-        for (int second = STOP_SECOND; second < lastWhole(); second++) {
+        for (int second = STOP_SECOND; second < lastCompleteSecond(); second++) {
             seconds.add((double) second);
             shares.add(counts.share(second, second + 1, Outcome.ANSWERED));
         }
         String name =
-                String.format("%s, %s, %s", deployment, scope, trouble.mTitle)
+                String.format("%s, %s, %s", deployment, scope, faultScenario.mTitle)
                         .toLowerCase(Locale.ROOT);
         return new MeasurePlot.Series(name, seconds, shares);
     }
@@ -206,26 +214,27 @@
                         "Answered share",
                         MeasurePlot.Scale.LINEAR,
                         runs.stream().map(Run::answered).toList()));
-        List<Run> ours = runs.stream().filter(run -> run.scope() == ShardScope.ZONE).toList();
+        List<Run> zoneScoped = runs.stream().filter(run -> run.scope() == ShardScope.ZONE).toList();
         report.figure(
                 "peakSlotUse",
-                ours.stream().mapToDouble(Run::peakSlotUse).max().orElse(0),
+                zoneScoped.stream().mapToDouble(Run::peakSlotUse).max().orElse(0),
                 MeasureTarget.atMost(1));
         report.figure(
                 "refusedShareOverUnavoidable",
-                ours.stream()
+                zoneScoped.stream()
                         .mapToDouble(run -> run.refusedShare() - run.unavoidableShare())
                         .max()
                         .orElse(0),
                 MeasureTarget.atMost(0.05));
-        report.figure("brokenShare", ours.stream().mapToDouble(Run::brokenShare).max().orElse(0));
+        report.figure(
+                "brokenShare", zoneScoped.stream().mapToDouble(Run::brokenShare).max().orElse(0));
         report.figure(
                 "secondsToSteady",
-                ours.stream().mapToLong(Run::secondsToSteady).max().orElse(0),
+                zoneScoped.stream().mapToLong(Run::secondsToSteady).max().orElse(0),
                 MeasureTarget.atMost(10));
         report.figure(
                 "secondsToSteadyEachSecond",
-                ours.stream().mapToLong(Run::secondsToStable).max().orElse(0));
+                zoneScoped.stream().mapToLong(Run::secondsToSteadyEachSecond).max().orElse(0));
         return report;
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/RegionSimulation.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/RegionSimulation.java
@@ -31,14 +31,17 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** A deployment under load in virtual time, in which instances, servers and links fail. */
+/**
+ * Simulation of a deployment under load in virtual time, in which instances, backend servers and
+ * links fail.
+ */
 final class RegionSimulation {
 
-    private static final Duration TICK = Duration.ofMillis(50);
-    private static final Duration HEARTBEAT = Duration.ofMillis(500);
-    private static final Duration REPORT = Duration.ofMillis(500);
+    private static final Duration TICK_PERIOD = Duration.ofMillis(50);
+    private static final Duration HEARTBEAT_PERIOD = Duration.ofMillis(500);
+    private static final Duration REPORT_PERIOD = Duration.ofMillis(500);
 
-    /** The mean time that a backend server with a warm cache works on a request, in seconds. */
+    /** Mean service time at a backend server with a warm cache, in seconds. */
     static final double MEAN_WORK_SECONDS = 0.04;
 
     private static final double MEAN_WORK_NANOS = MEAN_WORK_SECONDS * 1e9;
@@ -51,7 +54,7 @@
     private final List<ServiceId> mServices;
     private final Configuration mConfiguration;
     private final Network mNetwork;
-    private final SimulatedMembership mSightings;
+    private final SimulatedMembership mMembership;
     private final UniformRandomProvider mRandom;
     private final OutcomeCounts mCounts =
             new OutcomeCounts(Duration.ofMillis(Deployment.DEADLINE_MILLIS).toNanos());
@@ -62,12 +65,12 @@
     private long mRequests;
 
     /**
-     * Starts a deployment without load.
+     * Creates a running deployment without load.
      *
      * @param deployment the deployment
-     * @param scope what one admitter admits to
-     * @param serviceCount how many services get load, the first ones
-     * @param seed the seed of arrivals and work
+     * @param scope the scope of one admitter
+     * @param serviceCount the number of services under load, taken from the start of the list
+     * @param seed the seed of arrivals and service times
      */
     RegionSimulation(Deployment deployment, ShardScope scope, int serviceCount, long seed) {
         mDeployment = deployment;
@@ -76,7 +79,7 @@
         mConfiguration = deployment.configuration();
         mRandom = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         mNetwork = new Network(mEvents, deployment, mConfiguration);
-        mSightings = new SimulatedMembership(mNetwork, mConfiguration);
+        mMembership = new SimulatedMembership(mNetwork, mConfiguration);
         for (ServiceSpecification service : mConfiguration.content().services()) {
             for (BackendServerSpecification server : service.backendServers()) {
                 FakeServer fake = new FakeServer(server, mEvents);
@@ -88,10 +91,10 @@
             mInstances.put(member.id(), new FakeInstance(this, member, mConfiguration));
         }
         mClients = new FakeClients(this, deployment.zones(), mRandom);
-        lookAround();
-        repeat(TICK, this::tick);
-        repeat(HEARTBEAT, this::heartbeat);
-        repeat(REPORT, this::reportServers);
+        updateMembershipViews();
+        repeat(TICK_PERIOD, this::tick);
+        repeat(HEARTBEAT_PERIOD, this::heartbeat);
+        repeat(REPORT_PERIOD, this::reportServers);
     }
 
     EventQueue events() {
@@ -124,7 +127,7 @@
                 .toList();
     }
 
-    boolean isServer(BackendServerSpecification server, ServiceId service) {
+    boolean servesService(BackendServerSpecification server, ServiceId service) {
         return mConfiguration.service(service).orElseThrow().backendServers().contains(server);
     }
 
@@ -148,14 +151,17 @@
         mMeasurementsStopped = true;
     }
 
-    /** Offers load for as long as the world runs, from each zone in the measure of its slots. */
+    /**
+     * Offers load until the end of the simulation, from each availability zone in proportion to its
+     * slots.
+     */
     void offer(double load) {
         for (ServiceId service : services()) {
             for (ZoneId zone : mDeployment.zones()) {
                 int slots =
                         servers(zone::equals).stream()
                                 .map(FakeServer::specification)
-                                .filter(each -> isServer(each, service))
+                                .filter(each -> servesService(each, service))
                                 .mapToInt(BackendServerSpecification::slots)
                                 .sum();
                 double meanGap = MEAN_WORK_NANOS / (load * slots);
@@ -166,16 +172,19 @@
 
     void killInstance(InstanceId id) {
         mInstances.get(id).terminate();
-        mSightings.terminated(id);
-        mEvents.after(SimulatedMembership.TERMINATION_DETECTION_DELAY.toNanos(), this::lookAround);
+        mMembership.terminated(id);
+        mEvents.after(
+                SimulatedMembership.TERMINATION_DETECTION_DELAY.toNanos(),
+                this::updateMembershipViews);
     }
 
     void startInstance(InstanceId id) {
         Member member = mInstances.get(id).member();
         mInstances.put(id, new FakeInstance(this, member, mConfiguration));
-        mSightings.started(id, mEvents.nanos());
-        lookAround();
-        mEvents.after(SimulatedMembership.START_DETECTION_DELAY.toNanos(), this::lookAround);
+        mMembership.started(id, mEvents.nanos());
+        updateMembershipViews();
+        mEvents.after(
+                SimulatedMembership.START_DETECTION_DELAY.toNanos(), this::updateMembershipViews);
     }
 
     void killRegion(RegionId region) {
@@ -183,11 +192,11 @@
         instancesIn(region).forEach(this::killInstance);
     }
 
-    void returnRegionCold(RegionId region) {
+    void restartRegionCold(RegionId region) {
         servers(zone -> regionOf(zone).equals(region)).forEach(FakeServer::startCold);
         instancesIn(region).forEach(this::startInstance);
         for (FakeServer server : servers(zone -> regionOf(zone).equals(region))) {
-            tell(server, BackendServerSignal.of(BackendServerSignal.Kind.STARTED));
+            sendSignal(server, BackendServerSignal.of(BackendServerSignal.Kind.STARTED));
         }
     }
 
@@ -200,28 +209,29 @@
 
     void cutOff(ZoneId zone) {
         mNetwork.cutOff(zone);
-        mSightings.cut(mEvents.nanos());
-        mEvents.after(Network.PARTITION_DETECTION_DELAY.toNanos(), this::lookAround);
+        mMembership.cut(mEvents.nanos());
+        mEvents.after(Network.PARTITION_DETECTION_DELAY.toNanos(), this::updateMembershipViews);
     }
 
     void heal() {
         mNetwork.heal();
-        mEvents.after(SimulatedMembership.START_DETECTION_DELAY.toNanos(), this::lookAround);
+        mEvents.after(
+                SimulatedMembership.START_DETECTION_DELAY.toNanos(), this::updateMembershipViews);
     }
 
-    /** Gives every instance the members as it sees them now. */
-    private void lookAround() {
+    /** Updates the membership view of every running instance. */
+    private void updateMembershipViews() {
         List<Member> members = mInstances.values().stream().map(FakeInstance::member).toList();
         for (FakeInstance instance : mInstances.values()) {
-            if (instance.isAlive()) {
-                instance.see(mSightings.view(instance.member(), members, mEvents.nanos()));
+            if (instance.isRunning()) {
+                instance.updateView(mMembership.view(instance.member(), members, mEvents.nanos()));
             }
         }
     }
 
     private void tick() {
         for (FakeInstance instance : mInstances.values()) {
-            if (instance.isAlive()) {
+            if (instance.isRunning()) {
                 instance.hosts().values().forEach(AdmitterHost::advance);
             }
         }
@@ -229,7 +239,7 @@
 
     private void heartbeat() {
         for (FakeInstance from : mInstances.values()) {
-            if (!from.isAlive()) {
+            if (!from.isRunning()) {
                 continue;
             }
             from.reconfigure();
@@ -237,13 +247,13 @@
                     .forEach(
                             (shard, host) -> {
                                 if (from.directory().admitsHere(shard)) {
-                                    tellAll(from, shard, host);
+                                    sendHeadroom(from, shard, host);
                                 }
                             });
         }
     }
 
-    private void tellAll(FakeInstance from, Shard shard, AdmitterHost host) {
+    private void sendHeadroom(FakeInstance from, Shard shard, AdmitterHost host) {
         Headroom headroom = host.headroom();
         for (FakeInstance to : mInstances.values()) {
             mNetwork.send(from.zone(), to.zone(), () -> to.observe(shard, headroom), () -> {});
@@ -255,8 +265,8 @@
             return;
         }
         for (FakeServer server : mServers.values()) {
-            if (server.isAlive()) {
-                tell(
+            if (server.isRunning()) {
+                sendSignal(
                         server,
                         new BackendServerSignal(
                                 BackendServerSignal.Kind.HEALTHY, server.inFlight()));
@@ -264,10 +274,10 @@
         }
     }
 
-    private void tell(FakeServer server, BackendServerSignal sign) {
+    private void sendSignal(FakeServer server, BackendServerSignal signal) {
         ZoneId zone = server.specification().zone();
         for (FakeInstance instance : mInstances.values()) {
-            if (instance.isAlive()) {
+            if (instance.isRunning()) {
                 mNetwork.send(
                         zone,
                         instance.zone(),
@@ -276,7 +286,8 @@
                                         .forEach(
                                                 host ->
                                                         host.observe(
-                                                                server.specification().id(), sign)),
+                                                                server.specification().id(),
+                                                                signal)),
                         () -> {});
             }
         }
@@ -291,7 +302,7 @@
                 });
     }
 
-    /** Requests of one service from one zone, at random. */
+    /** Poisson arrivals of requests for one service from one availability zone. */
     private final class Arrivals {
 
         private final ServiceId mService;
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/SimulatedMembership.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/SimulatedMembership.java
@@ -13,18 +13,23 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What instances see of each other, with the delays of membership. */
+/**
+ * Simulated membership, which computes each instance's view of the others with the detection delays
+ * of the real membership.
+ */
 final class SimulatedMembership {
 
-    /** How long until a broken connection shows that a process died. */
+    /** Delay until a broken connection reveals the termination of a process. */
     static final Duration TERMINATION_DETECTION_DELAY = Duration.ofMillis(300);
 
-    /** How long until the heartbeat of an instance that started or came back is heard. */
+    /**
+     * Delay until the heartbeat of an instance that started or became reachable again is received.
+     */
     static final Duration START_DETECTION_DELAY = Duration.ofSeconds(1);
 
     private final Network mNetwork;
     private final Configuration mConfiguration;
-    private final Set<InstanceId> mDead = new HashSet<>();
+    private final Set<InstanceId> mTerminated = new HashSet<>();
     private final Map<InstanceId, Long> mStarted = new HashMap<>();
     private long mCutNanos;
 
@@ -34,11 +39,11 @@
     }
 
     void terminated(InstanceId id) {
-        mDead.add(id);
+        mTerminated.add(id);
     }
 
     void started(InstanceId id, long nowNanos) {
-        mDead.remove(id);
+        mTerminated.remove(id);
         mStarted.put(id, nowNanos);
     }
 
@@ -46,25 +51,30 @@
         mCutNanos = nowNanos;
     }
 
-    /** Gives the view of one instance now. */
+    /** Returns the current view of one instance. */
     MembershipView view(Member self, List<Member> members, long nowNanos) {
-        List<Member> seen = new ArrayList<>();
-        Set<InstanceId> missing = new HashSet<>();
+        List<Member> viewedMembers = new ArrayList<>();
+        Set<InstanceId> unreachable = new HashSet<>();
         for (Member member : members) {
             boolean cut =
                     mNetwork.isCut(self.zone(), member.zone())
                             && nowNanos - mCutNanos >= Network.PARTITION_DETECTION_DELAY.toNanos();
             if (cut) {
-                missing.add(member.id());
+                unreachable.add(member.id());
             }
-            seen.add(cut || !isNoticed(self, member, nowNanos) ? dead(member) : member);
+            viewedMembers.add(cut || !isDetected(self, member, nowNanos) ? asDead(member) : member);
         }
         return new MembershipView(
-                self.incarnation(), seen, missing, true, false, mConfiguration::regionOf);
+                self.incarnation(),
+                viewedMembers,
+                unreachable,
+                true,
+                false,
+                mConfiguration::regionOf);
     }
 
-    private boolean isNoticed(Member self, Member member, long nowNanos) {
-        if (mDead.contains(member.id())) {
+    private boolean isDetected(Member self, Member member, long nowNanos) {
+        if (mTerminated.contains(member.id())) {
             return false;
         }
         Long started = mStarted.get(member.id());
@@ -73,7 +83,7 @@
                 || nowNanos - started >= START_DETECTION_DELAY.toNanos();
     }
 
-    private static Member dead(Member member) {
+    private static Member asDead(Member member) {
         return new Member(
                 member.incarnation(),
                 member.zone(),
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/package-info.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Measures of regions that fail and availability zones that are cut off: the real selector,
- * directory and admission, with fakes of backend servers, links and clients in virtual time.
+ * Measures of failing regions and partitioned availability zones. They run the real region
+ * selector, shard directory and admission against fake backend servers, links and clients in
+ * virtual time.
  */
 package io.masticpond.measure.region;
