--- a/masticpond-measure/src/main/java/io/masticpond/measure/replacement/CrashAttribution.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/replacement/CrashAttribution.java
@@ -13,62 +13,68 @@
 import java.util.stream.Collectors;
 
 /**
- * Tells which requests of a storm what was killed took with it, and how the others ended.
+ * Attribution of unanswered requests of a crash storm to the killed processes, with the outcomes of
+ * all other requests.
  *
- * <p>Two kinds cannot be answered: requests with a caller's own operation key while the platform is
- * away, because only the platform can tell that no other instance has claimed the key; and requests
- * that were under way while processes were killed, which a killed instance may have taken with it.
+ * <p>Two kinds of requests cannot be answered: requests with a caller's own operation key while the
+ * platform is unavailable, because only the platform can determine that no other instance has
+ * claimed the key; and requests that were under way while processes were killed, which may be lost
+ * with a killed instance.
  */
 final class CrashAttribution {
 
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final List<FleetInstance> mInstances;
-    private final List<FleetInstance> mVictims;
+    private final List<FleetInstance> mKilledInstances;
     private final List<EndedRequest> mRequests;
     private final long mKillNanos;
-    private final long mDeadNanos;
+    private final long mTerminatedNanos;
 
     /**
-     * Makes a trace.
+     * Creates an attribution.
      *
      * @param instances the instances
-     * @param victims those that were killed
+     * @param killedInstances the instances that were killed
      * @param requests all requests of the storm
      * @param killNanos when the first process was killed, on the requests' clock
-     * @param deadNanos when the last had ended, on the same clock
+     * @param terminatedNanos when the last process had terminated, on the same clock
      */
     CrashAttribution(
             List<FleetInstance> instances,
-            List<FleetInstance> victims,
+            List<FleetInstance> killedInstances,
             List<EndedRequest> requests,
             long killNanos,
-            long deadNanos) {
+            long terminatedNanos) {
         mInstances = List.copyOf(instances);
-        mVictims = List.copyOf(victims);
+        mKilledInstances = List.copyOf(killedInstances);
         mRequests = List.copyOf(requests);
         mKillNanos = killNanos;
-        mDeadNanos = deadNanos;
+        mTerminatedNanos = terminatedNanos;
     }
 
-    /** Counts the requests that ended after the kill and need the platform. */
+    /** Returns the number of requests that ended after the kill and need the platform. */
     long needPlatform() {
-        return after().stream().filter(EndedRequest::ownKey).count();
+        return endedAfterKill().stream().filter(EndedRequest::ownKey).count();
     }
 
-    /** Counts the requests that were under way at the kill and do not need the platform. */
+    /**
+     * Returns the number of requests that were under way at the kill and do not need the platform.
+     */
     long underWay() {
-        return after().stream()
-                .filter(each -> !each.ownKey() && each.startNanos() - mDeadNanos < 0)
+        return endedAfterKill().stream()
+                .filter(each -> !each.ownKey() && each.startNanos() - mTerminatedNanos < 0)
                 .count();
     }
 
-    /** Counts the requests that could have been answered, and were not. */
+    /** Returns the number of requests that could have been answered but were not. */
     long avoidable() {
-        return mRequests.stream().filter(each -> !each.isAnswered() && !isTaken(each)).count();
+        return mRequests.stream()
+                .filter(each -> !each.isAnswered() && !isAttributedToKill(each))
+                .count();
     }
 
-    /** Lists what was not answered, by how it ended and where. */
+    /** Returns the table of unanswered requests, by outcome, service and instance. */
     MeasureTable causes() {
         Map<List<String>, List<Double>> groups =
                 mRequests.stream()
@@ -101,7 +107,7 @@
                 rows);
     }
 
-    /** Lists the requests of each second. */
+    /** Returns the table of requests that ended in each second. */
     MeasureTable seconds() {
         Map<Long, List<EndedRequest>> groups =
                 mRequests.stream()
@@ -117,17 +123,17 @@
         groups.forEach(
                 (second, requests) -> {
                     long answered = requests.stream().filter(EndedRequest::isAnswered).count();
-                    long taken =
+                    long attributedToKill =
                             requests.stream()
-                                    .filter(each -> !each.isAnswered() && isTaken(each))
+                                    .filter(each -> !each.isAnswered() && isAttributedToKill(each))
                                     .count();
                     rows.add(
                             List.of(
                                     Long.toString(second),
                                     Integer.toString(requests.size()),
                                     Long.toString(answered),
-                                    Long.toString(taken),
-                                    Long.toString(requests.size() - answered - taken)));
+                                    Long.toString(attributedToKill),
+                                    Long.toString(requests.size() - answered - attributedToKill)));
                 });
         return new MeasureTable(
                 "Requests of each second",
@@ -135,20 +141,20 @@
                 rows);
     }
 
-    private List<EndedRequest> after() {
+    private List<EndedRequest> endedAfterKill() {
         return mRequests.stream().filter(each -> each.endNanos() - mKillNanos >= 0).toList();
     }
 
-    private boolean isTaken(EndedRequest request) {
-        boolean after = request.endNanos() - mKillNanos >= 0;
-        return after && (request.ownKey() || request.startNanos() - mDeadNanos < 0);
+    private boolean isAttributedToKill(EndedRequest request) {
+        boolean endedAfterKill = request.endNanos() - mKillNanos >= 0;
+        return endedAfterKill && (request.ownKey() || request.startNanos() - mTerminatedNanos < 0);
     }
 
     private List<String> cause(EndedRequest request) {
         return List.of(
                 request.end(),
                 request.service(),
-                isTaken(request) ? "yes" : "no",
+                isAttributedToKill(request) ? "yes" : "no",
                 instance(request.address()));
     }
 
@@ -156,7 +162,7 @@
         return mInstances.stream()
                 .filter(each -> each.callerAddress().equals(address))
                 .findFirst()
-                .map(each -> each.id() + (mVictims.contains(each) ? " (killed)" : ""))
+                .map(each -> each.id() + (mKilledInstances.contains(each) ? " (killed)" : ""))
                 .orElse("none");
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/replacement/CrashStormMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/replacement/CrashStormMeasure.java
@@ -14,16 +14,16 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Kills two instances and the platform together under load, then starts the instances again while
- * the platform is still away.
+ * {@link Measure} that kills two instances and the platform together under load, then restarts the
+ * instances while the platform is still unavailable.
  *
  * @since 0.1
  */
 public final class CrashStormMeasure implements Measure {
 
-    private static final Duration BEFORE = Duration.ofSeconds(5);
-    private static final Duration STORM = Duration.ofSeconds(8);
-    private static final Duration AFTER = Duration.ofSeconds(5);
+    private static final Duration LOAD_BEFORE_KILL = Duration.ofSeconds(5);
+    private static final Duration DOWNTIME = Duration.ofSeconds(8);
+    private static final Duration LOAD_AFTER_RESTART = Duration.ofSeconds(5);
     private static final double NANOS_PER_SECOND = 1e9;
     private static final double READY_TARGET_SECONDS = 5;
 
@@ -44,55 +44,63 @@
     @Override
     public MeasureReport run(long seed) {
         try (FleetUnderLoad load = new FleetUnderLoad(1, seed)) {
-            pause(BEFORE);
-            List<FleetInstance> victims =
+            pause(LOAD_BEFORE_KILL);
+            List<FleetInstance> killedInstances =
                     List.of(load.fleet().instances().get(0), load.fleet().instances().get(3));
-            long killed = System.nanoTime();
+            long killNanos = System.nanoTime();
             load.fleet().process("platform").kill();
-            victims.forEach(victim -> load.fleet().process(victim.id()).kill());
-            long ended = System.nanoTime();
-            pause(STORM);
+            killedInstances.forEach(instance -> load.fleet().process(instance.id()).kill());
+            long terminatedNanos = System.nanoTime();
+            pause(DOWNTIME);
             double recovery = 0;
-            for (FleetInstance victim : victims) {
+            for (FleetInstance instance : killedInstances) {
                 long start = System.nanoTime();
-                load.startAgain(victim);
+                load.restart(instance);
                 recovery = Math.max(recovery, (System.nanoTime() - start) / NANOS_PER_SECOND);
             }
-            pause(AFTER);
+            pause(LOAD_AFTER_RESTART);
             load.stopCallers();
-            CrashAttribution trace =
+            CrashAttribution attribution =
                     new CrashAttribution(
-                            load.fleet().instances(), victims, load.ended(), killed, ended);
-            return report(load.statistics(), load.fleet().backendCounts(), trace, recovery);
+                            load.fleet().instances(),
+                            killedInstances,
+                            load.ended(),
+                            killNanos,
+                            terminatedNanos);
+            return report(load.statistics(), load.fleet().backendCounts(), attribution, recovery);
         } catch (IOException e) {
             throw new UncheckedIOException("The fleet could not be run.", e);
         }
     }
 
     private static MeasureReport report(
-            LoadStatistics tally, JsonNode counts, CrashAttribution trace, double recovery) {
+            LoadStatistics statistics,
+            JsonNode counts,
+            CrashAttribution attribution,
+            double recovery) {
         MeasureReport report =
                 new MeasureReport()
-                        .table(trace.causes())
-                        .table(trace.seconds())
+                        .table(attribution.causes())
+                        .table(attribution.seconds())
                         .table(
                                 new MeasureTable(
                                         "Answers to other requests",
                                         List.of("answer"),
-                                        tally.mismatches().stream().map(List::of).toList()));
-        report.figure("requests", tally.requests());
-        report.figure("answered", tally.answered());
-        report.figure("mismatched", tally.mismatched(), MeasureTarget.atMost(0));
+                                        statistics.mismatches().stream().map(List::of).toList()));
+        report.figure("requests", statistics.requests());
+        report.figure("answered", statistics.answered());
+        report.figure("mismatched", statistics.mismatched(), MeasureTarget.atMost(0));
         report.figure(
                 "duplicates", counts.get("duplicateOperations").asLong(), MeasureTarget.atMost(0));
-        report.figure("needPlatform", trace.needPlatform());
-        report.figure("underWay", trace.underWay());
-        report.figure("avoidable", trace.avoidable(), MeasureTarget.atMost(0));
-        double requests = tally.requests();
+        report.figure("needPlatform", attribution.needPlatform());
+        report.figure("underWay", attribution.underWay());
+        report.figure("avoidable", attribution.avoidable(), MeasureTarget.atMost(0));
+        double requests = statistics.requests();
         report.figure(
                 "unavailableShare",
-                (requests - tally.answered()) / requests,
-                MeasureTarget.atMost((trace.needPlatform() + trace.underWay()) / requests));
+                (requests - statistics.answered()) / requests,
+                MeasureTarget.atMost(
+                        (attribution.needPlatform() + attribution.underWay()) / requests));
         report.figure("recoverySeconds", recovery, MeasureTarget.atMost(READY_TARGET_SECONDS));
         report.figure("peakSlotUse", highestUse(counts));
         return report;
--- a/masticpond-measure/src/main/java/io/masticpond/measure/replacement/FleetUnderLoad.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/replacement/FleetUnderLoad.java
@@ -15,19 +15,22 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.atomic.AtomicBoolean;
 
-/** A configured fleet of real processes, and callers that follow look-ups until it is closed. */
+/**
+ * Configured fleet of real processes under load from callers that follow look-ups until this object
+ * is closed.
+ */
 final class FleetUnderLoad implements AutoCloseable {
 
     private static final int WORKERS = 4;
     private static final double SERVICE_MILLIS = 15;
 
     private final LocalFleet mFleet;
-    private final LoadStatistics mTally = new LoadStatistics();
+    private final LoadStatistics mStatistics = new LoadStatistics();
     private final AtomicBoolean mRunning = new AtomicBoolean(true);
     private final Queue<EndedRequest> mEnded = new ConcurrentLinkedQueue<>();
     private final Thread mCallers;
 
-    /** Starts the fleet and the callers; returns once every instance is ready. */
+    /** Starts the fleet and the callers, and waits until every instance is ready. */
     FleetUnderLoad(int instancesPerZone, long seed) throws IOException {
         mFleet =
                 new LocalFleet(
@@ -40,7 +43,7 @@
         mCallers =
                 new Thread(
                         () ->
-                                new CallerLoad(mFleet.instances(), mTally, seed, mEnded::add)
+                                new CallerLoad(mFleet.instances(), mStatistics, seed, mEnded::add)
                                         .run(WORKERS, mRunning::get),
                         "callers");
         boolean started = false;
@@ -74,15 +77,15 @@
     }
 
     LoadStatistics statistics() {
-        return mTally;
+        return mStatistics;
     }
 
-    /** Gives the requests that have ended so far, the earliest first for each caller. */
+    /** Returns the requests that have ended so far, in order of their ends for each caller. */
     List<EndedRequest> ended() {
         return List.copyOf(mEnded);
     }
 
-    /** Lets the callers end the requests that they have begun. */
+    /** Stops the callers after their current requests. */
     void stopCallers() {
         mRunning.set(false);
         try {
@@ -92,8 +95,8 @@
         }
     }
 
-    /** Starts an instance again and waits until it is ready. */
-    void startAgain(FleetInstance instance) {
+    /** Restarts an instance and waits until it is ready. */
+    void restart(FleetInstance instance) {
         try {
             mFleet.startInstance(instance);
         } catch (IOException e) {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/replacement/RollingRestartMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/replacement/RollingRestartMeasure.java
@@ -14,14 +14,15 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Replaces all instances one after another under load, each by a planned stop and a new process.
+ * {@link Measure} that replaces all instances one after another under load, each by a planned stop
+ * and a new process.
  *
  * @since 0.1
  */
 public final class RollingRestartMeasure implements Measure {
 
-    private static final double MILLION = 1e6;
-    private static final int DIGITS = 3;
+    private static final double NANOS_PER_MILLI = 1e6;
+    private static final int SIGNIFICANT_DIGITS = 3;
     private static final double MEDIAN = 50;
     private static final double TAIL = 99;
 
@@ -42,22 +43,22 @@
     @Override
     public MeasureReport run(long seed) {
         try (FleetUnderLoad load = new FleetUnderLoad(1, seed)) {
-            Histogram drains = new Histogram(DIGITS);
+            Histogram drains = new Histogram(SIGNIFICANT_DIGITS);
             List<List<String>> rows = new ArrayList<>();
             int badExits = 0;
             for (FleetInstance instance : load.fleet().instances()) {
-                long start = System.nanoTime();
+                long startNanos = System.nanoTime();
                 int exitCode = load.fleet().process(instance.id()).stop();
-                long drained = System.nanoTime();
-                load.startAgain(instance);
-                long ready = System.nanoTime();
+                long drainedNanos = System.nanoTime();
+                load.restart(instance);
+                long readyNanos = System.nanoTime();
                 badExits += exitCode == 0 ? 0 : 1;
-                drains.recordValue((drained - start) / 1_000);
+                drains.recordValue((drainedNanos - startNanos) / 1_000);
                 rows.add(
                         List.of(
                                 instance.id(),
-                                text((drained - start) / MILLION),
-                                text((ready - drained) / MILLION),
+                                text((drainedNanos - startNanos) / NANOS_PER_MILLI),
+                                text((readyNanos - drainedNanos) / NANOS_PER_MILLI),
                                 Integer.toString(exitCode)));
             }
             load.stopCallers();
@@ -68,7 +69,7 @@
     }
 
     private static MeasureReport report(
-            LoadStatistics tally, Histogram drains, List<List<String>> rows, int badExits) {
+            LoadStatistics statistics, Histogram drains, List<List<String>> rows, int badExits) {
         MeasureReport report =
                 new MeasureReport()
                         .table(
@@ -76,23 +77,25 @@
                                         "Replacements",
                                         List.of("instance", "drain ms", "ready ms", "exit code"),
                                         rows))
-                        .table(refusals(tally));
-        report.figure("requests", tally.requests());
-        report.figure("answered", tally.answered());
-        report.figure("mismatched", tally.mismatched(), MeasureTarget.atMost(0));
-        report.figure("cutInFlight", tally.unanswered(), MeasureTarget.atMost(0));
+                        .table(refusals(statistics));
+        report.figure("requests", statistics.requests());
+        report.figure("answered", statistics.answered());
+        report.figure("mismatched", statistics.mismatched(), MeasureTarget.atMost(0));
+        report.figure("cutInFlight", statistics.unanswered(), MeasureTarget.atMost(0));
         report.figure(
-                "failedRequests", tally.requests() - tally.answered(), MeasureTarget.atMost(0));
+                "failedRequests",
+                statistics.requests() - statistics.answered(),
+                MeasureTarget.atMost(0));
         report.figure("badExits", badExits, MeasureTarget.atMost(0));
         report.figure("drainMillisP50", drains.getValueAtPercentile(MEDIAN) / 1_000.0);
         report.figure("drainMillisP99", drains.getValueAtPercentile(TAIL) / 1_000.0);
-        report.figure("latencyMillisP99", tally.latencyMillis(TAIL));
+        report.figure("latencyMillisP99", statistics.latencyMillis(TAIL));
         return report;
     }
 
-    private static MeasureTable refusals(LoadStatistics tally) {
+    private static MeasureTable refusals(LoadStatistics statistics) {
         List<List<String>> rows = new ArrayList<>();
-        tally.refusals().forEach((kind, count) -> rows.add(List.of(kind, count.toString())));
+        statistics.refusals().forEach((kind, count) -> rows.add(List.of(kind, count.toString())));
         return new MeasureTable("Not answered", List.of("verdict and cause", "count"), rows);
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/replacement/package-info.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/replacement/package-info.java
@@ -1,2 +1,2 @@
-/** Measures what callers notice while instances are replaced, on real processes. */
+/** Measures of the effect on callers of replacing instances, with real processes. */
 package io.masticpond.measure.replacement;
--- a/masticpond-measure/src/test/java/io/masticpond/measure/replacement/CrashAttributionTest.java
+++ b/masticpond-measure/src/test/java/io/masticpond/measure/replacement/CrashAttributionTest.java
@@ -9,48 +9,50 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** Arranges requests around a kill and asserts which of them count as taken by it. */
+/** Tests for {@link CrashAttribution}: which of the requests around a kill are attributed to it. */
 class CrashAttributionTest {
 
     private static final long KILL = 1_000;
-    private static final long DEAD = 1_005;
+    private static final long TERMINATED = 1_005;
     private static final String REFUSED = "did-not-run: platform-away";
-    private static final FleetInstance VICTIM = new FleetInstance("casa-1", "casa-1", "127.1.1.1");
-    private static final FleetInstance OTHER = new FleetInstance("fes-1", "fes-1", "127.1.2.1");
+    private static final FleetInstance KILLED_INSTANCE =
+            new FleetInstance("casa-1", "casa-1", "127.1.1.1");
+    private static final FleetInstance RUNNING_INSTANCE =
+            new FleetInstance("fes-1", "fes-1", "127.1.2.1");
 
     private final List<EndedRequest> mRequests = new ArrayList<>();
 
     @Example
-    void requestsThatNeedNothingThatWasKilledAreAvoidable() {
-        add(false, DEAD, KILL + 10, REFUSED);
-        add(false, DEAD, KILL + 10, LoadStatistics.ANSWERED);
-        assertThat(trace().avoidable()).isEqualTo(1);
-        assertThat(trace().needPlatform() + trace().underWay()).isZero();
+    void countsUnansweredRequestsUnrelatedToKillAsAvoidable() {
+        add(false, TERMINATED, KILL + 10, REFUSED);
+        add(false, TERMINATED, KILL + 10, LoadStatistics.ANSWERED);
+        assertThat(attribution().avoidable()).isEqualTo(1);
+        assertThat(attribution().needPlatform() + attribution().underWay()).isZero();
     }
 
     @Example
-    void requestsWithOwnKeysNeedThePlatformFromTheKillOn() {
+    void countsRequestsWithOwnKeysAsNeedingPlatformAfterKill() {
         add(true, KILL + 1, KILL + 10, REFUSED);
         add(true, KILL - 20, KILL + 1, LoadStatistics.ANSWERED);
         add(true, KILL - 20, KILL - 10, REFUSED);
-        assertThat(trace().needPlatform()).isEqualTo(2);
-        assertThat(trace().avoidable()).isEqualTo(1);
+        assertThat(attribution().needPlatform()).isEqualTo(2);
+        assertThat(attribution().avoidable()).isEqualTo(1);
     }
 
     @Example
-    void requestsUnderWayAtTheKillMayBeTakenByIt() {
+    void countsRequestsUnderWayDuringKillAsUnavoidable() {
         add(false, KILL - 1, KILL, REFUSED);
-        add(false, DEAD - 1, DEAD, REFUSED);
+        add(false, TERMINATED - 1, TERMINATED, REFUSED);
         add(false, KILL - 20, KILL - 1, REFUSED);
-        assertThat(trace().underWay()).isEqualTo(2);
-        assertThat(trace().avoidable()).isEqualTo(1);
+        assertThat(attribution().underWay()).isEqualTo(2);
+        assertThat(attribution().avoidable()).isEqualTo(1);
     }
 
     @Example
-    void causesNameTheInstanceAskedAndWhetherItWasKilled() {
-        add(false, DEAD, KILL + 1_500_000_000, REFUSED);
-        add(false, DEAD, KILL + 2_500_000_000L, REFUSED);
-        assertThat(trace().causes().rows())
+    void listsRequestedInstanceAndWhetherItWasKilled() {
+        add(false, TERMINATED, KILL + 1_500_000_000, REFUSED);
+        add(false, TERMINATED, KILL + 2_500_000_000L, REFUSED);
+        assertThat(attribution().causes().rows())
                 .containsExactly(
                         List.of(
                                 REFUSED,
@@ -60,17 +62,28 @@
                                 "1.50",
                                 "2.50",
                                 "2"));
-        assertThat(trace().seconds().rows())
+        assertThat(attribution().seconds().rows())
                 .containsExactly(
                         List.of("1", "1", "0", "0", "1"), List.of("2", "1", "0", "0", "1"));
     }
 
-    private void add(boolean ownKey, long start, long end, String how) {
+    private void add(boolean ownKey, long start, long end, String outcome) {
         mRequests.add(
-                new EndedRequest("layout-view", ownKey, VICTIM.callerAddress(), start, end, how));
+                new EndedRequest(
+                        "layout-view",
+                        ownKey,
+                        KILLED_INSTANCE.callerAddress(),
+                        start,
+                        end,
+                        outcome));
     }
 
-    private CrashAttribution trace() {
-        return new CrashAttribution(List.of(VICTIM, OTHER), List.of(VICTIM), mRequests, KILL, DEAD);
+    private CrashAttribution attribution() {
+        return new CrashAttribution(
+                List.of(KILLED_INSTANCE, RUNNING_INSTANCE),
+                List.of(KILLED_INSTANCE),
+                mRequests,
+                KILL,
+                TERMINATED);
     }
 }
