--- a/masticpond-measure/src/main/java/io/masticpond/measure/spending/CutOffRun.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/spending/CutOffRun.java
@@ -6,56 +6,57 @@
 import java.util.Map;
 
 /**
- * Cuts instances off from the platform one after the other, and sees how long each goes on.
+ * Simulation run that cuts instances off from the platform one after another and measures how long
+ * each continues to accept requests.
  *
- * <p>The demand is nine tenths of the cap, so that no refusal comes from the cap.
+ * <p>The demand is nine tenths of the cap, so that no refusal is due to the cap.
  */
 final class CutOffRun {
 
     private static final Duration FIRST_CUT = Duration.ofMinutes(20);
-    private static final Duration BETWEEN_CUTS = Duration.ofSeconds(97);
+    private static final Duration CUT_INTERVAL = Duration.ofSeconds(97);
     private static final double DEMAND = 0.9;
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final SpendingSimulation mSimulation;
     private final Map<SpendingNode, Long> mCuts = new HashMap<>();
-    private double mStrandedSum;
+    private double mStrandedShareSum;
     private double mSecondsSum;
-    private double mLeastSeconds = Double.POSITIVE_INFINITY;
-    private int mEnded;
+    private double mMinSeconds = Double.POSITIVE_INFINITY;
+    private int mRefusedNodes;
     private double mWritesPerSecond;
 
     CutOffRun(AllotmentPolicy policy, long seed) {
         mSimulation =
                 new SpendingSimulation(SpendingScenario.ofNine(policy).withDemand(DEMAND), seed);
-        mSimulation.onRefusal(this::refused);
+        mSimulation.setRefusalListener(this::refused);
     }
 
     void run(int cuts) {
-        long moment = FIRST_CUT.toNanos();
-        mSimulation.runUntil(moment);
-        mWritesPerSecond = mSimulation.platform().writes() / (moment / NANOS_PER_SECOND);
+        long untilNanos = FIRST_CUT.toNanos();
+        mSimulation.runUntil(untilNanos);
+        mWritesPerSecond = mSimulation.platform().writes() / (untilNanos / NANOS_PER_SECOND);
         for (int cut = 0; cut < cuts; cut++) {
             cut(mSimulation.nodes().get(cut));
-            moment += BETWEEN_CUTS.toNanos();
-            mSimulation.runUntil(moment);
+            untilNanos += CUT_INTERVAL.toNanos();
+            mSimulation.runUntil(untilNanos);
         }
-        while (mEnded < cuts) {
-            moment += BETWEEN_CUTS.toNanos();
-            mSimulation.runUntil(moment);
+        while (mRefusedNodes < cuts) {
+            untilNanos += CUT_INTERVAL.toNanos();
+            mSimulation.runUntil(untilNanos);
         }
     }
 
     double meanSeconds() {
-        return mSecondsSum / mEnded;
+        return mSecondsSum / mRefusedNodes;
     }
 
     double minimumSeconds() {
-        return mLeastSeconds;
+        return mMinSeconds;
     }
 
     double strandedShare() {
-        return mStrandedSum / mEnded;
+        return mStrandedShareSum / mRefusedNodes;
     }
 
     double writesPerSecond() {
@@ -63,8 +64,9 @@
     }
 
     private void cut(SpendingNode node) {
-        mStrandedSum +=
-                (double) node.availableMicros(SpendingSimulation.FIRST) / mSimulation.capMicros();
+        mStrandedShareSum +=
+                (double) node.availableMicros(SpendingSimulation.FIRST_LEDGER)
+                        / mSimulation.capMicros();
         mCuts.put(node, mSimulation.events().nanos());
         node.cutOff();
     }
@@ -76,7 +78,7 @@
         }
         double seconds = (mSimulation.events().nanos() - since) / NANOS_PER_SECOND;
         mSecondsSum += seconds;
-        mLeastSeconds = Math.min(mLeastSeconds, seconds);
-        mEnded++;
+        mMinSeconds = Math.min(mMinSeconds, seconds);
+        mRefusedNodes++;
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/spending/FakeLedgerPlatform.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/spending/FakeLedgerPlatform.java
@@ -13,26 +13,29 @@
 import java.util.function.Consumer;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Ledgers at a platform in virtual time, with delays, lost answers, late writes and outages. */
+/**
+ * Fake of the platform's ledger store in virtual time, with delays, lost answers, late writes and
+ * outages.
+ */
 final class FakeLedgerPlatform {
 
-    private static final long LEAST_DELAY_NANOS = Duration.ofMillis(1).toNanos();
+    private static final long MIN_DELAY_NANOS = Duration.ofMillis(1).toNanos();
     private static final long DELAY_SPREAD_NANOS = Duration.ofMillis(4).toNanos();
-    private static final long LATE_NANOS = Duration.ofSeconds(3).toNanos();
+    private static final long LATE_WRITE_DELAY_NANOS = Duration.ofSeconds(3).toNanos();
     private static final long TIMEOUT_NANOS = Duration.ofSeconds(1).toNanos();
-    private static final long SAMPLE = 50;
-    private static final long REFUSED_NANOS = Duration.ofMillis(200).toNanos();
+    private static final long BYTES_SAMPLE_INTERVAL = 50;
+    private static final long UNAVAILABLE_ANSWER_DELAY_NANOS = Duration.ofMillis(200).toNanos();
 
     private final EventQueue mEvents;
     private final UniformRandomProvider mRandom;
     private final double mLostShare;
     private final LedgerCodec mCodec = new LedgerCodec();
     private final Map<LedgerKey, VersionedLedger> mLedgers = new HashMap<>();
-    private boolean mAway;
+    private boolean mUnavailable;
     private long mReads;
     private long mWrites;
     private long mConflicts;
-    private long mLost;
+    private long mLostAnswers;
     private long mBytes;
     private long mTransfers;
     private long mSampledBytes;
@@ -43,8 +46,8 @@
         mLostShare = lostShare;
     }
 
-    void setUnavailable(boolean away) {
-        mAway = away;
+    void setUnavailable(boolean unavailable) {
+        mUnavailable = unavailable;
     }
 
     long reads() {
@@ -59,8 +62,8 @@
         return mConflicts;
     }
 
-    long lost() {
-        return mLost;
+    long lostAnswers() {
+        return mLostAnswers;
     }
 
     long bytes() {
@@ -71,8 +74,8 @@
         return Optional.ofNullable(mLedgers.get(key));
     }
 
-    void read(LedgerKey key, Consumer<LedgerAnswer> answer) {
-        if (refuses(answer)) {
+    void read(LedgerKey key, Consumer<LedgerAnswer> listener) {
+        if (refuses(listener)) {
             return;
         }
         mReads++;
@@ -81,44 +84,49 @@
                 () -> {
                     Optional<VersionedLedger> found = ledger(key);
                     found.ifPresent(this::countBytes);
-                    mEvents.after(delay(), () -> answer.accept(new LedgerAnswer.Found(found)));
+                    mEvents.after(delay(), () -> listener.accept(new LedgerAnswer.Found(found)));
                 });
     }
 
-    void write(LedgerChange change, Consumer<LedgerAnswer> answer) {
-        if (refuses(answer)) {
+    void write(LedgerChange change, Consumer<LedgerAnswer> listener) {
+        if (refuses(listener)) {
             return;
         }
         mWrites++;
         if (mRandom.nextDouble() < mLostShare) {
-            mLost++;
+            mLostAnswers++;
             loseAnswer(change);
-            mEvents.after(TIMEOUT_NANOS, () -> answer.accept(new LedgerAnswer.Uncertain()));
+            mEvents.after(TIMEOUT_NANOS, () -> listener.accept(new LedgerAnswer.Uncertain()));
             return;
         }
         mEvents.after(
                 delay(),
                 () -> {
                     LedgerAnswer result = apply(change);
-                    mEvents.after(delay(), () -> answer.accept(result));
+                    mEvents.after(delay(), () -> listener.accept(result));
                 });
     }
 
-    /** The write takes effect, never arrives, or arrives late; one third each. */
+    /**
+     * Loses the answer to a write, which takes effect, never arrives or arrives late, with a
+     * probability of one third each.
+     */
     private void loseAnswer(LedgerChange change) {
-        int fate = mRandom.nextInt(3);
-        if (fate == 0) {
+        int outcome = mRandom.nextInt(3);
+        if (outcome == 0) {
             mEvents.after(delay(), () -> apply(change));
-        } else if (fate == 1) {
-            mEvents.after(LATE_NANOS, () -> apply(change));
+        } else if (outcome == 1) {
+            mEvents.after(LATE_WRITE_DELAY_NANOS, () -> apply(change));
         }
     }
 
-    private boolean refuses(Consumer<LedgerAnswer> answer) {
-        if (mAway) {
-            mEvents.after(REFUSED_NANOS, () -> answer.accept(new LedgerAnswer.Unavailable()));
+    private boolean refuses(Consumer<LedgerAnswer> listener) {
+        if (mUnavailable) {
+            mEvents.after(
+                    UNAVAILABLE_ANSWER_DELAY_NANOS,
+                    () -> listener.accept(new LedgerAnswer.Unavailable()));
         }
-        return mAway;
+        return mUnavailable;
     }
 
     private LedgerAnswer apply(LedgerChange change) {
@@ -135,16 +143,19 @@
         return new LedgerAnswer.Written(version + 1);
     }
 
-    /** Estimates the bytes from a sample, since writing each document would take long. */
+    /**
+     * Estimates the bytes transferred from a sample of the documents, because encoding each one
+     * would take too long.
+     */
     private void countBytes(VersionedLedger ledger) {
         mTransfers++;
-        if (mTransfers % SAMPLE == 1) {
+        if (mTransfers % BYTES_SAMPLE_INTERVAL == 1) {
             mSampledBytes = mCodec.encode(ledger.ledger()).length;
         }
         mBytes += mSampledBytes;
     }
 
     private long delay() {
-        return LEAST_DELAY_NANOS + mRandom.nextLong(DELAY_SPREAD_NANOS);
+        return MIN_DELAY_NANOS + mRandom.nextLong(DELAY_SPREAD_NANOS);
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/spending/SkewedTimeSource.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/spending/SkewedTimeSource.java
@@ -4,7 +4,7 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** The clocks of an instance whose wall clock is wrong by a constant. */
+/** {@link TimeSource} of an instance whose wall clock is off by a constant error. */
 record SkewedTimeSource(TimeSource trueTime, Duration error) implements TimeSource {
 
     @Override
--- a/masticpond-measure/src/main/java/io/masticpond/measure/spending/SpendingCapMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/spending/SpendingCapMeasure.java
@@ -12,20 +12,20 @@
 import java.util.Locale;
 
 /**
- * Measures whether spending stays under the cap, what deaths strand, how long a cut-off instance
- * goes on, and how often the platform is called.
+ * {@link Measure} of whether spending stays below the cap, how much crashes strand, how long a
+ * cut-off instance continues, and how often the platform is called.
  *
  * @since 0.1
  */
 public final class SpendingCapMeasure implements Measure {
 
-    private static final double LEAST_SPENT_SHARE = 0.97;
+    private static final double MIN_SPENT_SHARE = 0.97;
     private static final double LOST_SHARE = 0.05;
     private static final int CRASHES = 12;
     private static final int PAUSES = 12;
     private static final Duration OUTAGE = Duration.ofMinutes(10);
-    private static final int[] FLEETS = {9, 50, 100, 200, 410};
-    private static final int[] COVERS = {30, 60, 120, 300, 600, 900, 1_800, 3_600};
+    private static final int[] FLEET_SIZES = {9, 50, 100, 200, 410};
+    private static final int[] COVER_SECONDS = {30, 60, 120, 300, 600, 900, 1_800, 3_600};
     private static final int CUTS = 9;
     private static final double NANOS_PER_SECOND = 1e9;
     private static final double PERCENT = 100;
@@ -57,11 +57,11 @@
 
     private static void measureShifts(MeasureReport report, long seed) {
         SpendingScenario plain = SpendingScenario.ofNine(AllotmentPolicy.DEFAULT);
-        SpendingScenario faulty = plain.with(LOST_SHARE, PAUSES, OUTAGE, 0);
-        SpendingScenario crashing = plain.with(LOST_SHARE, PAUSES, OUTAGE, CRASHES);
+        SpendingScenario faulty = plain.withFaults(LOST_SHARE, PAUSES, OUTAGE, 0);
+        SpendingScenario crashing = plain.withFaults(LOST_SHARE, PAUSES, OUTAGE, CRASHES);
         SpendingScenario below = crashing.withDemand(0.9);
         List<List<String>> rows = new ArrayList<>();
-        int over = 0;
+        int overCap = 0;
         SpendingSimulation plainRun = new SpendingSimulation(plain, seed).run();
         SpendingSimulation faultyRun = new SpendingSimulation(faulty, seed).run();
         SpendingSimulation crashingRun = new SpendingSimulation(crashing, seed).run();
@@ -71,18 +71,18 @@
         rows.add(rowOf("the same and 12 deaths", crashingRun));
         rows.add(rowOf("the same, demand 0.9 of the cap", belowRun));
         for (SpendingSimulation run : List.of(plainRun, faultyRun, crashingRun, belowRun)) {
-            over += run.shiftsOverCap();
+            overCap += run.shiftsOverCap();
         }
-        report.figure("overCap", over, MeasureTarget.atMost(0));
+        report.figure("overCap", overCap, MeasureTarget.atMost(0));
         report.figure(
                 "spentShareAtRefusal",
                 Math.min(plainRun.spentShareAtRefusal(), faultyRun.spentShareAtRefusal()),
-                MeasureTarget.atLeast(LEAST_SPENT_SHARE));
+                MeasureTarget.atLeast(MIN_SPENT_SHARE));
         report.figure("spentShareWithDeaths", crashingRun.spentShare(0));
         report.figure("strandedShare", crashingRun.strandedShare());
         report.figure("refusedBelowCap", belowRun.refusedOtherwise());
         report.figure(
-                "platformWritesPerSecond", perSecond(faultyRun, faultyRun.platform().writes()));
+                "platformWritesPerSecond", ratePerSecond(faultyRun, faultyRun.platform().writes()));
         report.table(
                 new MeasureTable(
                         "Nine instances, a shift of 8 h and 5 min of the next",
@@ -106,38 +106,39 @@
         return List.of(
                 faults,
                 Integer.toString(run.shiftsOverCap()),
-                run.refusedAtCap() == 0 ? "none" : number(run.spentShareAtRefusal()),
-                number(run.spentShare(0)),
-                number(run.strandedShare()),
+                run.refusedAtCap() == 0 ? "none" : format(run.spentShareAtRefusal()),
+                format(run.spentShare(0)),
+                format(run.strandedShare()),
                 Long.toString(run.refusedAtCap()),
                 Long.toString(run.refusedOtherwise()),
                 Long.toString(run.charges()),
-                number(perSecond(run, run.platform().writes())),
+                format(ratePerSecond(run, run.platform().writes())),
                 Long.toString(run.peakWritesPerSecond()),
-                number(perSecond(run, run.platform().reads())),
-                Long.toString(run.platform().lost()));
+                format(ratePerSecond(run, run.platform().reads())),
+                Long.toString(run.platform().lostAnswers()));
     }
 
     private static void measureFleets(MeasureReport report, long seed) {
         List<List<String>> rows = new ArrayList<>();
-        for (int instances : FLEETS) {
+        for (int instances : FLEET_SIZES) {
             SpendingSimulation run =
                     new SpendingSimulation(SpendingScenario.ofFleet(instances), seed).run();
             FakeLedgerPlatform platform = run.platform();
-            double bytes = perSecond(run, platform.bytes()) / instances;
+            double bytes = ratePerSecond(run, platform.bytes()) / instances;
             rows.add(
                     List.of(
                             Integer.toString(instances),
                             Integer.toString(run.shiftsOverCap()),
-                            number(run.spentShareAtRefusal()),
-                            number(perSecond(run, platform.writes())),
+                            format(run.spentShareAtRefusal()),
+                            format(ratePerSecond(run, platform.writes())),
                             Long.toString(run.peakWritesPerSecond()),
-                            number((double) platform.conflicts() / platform.writes()),
-                            number(perSecond(run, platform.reads())),
-                            number(bytes)));
-            if (instances == FLEETS[FLEETS.length - 1]) {
+                            format((double) platform.conflicts() / platform.writes()),
+                            format(ratePerSecond(run, platform.reads())),
+                            format(bytes)));
+            if (instances == FLEET_SIZES[FLEET_SIZES.length - 1]) {
                 report.figure("overCapFleet", run.shiftsOverCap(), MeasureTarget.atMost(0));
-                report.figure("platformWritesPerSecondFleet", perSecond(run, platform.writes()));
+                report.figure(
+                        "platformWritesPerSecondFleet", ratePerSecond(run, platform.writes()));
                 report.figure("platformWritesPerSecondFleetPeak", run.peakWritesPerSecond());
                 report.figure("ledgerBytesPerSecondFleet", bytes);
             }
@@ -161,7 +162,7 @@
         List<List<String>> rows = new ArrayList<>();
         List<Double> stranded = new ArrayList<>();
         List<Double> seconds = new ArrayList<>();
-        for (int cover : COVERS) {
+        for (int cover : COVER_SECONDS) {
             AllotmentPolicy policy =
                     new AllotmentPolicy(
                             Duration.ofSeconds(cover),
@@ -174,10 +175,10 @@
             rows.add(
                     List.of(
                             Integer.toString(cover),
-                            number(run.minimumSeconds()),
-                            number(run.meanSeconds()),
-                            number(PERCENT * run.strandedShare()),
-                            number(run.writesPerSecond())));
+                            format(run.minimumSeconds()),
+                            format(run.meanSeconds()),
+                            format(PERCENT * run.strandedShare()),
+                            format(run.writesPerSecond())));
             if (cover == AllotmentPolicy.DEFAULT.cover().toSeconds()) {
                 report.figure("cutOffSeconds", run.meanSeconds());
                 report.figure("cutOffSecondsLeast", run.minimumSeconds());
@@ -204,11 +205,11 @@
                                         "9 instances, shift of 8 h", stranded, seconds))));
     }
 
-    private static double perSecond(SpendingSimulation run, long count) {
+    private static double ratePerSecond(SpendingSimulation run, long count) {
         return count / (run.events().nanos() / NANOS_PER_SECOND);
     }
 
-    private static String number(double value) {
+    private static String format(double value) {
         return String.format(Locale.ROOT, "%.4f", value);
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/spending/SpendingNode.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/spending/SpendingNode.java
@@ -20,15 +20,18 @@
 import java.util.ArrayDeque;
 import java.util.Queue;
 
-/** One run of an instance with a real gate; it may die, stand still or be cut off. */
+/**
+ * Simulated incarnation of an instance with a real spending gate, which may be terminated, paused
+ * or cut off from the platform.
+ */
 final class SpendingNode implements LedgerSink {
 
     private static final Duration CLOCK_ERROR = Duration.ofMillis(500);
 
     private final FakeLedgerPlatform mPlatform;
     private final DefaultSpendingGate mGate;
-    private final Queue<Runnable> mWhilePaused = new ArrayDeque<>();
-    private boolean mDead;
+    private final Queue<Runnable> mDeferredAnswers = new ArrayDeque<>();
+    private boolean mTerminated;
     private boolean mPaused;
     private boolean mCutOff;
 
@@ -66,21 +69,21 @@
     }
 
     boolean isWorking() {
-        return !mDead && !mPaused;
+        return !mTerminated && !mPaused;
     }
 
     void terminate() {
-        mDead = true;
+        mTerminated = true;
     }
 
     void pause() {
         mPaused = true;
     }
 
-    void wake() {
+    void resume() {
         mPaused = false;
-        while (!mWhilePaused.isEmpty()) {
-            mWhilePaused.remove().run();
+        while (!mDeferredAnswers.isEmpty()) {
+            mDeferredAnswers.remove().run();
         }
     }
 
@@ -110,11 +113,11 @@
     }
 
     private void answered(LedgerKey key, LedgerAnswer answer) {
-        if (mDead || mCutOff) {
+        if (mTerminated || mCutOff) {
             return;
         }
         if (mPaused) {
-            mWhilePaused.add(() -> mGate.onAnswer(key, answer));
+            mDeferredAnswers.add(() -> mGate.onAnswer(key, answer));
             return;
         }
         mGate.onAnswer(key, answer);
--- a/masticpond-measure/src/main/java/io/masticpond/measure/spending/SpendingScenario.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/spending/SpendingScenario.java
@@ -4,19 +4,19 @@
 import java.time.Duration;
 
 /**
- * What is simulated: two shifts of one service, one after the other.
+ * Parameters of a simulation of two consecutive shifts of one service.
  *
- * @param instances how many instances share the cap
+ * @param instances the number of instances that share the cap
  * @param shift the length of each shift
- * @param requestsPerSecond what callers ask of all instances together
- * @param demand what callers ask in a shift, as a multiple of the cap
- * @param policy how allotments are sized
- * @param advancePeriod how often time acts on a gate
- * @param lostShare the share of writes whose answer is lost
- * @param crashes how many instances die in the first shift
- * @param pauses how many instances stand still for a minute in the first shift
- * @param outage how long the platform is away from a third of the first shift on, and around the
- *     border of the shifts
+ * @param requestsPerSecond the request rate at all instances together
+ * @param demand the demand in a shift as a multiple of the cap
+ * @param policy the policy that sizes allotments
+ * @param advancePeriod the interval at which each spending gate is advanced
+ * @param lostShare the fraction of writes whose answer is lost
+ * @param crashes the number of instances that crash in the first shift
+ * @param pauses the number of instances paused for a minute in the first shift
+ * @param outage the duration of each of two platform outages, one that begins after a third of the
+ *     first shift, one centered on the boundary between the shifts
  */
 record SpendingScenario(
         int instances,
@@ -44,8 +44,8 @@
                 Duration.ZERO);
     }
 
-    /** Gives the same with lost answers, pauses, outages and deaths. */
-    SpendingScenario with(double lost, int pauseCount, Duration away, int crashCount) {
+    /** Returns a copy of this scenario with lost answers, pauses, outages and crashes. */
+    SpendingScenario withFaults(double lost, int pauseCount, Duration unavailable, int crashCount) {
         return new SpendingScenario(
                 instances,
                 shift,
@@ -56,10 +56,10 @@
                 lost,
                 crashCount,
                 pauseCount,
-                away);
+                unavailable);
     }
 
-    /** Gives the same with another demand. */
+    /** Returns a copy of this scenario with another demand. */
     SpendingScenario withDemand(double multiple) {
         return new SpendingScenario(
                 instances,
@@ -74,7 +74,10 @@
                 outage);
     }
 
-    /** An hour's shift of a fleet, each instance with a request in four seconds. */
+    /**
+     * Returns a scenario of a fleet with shifts of an hour, in which each instance receives a
+     * request every four seconds.
+     */
     static SpendingScenario ofFleet(int instances) {
         return new SpendingScenario(
                 instances,
--- a/masticpond-measure/src/main/java/io/masticpond/measure/spending/SpendingSimulation.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/spending/SpendingSimulation.java
@@ -28,18 +28,19 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Runs a scenario in virtual time. What is spent is counted outside the state machines: each paid
- * request is executed at once, and its price is added to the shift of the true time.
+ * Simulation of a spending scenario in virtual time. The amount spent is counted independently of
+ * the state machines under test: each charged request is executed immediately, and its price is
+ * added to the shift at the true time.
  */
 final class SpendingSimulation {
 
     static final ServiceId SERVICE = new ServiceId("layout-view");
-    static final LedgerKey FIRST = new LedgerKey(SERVICE, new ShiftId("1970-01-01-first"));
-    static final LedgerKey SECOND = new LedgerKey(SERVICE, new ShiftId("1970-01-01-second"));
+    static final LedgerKey FIRST_LEDGER = new LedgerKey(SERVICE, new ShiftId("1970-01-01-first"));
+    static final LedgerKey SECOND_LEDGER = new LedgerKey(SERVICE, new ShiftId("1970-01-01-second"));
 
     private static final long[] PRICES = {1_000, 1_200, 1_500};
     private static final double MEAN_PRICE = (1_000 + 1_200 + 1_500) / 3.0;
-    private static final Duration AFTER_BORDER = Duration.ofMinutes(5);
+    private static final Duration AFTER_BOUNDARY = Duration.ofMinutes(5);
     private static final Duration PAUSE = Duration.ofMinutes(1);
     private static final Duration RESTART = Duration.ofSeconds(5);
     private static final long CLOCK_ERROR_MILLIS = 400;
@@ -61,30 +62,33 @@
     private long mRefusedOtherwise;
     private long mCharges;
     private long mPeakWrites;
-    private long mStranded;
-    private Consumer<SpendingNode> mOnRefusal = node -> {};
+    private long mStrandedMicros;
+    private Consumer<SpendingNode> mRefusalListener = node -> {};
 
     SpendingSimulation(SpendingScenario scenario, long seed) {
         mScenario = scenario;
         mRandom = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         mPlatform = new FakeLedgerPlatform(mEvents, mRandom, scenario.lostShare());
         mShiftNanos = scenario.shift().toNanos();
-        double asked = scenario.requestsPerSecond() * MEAN_PRICE * mShiftNanos / NANOS_PER_SECOND;
-        mCapMicros = (long) (asked / scenario.demand());
+        double demandMicros =
+                scenario.requestsPerSecond() * MEAN_PRICE * mShiftNanos / NANOS_PER_SECOND;
+        mCapMicros = (long) (demandMicros / scenario.demand());
         mConfiguration = configuration();
         for (int index = 0; index < scenario.instances(); index++) {
             mNodes.add(start(index));
         }
     }
 
-    /** Runs both shifts, the second for some minutes. */
+    /** Runs the first shift and the first five minutes of the second. */
     SpendingSimulation run() {
         scheduleFaults();
-        runUntil(mShiftNanos + AFTER_BORDER.toNanos());
+        runUntil(mShiftNanos + AFTER_BOUNDARY.toNanos());
         return this;
     }
 
-    /** Runs to a moment; arrivals and advances start with the first call. */
+    /**
+     * Runs until a virtual time in nanoseconds; the first call starts arrivals and gate advances.
+     */
     void runUntil(long nanos) {
         if (mEvents.nanos() == 0) {
             scheduleLoops();
@@ -92,8 +96,8 @@
         mEvents.runUntil(nanos);
     }
 
-    void onRefusal(Consumer<SpendingNode> listener) {
-        mOnRefusal = listener;
+    void setRefusalListener(Consumer<SpendingNode> listener) {
+        mRefusalListener = listener;
     }
 
     EventQueue events() {
@@ -128,30 +132,38 @@
         return mPeakWrites;
     }
 
-    /** The shifts in which more was spent, by the true time, or allotted than the cap. */
+    /**
+     * Returns the number of shifts in which the amount spent, by true time, or allotted exceeded
+     * the cap.
+     */
     int shiftsOverCap() {
-        int over = 0;
-        LedgerKey[] keys = {FIRST, SECOND};
+        int overCap = 0;
+        LedgerKey[] keys = {FIRST_LEDGER, SECOND_LEDGER};
         for (int shift = 0; shift < keys.length; shift++) {
-            boolean tooMuch =
+            boolean capExceeded =
                     mSpentMicros[shift] > mCapMicros || allotted(keys[shift]) > mCapMicros;
-            over += tooMuch ? 1 : 0;
+            overCap += capExceeded ? 1 : 0;
         }
-        return over;
+        return overCap;
     }
 
     double spentShare(int shift) {
         return (double) mSpentMicros[shift] / mCapMicros;
     }
 
-    /** The share of the cap that was spent when a request was first refused at the cap. */
+    /**
+     * Returns the share of the cap that was spent when a request was first refused because of the
+     * cap.
+     */
     double spentShareAtRefusal() {
         return (double) mSpentAtRefusal / mCapMicros;
     }
 
-    /** The share of the cap that dead instances held, for each death. */
+    /** Returns the mean share of the cap stranded by the crash of an instance. */
     double strandedShare() {
-        return mScenario.crashes() == 0 ? 0 : (double) mStranded / mCapMicros / mScenario.crashes();
+        return mScenario.crashes() == 0
+                ? 0
+                : (double) mStrandedMicros / mCapMicros / mScenario.crashes();
     }
 
     private long allotted(LedgerKey key) {
@@ -213,9 +225,9 @@
         mEvents.after(period, () -> advance(index, period));
     }
 
-    private void countWrites(long before) {
+    private void countWrites(long previousWrites) {
         long writes = mPlatform.writes();
-        mPeakWrites = Math.max(mPeakWrites, writes - before);
+        mPeakWrites = Math.max(mPeakWrites, writes - previousWrites);
         mEvents.after((long) NANOS_PER_SECOND, () -> countWrites(writes));
     }
 
@@ -231,11 +243,11 @@
             execute(price);
             return;
         }
-        mOnRefusal.accept(node);
+        mRefusalListener.accept(node);
         refused(charge.getLeft());
     }
 
-    /** Stands for a backend server: what it executes counts, at the true time. */
+    /** Executes a request in place of a backend server, and counts its price at the true time. */
     private void execute(long price) {
         mCharges++;
         mSpentMicros[mEvents.nanos() < mShiftNanos ? 0 : 1] += price;
@@ -255,7 +267,7 @@
     private void crash() {
         int index = mRandom.nextInt(mNodes.size());
         SpendingNode node = mNodes.get(index);
-        mStranded += node.availableMicros(FIRST);
+        mStrandedMicros += node.availableMicros(FIRST_LEDGER);
         node.terminate();
         mEvents.after(RESTART.toNanos(), () -> mNodes.set(index, start(index)));
     }
@@ -263,7 +275,7 @@
     private void pause() {
         SpendingNode node = mNodes.get(mRandom.nextInt(mNodes.size()));
         node.pause();
-        mEvents.after(PAUSE.toNanos(), node::wake);
+        mEvents.after(PAUSE.toNanos(), node::resume);
     }
 
     private long nextArrival() {
@@ -273,15 +285,15 @@
     }
 
     private Configuration configuration() {
-        LocalTime border = LocalTime.MIDNIGHT.plus(mScenario.shift());
-        LocalTime end = border.plus(mScenario.shift());
+        LocalTime boundary = LocalTime.MIDNIGHT.plus(mScenario.shift());
+        LocalTime end = boundary.plus(mScenario.shift());
         SpendingSpecification spending =
                 new SpendingSpecification(
                         "UTC",
                         List.of(
                                 new ShiftSpecification(
-                                        "first", LocalTime.MIDNIGHT, border, mCapMicros),
-                                new ShiftSpecification("second", border, end, mCapMicros)));
+                                        "first", LocalTime.MIDNIGHT, boundary, mCapMicros),
+                                new ShiftSpecification("second", boundary, end, mCapMicros)));
         List<PriceSpecification> prices = new ArrayList<>();
         for (long price : PRICES) {
             prices.add(new PriceSpecification(new RegionId("region-" + price), price));
--- a/masticpond-measure/src/main/java/io/masticpond/measure/spending/package-info.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/spending/package-info.java
@@ -1,2 +1,2 @@
-/** The measure of spending: real accounts and gates over a small fake of the platform. */
+/** Measure of spending, with real accounts and spending gates over a small fake of the platform. */
 package io.masticpond.measure.spending;
