--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationDistribution.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationDistribution.java
@@ -86,7 +86,7 @@
     private List<InstanceId> watchers(ZoneId ofZone, Collection<Member> members) {
         TreeSet<InstanceId> candidates = new TreeSet<>();
         for (Member member : members) {
-            if (member.zone().equals(ofZone) && member.state().admits()) {
+            if (member.zone().equals(ofZone) && member.state().canAdmit()) {
                 candidates.add(member.id());
             }
         }
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/LinkSpecification.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/LinkSpecification.java
@@ -30,7 +30,7 @@
      * @param second the other region
      * @return {@code true} if the link connects them
      */
-    public boolean joins(RegionId first, RegionId second) {
+    public boolean connects(RegionId first, RegionId second) {
         return (from.equals(first) && to.equals(second))
                 || (from.equals(second) && to.equals(first));
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/AdmissionDecision.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/AdmissionDecision.java
@@ -10,12 +10,12 @@
  *     admitted
  * @param expectedWaitNanos how long a refused request would wait for a slot, in nanoseconds; 0 if
  *     admitted
- * @param longestWaitNanos how long it may wait, in nanoseconds, negative if its remaining time is
+ * @param maximumWaitNanos how long it may wait, in nanoseconds, negative if its remaining time is
  *     too short; 0 if admitted
  * @since 0.2
  */
 public record AdmissionDecision(
-        boolean admitted, long retryAfterNanos, long expectedWaitNanos, long longestWaitNanos) {
+        boolean admitted, long retryAfterNanos, long expectedWaitNanos, long maximumWaitNanos) {
 
     /** The decision for a request that is admitted. */
     public static final AdmissionDecision ADMITTED = new AdmissionDecision(true, 0, 0, 0);
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/CallOutlierDetector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/CallOutlierDetector.java
@@ -107,7 +107,7 @@
      * @param service its service
      * @param server the server
      */
-    public void forget(ServiceId service, BackendServerId server) {
+    public void remove(ServiceId service, BackendServerId server) {
         Peers peers = mServices.get(service);
         if (peers != null) {
             peers.mStatistics.remove(server);
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRetryBudget.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRetryBudget.java
@@ -76,7 +76,7 @@
      *
      * @param nowNanos the current monotonic time, in nanoseconds
      */
-    public void firstAttempt(long nowNanos) {
+    public void recordFirstAttempt(long nowNanos) {
         advance(nowNanos);
         mRequests[slot(mBucket)]++;
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/lookup/LookupDecider.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/lookup/LookupDecider.java
@@ -73,7 +73,7 @@
      * configuration if others have one.
      */
     private static List<Member> eligibleMembers(Collection<Member> members) {
-        List<Member> live = members.stream().filter(member -> member.state().admits()).toList();
+        List<Member> live = members.stream().filter(member -> member.state().canAdmit()).toList();
         List<Member> configured = live.stream().filter(Member::isConfigured).toList();
         return configured.isEmpty() ? live : configured;
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/lookup/ZoneOrder.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/lookup/ZoneOrder.java
@@ -69,7 +69,7 @@
             return -1;
         }
         return configuration.content().links().stream()
-                .filter(link -> link.joins(home, region))
+                .filter(link -> link.connects(home, region))
                 .mapToLong(LinkSpecification::oneWayMicros)
                 .findFirst()
                 .orElse(Long.MAX_VALUE);
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MemberState.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MemberState.java
@@ -33,7 +33,7 @@
      *
      * @return {@code true} if it accepts new work
      */
-    public boolean admits() {
+    public boolean canAdmit() {
         return mAdmits;
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipView.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipView.java
@@ -53,7 +53,7 @@
         return new RegionView(
                 region,
                 ofRegion.stream()
-                        .filter(member -> member.state().admits())
+                        .filter(member -> member.state().canAdmit())
                         .map(Member::id)
                         .toList(),
                 ofRegion.stream().map(Member::id).filter(missing::contains).toList(),
@@ -66,7 +66,7 @@
      * @return the members, ordered by id
      */
     public List<Member> live() {
-        return members.stream().filter(member -> member.state().admits()).toList();
+        return members.stream().filter(member -> member.state().canAdmit()).toList();
     }
 
     /**
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/ClaimBatcher.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/ClaimBatcher.java
@@ -70,7 +70,7 @@
     }
 
     /**
-     * Returns the calls to make now; each must be followed by one call of {@link #answered}.
+     * Returns the calls to make now; each must be followed by one call of {@link #onAnswer}.
      *
      * @return the calls, at most one for each bucket
      */
@@ -90,7 +90,7 @@
      * @param call the call
      * @param answer the answer of the platform
      */
-    public void answered(ClaimCall call, StoreAnswer<ClaimContents> answer) {
+    public void onAnswer(ClaimCall call, StoreAnswer<ClaimContents> answer) {
         Bucket bucket = mBuckets.get(call.bucket());
         Assert.isTrue(
                 bucket != null && bucket.mIsCallInProgress, "No call is in progress for %s.", call);
@@ -98,7 +98,7 @@
     }
 
     /** Discards the cached contents of buckets that no request waits for, to save memory. */
-    public void forgetIdle() {
+    public void removeIdleBuckets() {
         mBuckets.values()
                 .removeIf(bucket -> !bucket.mIsCallInProgress && bucket.mWaiting.isEmpty());
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/OperationRegistry.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/OperationRegistry.java
@@ -202,7 +202,7 @@
     }
 
     /** Removes the outcomes of expired keys; running operations are retained. */
-    public void forgetExpired() {
+    public void removeExpired() {
         long now = mClock.millis();
         Iterator<OperationKey> keys = mByExpiry.iterator();
         while (keys.hasNext()) {
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/OutcomeBatcher.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/OutcomeBatcher.java
@@ -91,7 +91,7 @@
     }
 
     /**
-     * Returns the calls to make now; each must be followed by one call of {@link #answered}.
+     * Returns the calls to make now; each must be followed by one call of {@link #onAnswer}.
      *
      * @return the calls, at most one for each segment
      */
@@ -158,7 +158,7 @@
      * @param call the call
      * @param answer the answer of the platform; that to a read contains the version
      */
-    public void answered(OutcomeCall<A> call, StoreAnswer<Long> answer) {
+    public void onAnswer(OutcomeCall<A> call, StoreAnswer<Long> answer) {
         Segment<A> segment = mSegments.get(call.segment());
         Assert.isTrue(
                 segment != null && segment.mIsCallInProgress,
@@ -191,7 +191,7 @@
      *
      * @return the count
      */
-    public int unwritten() {
+    public int unwrittenCount() {
         return mSegments.values().stream()
                 .filter(segment -> segment.mIsDirty || segment.mIsCallInProgress)
                 .mapToInt(segment -> segment.mOutcomes.size())
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/RequestPlacer.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/RequestPlacer.java
@@ -72,7 +72,7 @@
         if (load.isTerminated()) {
             return;
         }
-        load.reported(reported, nowNanos);
+        load.recordReport(reported, nowNanos);
         mSharedLoads.recordLoad(load, reported);
     }
 
@@ -211,11 +211,11 @@
         if (load.isTerminated()) {
             return;
         }
-        load.answeredIn(nanos);
+        load.recordServiceTime(nanos);
         RegisteredServer server = load.server();
         mChooser.outlierDetector().succeeded(server.service(), server.id(), nanos, nowNanos);
         if (!hasWaited) {
-            mChooser.answeredIn(server.service(), nanos);
+            mChooser.recordAnswerTime(server.service(), nanos);
         }
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/ServerChooser.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/ServerChooser.java
@@ -64,7 +64,7 @@
      * @param service the service
      * @param nanos the time in nanoseconds from the sending to the answer
      */
-    public void answeredIn(ServiceId service, long nanos) {
+    public void recordAnswerTime(ServiceId service, long nanos) {
         mCacheMissCosts
                 .computeIfAbsent(service, id -> new CacheMissCost(mSettings.cacheMiss()))
                 .recordAnswerTime(nanos);
@@ -76,7 +76,7 @@
      * @param route the route of the request
      * @param bytes the size of its body in bytes
      */
-    public void answered(RouteId route, long bytes) {
+    public void recordAnswerSize(RouteId route, long bytes) {
         mAnswerSizes.recordSize(route, bytes);
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/ServerLoad.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/ServerLoad.java
@@ -127,7 +127,7 @@
      * @param load the load
      * @param nowNanos the current monotonic time
      */
-    public void reported(ReportedLoad load, long nowNanos) {
+    public void recordReport(ReportedLoad load, long nowNanos) {
         double otherRequests = Math.max(0, load.running() + load.waiting() - mOwnRequests);
         double previous = decayedOtherRequests(nowNanos);
         mOtherRequests = previous + LOAD_SMOOTHING_FACTOR * (otherRequests - previous);
@@ -150,7 +150,7 @@
         int maximum = MAXIMUM_REQUESTS_PER_SLOT * mServer.slots();
         int running = Math.min(load.running(), maximum);
         int waiting = Math.min(load.waiting(), maximum - running);
-        reported(new ReportedLoad(running, waiting, mServer.slots()), nowNanos);
+        recordReport(new ReportedLoad(running, waiting, mServer.slots()), nowNanos);
     }
 
     /** Records whether the server was last reported to the neighbors as full. */
@@ -168,7 +168,7 @@
      *
      * @param nanos the time in nanoseconds
      */
-    public void answeredIn(long nanos) {
+    public void recordServiceTime(long nanos) {
         mServiceNanos =
                 mServiceNanos == 0
                         ? nanos
--- a/masticpond-core/src/main/java/io/masticpond/core/region/DefaultRegionSelector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/DefaultRegionSelector.java
@@ -135,7 +135,7 @@
 
     private Optional<LinkSpecification> findLink(Configuration configuration, RegionId region) {
         return configuration.content().links().stream()
-                .filter(link -> link.joins(mOwnRegion, region))
+                .filter(link -> link.connects(mOwnRegion, region))
                 .findFirst();
     }
 
@@ -215,7 +215,7 @@
     }
 
     @Override
-    public void ended(RequestHead request, RegionId region, RegionAttemptOutcome end) {
+    public void recordOutcome(RequestHead request, RegionId region, RegionAttemptOutcome end) {
         view(request.service(), region)
                 .ifPresent(view -> view.ended(request.id(), end, mTimeSource.monotonicNanos()));
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/region/RegionSelector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/RegionSelector.java
@@ -14,7 +14,7 @@
  *
  * <p>Implementations are confined to one thread. A choice consumes a share of the link that it
  * crosses and counts against the budgets; each choice must be followed by exactly one call of
- * {@link #ended}.
+ * {@link #recordOutcome}.
  *
  * @since 0.1
  */
@@ -46,7 +46,7 @@
      * @param region the region that was chosen
      * @param end the outcome of the request there
      */
-    void ended(RequestHead request, RegionId region, RegionAttemptOutcome end);
+    void recordOutcome(RequestHead request, RegionId region, RegionAttemptOutcome end);
 
     /**
      * Sets whether an admitter of a service can be reached in a region.
--- a/masticpond-core/src/main/java/io/masticpond/core/region/RetryBudget.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/RetryBudget.java
@@ -43,7 +43,7 @@
     }
 
     /** Records a first attempt. */
-    public void firstAttempt() {
+    public void recordFirstAttempt() {
         mFirstAttempts++;
         mTokens = Math.min(mBurst, mTokens + mShare);
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/region/ShardHeadrooms.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/ShardHeadrooms.java
@@ -48,7 +48,7 @@
      *
      * @param shard the shard
      */
-    public void sent(Shard shard) {
+    public void recordSent(Shard shard) {
         Entry entry = mEntries.get(shard);
         if (entry != null) {
             entry.mSentSince++;
--- a/masticpond-core/src/main/java/io/masticpond/core/region/ShardScope.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/ShardScope.java
@@ -108,7 +108,7 @@
             Set<InstanceId> missing) {
         List<InstanceId> candidates =
                 possibleAdmitters(configuration, shard, members, missing).stream()
-                        .filter(member -> member.state().admits())
+                        .filter(member -> member.state().canAdmit())
                         .map(Member::id)
                         .toList();
         return Rendezvous.order(shard.toString(), candidates);
@@ -140,7 +140,7 @@
                         .filter(each -> contains(region.get(), shard, each.zone()))
                         .toList();
         for (Member member : scopeMembers) {
-            if (member.state().admits() || missing.contains(member.id())) {
+            if (member.state().canAdmit() || missing.contains(member.id())) {
                 return scopeMembers;
             }
         }
--- a/masticpond-core/src/main/java/io/masticpond/core/routing/Route.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/routing/Route.java
@@ -111,7 +111,7 @@
      * @param workspace the workspace
      * @return the route for its requests, or empty if no region may serve them
      */
-    public Optional<Route> within(Workspace workspace) {
+    public Optional<Route> restrictTo(Workspace workspace) {
         Set<RegionId> regions = homeRegions;
         if (!workspace.homeRegions().isEmpty()) {
             regions = new HashSet<>(workspace.homeRegions());
--- a/masticpond-core/src/main/java/io/masticpond/core/serverlimit/ServerLimits.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/serverlimit/ServerLimits.java
@@ -109,7 +109,7 @@
      * @param sentNanos the monotonic time at which the request was sent
      * @param now the moment at which the answer arrived
      */
-    public void answered(RegisteredServer server, LimitHeader header, long sentNanos, Moment now) {
+    public void applyAnswer(RegisteredServer server, LimitHeader header, long sentNanos, Moment now) {
         if (header.kind() == LimitHeader.Kind.MALFORMED) {
             mMalformedCount++;
             if (mMalformed.add(server.id())) {
@@ -130,7 +130,7 @@
      * @param now the current moment
      * @return whether the report changed the limit
      */
-    public boolean received(RegisteredServer server, LimitReport report, Moment now) {
+    public boolean applyReport(RegisteredServer server, LimitReport report, Moment now) {
         if (report.receivedAgoNanos() > mSettings.memory().toNanos()) {
             return false;
         }
@@ -393,7 +393,7 @@
      *
      * @return the number since the start
      */
-    public long malformed() {
+    public long malformedCount() {
         return mMalformedCount;
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/DefaultSpendingGate.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/DefaultSpendingGate.java
@@ -111,7 +111,7 @@
      *
      * @param holders the number of live instances, this one included
      */
-    public void holders(int holders) {
+    public void setHolders(int holders) {
         mHolders = (int) Assert.positive(holders, "A number of holders");
         mAccounts.values().forEach(account -> account.holders(holders));
     }
@@ -178,7 +178,7 @@
     }
 
     /** Reads all ledgers again, since the platform was restored from an older copy. */
-    public void platformRestored() {
+    public void onPlatformRestored() {
         mAccounts.values().forEach(SpendingAccount::readAgain);
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/statement/ServerWithdrawals.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/statement/ServerWithdrawals.java
@@ -259,7 +259,7 @@
      *
      * @return the number since the start
      */
-    public long malformed() {
+    public long malformedCount() {
         return mMalformedCount;
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/workspace/WorkspaceTable.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/workspace/WorkspaceTable.java
@@ -85,7 +85,7 @@
      *
      * @return the number of keys
      */
-    public int keys() {
+    public int keyCount() {
         return mByKey.size();
     }
 }
--- a/masticpond-core/src/test/java/io/masticpond/core/limit/SharedRetryBudgetTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/limit/SharedRetryBudgetTest.java
@@ -38,7 +38,7 @@
         assertThat(budget.left(90_000 * MILLI, 2)).isEqualTo(24);
         SharedRetryBudget busy = new SharedRetryBudget(SETTINGS, 0);
         for (int request = 0; request < 100; request++) {
-            busy.firstAttempt(request * MILLI);
+            busy.recordFirstAttempt(request * MILLI);
         }
         assertThat(busy.left(100 * MILLI, 2)).isCloseTo(16, within(1e-9));
     }
@@ -47,7 +47,7 @@
     void reportsTheUsageOfTheWindow() {
         SharedRetryBudget budget = new SharedRetryBudget(SETTINGS, 0);
         for (int request = 0; request < 100; request++) {
-            budget.firstAttempt(30_000 * MILLI);
+            budget.recordFirstAttempt(30_000 * MILLI);
         }
         assertThat(budget.tryRetry(30_001 * MILLI, 2)).isTrue();
         RetryBudgetUsage usage = budget.usage(30_002 * MILLI, 2);
@@ -97,7 +97,7 @@
     void burstMoreThanHalfTheWindowAgoAllowsNoRetriesNow() {
         SharedRetryBudget budget = new SharedRetryBudget(SETTINGS, 0);
         for (int request = 0; request < 1_000; request++) {
-            budget.firstAttempt(1_000 * MILLI);
+            budget.recordFirstAttempt(1_000 * MILLI);
         }
         assertThat(budget.left(5_000 * MILLI, 1)).isCloseTo(160, within(1e-9));
         assertThat(budget.left(7_000 * MILLI, 1)).isEqualTo(0);
@@ -195,7 +195,7 @@
             long nanos = MILLI * CELL * cell;
             int requests = (int) (mLoad * mRandom.nextDouble() * 2);
             for (int request = 0; request < requests; request++) {
-                budget.firstAttempt(nanos);
+                budget.recordFirstAttempt(nanos);
                 mRequests[cell]++;
             }
             int tries = mIsFailing ? 4 + requests : 0;
--- a/masticpond-core/src/test/java/io/masticpond/core/operation/ClaimBatcherTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/operation/ClaimBatcherTest.java
@@ -37,7 +37,7 @@
     }
 
     private void readAbsent() {
-        mBatcher.answered(onlyCall(), new StoreAnswer.Held<>(ClaimContents.ABSENT));
+        mBatcher.onAnswer(onlyCall(), new StoreAnswer.Held<>(ClaimContents.ABSENT));
     }
 
     @Example
@@ -52,7 +52,7 @@
                         second.callerKey(), second.operationKey());
         assertThat(call).isEqualTo(new ClaimCall.Write(0, new ClaimContents(0, claims)));
         assertThat(mResults).isEmpty();
-        mBatcher.answered(call, new StoreAnswer.Written<>(1));
+        mBatcher.onAnswer(call, new StoreAnswer.Written<>(1));
         assertThat(mResults).containsExactly(new ClaimResult.Claimed(), new ClaimResult.Claimed());
     }
 
@@ -61,7 +61,7 @@
         ClaimEntry first = submit("order 1");
         submit("order 1");
         readAbsent();
-        mBatcher.answered(onlyCall(), new StoreAnswer.Written<>(1));
+        mBatcher.onAnswer(onlyCall(), new StoreAnswer.Written<>(1));
         assertThat(mResults)
                 .containsExactly(
                         new ClaimResult.Claimed(), new ClaimResult.HeldBy(first.operationKey()));
@@ -75,7 +75,7 @@
         mHome.mTime.advance(DEADLINE);
         assertThat(mBatcher.nextCalls()).isEmpty();
         assertThat(mResults).containsExactly(new ClaimResult.Unavailable());
-        mBatcher.answered(call, new StoreAnswer.Written<>(1));
+        mBatcher.onAnswer(call, new StoreAnswer.Written<>(1));
         assertThat(mResults).hasSize(1);
         assertThat(mBatcher.waiting()).isZero();
     }
@@ -83,10 +83,10 @@
     @Example
     void callsWithoutBudgetArePostponed() {
         submit("order 1");
-        mBatcher.answered(onlyCall(), new StoreAnswer.Postponed<>());
+        mBatcher.onAnswer(onlyCall(), new StoreAnswer.Postponed<>());
         assertThat(mResults).isEmpty();
         readAbsent();
-        mBatcher.answered(onlyCall(), new StoreAnswer.Written<>(1));
+        mBatcher.onAnswer(onlyCall(), new StoreAnswer.Written<>(1));
         assertThat(mResults).containsExactly(new ClaimResult.Claimed());
     }
 
@@ -95,7 +95,7 @@
         ClaimEntry first = submit("order 1");
         ClaimEntry second = submit("order 2");
         readAbsent();
-        mBatcher.answered(onlyCall(), new StoreAnswer.Written<>(1));
+        mBatcher.onAnswer(onlyCall(), new StoreAnswer.Written<>(1));
         submit("order 3");
         submit("order 1");
         mHome.mTime.advance(LIMITS.interval());
--- a/masticpond-core/src/test/java/io/masticpond/core/operation/OnceOnlySimulation.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/operation/OnceOnlySimulation.java
@@ -204,7 +204,7 @@
                 return;
             }
             ClaimCall call = mCalls.poll();
-            mClaims.answered(call, answer(call, fault));
+            mClaims.onAnswer(call, answer(call, fault));
         }
 
         private StoreAnswer<ClaimContents> answer(ClaimCall call, CallFault fault) {
--- a/masticpond-core/src/test/java/io/masticpond/core/operation/OperationRegistryTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/operation/OperationRegistryTest.java
@@ -115,7 +115,7 @@
         mHome.begin(mKey);
         mHome.mRegistry.complete(mKey, answered("reserved"));
         mHome.mTime.advance(LIFETIME);
-        mHome.mRegistry.forgetExpired();
+        mHome.mRegistry.removeExpired();
         assertThat(mHome.mRegistry.size()).isEqualTo(0);
         mHome.mTime.stepWallClock(LIFETIME.multipliedBy(-2));
         assertThat(mHome.begin(mKey)).isEqualTo(EXPIRED);
@@ -131,10 +131,10 @@
     void runningOperationIsRetainedAfterKeyExpires() {
         mHome.begin(mKey);
         mHome.mTime.advance(LIFETIME.plusSeconds(1));
-        mHome.mRegistry.forgetExpired();
+        mHome.mRegistry.removeExpired();
         assertThat(mHome.begin(mKey)).isEqualTo(new OperationDecision.InProgress<>());
         mHome.mRegistry.complete(mKey, answered("reserved"));
-        mHome.mRegistry.forgetExpired();
+        mHome.mRegistry.removeExpired();
         assertThat(mHome.begin(mKey)).isEqualTo(EXPIRED);
     }
 
@@ -153,7 +153,7 @@
         small.mTime.advance(LIFETIME.minus(Duration.ofSeconds(1)));
         OperationKey third = small.mIssuer.issue();
         small.mTime.advance(Duration.ofSeconds(1));
-        small.mRegistry.forgetExpired();
+        small.mRegistry.removeExpired();
         assertThat(small.begin(third)).isEqualTo(RUN);
     }
 
--- a/masticpond-core/src/test/java/io/masticpond/core/operation/OutcomeBatcherTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/operation/OutcomeBatcherTest.java
@@ -39,26 +39,26 @@
         assertThat(mBatcher.nextCalls()).isEmpty();
         OutcomeCall<String> call = onlyCall();
         assertThat(call).isEqualTo(new OutcomeCall.Write<>(0, 0, List.of(first, second)));
-        mBatcher.answered(call, new StoreAnswer.Written<>(1));
-        assertThat(mBatcher.unwritten()).isZero();
+        mBatcher.onAnswer(call, new StoreAnswer.Written<>(1));
+        assertThat(mBatcher.unwrittenCount()).isZero();
         assertThat(mBatcher.nextCalls()).isEmpty();
     }
 
     @Example
     void updateWithLostAnswerIsRepeatedWithVersionReadBack() {
         KeptOutcome<String> first = add(answered("one"));
-        mBatcher.answered(onlyCall(), new StoreAnswer.Unknown<>());
-        assertThat(mBatcher.unwritten()).isEqualTo(1);
+        mBatcher.onAnswer(onlyCall(), new StoreAnswer.Unknown<>());
+        assertThat(mBatcher.unwrittenCount()).isEqualTo(1);
         OutcomeCall<String> read = onlyCall();
         assertThat(read).isEqualTo(new OutcomeCall.Read<String>(0));
-        mBatcher.answered(read, new StoreAnswer.Held<>(1L));
+        mBatcher.onAnswer(read, new StoreAnswer.Held<>(1L));
         assertThat(onlyCall()).isEqualTo(new OutcomeCall.Write<>(0, 1, List.of(first)));
     }
 
     @Example
     void outcomesAreRetainedWhilePlatformIsUnavailable() {
         KeptOutcome<String> first = add(answered("one"));
-        mBatcher.answered(onlyCall(), new StoreAnswer.Unavailable<>());
+        mBatcher.onAnswer(onlyCall(), new StoreAnswer.Unavailable<>());
         KeptOutcome<String> second = add(answered("two"));
         mHome.mTime.advance(INTERVAL);
         assertThat(onlyCall()).isEqualTo(new OutcomeCall.Write<>(0, 0, List.of(first, second)));
@@ -70,23 +70,23 @@
         OutcomeCall<String> call = onlyCall();
         KeptOutcome<String> second = add(answered("two"));
         assertThat(mBatcher.nextCalls()).isEmpty();
-        mBatcher.answered(call, new StoreAnswer.Written<>(1));
+        mBatcher.onAnswer(call, new StoreAnswer.Written<>(1));
         assertThat(onlyCall()).isEqualTo(new OutcomeCall.Write<>(0, 1, List.of(first, second)));
     }
 
     @Example
     void expiredOutcomesAreDeleted() {
         add(answered("one"));
-        mBatcher.answered(onlyCall(), new StoreAnswer.Written<>(1));
+        mBatcher.onAnswer(onlyCall(), new StoreAnswer.Written<>(1));
         mHome.mTime.advance(OperationFixture.LIFETIME);
         assertThat(mBatcher.nextCalls()).isEmpty();
         mHome.mTime.advance(CLOCK_ERROR);
         OutcomeCall<String> delete = onlyCall();
         assertThat(delete).isEqualTo(new OutcomeCall.Delete<String>(0, 1));
-        mBatcher.answered(delete, new StoreAnswer.Written<>(0));
+        mBatcher.onAnswer(delete, new StoreAnswer.Written<>(0));
         mHome.mTime.advance(INTERVAL.multipliedBy(5));
         assertThat(mBatcher.nextCalls()).isEmpty();
-        assertThat(mBatcher.unwritten()).isZero();
+        assertThat(mBatcher.unwrittenCount()).isZero();
     }
 
     @Example
@@ -95,6 +95,6 @@
             add(answered("one"));
         }
         assertThat(mBatcher.dropped()).isEqualTo(1);
-        assertThat(mBatcher.unwritten()).isEqualTo(MAXIMUM);
+        assertThat(mBatcher.unwrittenCount()).isEqualTo(MAXIMUM);
     }
 }
--- a/masticpond-core/src/test/java/io/masticpond/core/placement/ServerChooserTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/placement/ServerChooserTest.java
@@ -54,10 +54,10 @@
 
     @Example
     void keepsOnlyLargeAnswersInRegion() {
-        mChooser.answered(new RouteId("r"), 14_000);
+        mChooser.recordAnswerSize(new RouteId("r"), 14_000);
         assertThat(farShare(2, 12)).as("one round trip").isGreaterThan(0.4);
         for (int each = 0; each < 50; each++) {
-            mChooser.answered(new RouteId("r"), each % 2 == 0 ? 60_000 : 120_000);
+            mChooser.recordAnswerSize(new RouteId("r"), each % 2 == 0 ? 60_000 : 120_000);
         }
         assertThat(farShare(2, 12)).as("three round trips").isLessThan(0.05);
         mChooser.retain(new RoutingConfiguration(2, List.of(), Map.of(), RequestLimits.DEFAULT));
@@ -131,7 +131,7 @@
 
     private void answers(int quick, int slow) {
         for (int each = 0; each < quick + slow; each++) {
-            mChooser.answeredIn(new ServiceId("service"), each < quick ? 100 + each % 20 : 400);
+            mChooser.recordAnswerTime(new ServiceId("service"), each < quick ? 100 + each % 20 : 400);
         }
     }
 
--- a/masticpond-core/src/test/java/io/masticpond/core/region/RegionFixture.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/region/RegionFixture.java
@@ -156,7 +156,7 @@
             if (endNanos > now) {
                 return false;
             }
-            selector.ended(head, region, RegionAttemptOutcome.ANSWERED);
+            selector.recordOutcome(head, region, RegionAttemptOutcome.ANSWERED);
             return true;
         }
     }
--- a/masticpond-core/src/test/java/io/masticpond/core/region/RegionReturnTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/region/RegionReturnTest.java
@@ -100,7 +100,7 @@
             assertThat(fixture.mSelector.select(heads[i], Set.of()).get()).isEqualTo(CASA);
         }
         for (RequestHead head : heads) {
-            fixture.mSelector.ended(head, CASA, RegionAttemptOutcome.LOST);
+            fixture.mSelector.recordOutcome(head, CASA, RegionAttemptOutcome.LOST);
         }
         assertThat(fixture.select().get()).isEqualTo(FES);
         fixture.mTime.advance(Duration.ofMillis(30));
@@ -119,7 +119,7 @@
             RequestHead head = fixture.request(5);
             if (fixture.mSelector.select(head, Set.of()).isRight()) {
                 attempts++;
-                fixture.mSelector.ended(head, FES, RegionAttemptOutcome.REFUSED);
+                fixture.mSelector.recordOutcome(head, FES, RegionAttemptOutcome.REFUSED);
             }
             fixture.mTime.advance(Duration.ofMillis(1));
         }
@@ -151,7 +151,7 @@
         assertThat(fixture.mSelector.status().stream().mapToInt(RegionStatus::inFlight).sum())
                 .isEqualTo(1);
         assertThat(fixture.select().get()).as("casa is still lost").isNotEqualTo(CASA);
-        fixture.mSelector.ended(head, FES, RegionAttemptOutcome.ANSWERED);
+        fixture.mSelector.recordOutcome(head, FES, RegionAttemptOutcome.ANSWERED);
         assertThat(fixture.mSelector.status().stream().mapToInt(RegionStatus::inFlight).sum())
                 .isEqualTo(1);
     }
--- a/masticpond-core/src/test/java/io/masticpond/core/region/RetryBudgetProperties.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/region/RetryBudgetProperties.java
@@ -22,7 +22,7 @@
             if (retry) {
                 budget.tryRetry(Verdict.DID_NOT_RUN, OperationKind.READ);
             } else {
-                budget.firstAttempt();
+                budget.recordFirstAttempt();
             }
             assertThat(budget.retries() <= 3 + budget.firstAttempts() * 0.1 + 1e-9).isTrue();
         }
--- a/masticpond-core/src/test/java/io/masticpond/core/region/ShardScopeTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/region/ShardScopeTest.java
@@ -101,9 +101,9 @@
         ManualTimeSource time = new ManualTimeSource(Instant.EPOCH);
         ShardHeadrooms headrooms = new ShardHeadrooms(time, Duration.ofSeconds(1));
         headrooms.observe(FIRST, new Headroom(20, 18, 0, 0, DegradationStep.EXACT));
-        headrooms.sent(FIRST);
-        headrooms.sent(FIRST);
-        headrooms.sent(FIRST);
+        headrooms.recordSent(FIRST);
+        headrooms.recordSent(FIRST);
+        headrooms.recordSent(FIRST);
         assertThat(headrooms.fresh(List.of(FIRST)).get(FIRST).freeSlots()).isZero();
         headrooms.observe(FIRST, new Headroom(20, 18, 0, 0, DegradationStep.EXACT));
         assertThat(headrooms.fresh(List.of(FIRST)).get(FIRST).freeSlots()).isEqualTo(2);
--- a/masticpond-core/src/test/java/io/masticpond/core/serverlimit/LimitFleet.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/serverlimit/LimitFleet.java
@@ -144,7 +144,7 @@
                 if (header.kind() == LimitHeader.Kind.LIMITED && mInformedNanos == Long.MAX_VALUE) {
                     mInformedNanos = mNowNanos;
                 }
-                mLimits.answered(mServer, header, sent, moment());
+                mLimits.applyAnswer(mServer, header, sent, moment());
             }
         }
 
@@ -172,7 +172,7 @@
                     transitNanos(),
                     () -> {
                         if (to.isActing()) {
-                            to.mLimits.received(mServer, report, to.moment());
+                            to.mLimits.applyReport(mServer, report, to.moment());
                         }
                     });
         }
--- a/masticpond-core/src/test/java/io/masticpond/core/spending/LedgerRestoreTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/spending/LedgerRestoreTest.java
@@ -53,7 +53,7 @@
                                             StoreRevision.of(mEra, ledger.version()),
                                             ledger.ledger())),
                     mEra);
-            mNodes.forEach(node -> node.mGate.platformRestored());
+            mNodes.forEach(node -> node.mGate.onPlatformRestored());
             mNodes.forEach(Node::settle);
         }
 
--- a/masticpond-core/src/test/java/io/masticpond/core/workspace/WorkspaceTableTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/workspace/WorkspaceTableTest.java
@@ -55,7 +55,7 @@
         assertThat(table.findByKey(KeyDigest.of("b")).orElseThrow().id().value()).isEqualTo("one");
         assertThat(table.findByKey(KeyDigest.of("c")).orElseThrow().id().value()).isEqualTo("two");
         assertThat(table.findByKey(KeyDigest.of("d"))).isEmpty();
-        assertThat(table.keys()).isEqualTo(3);
+        assertThat(table.keyCount()).isEqualTo(3);
     }
 
     @Example
@@ -79,17 +79,17 @@
 
     @Example
     void priorityOfWorkspaceTakesPrecedence() {
-        Route narrowed = route(Set.of()).within(workspace("one", Set.of())).orElseThrow();
+        Route narrowed = route(Set.of()).restrictTo(workspace("one", Set.of())).orElseThrow();
         assertThat(narrowed.priority()).isZero();
     }
 
     @Example
     void regionsOfRouteAndWorkspaceAreIntersected() {
         Workspace north = workspace("one", Set.of(NORTH));
-        assertThat(route(Set.of()).within(north).orElseThrow().allows(SOUTH)).isFalse();
-        assertThat(route(Set.of(NORTH, SOUTH)).within(north).orElseThrow().homeRegions())
+        assertThat(route(Set.of()).restrictTo(north).orElseThrow().allows(SOUTH)).isFalse();
+        assertThat(route(Set.of(NORTH, SOUTH)).restrictTo(north).orElseThrow().homeRegions())
                 .containsExactly(NORTH);
-        assertThat(route(Set.of(SOUTH)).within(north))
+        assertThat(route(Set.of(SOUTH)).restrictTo(north))
                 .as("an empty intersection must not be taken for all regions")
                 .isEmpty();
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendHealthChecker.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendHealthChecker.java
@@ -57,7 +57,7 @@
         mListener = Assert.notNull(listener, "A listener");
         mClient = new ProbeClient(settings.timeout());
         mEventLoop = new EventLoop("health", QUEUE_CAPACITY, timeSource);
-        mEventLoop.every(CHECK_PERIOD, this::probeDue);
+        mEventLoop.schedulePeriodically(CHECK_PERIOD, this::probeDue);
         mEventLoop.start();
     }
 
@@ -127,7 +127,7 @@
             return;
         }
         for (BackendServerSignal signal : server.mEvaluator.evaluate(result)) {
-            mListener.observe(server.mId, signal);
+            mListener.onSignal(server.mId, signal);
         }
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendHealthSettings.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendHealthSettings.java
@@ -19,7 +19,7 @@
      * The default settings, which detect a signal in a health response within 1.3 s, and
      * connections that the server closes within 2 s.
      */
-    public static final BackendHealthSettings DEFAULTS =
+    public static final BackendHealthSettings DEFAULT =
             new BackendHealthSettings(Duration.ofMillis(600), 8, Duration.ofMillis(500));
 
     /** Validates the components. */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendSignalListener.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendSignalListener.java
@@ -18,5 +18,5 @@
      * @param server the backend server
      * @param signal the signal
      */
-    void observe(BackendServerId server, BackendServerSignal signal);
+    void onSignal(BackendServerId server, BackendServerSignal signal);
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/CallerServer.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/CallerServer.java
@@ -60,7 +60,7 @@
     private final CallerService mService;
     private final LookupRoute mLookup;
     private final RequestReader mReader;
-    private final RequestIdSource mIds;
+    private final RequestIdGenerator mIds;
     private final Javalin mServer;
     private final AtomicInteger mInFlight = new AtomicInteger();
 
@@ -75,7 +75,7 @@
     public CallerServer(
             CallerSettings settings,
             CallerService service,
-            RequestIdSource ids,
+            RequestIdGenerator ids,
             TimeSource timeSource) {
         mSettings = settings;
         mService = service;
@@ -95,7 +95,7 @@
      *
      * @return the number of requests
      */
-    public int inFlight() {
+    public int inFlightCount() {
         return mInFlight.get();
     }
 
@@ -166,13 +166,13 @@
     }
 
     private void handleReadiness(Context context) {
-        Optional<String> reason = mService.notReady();
+        Optional<String> reason = mService.unreadyReason();
         context.status(reason.isEmpty() ? 200 : 503).result(reason.orElse("ready") + "\n");
     }
 
     private void handleRequest(Context context) {
         RequestId id = mIds.next();
-        Optional<String> notReady = mService.notReady();
+        Optional<String> notReady = mService.unreadyReason();
         if (notReady.isPresent()) {
             refuse(context, id, RefusalCause.NOT_READY, notReady.get());
             return;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/CallerService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/CallerService.java
@@ -29,7 +29,7 @@
      *
      * @return the reason as one sentence, or empty if the instance is ready
      */
-    Optional<String> notReady();
+    Optional<String> unreadyReason();
 
     /**
      * Decides which instances a client should use.
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/LookupRoute.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/LookupRoute.java
@@ -36,7 +36,7 @@
             refuse(context, RefusalCause.BAD_REQUEST, fault.get());
             return;
         }
-        Optional<String> notReady = mService.notReady();
+        Optional<String> notReady = mService.unreadyReason();
         if (notReady.isPresent()) {
             refuse(context, RefusalCause.NOT_READY, notReady.get());
             return;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/RequestIdSource.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/caller/RequestIdGenerator.java
@@ -8,7 +8,7 @@
  *
  * @since 0.1
  */
-public final class RequestIdSource {
+public final class RequestIdGenerator {
 
     private static final int RADIX = 36;
 
@@ -21,7 +21,7 @@
      * @param processNumber a random number that distinguishes this run of this process from all
      *     others
      */
-    public RequestIdSource(long processNumber) {
+    public RequestIdGenerator(long processNumber) {
         mPrefix = Long.toUnsignedString(processNumber, RADIX) + "-";
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationPeers.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationPeers.java
@@ -46,7 +46,7 @@
      *
      * @param handler the handler, called on a thread of the links
      */
-    void handle(Handler handler);
+    void setHandler(Handler handler);
 
     /**
      * Callback interface for messages from other instances. Implementations must hand a message
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationService.java
@@ -116,8 +116,8 @@
                         () -> ThreadLocalRandom.current().nextDouble());
         mPeerFollower =
                 new PeerFollower(peers, mReplica, zone, this::applyPush, mExecutor, timeSource);
-        mEventLoop.every(TICK_PERIOD, this::tick);
-        peers.handle(new PeerHandler());
+        mEventLoop.schedulePeriodically(TICK_PERIOD, this::tick);
+        peers.setHandler(new PeerHandler());
     }
 
     /** Starts the thread of the event loop. */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/eventloop/EventLoop.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/eventloop/EventLoop.java
@@ -62,7 +62,7 @@
      * @param period the minimum time from the start of one run to that of the next
      * @param task the task
      */
-    public void every(Duration period, Runnable task) {
+    public void schedulePeriodically(Duration period, Runnable task) {
         Assert.isTrue(!mThread.isAlive(), "The event loop %s has already been started.", mName);
         mPeriodicTasks.add(new PeriodicTask(period.toNanos(), task, mTimeSource.monotonicNanos()));
     }
@@ -116,7 +116,7 @@
      *
      * @return the count since the start
      */
-    public long refused() {
+    public long rejectedCount() {
         return mRejected.sum();
     }
 
@@ -125,7 +125,7 @@
      *
      * @return the count
      */
-    public int waiting() {
+    public int queuedCount() {
         return mQueue.size();
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/ForwardReceiver.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/ForwardReceiver.java
@@ -61,8 +61,8 @@
      * @param links the links
      */
     public void register(InstanceLinks links) {
-        links.handle(Envelope.BodyCase.FORWARD, this::forward);
-        links.handle(Envelope.BodyCase.CANCEL, this::cancel);
+        links.setHandler(Envelope.BodyCase.FORWARD, this::forward);
+        links.setHandler(Envelope.BodyCase.CANCEL, this::cancel);
     }
 
     /**
@@ -71,7 +71,7 @@
      *
      * @return the number of requests
      */
-    public int steered() {
+    public int steeredCount() {
         return mSteeredRequests.size();
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/LinkRemoteAdmitter.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/LinkRemoteAdmitter.java
@@ -76,7 +76,7 @@
         Envelope envelope = Envelope.newBuilder().setForward(forward).build();
         var unused =
                 mLinks.call(to, envelope, Duration.ofNanos(remainingNanos).plus(ANSWER_MARGIN))
-                        .thenAccept(answer -> listener.accept(result(answer, request.head().id())))
+                        .thenAccept(answer -> listener.accept(toResult(answer, request.head().id())))
                         .exceptionally(error -> logFailed(request.head().id(), error));
     }
 
@@ -108,7 +108,7 @@
      * @param request the request
      * @return the result
      */
-    public static ForwardResult result(Either<LinkError, Envelope> answer, RequestId request) {
+    public static ForwardResult toResult(Either<LinkError, Envelope> answer, RequestId request) {
         if (answer.isLeft()) {
             return toFailure(answer.getLeft());
         }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/MeteredCallerService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/MeteredCallerService.java
@@ -45,8 +45,8 @@
     }
 
     @Override
-    public Optional<String> notReady() {
-        return mDelegate.notReady();
+    public Optional<String> unreadyReason() {
+        return mDelegate.unreadyReason();
     }
 
     @Override
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/RequestGateway.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/gateway/RequestGateway.java
@@ -79,7 +79,7 @@
     }
 
     @Override
-    public Optional<String> notReady() {
+    public Optional<String> unreadyReason() {
         if (mStopping) {
             return Optional.of("This instance is stopping.");
         }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/InstanceLinks.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/InstanceLinks.java
@@ -44,7 +44,7 @@
      * @param id the instance
      * @param ipAndPort the link address of the instance, as "ip:port"
      */
-    void address(InstanceId id, String ipAndPort);
+    void setAddress(InstanceId id, String ipAndPort);
 
     /**
      * Connects to the instance at an address without knowing its id; a {@link LinkListener} is
@@ -59,7 +59,7 @@
      *
      * @param id the instance
      */
-    void forget(InstanceId id);
+    void removeInstance(InstanceId id);
 
     /**
      * Returns the instances to which a connection is ready.
@@ -74,7 +74,7 @@
      * @param body the kind of message
      * @param handler the handler
      */
-    void handle(Envelope.BodyCase body, EnvelopeHandler handler);
+    void setHandler(Envelope.BodyCase body, EnvelopeHandler handler);
 
     /**
      * Adds a listener that is notified of established and lost connections.
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/NettyInstanceLinks.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/NettyInstanceLinks.java
@@ -125,7 +125,7 @@
     }
 
     @Override
-    public void address(InstanceId id, String ipAndPort) {
+    public void setAddress(InstanceId id, String ipAndPort) {
         InetSocketAddress address = SocketAddresses.parse(ipAndPort);
         Peer peer = peer(id);
         if (address.equals(peer.address())) {
@@ -148,7 +148,7 @@
     }
 
     @Override
-    public void forget(InstanceId id) {
+    public void removeInstance(InstanceId id) {
         Peer peer = mPeers.remove(id);
         if (peer != null) {
             execute(() -> peer.close("The instance was forgotten."));
@@ -161,7 +161,7 @@
     }
 
     @Override
-    public void handle(Envelope.BodyCase body, EnvelopeHandler handler) {
+    public void setHandler(Envelope.BodyCase body, EnvelopeHandler handler) {
         mHandlers.put(body, Assert.notNull(handler, "An envelope handler"));
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/LinkedMembershipSink.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/LinkedMembershipSink.java
@@ -70,7 +70,7 @@
 
     @Override
     public void memberChanged(Member member) {
-        mLinks.address(member.id(), member.linkAddress());
+        mLinks.setAddress(member.id(), member.linkAddress());
         String state = member.state().name().toLowerCase(Locale.ROOT);
         sLogger.info("MEMBER  Instance {} is {}.", member.incarnation(), state);
         mTimeline.record(
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipService.java
@@ -116,7 +116,7 @@
         mTable = new MembershipTable(self, timings, timeSource, sink);
         mView = mTable.view();
         mEventLoop = new EventLoop("membership", QUEUE_CAPACITY, timeSource);
-        mEventLoop.every(TICK_PERIOD, this::tick);
+        mEventLoop.schedulePeriodically(TICK_PERIOD, this::tick);
         long now = timeSource.monotonicNanos();
         mNextHeartbeatNanos = now;
         mNextListNanos = now;
@@ -125,7 +125,7 @@
 
     /** Starts receiving and sending heartbeats. */
     public void start() {
-        mLinks.handle(Envelope.BodyCase.HEARTBEAT, this::onHeartbeat);
+        mLinks.setHandler(Envelope.BodyCase.HEARTBEAT, this::onHeartbeat);
         mLinks.addListener(new LinkEventListener());
         mEventLoop.start();
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/ControlMetrics.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/ControlMetrics.java
@@ -60,7 +60,7 @@
      *     full
      * @param waiting the supplier of the number of queued tasks
      */
-    public void watchRing(String name, LongSupplier refused, IntSupplier waiting) {
+    public void watchQueue(String name, LongSupplier refused, IntSupplier waiting) {
         mQueues.put(name, new QueueCounters(refused, waiting));
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/PlatformMetrics.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/metrics/PlatformMetrics.java
@@ -56,12 +56,12 @@
     }
 
     @Override
-    public void attempted(PlatformCallKind kind, String address) {
+    public void onAttempt(PlatformCallKind kind, String address) {
         mAttempts.labelValues(label(kind)).inc();
     }
 
     @Override
-    public void ended(PlatformCallKind kind, Optional<PlatformError> error, long nanos) {
+    public void onCallCompleted(PlatformCallKind kind, Optional<PlatformError> error, long nanos) {
         mResults.labelValues(label(kind), error.map(PlatformMetrics::label).orElse("ok")).inc();
         if (kind != PlatformCallKind.WATCH) {
             mSeconds.observe(nanos / NANOS_PER_SECOND);
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public void breakerChanged(String address, Breaker.State state) {
+    public void onBreakerStateChanged(String address, Breaker.State state) {
         mBreakers.labelValues(address).set(state == Breaker.State.CLOSED ? 0 : 1);
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/AnswerSize.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/AnswerSize.java
@@ -21,7 +21,7 @@
      * @param answer the answer
      * @return the estimated size in bytes
      */
-    public static long of(RequestCompletion.Answered answer) {
+    public static long estimateBytes(RequestCompletion.Answered answer) {
         long size = FIXED_OVERHEAD_BYTES + answer.body().length;
         for (HeaderField field : answer.headers()) {
             size += HEADER_OVERHEAD_BYTES + field.name().length() + field.value().length();
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/LinkOperationPeers.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/LinkOperationPeers.java
@@ -118,7 +118,7 @@
                         .thenAccept(
                                 answer ->
                                         listener.accept(
-                                                LinkRemoteAdmitter.result(
+                                                LinkRemoteAdmitter.toResult(
                                                         answer, request.head().id())));
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/MemberHomeDirectory.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/MemberHomeDirectory.java
@@ -66,7 +66,7 @@
     public Optional<InstanceId> adopterOf(Incarnation home) {
         List<InstanceId> others =
                 mMembers.get().stream()
-                        .filter(member -> member.state().admits())
+                        .filter(member -> member.state().canAdmit())
                         .map(Member::id)
                         .filter(id -> !id.equals(home.instance()))
                         .toList();
@@ -84,7 +84,7 @@
                 Stream.concat(
                                 Stream.of(mSelf.instance()),
                                 mMembers.get().stream()
-                                        .filter(member -> member.state().admits())
+                                        .filter(member -> member.state().canAdmit())
                                         .map(Member::id))
                         .distinct()
                         .toList();
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyGuard.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyGuard.java
@@ -161,7 +161,7 @@
      */
     public void advance(long nowNanos) {
         mWaiters.refuseOverdue(nowNanos);
-        mRegistry.forgetExpired();
+        mRegistry.removeExpired();
     }
 
     /**
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationReceiver.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationReceiver.java
@@ -55,9 +55,9 @@
      * @param links the links
      */
     public void register(InstanceLinks links) {
-        mSteering.every(ADVANCE_PERIOD, () -> mGuard.advance(mTimeSource.monotonicNanos()));
-        links.handle(Envelope.BodyCase.OPERATION_ASK, this::handleRequest);
-        links.handle(Envelope.BodyCase.OUTCOME_HANDOVER, this::handleHandover);
+        mSteering.schedulePeriodically(ADVANCE_PERIOD, () -> mGuard.advance(mTimeSource.monotonicNanos()));
+        links.setHandler(Envelope.BodyCase.OPERATION_ASK, this::handleRequest);
+        links.setHandler(Envelope.BodyCase.OUTCOME_HANDOVER, this::handleHandover);
     }
 
     private void handleRequest(InstanceId from, Envelope envelope, Responder responder) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OutcomeCodec.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OutcomeCodec.java
@@ -93,7 +93,7 @@
         RequestCompletion completion = OutcomeConverter.toCompletion(outcome);
         boolean tooLarge =
                 completion instanceof RequestCompletion.Answered answered
-                        && AnswerSize.of(answered) > MAXIMUM_COPIED_ANSWER_BYTES;
+                        && AnswerSize.estimateBytes(answered) > MAXIMUM_COPIED_ANSWER_BYTES;
         return tooLarge
                 ? new RequestCompletion.Refused(OperationRegistry.answerNotKept())
                 : completion;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/PlatformOperationArchive.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/PlatformOperationArchive.java
@@ -76,8 +76,8 @@
         mClaims = Assert.notNull(claims, "A batcher of claims");
         mOutcomes = Assert.notNull(outcomes, "A batcher of outcomes");
         mSteering = Assert.notNull(steering, "An executor");
-        mEventLoop.every(PLATFORM_CALL_PERIOD, this::sendPendingCalls);
-        mEventLoop.every(IDLE_REMOVAL_PERIOD, mClaims::forgetIdle);
+        mEventLoop.schedulePeriodically(PLATFORM_CALL_PERIOD, this::sendPendingCalls);
+        mEventLoop.schedulePeriodically(IDLE_REMOVAL_PERIOD, mClaims::removeIdleBuckets);
     }
 
     @Override
@@ -136,7 +136,7 @@
             return;
         }
         mOutcomes.flushCalls().forEach(this::call);
-        if (mOutcomes.unwritten() == 0) {
+        if (mOutcomes.unwrittenCount() == 0) {
             mFlushes.forEach(flushed -> flushed.complete(true));
         }
         mFlushes.removeIf(CompletableFuture::isDone);
@@ -162,7 +162,7 @@
                         result ->
                                 mEventLoop.put(
                                         () -> {
-                                            mClaims.answered(call, result);
+                                            mClaims.onAnswer(call, result);
                                             sendClaimCalls();
                                         }));
     }
@@ -188,7 +188,7 @@
             answer = mStore.read(key).thenApply(PlatformOperationArchive::version);
         }
         CompletableFuture<Void> unused =
-                answer.thenAccept(result -> mEventLoop.put(() -> mOutcomes.answered(call, result)));
+                answer.thenAccept(result -> mEventLoop.put(() -> mOutcomes.onAnswer(call, result)));
     }
 
     private static StoreAnswer<ClaimContents> claims(
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/CallRunner.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/CallRunner.java
@@ -71,7 +71,7 @@
                         settings.addresses(),
                         () -> new Breaker(timeSource, settings.breakerThreshold(), breakerBackoff));
         mEventLoop = new EventLoop("platform", RING_CAPACITY, timeSource);
-        mEventLoop.every(RETRY_CHECK_PERIOD, this::runDueRetries);
+        mEventLoop.schedulePeriodically(RETRY_CHECK_PERIOD, this::runDueRetries);
         mEventLoop.start();
     }
 
@@ -124,7 +124,7 @@
 
     private <T> void send(PendingCall<T> call, Endpoint endpoint) {
         call.addAttempt();
-        mObserver.attempted(call.kind(), endpoint.address());
+        mObserver.onAttempt(call.kind(), endpoint.address());
         mTransport.send(
                 call.request(endpoint.address()),
                 call.timeout(),
@@ -215,7 +215,7 @@
         if (call.complete(result)) {
             Optional<PlatformError> error =
                     result.isLeft() ? Optional.of(result.getLeft()) : Optional.empty();
-            mObserver.ended(call.kind(), error, mTimeSource.monotonicNanos() - call.startNanos());
+            mObserver.onCallCompleted(call.kind(), error, mTimeSource.monotonicNanos() - call.startNanos());
         }
     }
 
@@ -224,7 +224,7 @@
         mEndpoints.recordSuccess(endpoint);
         if (previous != Breaker.State.CLOSED) {
             sLogger.info("PLATFORM  The platform at {} is answering again", endpoint.address());
-            mObserver.breakerChanged(endpoint.address(), Breaker.State.CLOSED);
+            mObserver.onBreakerStateChanged(endpoint.address(), Breaker.State.CLOSED);
         }
     }
 
@@ -238,7 +238,7 @@
                     endpoint.address());
         }
         if (previous != current) {
-            mObserver.breakerChanged(endpoint.address(), current);
+            mObserver.onBreakerStateChanged(endpoint.address(), current);
         }
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/PlatformObserver.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/PlatformObserver.java
@@ -14,14 +14,14 @@
     PlatformObserver NONE =
             new PlatformObserver() {
                 @Override
-                public void attempted(PlatformCallKind kind, String address) {}
+                public void onAttempt(PlatformCallKind kind, String address) {}
 
                 @Override
-                public void ended(
+                public void onCallCompleted(
                         PlatformCallKind kind, Optional<PlatformError> error, long nanos) {}
 
                 @Override
-                public void breakerChanged(String address, Breaker.State state) {}
+                public void onBreakerStateChanged(String address, Breaker.State state) {}
             };
 
     /**
@@ -30,7 +30,7 @@
      * @param kind the kind of the call
      * @param address the address called
      */
-    void attempted(PlatformCallKind kind, String address);
+    void onAttempt(PlatformCallKind kind, String address);
 
     /**
      * Handles the completion of a call with all its attempts.
@@ -39,7 +39,7 @@
      * @param error the error, or empty if the call succeeded
      * @param nanos the duration of the call, in nanoseconds
      */
-    void ended(PlatformCallKind kind, Optional<PlatformError> error, long nanos);
+    void onCallCompleted(PlatformCallKind kind, Optional<PlatformError> error, long nanos);
 
     /**
      * Handles a change of the state of a circuit breaker.
@@ -47,5 +47,5 @@
      * @param address the address that the breaker guards
      * @param state the new state
      */
-    void breakerChanged(String address, Breaker.State state);
+    void onBreakerStateChanged(String address, Breaker.State state);
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingService.java
@@ -82,7 +82,7 @@
                         timeSource,
                         timeline,
                         self.hashCode());
-        steeringLoop.every(ADVANCE_PERIOD, this::advance);
+        steeringLoop.schedulePeriodically(ADVANCE_PERIOD, this::advance);
     }
 
     /**
@@ -102,7 +102,7 @@
      */
     public void bindTo(SpendingMetrics metrics, TimeSource timeSource) {
         SpendingObserver observer = new SpendingObserver(metrics, timeSource);
-        mSteeringLoop.every(OBSERVE_PERIOD, () -> observer.accept(mViews));
+        mSteeringLoop.schedulePeriodically(OBSERVE_PERIOD, () -> observer.accept(mViews));
     }
 
     /** Starts the spending thread, which handles the platform's answers. */
@@ -127,7 +127,7 @@
      * @param holders the number of live instances, this one included
      */
     public void updateHolderCount(int holders) {
-        mSteeringLoop.put(() -> mGate.holders(Math.max(1, holders)));
+        mSteeringLoop.put(() -> mGate.setHolders(Math.max(1, holders)));
     }
 
     /**
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/ConfiguredRegionSelector.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/ConfiguredRegionSelector.java
@@ -119,9 +119,9 @@
     }
 
     @Override
-    public void ended(RequestHead request, RegionId region, RegionAttemptOutcome end) {
+    public void recordOutcome(RequestHead request, RegionId region, RegionAttemptOutcome end) {
         if (mSelector != null) {
-            mSelector.ended(request, region, end);
+            mSelector.recordOutcome(request, region, end);
         }
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/DefaultShardDirectory.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/DefaultShardDirectory.java
@@ -140,12 +140,12 @@
     }
 
     @Override
-    public void sent(Shard shard) {
-        mHeadrooms.sent(shard);
+    public void recordForward(Shard shard) {
+        mHeadrooms.recordSent(shard);
     }
 
     @Override
-    public List<InstanceId> othersFor(RequestId request) {
+    public List<InstanceId> otherInstances(RequestId request) {
         List<InstanceId> inOwnRegion = new ArrayList<>();
         List<InstanceId> inOtherRegions = new ArrayList<>();
         Optional<RegionId> own = mConfiguration.regionOf(mZone);
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/EntrySteering.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/EntrySteering.java
@@ -122,7 +122,7 @@
     public void submit(SteeredRequest request, Consumer<RequestCompletion> listener) {
         Flow flow = new Flow(request, listener);
         mFlows.put(request.head().id(), flow);
-        mRetryBudget.firstAttempt();
+        mRetryBudget.recordFirstAttempt();
         flow.startAttempt();
     }
 
@@ -220,7 +220,7 @@
             Either<Refusal, Charge> charge =
                     mSpending.charge(mRequest.head().service(), priceMicros);
             if (charge.isLeft()) {
-                mSelector.ended(mRequest.head(), mRegion, RegionAttemptOutcome.FAILED);
+                mSelector.recordOutcome(mRequest.head(), mRegion, RegionAttemptOutcome.FAILED);
                 onChargeRefused(charge.getLeft());
                 return;
             }
@@ -257,7 +257,7 @@
 
         private void forwardToNextShard() {
             ShardDirectory.ShardRoute route = mRoutes.remove();
-            mDirectory.sent(route.shard());
+            mDirectory.recordForward(route.shard());
             if (mNextAttempt != null) {
                 mFurtherAttemptListener.accept(mRequest.head().service(), mNextAttempt);
             }
@@ -329,7 +329,7 @@
                 }
                 return;
             }
-            mSelector.ended(mRequest.head(), mRegion, RegionAttemptOutcome.ANSWERED);
+            mSelector.recordOutcome(mRequest.head(), mRegion, RegionAttemptOutcome.ANSWERED);
             finish(completion);
         }
 
@@ -344,7 +344,7 @@
 
         private void onAttemptRefused(RegionAttemptOutcome outcome, Refusal refusal) {
             mSpending.refund(mCharge);
-            mSelector.ended(mRequest.head(), mRegion, outcome);
+            mSelector.recordOutcome(mRequest.head(), mRegion, outcome);
             mTried.add(mRegion);
             if (mCancelled || isFinal(refusal.cause())) {
                 finish(new RequestCompletion.Refused(refusal));
@@ -360,7 +360,7 @@
         }
 
         private void onAttemptFailed(RequestCompletion.Refused refused) {
-            mSelector.ended(mRequest.head(), mRegion, RegionAttemptOutcome.FAILED);
+            mSelector.recordOutcome(mRequest.head(), mRegion, RegionAttemptOutcome.FAILED);
             mMayHaveRun = true;
             if (!mCancelled
                     && mRetryBudget.tryRetry(refused.refusal().verdict(), mRequest.head().kind())) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/PeerFallbackEntry.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/PeerFallbackEntry.java
@@ -142,7 +142,7 @@
             mRequest = request;
             mOwnCompletion = ownCompletion;
             mListener = listener;
-            mDirectory.othersFor(request.head().id()).stream()
+            mDirectory.otherInstances(request.head().id()).stream()
                     .filter(each -> !isExhausted(allotmentKey(each)))
                     .forEach(mCandidates::add);
         }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/ShardDirectory.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/ShardDirectory.java
@@ -78,7 +78,7 @@
      * @param request the request
      * @return the instances, with those in the region of this instance first
      */
-    List<InstanceId> othersFor(RequestId request);
+    List<InstanceId> otherInstances(RequestId request);
 
     /**
      * Records a request that is forwarded to a shard; it counts against the headroom until the next
@@ -86,7 +86,7 @@
      *
      * @param shard the shard
      */
-    void sent(Shard shard);
+    void recordForward(Shard shard);
 
     /**
      * Route to a shard.
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/SteeringService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/SteeringService.java
@@ -56,8 +56,8 @@
         mDirectory = directory;
         mSelector = selector;
         mAdmitter = admitter;
-        mEventLoop.every(ADVANCE_PERIOD, this::advance);
-        mEventLoop.every(RECONFIGURE_PERIOD, this::observeOwnShards);
+        mEventLoop.schedulePeriodically(ADVANCE_PERIOD, this::advance);
+        mEventLoop.schedulePeriodically(RECONFIGURE_PERIOD, this::observeOwnShards);
     }
 
     /**
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/BackendWatch.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/BackendWatch.java
@@ -42,7 +42,7 @@
      * @param steeringLoop the steering event loop, which must not be started yet
      */
     public void follow(EventLoop steeringLoop) {
-        steeringLoop.every(PERIOD, this::watch);
+        steeringLoop.schedulePeriodically(PERIOD, this::watch);
     }
 
     private void watch() {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/CallerModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/CallerModule.java
@@ -5,7 +5,7 @@
 import io.masticpond.core.time.TimeSource;
 import io.masticpond.daemon.caller.CallerServer;
 import io.masticpond.daemon.caller.CallerService;
-import io.masticpond.daemon.caller.RequestIdSource;
+import io.masticpond.daemon.caller.RequestIdGenerator;
 import io.masticpond.daemon.configuration.ConfigurationHolder;
 import io.masticpond.daemon.configuration.ConfigurationService;
 import io.masticpond.daemon.eventloop.EventLoop;
@@ -63,7 +63,7 @@
             DaemonSettings settings,
             RequestGateway gateway,
             DaemonMetrics metrics,
-            RequestIdSource ids,
+            RequestIdGenerator ids,
             TimeSource timeSource) {
         CallerService metered = new MeteredCallerService(gateway, metrics.requests(), timeSource);
         return new CallerServer(settings.caller(), metered, ids, timeSource);
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/DaemonParts.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/DaemonParts.java
@@ -68,7 +68,7 @@
 
     @Override
     public int inFlight() {
-        return mCallers.inFlight() + mForwardReceiver.steered() + mSteeringService.inFlight();
+        return mCallers.inFlightCount() + mForwardReceiver.steeredCount() + mSteeringService.inFlight();
     }
 
     @Override
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/DaemonStatus.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/DaemonStatus.java
@@ -65,11 +65,11 @@
                 mIncarnation.number(),
                 mSettings.instance().zone().value(),
                 mStop.state().name().toLowerCase(Locale.ROOT),
-                mGateway.notReady().isEmpty(),
-                mGateway.notReady().stream().toList(),
+                mGateway.unreadyReason().isEmpty(),
+                mGateway.unreadyReason().stream().toList(),
                 mConfiguration.current().version().number(),
                 true,
-                mCallers.inFlight(),
+                mCallers.inFlightCount(),
                 members,
                 capacity);
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/FoundationModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/FoundationModule.java
@@ -5,7 +5,7 @@
 import io.masticpond.core.id.Incarnation;
 import io.masticpond.core.time.SystemTimeSource;
 import io.masticpond.core.time.TimeSource;
-import io.masticpond.daemon.caller.RequestIdSource;
+import io.masticpond.daemon.caller.RequestIdGenerator;
 import io.masticpond.daemon.eventloop.EventLoop;
 import io.masticpond.daemon.metrics.DaemonMetrics;
 import io.masticpond.daemon.platform.PlatformObserver;
@@ -49,8 +49,8 @@
 
     @Provides
     @Singleton
-    static RequestIdSource requestIdSource(RandomGenerator random) {
-        return new RequestIdSource(random.nextLong());
+    static RequestIdGenerator requestIdSource(RandomGenerator random) {
+        return new RequestIdGenerator(random.nextLong());
     }
 
     @Provides
@@ -60,7 +60,7 @@
             DaemonSettings settings, TimeSource timeSource, DaemonMetrics metrics) {
         EventLoop eventLoop =
                 new EventLoop("steering", settings.steering().ringCapacity(), timeSource);
-        metrics.control().watchRing("steering", eventLoop::refused, eventLoop::waiting);
+        metrics.control().watchQueue("steering", eventLoop::rejectedCount, eventLoop::queuedCount);
         return eventLoop;
     }
 }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/LinkConfigurationPeers.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/LinkConfigurationPeers.java
@@ -65,11 +65,11 @@
     }
 
     @Override
-    public void handle(Handler handler) {
-        mLinks.handle(
+    public void setHandler(Handler handler) {
+        mLinks.setHandler(
                 Envelope.BodyCase.CONFIGURATION_PUSH,
                 (from, message, responder) -> handler.onPush(from, message.getConfigurationPush()));
-        mLinks.handle(
+        mLinks.setHandler(
                 Envelope.BodyCase.CONFIGURATION_FETCH,
                 (from, message, responder) ->
                         handler.onFetch(
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/OperationModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/OperationModule.java
@@ -118,7 +118,7 @@
                 new OperationHome(
                         issuer,
                         new OperationRegistry<>(
-                                issuer, homes, clock, OperationLimits.DEFAULT, AnswerSize::of)),
+                                issuer, homes, clock, OperationLimits.DEFAULT, AnswerSize::estimateBytes)),
                 entry::submit,
                 peers,
                 archive,
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/SteeringModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/SteeringModule.java
@@ -107,7 +107,7 @@
             AdmitterSteering admitter,
             TimeSource timeSource) {
         return new BackendHealthChecker(
-                BackendHealthSettings.DEFAULTS,
+                BackendHealthSettings.DEFAULT,
                 timeSource,
                 RandomSource.XO_RO_SHI_RO_128_PP.create(),
                 (server, signal) -> steeringLoop.put(() -> admitter.observe(server, signal)));
@@ -191,7 +191,7 @@
                         remote,
                         timeline);
         entry.setFurtherAttemptListener(metrics.requests()::recordFurtherAttempt);
-        steeringLoop.every(CHARGE_PERIOD, entry::advance);
+        steeringLoop.schedulePeriodically(CHARGE_PERIOD, entry::advance);
         return entry;
     }
 }
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/FakeFleet.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/configuration/FakeFleet.java
@@ -158,7 +158,7 @@
         }
 
         @Override
-        public void handle(Handler handler) {
+        public void setHandler(Handler handler) {
             mHandler = handler;
         }
 
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/gateway/MeteredCallerServiceTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/gateway/MeteredCallerServiceTest.java
@@ -127,7 +127,7 @@
         }
 
         @Override
-        public Optional<String> notReady() {
+        public Optional<String> unreadyReason() {
             return Optional.empty();
         }
 
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/instance/LinkFailureTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/instance/LinkFailureTest.java
@@ -89,7 +89,7 @@
 
     private RawPeer newPeer() {
         RawPeer peer = newPeer(LinkFixture.settings());
-        mLinks.address(SECOND, peer.address());
+        mLinks.setAddress(SECOND, peer.address());
         return peer;
     }
 
@@ -146,7 +146,7 @@
         RawPeer peer = newPeer();
         NettyInstanceLinks shortTimeoutLinks =
                 mFixture.make(FIRST, 6, settings(Duration.ofMillis(300)), mTime);
-        shortTimeoutLinks.address(SECOND, peer.address());
+        shortTimeoutLinks.setAddress(SECOND, peer.address());
         CompletableFuture<Either<LinkError, Envelope>> call =
                 shortTimeoutLinks.call(SECOND, forward("a"), LONG);
         peer.acceptSocket();
@@ -225,7 +225,7 @@
     @Example
     void duplicateRequestRunsOnceAndClosesConnection() throws IOException {
         AtomicInteger handled = new AtomicInteger();
-        mLinks.handle(Envelope.BodyCase.FORWARD, (from, message, to) -> handled.incrementAndGet());
+        mLinks.setHandler(Envelope.BodyCase.FORWARD, (from, message, to) -> handled.incrementAndGet());
         RawPeer peer = newPeer().dial(mAddress);
         peer.send(forward("a").toBuilder().setCallId(1).build());
         peer.send(forward("a").toBuilder().setCallId(1).build());
@@ -267,7 +267,7 @@
     @Example
     void messageBeforeHandshakeIsNotHandled() throws IOException {
         AtomicInteger handled = new AtomicInteger();
-        mLinks.handle(
+        mLinks.setHandler(
                 Envelope.BodyCase.HEARTBEAT, (from, message, to) -> handled.incrementAndGet());
         RawPeer peer = newPeer().dialSocket(mAddress);
         peer.send(Envelope.newBuilder().setHeartbeat(Heartbeat.getDefaultInstance()).build());
@@ -295,7 +295,7 @@
         CompletableFuture<Either<LinkError, Envelope>> call =
                 mLinks.call(new InstanceId("third"), forward("a"), LONG);
         assertThat(errorOf(call)).isInstanceOf(LinkError.NotSent.class);
-        mLinks.address(new InstanceId("third"), peer.address());
+        mLinks.setAddress(new InstanceId("third"), peer.address());
         call = mLinks.call(new InstanceId("third"), forward("a"), LONG);
         peer.acceptSocket();
         Hello dialer = peer.read().getHello();
@@ -309,7 +309,7 @@
     @Example
     void requestsAboveLimitAreRefusedWithoutRunning() throws IOException {
         AtomicInteger handled = new AtomicInteger();
-        mLinks.handle(Envelope.BodyCase.FORWARD, (from, message, to) -> handled.incrementAndGet());
+        mLinks.setHandler(Envelope.BodyCase.FORWARD, (from, message, to) -> handled.incrementAndGet());
         RawPeer peer = newPeer().dial(mAddress);
         for (int i = 0; i < 17; i++) {
             peer.send(forward("r" + i).toBuilder().setCallId(2 * i + 1).build());
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/instance/LinkFixture.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/instance/LinkFixture.java
@@ -118,7 +118,7 @@
     }
 
     static void echo(NettyInstanceLinks links) {
-        links.handle(
+        links.setHandler(
                 Envelope.BodyCase.FORWARD,
                 (from, message, responder) ->
                         responder.answer(answer(message.getForward().getRequest())));
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/instance/NettyInstanceLinksTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/instance/NettyInstanceLinksTest.java
@@ -39,14 +39,14 @@
         mFirst = mFixture.make(FIRST, 1, first);
         mSecond = mFixture.make(SECOND, 1, second);
         mFirst.start();
-        mFirst.address(SECOND, LinkFixture.text(mSecond.start()));
+        mFirst.setAddress(SECOND, LinkFixture.text(mSecond.start()));
     }
 
     @Example
     void answersAreMatchedToTheirCalls() {
         connect(LinkFixture.settings(), LinkFixture.settings());
         Queue<Runnable> pending = new ConcurrentLinkedQueue<>();
-        mSecond.handle(
+        mSecond.setHandler(
                 Envelope.BodyCase.FORWARD,
                 (from, message, responder) -> {
                     String request = message.getForward().getRequest();
@@ -82,7 +82,7 @@
     void lateAnswerIsDroppedAndCounted() {
         connect(LinkFixture.settings(), LinkFixture.settings());
         Queue<Responder> arrived = new ConcurrentLinkedQueue<>();
-        mSecond.handle(Envelope.BodyCase.FORWARD, (from, message, to) -> arrived.add(to));
+        mSecond.setHandler(Envelope.BodyCase.FORWARD, (from, message, to) -> arrived.add(to));
         CompletableFuture<Either<LinkError, Envelope>> openingCall =
                 mFirst.call(SECOND, forward("open"), LONG);
         LinkFixture.awaitTrue("the link is open", () -> arrived.size() == 1);
@@ -115,7 +115,7 @@
     void callIsLostWhenPeerTerminatesWithRequest() {
         connect(LinkFixture.settings(), LinkFixture.settings());
         CompletableFuture<Responder> arrived = new CompletableFuture<>();
-        mSecond.handle(Envelope.BodyCase.FORWARD, (from, message, to) -> arrived.complete(to));
+        mSecond.setHandler(Envelope.BodyCase.FORWARD, (from, message, to) -> arrived.complete(to));
         CompletableFuture<Either<LinkError, Envelope>> call =
                 mFirst.call(SECOND, forward("a"), LONG);
         await(arrived);
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/metrics/PlatformMetricsTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/metrics/PlatformMetricsTest.java
@@ -21,11 +21,11 @@
 
     @Example
     void failuresAreCountedByKindAndCause() throws IOException {
-        mMetrics.attempted(PlatformCallKind.WRITE, "10.0.0.1:80");
+        mMetrics.onAttempt(PlatformCallKind.WRITE, "10.0.0.1:80");
         end(PlatformCallKind.WRITE, new PlatformError.Uncertain("Lost."));
         end(PlatformCallKind.READ, new PlatformError.OverBudget("Too many."));
-        mMetrics.ended(PlatformCallKind.WATCH, Optional.empty(), 1);
-        mMetrics.breakerChanged("10.0.0.1:80", Breaker.State.OPEN);
+        mMetrics.onCallCompleted(PlatformCallKind.WATCH, Optional.empty(), 1);
+        mMetrics.onBreakerStateChanged("10.0.0.1:80", Breaker.State.OPEN);
         assertThat(scrape())
                 .contains("masticpond_platform_attempts_total{kind=\"write\"} 1.0")
                 .contains("results_total{kind=\"write\",result=\"uncertain\"} 1.0")
@@ -36,7 +36,7 @@
     }
 
     private void end(PlatformCallKind kind, PlatformError error) {
-        mMetrics.ended(kind, Optional.of(error), 1);
+        mMetrics.onCallCompleted(kind, Optional.of(error), 1);
     }
 
     private String scrape() throws IOException {
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/AdmitterSteeringTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/AdmitterSteeringTest.java
@@ -178,11 +178,11 @@
         }
 
         @Override
-        public List<InstanceId> othersFor(RequestId request) {
+        public List<InstanceId> otherInstances(RequestId request) {
             return List.of();
         }
 
         @Override
-        public void sent(Shard shard) {}
+        public void recordForward(Shard shard) {}
     }
 }
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/ChargedForwardTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/ChargedForwardTest.java
@@ -68,7 +68,7 @@
         assertThat(mAnswers).hasSize(1);
         assertThat(mAnswers.get(0).getForwardAnswer().getAnswer().getBackendServer())
                 .isEqualTo("server-1");
-        assertThat(mReceiver.steered()).isZero();
+        assertThat(mReceiver.steeredCount()).isZero();
     }
 
     @Example
@@ -90,7 +90,7 @@
         forwardUncharged();
         cancel();
         runSteeringLoop();
-        assertThat(mReceiver.steered()).isEqualTo(1);
+        assertThat(mReceiver.steeredCount()).isEqualTo(1);
         mGate.mRenewing = false;
         mEntry.advance();
         assertThat(mForwardedTo).isEmpty();
@@ -98,7 +98,7 @@
                 ForwardCodec.toCompletion(mAnswers.get(0).getForwardAnswer());
         assertThat(((RequestCompletion.Refused) completion).refusal().cause())
                 .isEqualTo(RefusalCause.CANCELLED);
-        assertThat(mReceiver.steered()).isZero();
+        assertThat(mReceiver.steeredCount()).isZero();
     }
 
     @Example
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/SteeringFakes.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/SteeringFakes.java
@@ -94,7 +94,7 @@
         public void observe(ServiceId service, RegionId region, Headroom headroom) {}
 
         @Override
-        public void ended(RequestHead request, RegionId region, RegionAttemptOutcome end) {
+        public void recordOutcome(RequestHead request, RegionId region, RegionAttemptOutcome end) {
             mOpenSelections--;
         }
 
@@ -166,12 +166,12 @@
         }
 
         @Override
-        public List<InstanceId> othersFor(RequestId request) {
+        public List<InstanceId> otherInstances(RequestId request) {
             return admitters;
         }
 
         @Override
-        public void sent(Shard ignored) {}
+        public void recordForward(Shard ignored) {}
     }
 
     /** Completes forwards with scripted results. */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/BackendCallListener.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/BackendCallListener.java
@@ -25,7 +25,7 @@
      * @return whether the request may still be written; if not, the call fails with {@link
      *     CallFailure.Kind#WITHDRAWN}
      */
-    default boolean mayBegin() {
+    default boolean canBegin() {
         return true;
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/BackendConnections.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/BackendConnections.java
@@ -42,7 +42,7 @@
      *
      * @param server the server
      */
-    void forget(RegisteredServer server);
+    void removeServer(RegisteredServer server);
 
     /** Closes all connections. */
     void close();
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/NettyBackendConnections.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/NettyBackendConnections.java
@@ -104,7 +104,7 @@
     }
 
     @Override
-    public void forget(RegisteredServer server) {
+    public void removeServer(RegisteredServer server) {
         ServerPool pool = mPools.remove(server.id());
         if (pool != null) {
             pool.retire();
@@ -150,7 +150,7 @@
         if (pool != null && pool.address().equals(server.address())) {
             return pool;
         }
-        forget(server);
+        removeServer(server);
         ServerPool created = new ServerPool(server.address(), mContext);
         mPools.put(server.id(), created);
         return created;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/PendingCall.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/PendingCall.java
@@ -70,7 +70,7 @@
 
     /** Returns whether the request may still be written now that a connection is available. */
     boolean mayBegin() {
-        return mListener.mayBegin();
+        return mListener.canBegin();
     }
 
     void answerBegan(int status, HttpHeaders headers) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlDocuments.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlDocuments.java
@@ -215,7 +215,7 @@
         requestId.ifPresent(
                 id -> {
                     document.put("request", id);
-                    document.putArray("lines").addAll(mSources.decisions().ofRequest(id));
+                    document.putArray("lines").addAll(mSources.decisions().requestLines(id));
                 });
         document.putArray("beliefs").addAll(mSources.decisions().recentViewChanges(changeCount));
         return document;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/TrafficSnapshot.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/TrafficSnapshot.java
@@ -81,7 +81,7 @@
                 servers,
                 limits.budgets(nowNanos),
                 flow.spending().map(SpendingCheck::views).orElse(List.of()),
-                flow.crashes().views(),
+                flow.crashGuard().views(),
                 WorkspaceSnapshot.take(flow.authenticator(), nowNanos));
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/CallerFacts.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/CallerInputs.java
@@ -15,7 +15,7 @@
  *     knows
  * @since 0.2
  */
-public record CallerFacts(
+public record CallerInputs(
         WorkspaceId workspace,
         long proofAgeNanos,
         boolean isLimited,
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/RecentDecisions.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/RecentDecisions.java
@@ -79,7 +79,7 @@
      * @param requestId the id as given by the client
      * @return the lines as written to the log, oldest first
      */
-    public List<JsonNode> ofRequest(String requestId) {
+    public List<JsonNode> requestLines(String requestId) {
         Predicate<LineContent> matches = content -> requestId.equals(requestId(content));
         return Stream.concat(mPlain.lines().stream(), mNoteworthy.lines().stream())
                 .filter(line -> matches.test(line.content()))
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/RequestLine.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/RequestLine.java
@@ -192,7 +192,7 @@
         writeAge(line, "peersAgeMillis", request.mPeersAgeNanos);
     }
 
-    private static void writeCaller(JsonGenerator line, CallerFacts caller) throws IOException {
+    private static void writeCaller(JsonGenerator line, CallerInputs caller) throws IOException {
         if (caller.workspace() != null) {
             line.writeStringField("workspace", caller.workspace().value());
         }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/RequestRecord.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/RequestRecord.java
@@ -51,7 +51,7 @@
     SpendingInputs mSpending;
     RequestOutcome mOutcome = RequestOutcome.OPEN;
     String mCause;
-    CallerFacts mCaller;
+    CallerInputs mCaller;
     int mStatus;
     long mRetryAfterMillis = UNKNOWN;
     long mEndNanos;
@@ -111,7 +111,7 @@
     }
 
     /** Records the workspace that sent the request, and the inputs of its admission. */
-    public void caller(CallerFacts caller) {
+    public void caller(CallerInputs caller) {
         mCaller = caller;
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/metrics/EntryValue.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/metrics/EntryValue.java
@@ -82,7 +82,7 @@
     /** Answers that stated a limit which is not valid. */
     MALFORMED_LIMITS("malformed_limits", "Answers with a limit that is no number.", true),
     /** Backend servers that have stated in an answer that they are leaving. */
-    SERVERS_SAID_LEAVING(
+    SERVERS_STATED_LEAVING(
             "backend_servers_said_leaving", "Backend servers that leave by their answers.", false),
     /** Backend servers that have requested a pause. */
     PAUSED_SERVERS("paused_backend_servers", "Backend servers that have asked for a pause.", false),
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/HeartbeatService.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/HeartbeatService.java
@@ -251,7 +251,7 @@
      *
      * @return the count
      */
-    public long sent() {
+    public long sentCount() {
         return mSent;
     }
 
@@ -260,7 +260,7 @@
      *
      * @return the count
      */
-    public long received() {
+    public long receivedCount() {
         return mReceived;
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/DocumentTranslator.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/DocumentTranslator.java
@@ -49,6 +49,6 @@
      * @return the report on the run; empty if the platform does not distinguish runs
      */
     default ServerReport report(JsonNode content) {
-        return ServerReport.SILENT;
+        return ServerReport.UNKNOWN;
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/ServerReport.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/ServerReport.java
@@ -14,6 +14,6 @@
 public record ServerReport(OptionalLong bornMillis, OptionalLong sequence) {
 
     /** Report without any statement. */
-    public static final ServerReport SILENT =
+    public static final ServerReport UNKNOWN =
             new ServerReport(OptionalLong.empty(), OptionalLong.empty());
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/AttemptListener.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/AttemptListener.java
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public boolean mayBegin() {
+    public boolean canBegin() {
         return mFlow.statements().maySend(mAttempted, mHadPermit);
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/CrashGuard.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/CrashGuard.java
@@ -112,7 +112,7 @@
      *
      * @return the count since the start of this instance
      */
-    public long ends() {
+    public long serverEnds() {
         return mServerEnds;
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestFlow.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestFlow.java
@@ -124,8 +124,8 @@
     public void update(EntryState state) {
         mState = state;
         for (RegisteredServer removed : mServers.update(state.snapshot(), nowNanos())) {
-            mConnections.forget(removed);
-            mPlacer.chooser().outlierDetector().forget(removed.service(), removed.id());
+            mConnections.removeServer(removed);
+            mPlacer.chooser().outlierDetector().remove(removed.service(), removed.id());
         }
         mStatements.update(state.snapshot());
         mPlacer.chooser().outlierDetector().retain(state.snapshot().servers().keySet());
@@ -141,7 +141,7 @@
      *
      * @param times the times
      */
-    public void confirmed(UpdateTimes times) {
+    public void setUpdateTimes(UpdateTimes times) {
         mUpdateTimes = times;
     }
 
@@ -159,7 +159,7 @@
      *
      * @return the count
      */
-    public int open() {
+    public int openRequests() {
         return mRuns.size() + mHeld.size();
     }
 
@@ -346,7 +346,7 @@
      *
      * @return the guard
      */
-    public CrashGuard crashes() {
+    public CrashGuard crashGuard() {
         return mCrashes;
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestRun.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestRun.java
@@ -87,14 +87,14 @@
         String key = request.headers().get(flow.names().affinityKey());
         facts.key(key);
         mSearch = new ServerSearch(flow, facts, mRoute, service, key);
-        mCrashCheck = new CrashCheck(flow.crashes(), request, facts);
+        mCrashCheck = new CrashCheck(flow.crashGuard(), request, facts);
         mCompletion = new RequestCompletion(flow.answers(), facts, mRequestId);
         mAttemptCharge = AttemptCharge.of(flow.spending(), facts, service);
     }
 
     void begin() {
         long now = mFlow.nowNanos();
-        mFlow.retries().firstAttempt(mService, now);
+        mFlow.retries().recordFirstAttempt(mService, now);
         mFlow.placer().arrived(mRoute, mService, now);
         long left = mTimes.leftNanos(now);
         if (left <= 0) {
@@ -137,7 +137,7 @@
 
     private void refuseForLoad(AdmissionDecision decision, List<ServerLoad> servers, long now) {
         mSearch.recordRankedCandidates(servers, mTimes.leftNanos(now), now);
-        mFacts.expectedWait(decision.expectedWaitNanos(), decision.longestWaitNanos());
+        mFacts.expectedWait(decision.expectedWaitNanos(), decision.maximumWaitNanos());
         refuse(Rejection.unavailable("overload", Duration.ofNanos(decision.retryAfterNanos())));
     }
 
@@ -159,7 +159,7 @@
         mSearch.markTried(chosen);
         mFlow.placer().sent(chosen, now);
         mCaller.recordSent(now);
-        mFacts.retryBudget(mFlow.retries().left(mService, now));
+        mFacts.retryBudget(mFlow.retries().remainingRetries(mService, now));
         mFacts.sent(chosen.server().id(), chosen.server().zone(), mSearch.isCold(chosen, now), now);
         BackendRequest request =
                 new BackendRequest(
@@ -200,7 +200,7 @@
             return;
         }
         mFacts.attemptEnded(AttemptResult.ANSWERED, answer.status(), now);
-        mFlow.placer().chooser().answered(mRoute.id(), answer.body().readableBytes());
+        mFlow.placer().chooser().recordAnswerSize(mRoute.id(), answer.body().readableBytes());
         boolean failed = answer.status() >= FIRST_SERVER_ERROR;
         if (failed && !statement.isWithdrawing()) {
             mFlow.placer().failed(server, now);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/RetryAllowance.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/RetryAllowance.java
@@ -16,7 +16,7 @@
      * @param service the service
      * @param nowNanos the monotonic time
      */
-    void firstAttempt(ServiceId service, long nowNanos);
+    void recordFirstAttempt(ServiceId service, long nowNanos);
 
     /**
      * Tries to take one retry of a request out of the budget.
@@ -34,5 +34,5 @@
      * @param nowNanos the monotonic time
      * @return the number of retries that are allowed now
      */
-    double left(ServiceId service, long nowNanos);
+    double remainingRetries(ServiceId service, long nowNanos);
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerLimitGate.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerLimitGate.java
@@ -79,7 +79,7 @@
      *
      * @param listener the listener
      */
-    public void publishTo(Consumer<LimitReport> listener) {
+    public void setReportListener(Consumer<LimitReport> listener) {
         mReportListener = Assert.notNull(listener, "A report listener");
     }
 
@@ -104,12 +104,12 @@
      * @param reports the reports
      * @return the reports that changed the view of this instance
      */
-    public List<LimitReport> received(ServerTable servers, List<LimitReport> reports) {
+    public List<LimitReport> applyReports(ServerTable servers, List<LimitReport> reports) {
         List<LimitReport> updates = new ArrayList<>();
         Moment now = Moment.of(mTimeSource);
         for (LimitReport each : reports) {
             ServerLoad load = servers.byHash(each.serverHash());
-            if (load != null && mLimits.received(load.server(), each, now)) {
+            if (load != null && mLimits.applyReport(load.server(), each, now)) {
                 updates.add(each);
             }
         }
@@ -141,7 +141,7 @@
      * @return the count since the start of this instance
      */
     public long malformed() {
-        return mLimits.malformed();
+        return mLimits.malformedCount();
     }
 
     /**
@@ -152,7 +152,7 @@
         boolean isIrrelevant =
                 header.kind() == LimitHeader.Kind.ABSENT && mLimits.isUnknown(load.server().id());
         if (!isIrrelevant && !load.isTerminated()) {
-            mLimits.answered(load.server(), header, sentNanos, Moment.of(mTimeSource));
+            mLimits.applyAnswer(load.server(), header, sentNanos, Moment.of(mTimeSource));
         }
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerStatements.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerStatements.java
@@ -87,7 +87,7 @@
      * @return the count since the start of this instance
      */
     public long malformed() {
-        return mWithdrawals.malformed();
+        return mWithdrawals.malformedCount();
     }
 
     ServerStatement read(int status, HttpHeaders headers) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/SpendingCheck.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/SpendingCheck.java
@@ -39,7 +39,7 @@
     List<SpendingView> views();
 
     /** Called when the platform's store has been restored from an older copy. */
-    default void storeRestored() {}
+    default void onStoreRestored() {}
 
     /** Starts taking allotments. A repeated call has no effect. */
     void start();
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/WorkspaceAuthenticator.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/WorkspaceAuthenticator.java
@@ -11,7 +11,7 @@
 import io.masticpond.core.workspace.Workspace;
 import io.masticpond.core.workspace.WorkspaceTable;
 import io.masticpond.entry.http.IncomingRequest;
-import io.masticpond.entry.log.CallerFacts;
+import io.masticpond.entry.log.CallerInputs;
 import io.masticpond.entry.log.RequestRecord;
 import io.masticpond.entry.settings.HeaderNames;
 import io.masticpond.entry.settings.WorkspaceSettings;
@@ -172,7 +172,7 @@
     }
 
     private Either<Rejection, Caller> admit(Workspace workspace, KeyDigest key, Route route) {
-        Optional<Route> restrictedRoute = route.within(workspace);
+        Optional<Route> restrictedRoute = route.restrictTo(workspace);
         if (restrictedRoute.isEmpty()) {
             return Either.left(Rejection.unavailable("no-allowed-region", UNPROVEN_RETRY_DELAY));
         }
@@ -197,7 +197,7 @@
         boolean isLimited = id != null && mRates.isLimited(id);
         long now = mTimeSource.monotonicNanos();
         facts.caller(
-                new CallerFacts(
+                new CallerInputs(
                         id,
                         ageNanos,
                         isLimited,
--- a/masticpond-entry/src/main/java/io/masticpond/entry/spending/SpendingService.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/spending/SpendingService.java
@@ -110,8 +110,8 @@
     }
 
     @Override
-    public void storeRestored() {
-        mGate.platformRestored();
+    public void onStoreRestored() {
+        mGate.onPlatformRestored();
     }
 
     @Override
@@ -164,7 +164,7 @@
         int holders = Math.max(1, mHolderCount.getAsInt());
         if (holders != mReportedHolderCount) {
             mReportedHolderCount = holders;
-            mGate.holders(holders);
+            mGate.setHolders(holders);
         }
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/CrashSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/CrashSharing.java
@@ -68,7 +68,7 @@
             PeerInstance self) {
         mTraffic = traffic;
         mControl = control;
-        mGuard = flow.crashes();
+        mGuard = flow.crashGuard();
         mPeers = peers;
         mTargets = new AntiEntropyTargets(self.id());
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryInstance.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryInstance.java
@@ -81,7 +81,7 @@
             mControlComponents
                     .replica()
                     .restoreTracker()
-                    .addRestoreListener(() -> mTraffic.execute(spending::storeRestored));
+                    .addRestoreListener(() -> mTraffic.execute(spending::onStoreRestored));
         }
         mControl.execute(
                 () -> {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryMetricsCollector.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/EntryMetricsCollector.java
@@ -73,7 +73,7 @@
         static Keys of(WorkspaceAuthenticator authenticator) {
             return new Keys(
                     authenticator.workspaces().all().size(),
-                    authenticator.workspaces().keys(),
+                    authenticator.workspaces().keyCount(),
                     authenticator.proofAgeNanos(),
                     authenticator.isProven());
         }
@@ -148,16 +148,16 @@
 
     /** Reads what the traffic thread owns, on that thread. */
     void readTraffic() {
-        List<CrashView> crashes = mFlow.crashes().views();
+        List<CrashView> crashes = mFlow.crashGuard().views();
         mTraffic =
                 new Traffic(
-                        mFlow.open(),
+                        mFlow.openRequests(),
                         mConnections.open(),
                         mConnections.idle(),
                         mConnections.opened(),
                         mFlow.placer().sharedLoads().reportedCount(),
                         mFlow.placer().sharedLoads().receivedCount(),
-                        mFlow.crashes().ends(),
+                        mFlow.crashGuard().serverEnds(),
                         crashes.size(),
                         crashes.stream().filter(each -> each.remainingNanos() > 0).count(),
                         List.copyOf(mLimits.budgets(mTimeSource.monotonicNanos()).values()),
@@ -178,8 +178,8 @@
         values.set(EntryValue.INSTANCES_ALIVE, mControl.heartbeats().alive().size());
         values.set(EntryValue.SHAREHOLDERS, mControl.heartbeats().shareholders());
         values.set(EntryValue.PEERS_AGE, peersAge());
-        values.set(EntryValue.HEARTBEATS_SENT, mControl.heartbeats().sent());
-        values.set(EntryValue.HEARTBEATS_RECEIVED, mControl.heartbeats().received());
+        values.set(EntryValue.HEARTBEATS_SENT, mControl.heartbeats().sentCount());
+        values.set(EntryValue.HEARTBEATS_RECEIVED, mControl.heartbeats().receivedCount());
     }
 
     private double peersAge() {
@@ -205,7 +205,7 @@
         values.set(EntryValue.LIMITED_SERVERS, traffic.limits().servers());
         values.set(EntryValue.LIMITED_RATE, traffic.limits().ownPerSecond());
         values.set(EntryValue.MALFORMED_LIMITS, traffic.limits().malformed());
-        values.set(EntryValue.SERVERS_SAID_LEAVING, traffic.withdrawals().leaving());
+        values.set(EntryValue.SERVERS_STATED_LEAVING, traffic.withdrawals().leaving());
         values.set(EntryValue.PAUSED_SERVERS, traffic.withdrawals().paused());
         values.set(EntryValue.MALFORMED_WITHDRAWALS, traffic.withdrawals().malformed());
         values.set(EntryValue.REJECTED_REQUESTS, traffic.rejected());
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LimitSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LimitSharing.java
@@ -76,7 +76,7 @@
                     LimitReportCodec.Content decoded = LimitReportCodec.read(content);
                     mTraffic.execute(() -> receive(decoded));
                 });
-        mTraffic.execute(() -> mLimits.publishTo(report -> mControl.execute(() -> add(report))));
+        mTraffic.execute(() -> mLimits.setReportListener(report -> mControl.execute(() -> add(report))));
         mTraffic.scheduleWithFixedDelay(
                 this::reportKnown,
                 REPORT_PERIOD_MILLIS,
@@ -85,7 +85,7 @@
     }
 
     private void receive(LimitReportCodec.Content decoded) {
-        List<LimitReport> updates = mLimits.received(mFlow.servers(), decoded.reports());
+        List<LimitReport> updates = mLimits.applyReports(mFlow.servers(), decoded.reports());
         if (decoded.forward() && !updates.isEmpty()) {
             mControl.execute(() -> send(mPeers.ownZone(), false, updates));
         }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SettingsReloader.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SettingsReloader.java
@@ -62,7 +62,7 @@
                 () -> {
                     mLimits.apply(settings.bounds());
                     mChooser.applySettings(settings.placement());
-                    mFlow.crashes().applySettings(settings.crashes());
+                    mFlow.crashGuard().applySettings(settings.crashes());
                     mFlow.authenticator().applySettings(settings.workspaces());
                     mFlow.statements().limits().applySettings(settings.serverLimits());
                     mFlow.statements().applySettings(settings.withdrawals());
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SharedLimits.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SharedLimits.java
@@ -94,8 +94,8 @@
     }
 
     @Override
-    public void firstAttempt(ServiceId service, long nowNanos) {
-        budget(service, nowNanos).firstAttempt(nowNanos);
+    public void recordFirstAttempt(ServiceId service, long nowNanos) {
+        budget(service, nowNanos).recordFirstAttempt(nowNanos);
     }
 
     @Override
@@ -104,7 +104,7 @@
     }
 
     @Override
-    public double left(ServiceId service, long nowNanos) {
+    public double remainingRetries(ServiceId service, long nowNanos) {
         return budget(service, nowNanos).left(nowNanos, mPeers.shareholders());
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SnapshotUpdates.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/SnapshotUpdates.java
@@ -94,7 +94,7 @@
      */
     void reportStatus() {
         mLog.logWarmed(mTimeSource.monotonicNanos());
-        mControlComponents.updateTimes().ifPresent(mFlow::confirmed);
+        mControlComponents.updateTimes().ifPresent(mFlow::setUpdateTimes);
         boolean ready = mReadiness.isReady();
         if (ready && !mReadyLogged) {
             mReadyLogged = true;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/TrafficModule.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/TrafficModule.java
@@ -182,7 +182,7 @@
                         authenticator,
                         statements,
                         log);
-        flow.crashes().applySettings(settings.crashes());
+        flow.crashGuard().applySettings(settings.crashes());
         return flow;
     }
 }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/backend/ConnectionReuseTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/backend/ConnectionReuseTest.java
@@ -370,7 +370,7 @@
             second.answer();
             backends.onLoop(
                     () -> {
-                        backends.mConnections.forget(backends.mTarget);
+                        backends.mConnections.removeServer(backends.mTarget);
                         return null;
                     });
             assertThat(other.isEnded()).isTrue();
--- a/masticpond-entry/src/test/java/io/masticpond/entry/backend/RecordingCallListener.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/backend/RecordingCallListener.java
@@ -21,7 +21,7 @@
     boolean mMayBegin = true;
 
     @Override
-    public boolean mayBegin() {
+    public boolean canBegin() {
         return mMayBegin;
     }
 
--- a/masticpond-entry/src/test/java/io/masticpond/entry/log/RecentDecisionsTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/log/RecentDecisionsTest.java
@@ -28,14 +28,14 @@
         mTime.advance(Duration.ofSeconds(1));
         request.refused("turned-away", 503, 100, 2);
         mDecisions.requestEnded(request);
-        List<JsonNode> lines = mDecisions.ofRequest("one");
+        List<JsonNode> lines = mDecisions.requestLines("one");
         assertThat(lines)
                 .extracting(line -> line.path("event").asText())
                 .containsExactly("retry", "request");
         assertThat(lines.get(1).path("at").asText()).isEqualTo("1970-01-01T00:00:01.000Z");
         assertThat(lines.get(1).path("attempts").get(0).path("result").asText())
                 .isEqualTo("turned-away");
-        assertThat(mDecisions.ofRequest("two")).isEmpty();
+        assertThat(mDecisions.requestLines("two")).isEmpty();
     }
 
     @Example
@@ -49,9 +49,9 @@
             plain.answered(200, 0);
             mDecisions.requestEnded(plain);
         }
-        assertThat(mDecisions.ofRequest("refused")).hasSize(1);
-        assertThat(mDecisions.ofRequest("plain" + (MANY - 1))).hasSize(1);
-        assertThat(mDecisions.ofRequest("plain0")).isEmpty();
+        assertThat(mDecisions.requestLines("refused")).hasSize(1);
+        assertThat(mDecisions.requestLines("plain" + (MANY - 1))).hasSize(1);
+        assertThat(mDecisions.requestLines("plain0")).isEmpty();
         assertThat(mDecisions.evicted()).isPositive();
         assertThat(mDecisions.recentViewChanges(1))
                 .singleElement()
--- a/masticpond-entry/src/test/java/io/masticpond/entry/metrics/EntryMetricsTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/metrics/EntryMetricsTest.java
@@ -9,7 +9,7 @@
 import io.masticpond.core.id.WorkspaceId;
 import io.masticpond.core.id.ZoneId;
 import io.masticpond.entry.log.AttemptResult;
-import io.masticpond.entry.log.CallerFacts;
+import io.masticpond.entry.log.CallerInputs;
 import io.masticpond.entry.log.DecisionLog;
 import io.masticpond.entry.log.LineCounts;
 import io.masticpond.entry.log.RequestRecord;
@@ -152,7 +152,7 @@
                         });
         RequestRecord refused = routed("shop");
         refused.refused("no-room", 503, 100, millis(1));
-        refused.caller(new CallerFacts(new WorkspaceId("shop"), 1, true, 1, 1));
+        refused.caller(new CallerInputs(new WorkspaceId("shop"), 1, true, 1, 1));
         all.counting(DecisionLog.NONE).requestEnded(refused);
         Map<String, Set<String>> shown = new TreeMap<>();
         Matcher lines = SHOWN.matcher(all.scrape());
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/CrashingRequestFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/CrashingRequestFlowTest.java
@@ -78,10 +78,10 @@
         assertThat(lastAnswerText()).contains("did not run: ends-servers");
         String retryAfter = mLastResponder.mAnswers.get(0).headers().get("Retry-After");
         assertThat(Double.parseDouble(retryAfter)).isBetween(7_000.0, 7_200.0);
-        JsonNode line = mDecisions.ofRequest("one").get(mDecisions.ofRequest("one").size() - 1);
+        JsonNode line = mDecisions.requestLines("one").get(mDecisions.requestLines("one").size() - 1);
         assertThat(line.path("cause").asText()).isEqualTo("ends-servers");
         assertThat(line.path("fingerprint").asText())
-                .isEqualTo(flow.crashes().views().get(0).request().toString());
+                .isEqualTo(flow.crashGuard().views().get(0).request().toString());
     }
 
     @Example
@@ -116,8 +116,8 @@
                 breakOff(reachability);
                 breakOff(reachability);
             }
-            assertThat(flow.crashes().views()).isEmpty();
-            assertThat(flow.crashes().ends()).isZero();
+            assertThat(flow.crashGuard().views()).isEmpty();
+            assertThat(flow.crashGuard().serverEnds()).isZero();
         }
     }
 
@@ -134,7 +134,7 @@
                 mConnections.mCalls.stream().map(call -> call.mServer.id()).distinct().count();
         assertThat(mConnections.mChecks).hasSize((int) servers);
         mConnections.mChecks.forEach(check -> check.listener().accept(ServerReachability.REFUSED));
-        assertThat(flow.crashes().ends()).isEqualTo(5);
+        assertThat(flow.crashGuard().serverEnds()).isEqualTo(5);
     }
 
     @Example
@@ -145,12 +145,12 @@
         passTime(Duration.ofMillis(100));
         assertThat(mConnections.mChecks).hasSize(1);
         mConnections.mChecks.remove(0).listener().accept(ServerReachability.REFUSED);
-        assertThat(flow.crashes().ends()).isEqualTo(1);
+        assertThat(flow.crashGuard().serverEnds()).isEqualTo(1);
         sendRequest(flow);
         breakOff(ServerReachability.UNKNOWN);
         completeRepeatedCheck(ServerReachability.UNKNOWN);
         assertThat(mConnections.mChecks).isEmpty();
-        assertThat(flow.crashes().ends()).isEqualTo(1);
+        assertThat(flow.crashGuard().serverEnds()).isEqualTo(1);
     }
 
     private void completeRepeatedCheck(ServerReachability reachability) {
@@ -163,32 +163,32 @@
     void answerClearsServerEndsRecordedByCoincidence() {
         RequestFlow flow = flow(true, 2);
         crashServers(flow, 1);
-        assertThat(flow.crashes().views().get(0).ends()).isEqualTo(2);
+        assertThat(flow.crashGuard().views().get(0).ends()).isEqualTo(2);
         passTime(Duration.ofSeconds(1));
         sendRequest(flow);
         mConnections.last().answer(200, "Seal", "s");
-        assertThat(flow.crashes().views().get(0).ends()).isZero();
+        assertThat(flow.crashGuard().views().get(0).ends()).isZero();
         crashServers(flow, 1);
         passTime(Duration.ofSeconds(2));
         sendRequest(flow);
         assertThat(mConnections.last().mCancelled).isFalse();
-        assertThat(flow.crashes().views().get(0).state()).isEqualTo(CrashView.State.SUSPECTED);
+        assertThat(flow.crashGuard().views().get(0).state()).isEqualTo(CrashView.State.SUSPECTED);
     }
 
     @Example
     void rejectsRequestReportedByPeersAndEndsItsOpenCopies() {
         RequestFlow flow = flow(true, 2);
         sendRequest(flow);
-        RequestFingerprint request = flow.crashes().fingerprint(request());
+        RequestFingerprint request = flow.crashGuard().fingerprint(request());
         CrashMessage reported = new CrashMessage.Verdict(request, 3, 1, 0);
-        flow.crashes().receive("second", List.of(reported));
+        flow.crashGuard().receive("second", List.of(reported));
         assertThat(mConnections.last().mCancelled).as("a single reporter may be faulty").isFalse();
-        flow.crashes().receive("third", List.of(reported));
+        flow.crashGuard().receive("third", List.of(reported));
         assertThat(mConnections.last().mCancelled).isTrue();
         assertThat(mLastResponder.status()).as("it may have run").isEqualTo(502);
         sendRequest(flow);
         assertThat(mLastResponder.status()).isEqualTo(503);
-        assertThat(flow.open()).isZero();
+        assertThat(flow.openRequests()).isZero();
     }
 
     @Example
@@ -234,7 +234,7 @@
             String body) {
         HttpHeaders headers = new DefaultHttpHeaders();
         headers.set("Host", host).set("Id", id).set("Authorization", caller);
-        return flow.crashes()
+        return flow.crashGuard()
                 .fingerprint(
                         new IncomingRequest(
                                 HttpMethod.valueOf(method),
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/FakeConnections.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/FakeConnections.java
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public void forget(RegisteredServer server) {
+    public void removeServer(RegisteredServer server) {
         mForgotten.add(server);
     }
 
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/FixedBudget.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/FixedBudget.java
@@ -13,7 +13,7 @@
     }
 
     @Override
-    public void firstAttempt(ServiceId service, long nowNanos) {}
+    public void recordFirstAttempt(ServiceId service, long nowNanos) {}
 
     @Override
     public boolean tryRetry(ServiceId service, long nowNanos) {
@@ -21,7 +21,7 @@
     }
 
     @Override
-    public double left(ServiceId service, long nowNanos) {
+    public double remainingRetries(ServiceId service, long nowNanos) {
         return mIsAvailable.getAsBoolean() ? 1 : 0;
     }
 }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/RequestFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/RequestFlowTest.java
@@ -72,7 +72,7 @@
             load.requestStarted();
         }
         handle(flow);
-        JsonNode line = mDecisions.ofRequest("one").get(0);
+        JsonNode line = mDecisions.requestLines("one").get(0);
         assertThat(line.path("cause").asText()).isEqualTo("overload");
         assertThat(line.path("waitMillis").asInt()).isEqualTo(70);
         assertThat(line.path("longestWaitMillis").asInt()).isEqualTo(20);
@@ -118,11 +118,11 @@
                         Optional.of(
                                 new AdmissionDecision(false, 5_000_000, 70_000_000, 20_000_000));
         handle(flow(true, 2));
-        JsonNode all = mDecisions.ofRequest("one").get(0).path("candidates");
+        JsonNode all = mDecisions.requestLines("one").get(0).path("candidates");
         String cold = all.get(0).path("server").asText();
         mColdServers = Set.of(new BackendServerId(cold));
         handle(flow(true, 2));
-        JsonNode line = mDecisions.ofRequest("one").get(1);
+        JsonNode line = mDecisions.requestLines("one").get(1);
         assertThat(line.path("candidates").findValuesAsText("server")).hasSize(2);
         assertThat(line.path("candidates").findValuesAsText("server")).doesNotContain(cold);
         assertThat(line.path("excluded").path("cold").asInt()).isEqualTo(1);
@@ -224,7 +224,7 @@
         passTime(Duration.ofMillis(1));
         assertThat(mResponder.status()).isEqualTo(503);
         assertThat(mResponder.mAnswers.get(0).headers().get("Retry-After")).isNotNull();
-        assertThat(flow.open()).isZero();
+        assertThat(flow.openRequests()).isZero();
     }
 
     @Example
@@ -270,7 +270,7 @@
         assertThat(mResponder.mAnswers.get(0).headers().get("Retry-After")).isEqualTo("60.000");
         assertThat(mResponder.mAnswers.get(0).body().toString(StandardCharsets.UTF_8))
                 .contains("did not run: spending-cap");
-        JsonNode line = mDecisions.ofRequest("one").get(0);
+        JsonNode line = mDecisions.requestLines("one").get(0);
         assertThat(line.path("cause").asText()).isEqualTo("spending-cap");
         assertThat(line.path("spending").path("capMicros").asInt()).isEqualTo(7);
         assertThat(line.path("spending").path("state").asText()).isEqualTo("exhausted");
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/ServerLimitFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/ServerLimitFlowTest.java
@@ -201,13 +201,13 @@
         long hash = HashMixer.hash("server-0");
         flow.statements()
                 .limits()
-                .received(flow.servers(), List.of(new LimitReport(hash, 0.5, 0, 0)));
+                .applyReports(flow.servers(), List.of(new LimitReport(hash, 0.5, 0, 0)));
         boolean isSender = singleView(flow).ownPerSecond() > 0;
         long[] calls = applyLoad(flow, Duration.ofSeconds(4), Set.of("server-0"), "0.5");
         assertThat(calls[0]).isLessThanOrEqualTo(isSender ? 2 : 0);
         LimitReport lifted = new LimitReport(hash, Double.POSITIVE_INFINITY, 0, 0);
-        assertThat(flow.statements().limits().received(flow.servers(), List.of(lifted))).hasSize(1);
-        assertThat(flow.statements().limits().received(flow.servers(), List.of(lifted)))
+        assertThat(flow.statements().limits().applyReports(flow.servers(), List.of(lifted))).hasSize(1);
+        assertThat(flow.statements().limits().applyReports(flow.servers(), List.of(lifted)))
                 .as("no update the second time")
                 .isEmpty();
         long[] first = applyLoad(flow, Duration.ofMillis(400), Set.of(), "");
@@ -233,9 +233,9 @@
                 mAnswers.stream().filter(answer -> answer.status() != 200).toList();
         assertThat(rejected).isNotEmpty().allMatch(answer -> answer.status() == 503);
         JsonNode line =
-                mDecisions.ofRequest("r" + (mRequestCount - 1)).isEmpty()
+                mDecisions.requestLines("r" + (mRequestCount - 1)).isEmpty()
                         ? null
-                        : mDecisions.ofRequest("r" + (mRequestCount - 1)).get(0);
+                        : mDecisions.requestLines("r" + (mRequestCount - 1)).get(0);
         assertThat(line).isNotNull();
         String retryAfter = rejected.get(0).mAnswers.get(0).headers().get("Retry-After");
         assertThat(Double.parseDouble(retryAfter)).isBetween(0.01, 0.8 / 3);
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/ServerWithdrawalFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/ServerWithdrawalFlowTest.java
@@ -190,10 +190,10 @@
         RequestFlow flow = flow(true, 2);
         handleRequest(flow, "k");
         FakeConnections.Call waiting = mConnections.last();
-        assertThat(waiting.mListener.mayBegin()).isTrue();
+        assertThat(waiting.mListener.canBegin()).isTrue();
         BackendServerId leaving = answerWith(flow, 200, "Seal", "s", "Leaving", "1");
         assertThat(leaving).isEqualTo(waiting.mServer.id());
-        assertThat(waiting.mListener.mayBegin()).isFalse();
+        assertThat(waiting.mListener.canBegin()).isFalse();
         waiting.fail(Verdict.DID_NOT_RUN, CallFailure.Kind.WITHDRAWN);
         assertThat(mConnections.last().mServer.id()).isNotEqualTo(leaving);
     }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/WorkspaceAuthenticatorTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/WorkspaceAuthenticatorTest.java
@@ -172,7 +172,7 @@
         recordProof();
         sendRequest(flow, KEY);
         sendRequest(flow, "guessed");
-        String lines = mDecisions.ofRequest("one").toString();
+        String lines = mDecisions.requestLines("one").toString();
         assertThat(lines).contains("proofAgeMillis").doesNotContain(KEY).doesNotContain("guessed");
     }
 }
--- a/masticpond-entry/src/test/java/io/masticpond/entry/wiring/SharedLimitsTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/wiring/SharedLimitsTest.java
@@ -47,7 +47,7 @@
         mShareholders = instances;
         for (long second = 1; second < 60; second++) {
             long now = Duration.ofSeconds(second).toNanos();
-            instanceLimits.forEach(limits -> limits.left(OLD, now));
+            instanceLimits.forEach(limits -> limits.remainingRetries(OLD, now));
         }
         double spent = 0;
         for (SharedLimits leavingInstance : instanceLimits.subList(staying, instances)) {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/configuration/MeasuredFleet.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/configuration/MeasuredFleet.java
@@ -64,7 +64,7 @@
     MeasuredInstance kill(int number) {
         MeasuredInstance instance = mLive.remove(new InstanceId("entry-" + number));
         instance.close();
-        mLive.values().forEach(other -> other.links().forget(instance.incarnation().instance()));
+        mLive.values().forEach(other -> other.links().removeInstance(instance.incarnation().instance()));
         return instance;
     }
 
@@ -104,6 +104,6 @@
     }
 
     private static void registerAddress(MeasuredInstance instance, MeasuredInstance other) {
-        instance.links().address(other.incarnation().instance(), other.asMember().linkAddress());
+        instance.links().setAddress(other.incarnation().instance(), other.asMember().linkAddress());
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelInstance.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelInstance.java
@@ -81,7 +81,7 @@
     }
 
     void recordFirstAttempt(ServiceId service, long nowNanos) {
-        retryBudget(service).firstAttempt(nowNanos);
+        retryBudget(service).recordFirstAttempt(nowNanos);
     }
 
     boolean tryRetry(ServiceId service, long nowNanos) {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelRequest.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelRequest.java
@@ -217,7 +217,7 @@
             mSimulation
                     .statistics()
                     .recordAnswer(load.distance() == Distance.OTHER_REGION, mKind.answerBytes());
-            mInstance.placer().chooser().answered(mRoute.id(), mKind.answerBytes());
+            mInstance.placer().chooser().recordAnswerSize(mRoute.id(), mKind.answerBytes());
             boolean hasQueue = answer.load().waiting() > 0;
             mInstance.placer().succeeded(load, now() - sentNanos, hasQueue, now());
             after(CLIENT_DELAY_NANOS, ModelRequest.this::answered);
@@ -226,7 +226,7 @@
         private void reportTrueLoad(ServerLoad load) {
             ReportedLoad trueLoad = mSimulation.server(load.server().id()).load();
             for (int i = 0; i < TRUE_LOAD_REPORTS; i++) {
-                load.reported(trueLoad, now());
+                load.recordReport(trueLoad, now());
             }
         }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainBench.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainBench.java
@@ -74,7 +74,7 @@
                         Timeline.NONE);
         mHealthChecker =
                 new BackendHealthChecker(
-                        BackendHealthSettings.DEFAULTS,
+                        BackendHealthSettings.DEFAULT,
                         mTimeSource,
                         RandomSource.XO_RO_SHI_RO_128_PP.create(seed),
                         (server, signal) ->
@@ -92,7 +92,7 @@
     }
 
     DrainRound run() throws InterruptedException {
-        mSteeringLoop.every(ADVANCE_PERIOD, mSteering::advance);
+        mSteeringLoop.schedulePeriodically(ADVANCE_PERIOD, mSteering::advance);
         mSteeringLoop.start();
         mSteeringLoop.put(mSteering::reconfigure);
         mArrivals.start();
--- a/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainDirectory.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainDirectory.java
@@ -70,12 +70,12 @@
     }
 
     @Override
-    public List<InstanceId> othersFor(RequestId request) {
+    public List<InstanceId> otherInstances(RequestId request) {
         return List.of();
     }
 
     @Override
-    public void sent(Shard shard) {
+    public void recordForward(Shard shard) {
         // Every shard is admitted at this instance, so no request is forwarded.
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/fleet/CallerLoad.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/fleet/CallerLoad.java
@@ -35,7 +35,7 @@
     private final List<FleetInstance> mInstances;
     private final LoadStatistics mStatistics;
     private final long mSeed;
-    private final Consumer<EndedRequest> mListener;
+    private final Consumer<CompletedRequest> mListener;
     private final AtomicInteger mNextNumber = new AtomicInteger();
 
     /**
@@ -62,7 +62,7 @@
             List<FleetInstance> instances,
             LoadStatistics statistics,
             long seed,
-            Consumer<EndedRequest> listener) {
+            Consumer<CompletedRequest> listener) {
         mInstances = List.copyOf(instances);
         mStatistics = statistics;
         mSeed = seed;
@@ -151,7 +151,7 @@
                 long start = System.nanoTime();
                 String outcome = executeAndRecord(kind);
                 mListener.accept(
-                        new EndedRequest(
+                        new CompletedRequest(
                                 kind.mService,
                                 kind.mCallerKey,
                                 mLastAddress,
--- a/masticpond-measure/src/main/java/io/masticpond/measure/fleet/EndedRequest.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/fleet/CompletedRequest.java
@@ -6,27 +6,27 @@
  * Completed request as its caller observed it.
  *
  * @param service the id of the service
- * @param ownKey whether it had an operation key of the caller, which only the platform can claim
+ * @param callerKey whether it had an operation key of the caller, which only the platform can claim
  * @param address the instance to which it was sent last, as "ip:port"; empty if no look-up was
  *     answered
  * @param startNanos the time at which it began, before its look-up, from {@link System#nanoTime}
  * @param endNanos the time at which it ended, from {@link System#nanoTime}
- * @param end {@link LoadStatistics#ANSWERED}, or the reason why it was not answered
+ * @param outcome {@link LoadStatistics#ANSWERED}, or the reason why it was not answered
  * @since 0.1
  */
-public record EndedRequest(
+public record CompletedRequest(
         String service,
-        boolean ownKey,
+        boolean callerKey,
         String address,
         long startNanos,
         long endNanos,
-        String end) {
+        String outcome) {
 
     /** Checks that all components are present and that the times are in order. */
-    public EndedRequest {
+    public CompletedRequest {
         Assert.hasText(service, "A service");
         Assert.notNull(address, "An address");
-        Assert.hasText(end, "An end");
+        Assert.hasText(outcome, "An end");
         Assert.isTrue(endNanos - startNanos >= 0, "A request must not end before it begins.");
     }
 
@@ -36,6 +36,6 @@
      * @return {@code true} if it was answered
      */
     public boolean isAnswered() {
-        return end.equals(LoadStatistics.ANSWERED);
+        return outcome.equals(LoadStatistics.ANSWERED);
     }
 }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/fleet/LocalFleet.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/fleet/LocalFleet.java
@@ -75,7 +75,7 @@
      *
      * @throws IOException if a settings file cannot be written
      */
-    public void startOutside() throws IOException {
+    public void startStandIns() throws IOException {
         startPlatform();
         Path backendsFile = mSettings.directory().resolve("backends.json");
         MAPPER.writeValue(
--- a/masticpond-measure/src/main/java/io/masticpond/measure/hostile/ConfigurationUpdateTarget.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/hostile/ConfigurationUpdateTarget.java
@@ -108,7 +108,7 @@
     }
 
     @Override
-    public void handle(Handler handler) {
+    public void setHandler(Handler handler) {
         mHandler = handler;
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/hostile/HostileTargets.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/hostile/HostileTargets.java
@@ -13,7 +13,7 @@
 import io.masticpond.core.operation.OperationKey;
 import io.masticpond.core.time.SystemTimeSource;
 import io.masticpond.daemon.caller.CallerServer;
-import io.masticpond.daemon.caller.RequestIdSource;
+import io.masticpond.daemon.caller.RequestIdGenerator;
 import io.masticpond.daemon.configuration.ConfigurationCodec;
 import io.masticpond.daemon.instance.KeyRing;
 import io.masticpond.daemon.instance.LinkSettings;
@@ -154,7 +154,7 @@
                 new CallerServer(
                         settings,
                         new RefusingCallerService(),
-                        new RequestIdSource(1),
+                        new RequestIdGenerator(1),
                         new SystemTimeSource());
         server.start();
         return new SocketTarget(
--- a/masticpond-measure/src/main/java/io/masticpond/measure/lookup/HttpLookups.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/lookup/HttpLookups.java
@@ -7,7 +7,7 @@
 import io.masticpond.core.lookup.LookupParameters;
 import io.masticpond.core.time.SystemTimeSource;
 import io.masticpond.daemon.caller.CallerServer;
-import io.masticpond.daemon.caller.RequestIdSource;
+import io.masticpond.daemon.caller.RequestIdGenerator;
 import io.masticpond.daemon.settings.DaemonSettings.CallerSettings;
 import io.masticpond.measure.support.Deployment;
 import java.io.IOException;
@@ -66,7 +66,7 @@
                 new CallerServer(
                         settings,
                         new LookupService(mConfiguration, decider),
-                        new RequestIdSource(1),
+                        new RequestIdGenerator(1),
                         new SystemTimeSource())) {
             server.start();
             sendLookups(port, WARM_UP_LOOKUPS);
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/LinkAnswerRun.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/LinkAnswerRun.java
@@ -56,13 +56,13 @@
     AnswerCounters run(int requests) throws InterruptedException {
         try (NettyInstanceLinks server = links("casa-1");
                 NettyInstanceLinks client = links("fes-1")) {
-            server.handle(
+            server.setHandler(
                     Envelope.BodyCase.FORWARD,
                     (from, message, responder) ->
                             mScheduler.execute(() -> serve(message.getForward(), responder)));
             String address = "127.0.0.1:" + server.start().getPort();
             client.start();
-            client.address(SERVER, address);
+            client.setAddress(SERVER, address);
             mScheduler.everyMillis(RESET_INTERVAL_MILLIS, () -> reset(client, address));
             for (int i = 0; i < requests; i++) {
                 mPermits.acquire();
@@ -89,8 +89,8 @@
 
     private void reset(NettyInstanceLinks client, String address) {
         mResets++;
-        client.forget(SERVER);
-        client.address(SERVER, address);
+        client.removeInstance(SERVER);
+        client.setAddress(SERVER, address);
     }
 
     /**
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/MeasuredInstance.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/MeasuredInstance.java
@@ -134,7 +134,7 @@
                 new OperationHome(
                         issuer,
                         new OperationRegistry<>(
-                                issuer, homes, clock, OperationLimits.DEFAULT, AnswerSize::of)),
+                                issuer, homes, clock, OperationLimits.DEFAULT, AnswerSize::estimateBytes)),
                 this::dispatch,
                 mPeers,
                 mArchive,
@@ -171,7 +171,7 @@
 
     void addPeer(Member other) {
         if (!other.id().equals(mSelf.instance())) {
-            mLinks.address(other.id(), other.linkAddress());
+            mLinks.setAddress(other.id(), other.linkAddress());
         }
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/quickstart/QuickstartCommand.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/quickstart/QuickstartCommand.java
@@ -87,7 +87,7 @@
 
     private boolean run(LocalFleet fleet) throws IOException {
         progress("Starting the platform and the backend servers.");
-        fleet.startOutside();
+        fleet.startStandIns();
         progress("Starting " + fleet.instances().size() + " instances.");
         for (FleetInstance instance : fleet.instances()) {
             fleet.startInstance(instance);
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/EntryFlow.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/EntryFlow.java
@@ -62,7 +62,7 @@
             refusedByShard(RegionAttemptOutcome.LOST);
             return;
         }
-        mEntry.directory().sent(route.shard());
+        mEntry.directory().recordForward(route.shard());
         InstanceId id = route.admitters().get(choice);
         mTarget = mSimulation.instance(id);
         int attempt = ++mAttempt;
@@ -114,14 +114,14 @@
     }
 
     private void refused(RegionAttemptOutcome outcome) {
-        mEntry.selector().ended(mRequest.head(), mRegion, outcome);
+        mEntry.selector().recordOutcome(mRequest.head(), mRegion, outcome);
         mTriedRegions.add(mRegion);
         mRegion = null;
         tryNextRegion();
     }
 
     private void lost() {
-        mEntry.selector().ended(mRequest.head(), mRegion, RegionAttemptOutcome.FAILED);
+        mEntry.selector().recordOutcome(mRequest.head(), mRegion, RegionAttemptOutcome.FAILED);
         mRegion = null;
         end(Outcome.BROKEN);
     }
@@ -137,7 +137,7 @@
         mEnded = true;
         mEntry.remove(this);
         if (mRegion != null) {
-            mEntry.selector().ended(mRequest.head(), mRegion, RegionAttemptOutcome.FAILED);
+            mEntry.selector().recordOutcome(mRequest.head(), mRegion, RegionAttemptOutcome.FAILED);
         }
         mSimulation.counts().ended(mRequest, outcome, mSimulation.events().nanos());
     }
@@ -163,7 +163,7 @@
                     () -> {
                         mEntry.observe(mShard, headroom);
                         mEntry.selector()
-                                .ended(mRequest.head(), mRegion, RegionAttemptOutcome.ANSWERED);
+                                .recordOutcome(mRequest.head(), mRegion, RegionAttemptOutcome.ANSWERED);
                         mRegion = null;
                         end(Outcome.ANSWERED);
                     });
--- a/masticpond-measure/src/main/java/io/masticpond/measure/replacement/CrashAttribution.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/replacement/CrashAttribution.java
@@ -1,7 +1,7 @@
 package io.masticpond.measure.replacement;
 
 import io.masticpond.measure.MeasureTable;
-import io.masticpond.measure.fleet.EndedRequest;
+import io.masticpond.measure.fleet.CompletedRequest;
 import io.masticpond.measure.fleet.FleetInstance;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -27,7 +27,7 @@
 
     private final List<FleetInstance> mInstances;
     private final List<FleetInstance> mKilledInstances;
-    private final List<EndedRequest> mRequests;
+    private final List<CompletedRequest> mRequests;
     private final long mKillNanos;
     private final long mTerminatedNanos;
 
@@ -43,7 +43,7 @@
     CrashAttribution(
             List<FleetInstance> instances,
             List<FleetInstance> killedInstances,
-            List<EndedRequest> requests,
+            List<CompletedRequest> requests,
             long killNanos,
             long terminatedNanos) {
         mInstances = List.copyOf(instances);
@@ -55,7 +55,7 @@
 
     /** Returns the number of requests that ended after the kill and need the platform. */
     long needPlatform() {
-        return endedAfterKill().stream().filter(EndedRequest::ownKey).count();
+        return endedAfterKill().stream().filter(CompletedRequest::callerKey).count();
     }
 
     /**
@@ -63,7 +63,7 @@
      */
     long underWay() {
         return endedAfterKill().stream()
-                .filter(each -> !each.ownKey() && each.startNanos() - mTerminatedNanos < 0)
+                .filter(each -> !each.callerKey() && each.startNanos() - mTerminatedNanos < 0)
                 .count();
     }
 
@@ -109,7 +109,7 @@
 
     /** Returns the table of requests that ended in each second. */
     MeasureTable seconds() {
-        Map<Long, List<EndedRequest>> groups =
+        Map<Long, List<CompletedRequest>> groups =
                 mRequests.stream()
                         .collect(
                                 Collectors.groupingBy(
@@ -122,7 +122,7 @@
         List<List<String>> rows = new ArrayList<>();
         groups.forEach(
                 (second, requests) -> {
-                    long answered = requests.stream().filter(EndedRequest::isAnswered).count();
+                    long answered = requests.stream().filter(CompletedRequest::isAnswered).count();
                     long attributedToKill =
                             requests.stream()
                                     .filter(each -> !each.isAnswered() && isAttributedToKill(each))
@@ -141,18 +141,18 @@
                 rows);
     }
 
-    private List<EndedRequest> endedAfterKill() {
+    private List<CompletedRequest> endedAfterKill() {
         return mRequests.stream().filter(each -> each.endNanos() - mKillNanos >= 0).toList();
     }
 
-    private boolean isAttributedToKill(EndedRequest request) {
+    private boolean isAttributedToKill(CompletedRequest request) {
         boolean endedAfterKill = request.endNanos() - mKillNanos >= 0;
-        return endedAfterKill && (request.ownKey() || request.startNanos() - mTerminatedNanos < 0);
+        return endedAfterKill && (request.callerKey() || request.startNanos() - mTerminatedNanos < 0);
     }
 
-    private List<String> cause(EndedRequest request) {
+    private List<String> cause(CompletedRequest request) {
         return List.of(
-                request.end(),
+                request.outcome(),
                 request.service(),
                 isAttributedToKill(request) ? "yes" : "no",
                 instance(request.address()));
@@ -166,7 +166,7 @@
                 .orElse("none");
     }
 
-    private double seconds(EndedRequest request) {
+    private double seconds(CompletedRequest request) {
         return (request.endNanos() - mKillNanos) / NANOS_PER_SECOND;
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/replacement/FleetUnderLoad.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/replacement/FleetUnderLoad.java
@@ -1,7 +1,7 @@
 package io.masticpond.measure.replacement;
 
 import io.masticpond.measure.fleet.CallerLoad;
-import io.masticpond.measure.fleet.EndedRequest;
+import io.masticpond.measure.fleet.CompletedRequest;
 import io.masticpond.measure.fleet.FleetInstance;
 import io.masticpond.measure.fleet.FleetSettings;
 import io.masticpond.measure.fleet.LoadStatistics;
@@ -27,7 +27,7 @@
     private final LocalFleet mFleet;
     private final LoadStatistics mStatistics = new LoadStatistics();
     private final AtomicBoolean mRunning = new AtomicBoolean(true);
-    private final Queue<EndedRequest> mEnded = new ConcurrentLinkedQueue<>();
+    private final Queue<CompletedRequest> mEnded = new ConcurrentLinkedQueue<>();
     private final Thread mCallers;
 
     /** Starts the fleet and the callers, and waits until every instance is ready. */
@@ -58,7 +58,7 @@
     }
 
     private void start() throws IOException {
-        mFleet.startOutside();
+        mFleet.startStandIns();
         for (FleetInstance instance : mFleet.instances()) {
             mFleet.startInstance(instance);
         }
@@ -81,7 +81,7 @@
     }
 
     /** Returns the requests that have ended so far, in order of their ends for each caller. */
-    List<EndedRequest> ended() {
+    List<CompletedRequest> ended() {
         return List.copyOf(mEnded);
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/spending/SpendingNode.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/spending/SpendingNode.java
@@ -54,7 +54,7 @@
     }
 
     void configure(Configuration configuration, int holders) {
-        mGate.holders(holders);
+        mGate.setHolders(holders);
         mGate.configure(configuration);
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/support/AbstractRefusingCallerService.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/support/AbstractRefusingCallerService.java
@@ -30,7 +30,7 @@
     }
 
     @Override
-    public final Optional<String> notReady() {
+    public final Optional<String> unreadyReason() {
         return Optional.empty();
     }
 
--- a/masticpond-measure/src/test/java/io/masticpond/measure/replacement/CrashAttributionTest.java
+++ b/masticpond-measure/src/test/java/io/masticpond/measure/replacement/CrashAttributionTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.masticpond.measure.fleet.EndedRequest;
+import io.masticpond.measure.fleet.CompletedRequest;
 import io.masticpond.measure.fleet.FleetInstance;
 import io.masticpond.measure.fleet.LoadStatistics;
 import java.util.ArrayList;
@@ -20,7 +20,7 @@
     private static final FleetInstance RUNNING_INSTANCE =
             new FleetInstance("fes-1", "fes-1", "127.1.2.1");
 
-    private final List<EndedRequest> mRequests = new ArrayList<>();
+    private final List<CompletedRequest> mRequests = new ArrayList<>();
 
     @Example
     void countsUnansweredRequestsUnrelatedToKillAsAvoidable() {
@@ -69,7 +69,7 @@
 
     private void add(boolean ownKey, long start, long end, String outcome) {
         mRequests.add(
-                new EndedRequest(
+                new CompletedRequest(
                         "layout-view",
                         ownKey,
                         KILLED_INSTANCE.callerAddress(),
