--- a/masticpond-core/src/main/java/io/masticpond/core/admission/EjectionState.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/EjectionState.java
@@ -39,7 +39,7 @@
     private enum Condition {
         IN_USE,
         EJECTED,
-        TRIAL
+        TRICKLE
     }
 
     private static final int MAX_DOUBLINGS = 16;
@@ -93,7 +93,7 @@
         if (mCondition != Condition.EJECTED || mUntilNanos - nanos > 0) {
             return false;
         }
-        mCondition = Condition.TRIAL;
+        mCondition = Condition.TRICKLE;
         mLastTrialNanos = nanos - mSettings.trialInterval().toNanos();
         return true;
     }
@@ -119,7 +119,7 @@
      */
     boolean answered(int consecutiveAnswers, long nanos) {
         int needed = mReason == Reason.UNREACHABLE ? 1 : mSettings.trialAnswers();
-        if (mCondition != Condition.TRIAL || consecutiveAnswers < needed) {
+        if (mCondition != Condition.TRICKLE || consecutiveAnswers < needed) {
             return false;
         }
         mCondition = Condition.IN_USE;
@@ -143,7 +143,7 @@
         if (mCondition == Condition.EJECTED) {
             return 0;
         }
-        return mCondition == Condition.TRIAL ? Math.min(1, slots) : slots;
+        return mCondition == Condition.TRICKLE ? Math.min(1, slots) : slots;
     }
 
     /**
@@ -160,7 +160,7 @@
     }
 
     boolean isOnTrial() {
-        return mCondition == Condition.TRIAL;
+        return mCondition == Condition.TRICKLE;
     }
 
     boolean isTrialDue(long nanos) {
--- a/masticpond-core/src/main/java/io/masticpond/core/serverlimit/ServerLimits.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/serverlimit/ServerLimits.java
@@ -109,7 +109,8 @@
      * @param sentNanos the monotonic time at which the request was sent
      * @param now the moment at which the answer arrived
      */
-    public void applyAnswer(RegisteredServer server, LimitHeader header, long sentNanos, Moment now) {
+    public void applyAnswer(
+            RegisteredServer server, LimitHeader header, long sentNanos, Moment now) {
         if (header.kind() == LimitHeader.Kind.MALFORMED) {
             mMalformedCount++;
             if (mMalformed.add(server.id())) {
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/AccountState.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/AccountState.java
@@ -13,7 +13,7 @@
     /** All of the cap is allotted. */
     EXHAUSTED("exhausted", RefusalCause.SPENDING_CAP, "The spending cap of the shift is reached."),
     /** The allotment is spent and the platform cannot be reached for another. */
-    UNAVAILABLE(
+    AWAY(
             "platform-away",
             RefusalCause.PLATFORM_AWAY,
             "The allotment of this instance is spent and the platform cannot be reached."),
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerExchange.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerExchange.java
@@ -197,7 +197,7 @@
             return Optional.empty();
         }
         boolean faulty = answer instanceof LedgerAnswer.Unreadable;
-        mState = faulty ? AccountState.FAULTY : AccountState.UNAVAILABLE;
+        mState = faulty ? AccountState.FAULTY : AccountState.AWAY;
         mIsStale |= faulty;
         delay(mUnavailableBackoff);
         return mIsUncertain ? Optional.empty() : settle(Settlement.Outcome.NO_EFFECT);
--- a/masticpond-core/src/test/java/io/masticpond/core/placement/ServerChooserTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/placement/ServerChooserTest.java
@@ -131,7 +131,8 @@
 
     private void answers(int quick, int slow) {
         for (int each = 0; each < quick + slow; each++) {
-            mChooser.recordAnswerTime(new ServiceId("service"), each < quick ? 100 + each % 20 : 400);
+            mChooser.recordAnswerTime(
+                    new ServiceId("service"), each < quick ? 100 + each % 20 : 400);
         }
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/LinkRemoteAdmitter.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/LinkRemoteAdmitter.java
@@ -76,7 +76,8 @@
         Envelope envelope = Envelope.newBuilder().setForward(forward).build();
         var unused =
                 mLinks.call(to, envelope, Duration.ofNanos(remainingNanos).plus(ANSWER_MARGIN))
-                        .thenAccept(answer -> listener.accept(toResult(answer, request.head().id())))
+                        .thenAccept(
+                                answer -> listener.accept(toResult(answer, request.head().id())))
                         .exceptionally(error -> logFailed(request.head().id(), error));
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationReceiver.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OperationReceiver.java
@@ -55,7 +55,8 @@
      * @param links the links
      */
     public void register(InstanceLinks links) {
-        mSteering.schedulePeriodically(ADVANCE_PERIOD, () -> mGuard.advance(mTimeSource.monotonicNanos()));
+        mSteering.schedulePeriodically(
+                ADVANCE_PERIOD, () -> mGuard.advance(mTimeSource.monotonicNanos()));
         links.setHandler(Envelope.BodyCase.OPERATION_ASK, this::handleRequest);
         links.setHandler(Envelope.BodyCase.OUTCOME_HANDOVER, this::handleHandover);
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/CallRunner.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/CallRunner.java
@@ -215,7 +215,8 @@
         if (call.complete(result)) {
             Optional<PlatformError> error =
                     result.isLeft() ? Optional.of(result.getLeft()) : Optional.empty();
-            mObserver.onCallCompleted(call.kind(), error, mTimeSource.monotonicNanos() - call.startNanos());
+            mObserver.onCallCompleted(
+                    call.kind(), error, mTimeSource.monotonicNanos() - call.startNanos());
         }
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/DaemonParts.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/DaemonParts.java
@@ -68,7 +68,9 @@
 
     @Override
     public int inFlight() {
-        return mCallers.inFlightCount() + mForwardReceiver.steeredCount() + mSteeringService.inFlight();
+        return mCallers.inFlightCount()
+                + mForwardReceiver.steeredCount()
+                + mSteeringService.inFlight();
     }
 
     @Override
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/OperationModule.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/OperationModule.java
@@ -118,7 +118,11 @@
                 new OperationHome(
                         issuer,
                         new OperationRegistry<>(
-                                issuer, homes, clock, OperationLimits.DEFAULT, AnswerSize::estimateBytes)),
+                                issuer,
+                                homes,
+                                clock,
+                                OperationLimits.DEFAULT,
+                                AnswerSize::estimateBytes)),
                 entry::submit,
                 peers,
                 archive,
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/instance/LinkFailureTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/instance/LinkFailureTest.java
@@ -225,7 +225,8 @@
     @Example
     void duplicateRequestRunsOnceAndClosesConnection() throws IOException {
         AtomicInteger handled = new AtomicInteger();
-        mLinks.setHandler(Envelope.BodyCase.FORWARD, (from, message, to) -> handled.incrementAndGet());
+        mLinks.setHandler(
+                Envelope.BodyCase.FORWARD, (from, message, to) -> handled.incrementAndGet());
         RawPeer peer = newPeer().dial(mAddress);
         peer.send(forward("a").toBuilder().setCallId(1).build());
         peer.send(forward("a").toBuilder().setCallId(1).build());
@@ -309,7 +310,8 @@
     @Example
     void requestsAboveLimitAreRefusedWithoutRunning() throws IOException {
         AtomicInteger handled = new AtomicInteger();
-        mLinks.setHandler(Envelope.BodyCase.FORWARD, (from, message, to) -> handled.incrementAndGet());
+        mLinks.setHandler(
+                Envelope.BodyCase.FORWARD, (from, message, to) -> handled.incrementAndGet());
         RawPeer peer = newPeer().dial(mAddress);
         for (int i = 0; i < 17; i++) {
             peer.send(forward("r" + i).toBuilder().setCallId(2 * i + 1).build());
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/operation/GuardedInstances.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/operation/GuardedInstances.java
@@ -151,7 +151,11 @@
                             home, new HmacKeyAuthenticator(secret), clock, Duration.ofMinutes(10));
             OperationRegistry<RequestCompletion.Answered> registry =
                     new OperationRegistry<>(
-                            issuer, this::stateOf, clock, OperationLimits.DEFAULT, AnswerSize::estimateBytes);
+                            issuer,
+                            this::stateOf,
+                            clock,
+                            OperationLimits.DEFAULT,
+                            AnswerSize::estimateBytes);
             mGuard =
                     new OnceOnlyGuard(
                             new OperationHome(issuer, registry),
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/AnswerAssembler.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/AnswerAssembler.java
@@ -90,7 +90,7 @@
 
     /** Returns whether an answer has no body because of the request's method. */
     boolean isAnswerWithoutBody(HttpResponse response) {
-        return mMatch.isForHead() && mMatch.match(response) == AnswerMatch.Result.MATCHING;
+        return mMatch.isForHead() && mMatch.match(response) == AnswerMatch.Result.OURS;
     }
 
     /**
@@ -144,8 +144,8 @@
             return;
         }
         switch (mMatch.match(head)) {
-            case MATCHING -> beginMatching(head);
-            case MISMATCHED -> {
+            case OURS -> beginMatching(head);
+            case FOREIGN -> {
                 mSawMismatch = true;
                 mState = State.SKIPPING;
             }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/AnswerMatch.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/AnswerMatch.java
@@ -12,9 +12,9 @@
     /** Result of matching an answer against a request. */
     enum Result {
         /** The answer belongs to this request. */
-        MATCHING,
+        OURS,
         /** The answer belongs to another request. */
-        MISMATCHED,
+        FOREIGN,
         /** The answer bears no request id, although it must. */
         UNKNOWN
     }
@@ -35,11 +35,11 @@
         HttpHeaders headers = response.headers();
         List<String> ids = headers.getAll(mOptions.requestIdHeader());
         if (ids.isEmpty()) {
-            return mayOmitId(response) ? Result.MATCHING : Result.UNKNOWN;
+            return mayOmitId(response) ? Result.OURS : Result.UNKNOWN;
         }
         return ids.size() == 1 && ids.get(0).equals(mRequest.requestId())
-                ? Result.MATCHING
-                : Result.MISMATCHED;
+                ? Result.OURS
+                : Result.FOREIGN;
     }
 
     private boolean mayOmitId(HttpResponse response) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlHandler.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ControlHandler.java
@@ -92,7 +92,8 @@
         mSources.traffic()
                 .execute(
                         () -> {
-                            boolean isKnown = mSources.flow().crashGuard().release(fingerprint.get());
+                            boolean isKnown =
+                                    mSources.flow().crashGuard().release(fingerprint.get());
                             mSources.control()
                                     .execute(
                                             () ->
--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/ClientConnection.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/ClientConnection.java
@@ -157,7 +157,7 @@
         boolean isRead = false;
         while (!mIsInputStopped && mInput != null && !isPaused()) {
             RequestReader.Progress progress = mReader.read(mInput);
-            if (progress == RequestReader.Progress.INCOMPLETE) {
+            if (progress == RequestReader.Progress.MORE) {
                 recordContinueExpectation();
                 break;
             }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/RequestReader.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/RequestReader.java
@@ -26,7 +26,7 @@
     /** Result of reading. */
     enum Progress {
         /** More bytes are needed. */
-        INCOMPLETE,
+        MORE,
         /** A request is complete. */
         COMPLETE,
         /** The request is rejected; nothing after it can be read. */
@@ -152,7 +152,7 @@
                 return fail(REQUEST_HEADER_FIELDS_TOO_LARGE);
             }
             if (lineFeed < 0) {
-                return Progress.INCOMPLETE;
+                return Progress.MORE;
             }
             if (lineFeed == begin || in.getByte(lineFeed - 1) != CARRIAGE_RETURN) {
                 return fail(BAD_REQUEST);
@@ -214,13 +214,13 @@
             mBody.writeBytes(in, bytes);
             mRemainingBytes -= bytes;
         }
-        return mRemainingBytes > 0 ? Progress.INCOMPLETE : null;
+        return mRemainingBytes > 0 ? Progress.MORE : null;
     }
 
     private Progress readChunkSize(ByteBuf in) {
         int line = nextLineLength(in, MAXIMUM_CHUNK_LINE_BYTES);
         if (line <= 0) {
-            return line == 0 ? Progress.INCOMPLETE : fail(BAD_REQUEST);
+            return line == 0 ? Progress.MORE : fail(BAD_REQUEST);
         }
         long size = parseChunkSize(in, in.readerIndex(), in.readerIndex() + line - 2);
         if (size < 0) {
@@ -278,7 +278,7 @@
             return fail(BAD_REQUEST);
         }
         if (in.readableBytes() < 2) {
-            return Progress.INCOMPLETE;
+            return Progress.MORE;
         }
         if (in.getByte(in.readerIndex() + 1) != LINE_FEED) {
             return fail(BAD_REQUEST);
@@ -291,7 +291,7 @@
     private Progress readTrailers(ByteBuf in) {
         int line = nextLineLength(in, mLimits.headerBytes() - mTrailerBytes);
         if (line <= 0) {
-            return line == 0 ? Progress.INCOMPLETE : fail(BAD_REQUEST);
+            return line == 0 ? Progress.MORE : fail(BAD_REQUEST);
         }
         int begin = in.readerIndex();
         if (line > 2 && !isTrailer(in, begin, begin + line - 2)) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/OwnStatus.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/OwnStatus.java
@@ -71,7 +71,7 @@
             mIncarnation = update.incarnation() + 1;
             return true;
         }
-        boolean unresponsive = update.state() == PeerUpdate.State.UNRESPONSIVE;
+        boolean unresponsive = update.state() == PeerUpdate.State.SILENT;
         if (!unresponsive
                 || update.incarnation() < mIncarnation
                 || update.sequence() < mSuperseded) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerExchange.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerExchange.java
@@ -176,8 +176,8 @@
         switch (message.kind()) {
             case HEARTBEAT -> mTable.get(sender.id()).recordPicked(now);
             case ANSWER -> {}
-            case PLACE_REQUEST -> mSender.answer(from, true, List.of());
-            case LIST_REQUEST -> mSender.page(from, list(message.listAfter()));
+            case ASK -> mSender.answer(from, true, List.of());
+            case LIST_ASK -> mSender.page(from, list(message.listAfter()));
             case LIST_PAGE -> requestNextPage(message, from);
             default -> throw new IllegalStateException("The kind is unknown.");
         }
@@ -224,7 +224,7 @@
         PeerRecord record = mTable.get(update.id());
         if (record == null) {
             receiveAboutUnknown(update, now);
-        } else if (update.state() == PeerUpdate.State.UNRESPONSIVE) {
+        } else if (update.state() == PeerUpdate.State.SILENT) {
             receiveClaim(record, update, from, now);
         } else if (record.isClaimed()
                 && !update.isLaterThan(record.incarnation(), record.lastSequence())) {
@@ -240,8 +240,7 @@
     }
 
     private void receiveAboutUnknown(PeerUpdate update, long now) {
-        boolean unknown =
-                update.place().isEmpty() || update.state() == PeerUpdate.State.UNRESPONSIVE;
+        boolean unknown = update.place().isEmpty() || update.state() == PeerUpdate.State.SILENT;
         if (unknown || mTable.isTaken(update.place().get(), update.incarnation())) {
             return;
         }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerMessage.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerMessage.java
@@ -29,9 +29,9 @@
         /** Reports the same, and requests nothing in return. */
         ANSWER,
         /** Requests the place of the receiver. */
-        PLACE_REQUEST,
+        ASK,
         /** Requests the list of members that follow a given id. */
-        LIST_REQUEST,
+        LIST_ASK,
         /** Answers with the next page of the list; an empty page ends it. */
         LIST_PAGE
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerMessageCodec.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerMessageCodec.java
@@ -43,7 +43,7 @@
         out.writeByte(VERSION);
         out.writeByte(message.kind().ordinal());
         writeUpdate(message.sender(), out);
-        if (message.kind() == PeerMessage.Kind.LIST_REQUEST) {
+        if (message.kind() == PeerMessage.Kind.LIST_ASK) {
             writeText(message.listAfter(), out);
         }
         for (PeerUpdate update : message.updates()) {
@@ -68,7 +68,7 @@
     private static PeerMessage readMessage(ByteBuf in) {
         PeerMessage.Kind kind = valueOf(PeerMessage.Kind.values(), in.readByte());
         PeerUpdate sender = readUpdate(in);
-        String listAfter = kind == PeerMessage.Kind.LIST_REQUEST ? readText(in) : "";
+        String listAfter = kind == PeerMessage.Kind.LIST_ASK ? readText(in) : "";
         List<PeerUpdate> updates = new ArrayList<>();
         while (in.isReadable()) {
             updates.add(readUpdate(in));
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerRecord.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerRecord.java
@@ -199,12 +199,7 @@
     PeerUpdate claimUpdate() {
         long sequence = mHasReceived && !mClaimed ? mReceivedSequence : mSequence;
         return new PeerUpdate(
-                mId,
-                mIncarnation,
-                sequence,
-                mRevision,
-                PeerUpdate.State.UNRESPONSIVE,
-                Optional.empty());
+                mId, mIncarnation, sequence, mRevision, PeerUpdate.State.SILENT, Optional.empty());
     }
 
     /** Returns the public view of the instance. */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerSender.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerSender.java
@@ -41,11 +41,11 @@
     }
 
     void requestPlace(ServerAddress to) {
-        send(PeerMessage.Kind.PLACE_REQUEST, to, true, "", List.of());
+        send(PeerMessage.Kind.ASK, to, true, "", List.of());
     }
 
     void requestList(ServerAddress to, String after) {
-        send(PeerMessage.Kind.LIST_REQUEST, to, true, after, List.of());
+        send(PeerMessage.Kind.LIST_ASK, to, true, after, List.of());
     }
 
     void page(ServerAddress to, List<PeerUpdate> updates) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerUpdate.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerUpdate.java
@@ -36,7 +36,7 @@
         /** Has begun a planned stop. */
         LEAVING,
         /** One of its neighbors no longer receives its heartbeats. */
-        UNRESPONSIVE
+        SILENT
     }
 
     /** Returns the same update with another place, or without one. */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LimitSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LimitSharing.java
@@ -76,7 +76,8 @@
                     LimitReportCodec.Content decoded = LimitReportCodec.read(content);
                     mTraffic.execute(() -> receive(decoded));
                 });
-        mTraffic.execute(() -> mLimits.setReportListener(report -> mControl.execute(() -> add(report))));
+        mTraffic.execute(
+                () -> mLimits.setReportListener(report -> mControl.execute(() -> add(report))));
         mTraffic.scheduleWithFixedDelay(
                 this::reportKnown,
                 REPORT_PERIOD_MILLIS,
--- a/masticpond-entry/src/test/java/io/masticpond/entry/peer/PeerMessageCodecTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/peer/PeerMessageCodecTest.java
@@ -31,7 +31,7 @@
     @Property(seed = "17")
     void readsMessageAsWritten(@ForAll @LongRange(min = 0) long number) {
         for (PeerMessage.Kind kind : PeerMessage.Kind.values()) {
-            String after = kind == PeerMessage.Kind.LIST_REQUEST ? "edge-9" : "";
+            String after = kind == PeerMessage.Kind.LIST_ASK ? "edge-9" : "";
             PeerMessage message =
                     new PeerMessage(kind, update(number, false), after, List.of(update(3, true)));
             assertThat(PeerMessageCodec.read(written(message))).contains(message);
@@ -66,8 +66,7 @@
     void malformedBytesYieldNoMessage(@ForAll byte[] garbage) {
         ByteBuf bytes = Unpooled.buffer().writeByte(1).writeBytes(garbage);
         assertThat(PeerMessageCodec.read(bytes)).isNotNull();
-        PeerMessage message =
-                new PeerMessage(PeerMessage.Kind.PLACE_REQUEST, update(9, true), "", List.of());
+        PeerMessage message = new PeerMessage(PeerMessage.Kind.ASK, update(9, true), "", List.of());
         ByteBuf truncated = written(message);
         assertThat(PeerMessageCodec.read(truncated.slice(0, truncated.readableBytes() - 1)))
                 .isEmpty();
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/CrashingRequestFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/CrashingRequestFlowTest.java
@@ -78,7 +78,8 @@
         assertThat(lastAnswerText()).contains("did not run: ends-servers");
         String retryAfter = mLastResponder.mAnswers.get(0).headers().get("Retry-After");
         assertThat(Double.parseDouble(retryAfter)).isBetween(7_000.0, 7_200.0);
-        JsonNode line = mDecisions.requestLines("one").get(mDecisions.requestLines("one").size() - 1);
+        JsonNode line =
+                mDecisions.requestLines("one").get(mDecisions.requestLines("one").size() - 1);
         assertThat(line.path("cause").asText()).isEqualTo("ends-servers");
         assertThat(line.path("fingerprint").asText())
                 .isEqualTo(flow.crashGuard().views().get(0).request().toString());
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/ServerLimitFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/ServerLimitFlowTest.java
@@ -206,7 +206,8 @@
         long[] calls = applyLoad(flow, Duration.ofSeconds(4), Set.of("server-0"), "0.5");
         assertThat(calls[0]).isLessThanOrEqualTo(isSender ? 2 : 0);
         LimitReport lifted = new LimitReport(hash, Double.POSITIVE_INFINITY, 0, 0);
-        assertThat(flow.statements().limits().applyReports(flow.servers(), List.of(lifted))).hasSize(1);
+        assertThat(flow.statements().limits().applyReports(flow.servers(), List.of(lifted)))
+                .hasSize(1);
         assertThat(flow.statements().limits().applyReports(flow.servers(), List.of(lifted)))
                 .as("no update the second time")
                 .isEmpty();
--- a/masticpond-measure/src/main/java/io/masticpond/measure/configuration/MeasuredFleet.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/configuration/MeasuredFleet.java
@@ -64,7 +64,8 @@
     MeasuredInstance kill(int number) {
         MeasuredInstance instance = mLive.remove(new InstanceId("entry-" + number));
         instance.close();
-        mLive.values().forEach(other -> other.links().removeInstance(instance.incarnation().instance()));
+        mLive.values()
+                .forEach(other -> other.links().removeInstance(instance.incarnation().instance()));
         return instance;
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainKind.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainKind.java
@@ -11,9 +11,8 @@
     HEALTH("health only", new DrainPlan(0, DrainPlan.NEVER, DrainPlan.NEVER), 0, 0),
     OLD_HEALTH(
             "health only, 500 ms old", new DrainPlan(0, DrainPlan.NEVER, DrainPlan.NEVER), 500, 0),
-    MISLEADING_HEADER(
-            "health claims to be well, header", new DrainPlan(0, 0, DrainPlan.NEVER), 0, 0),
-    MISLEADING_CLOSE("health claims to be well, closes", new DrainPlan(-1, -1, 0), 0, 0),
+    LYING_HEADER("health claims to be well, header", new DrainPlan(0, 0, DrainPlan.NEVER), 0, 0),
+    LYING_CLOSE("health claims to be well, closes", new DrainPlan(-1, -1, 0), 0, 0),
     LATE("all signs 1.5 s late", new DrainPlan(1_500, 1_500, 1_500), 0, 1_500),
     LATE_HEADER(
             "header 1 s late", new DrainPlan(DrainPlan.NEVER, 1_000, DrainPlan.NEVER), 0, 1_000);
@@ -48,7 +47,7 @@
     }
 
     BackendServerFaults faults() {
-        boolean misleading = this == MISLEADING_HEADER || this == MISLEADING_CLOSE;
+        boolean misleading = this == LYING_HEADER || this == LYING_CLOSE;
         HealthClaim claim = misleading ? HealthClaim.HEALTHY : HealthClaim.TRUE;
         return new BackendServerFaults(claim, mReportLagMillis, false, false, 0, 0, 0, 0, 1);
     }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/lookup/LookupTopology.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/lookup/LookupTopology.java
@@ -19,9 +19,9 @@
 /** Sets of instances among which look-ups choose. */
 enum LookupTopology {
     /** Nine instances in six availability zones of three regions. */
-    SMALL("9 in 6 availability zones", "", 9, 6, 3),
+    TODAY("9 in 6 availability zones", "", 9, 6, 3),
     /** 410 instances in 16 availability zones of five regions. */
-    LARGE("410 in 16 availability zones", "Fleet", 410, 16, 5);
+    FLEET("410 in 16 availability zones", "Fleet", 410, 16, 5);
 
     private final String mTitle;
     private final String mSuffix;
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/MeasuredInstance.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/MeasuredInstance.java
@@ -134,7 +134,11 @@
                 new OperationHome(
                         issuer,
                         new OperationRegistry<>(
-                                issuer, homes, clock, OperationLimits.DEFAULT, AnswerSize::estimateBytes)),
+                                issuer,
+                                homes,
+                                clock,
+                                OperationLimits.DEFAULT,
+                                AnswerSize::estimateBytes)),
                 this::dispatch,
                 mPeers,
                 mArchive,
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/EntryFlow.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/EntryFlow.java
@@ -163,7 +163,8 @@
                     () -> {
                         mEntry.observe(mShard, headroom);
                         mEntry.selector()
-                                .recordOutcome(mRequest.head(), mRegion, RegionAttemptOutcome.ANSWERED);
+                                .recordOutcome(
+                                        mRequest.head(), mRegion, RegionAttemptOutcome.ANSWERED);
                         mRegion = null;
                         end(Outcome.ANSWERED);
                     });
--- a/masticpond-measure/src/main/java/io/masticpond/measure/replacement/CrashAttribution.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/replacement/CrashAttribution.java
@@ -147,7 +147,8 @@
 
     private boolean isAttributedToKill(CompletedRequest request) {
         boolean endedAfterKill = request.endNanos() - mKillNanos >= 0;
-        return endedAfterKill && (request.callerKey() || request.startNanos() - mTerminatedNanos < 0);
+        return endedAfterKill
+                && (request.callerKey() || request.startNanos() - mTerminatedNanos < 0);
     }
 
     private List<String> cause(CompletedRequest request) {
