--- a/masticpond-core/src/main/java/io/masticpond/core/admission/BackendServerTable.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/BackendServerTable.java
@@ -81,8 +81,9 @@
     }
 
     /**
-     * Selects a server with a free slot for a request. A server on trial is preferred for
-     * idempotent requests and used last for others.
+     * Selects a server with a free slot for a request. A server on trial is preferred for an
+     * idempotent request while a trial request is due. Otherwise it is used only if no server in
+     * use has usable slots.
      *
      * @param request the request
      * @param nanos the current monotonic time, in nanoseconds
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/EjectionState.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/EjectionState.java
@@ -39,6 +39,7 @@
     private enum Condition {
         IN_USE,
         EJECTED,
+        /** On trial: the server gets one request at a time. */
         TRICKLE
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/OutlierSettings.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/OutlierSettings.java
@@ -19,7 +19,7 @@
  * @param trialInterval the minimum time between two trial requests
  * @param answerValidity how long a good answer overrides a report that the server is unhealthy
  * @param unreachableBackoff how long a server gets no requests after a connection failed; doubles
- *     with each failure
+ *     with each further ejection, up to the maximum
  * @since 0.1
  */
 public record OutlierSettings(
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/RampIn.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/RampIn.java
@@ -15,7 +15,7 @@
     private long mStepNanos;
 
     /**
-     * Creates an instance without a limit.
+     * Creates a ramp-in without a limit.
      *
      * @param settings the settings for the increase
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/admission/WithheldSlots.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/WithheldSlots.java
@@ -17,7 +17,7 @@
     private long mStartNanos;
 
     /**
-     * Creates an instance without withheld slots.
+     * Creates an object without withheld slots.
      *
      * @param settings the settings, of which the report lag and the widening period are used
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/AdmissionLimit.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/AdmissionLimit.java
@@ -132,12 +132,12 @@
      * client observes.
      */
     private AdmissionDecision refuse(
-            long excessNanos, long leftNanos, long waitNanos, long longestWaitNanos) {
+            long excessNanos, long leftNanos, long waitNanos, long maximumWaitNanos) {
         long maximum = Math.max(0, leftNanos / REMAINING_TIME_DIVISOR);
         double longest = Math.min((double) maximum, (double) excessNanos * MAX_PAUSE_FACTOR);
         long pause = (long) (longest * (1 - JITTER * mRandom.nextDouble()));
         long minimum = mSettings.minimumPause().toNanos();
         return new AdmissionDecision(
-                false, Math.min(maximum, Math.max(minimum, pause)), waitNanos, longestWaitNanos);
+                false, Math.min(maximum, Math.max(minimum, pause)), waitNanos, maximumWaitNanos);
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/RateUsage.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/RateUsage.java
@@ -11,12 +11,12 @@
  */
 public record RateUsage(double used, double demand) {
 
-    /** No requests are received or sent. */
+    /** Usage without any requests. */
     public static final RateUsage NONE = new RateUsage(0, 0);
 
     /** Validates that both are at least 0. */
     public RateUsage {
-        Assert.isTrue(used >= 0 && demand >= 0, "The use of a rate must not be negative.");
+        Assert.isTrue(used >= 0 && demand >= 0, "The usage of a rate must not be negative.");
     }
 
     /**
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRate.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRate.java
@@ -45,7 +45,7 @@
 
     private static final double SLACK_PART = 0.33;
 
-    /** Part of the slack after a start, since earlier runs may have used it. */
+    /** Part of the slack that is given out after a start, since earlier runs may have used it. */
     private static final double INITIAL_SLACK_PART = 0.1;
 
     /**
--- a/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRateSettings.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/limit/SharedRateSettings.java
@@ -5,7 +5,9 @@
 
 /**
  * Settings for the bound on the rates of workspaces. In any window, all instances together send at
- * most (rate x window + burst) x (1 + tolerance) + slack requests of a workspace, within one run.
+ * most (rate x window + burst) x (1 + tolerance) + slack requests of a workspace. An instance does
+ * not know the requests that were sent before it started; {@link SharedRate} therefore gives out
+ * less of the slack after a start.
  *
  * @param window the length of the sliding window
  * @param tolerance the tolerated excess, as a part of the rate and burst
--- a/masticpond-core/src/main/java/io/masticpond/core/lookup/BlockArray.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/lookup/BlockArray.java
@@ -40,7 +40,7 @@
     private final int[] mBuckets;
 
     /**
-     * Creates an instance with sorted arrays, which must not be changed afterwards.
+     * Creates a block array from sorted arrays, which must not be changed afterwards.
      *
      * @param highs the first 64 bits of each block
      * @param lows the last 64 bits of each block, or an empty array if all are 0
--- a/masticpond-core/src/main/java/io/masticpond/core/lookup/LookupError.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/lookup/LookupError.java
@@ -10,7 +10,7 @@
 public sealed interface LookupError {
 
     /**
-     * Returns a message for operators.
+     * Returns a message for display.
      *
      * @return one or two sentences
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/lookup/ZoneQuotas.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/lookup/ZoneQuotas.java
@@ -11,7 +11,7 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Distributes the places of an answer over availability zones.
+ * Distribution of the places of an answer over availability zones.
  *
  * <p>The nearest zone gets its configured number first, then the second zone one place, then the
  * nearest zone of another region one place, so that a client can survive the loss of a zone and of
@@ -27,7 +27,7 @@
     private int mTotal;
 
     /**
-     * Creates an instance for the zones over which places are distributed.
+     * Creates the quotas of the zones over which places are distributed.
      *
      * @param parameters the parameters with the number of places
      * @param configuration the configuration with the regions
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/CacheMissCost.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/CacheMissCost.java
@@ -33,7 +33,7 @@
     private double mMeasured;
 
     /**
-     * Creates an instance without samples.
+     * Creates a cost without samples.
      *
      * @param assumed the cost that is assumed at first and gradually replaced by the measured one
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/region/DefaultRegionSelector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/DefaultRegionSelector.java
@@ -215,9 +215,12 @@
     }
 
     @Override
-    public void recordOutcome(RequestHead request, RegionId region, RegionAttemptOutcome end) {
+    public void recordOutcome(RequestHead request, RegionId region, RegionAttemptOutcome outcome) {
         view(request.service(), region)
-                .ifPresent(view -> view.ended(request.id(), end, mTimeSource.monotonicNanos()));
+                .ifPresent(
+                        view ->
+                                view.recordOutcome(
+                                        request.id(), outcome, mTimeSource.monotonicNanos()));
     }
 
     @Override
--- a/masticpond-core/src/main/java/io/masticpond/core/region/RegionOption.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/RegionOption.java
@@ -9,7 +9,8 @@
  * @param waitNanos the estimated time that the request would wait for a slot
  * @param totalNanos the estimated time to the answer, including the round trip and the processing
  * @param hasSlotReserve whether enough slots are free there for traffic to be drawn by price
- * @param isHeldDown whether the region returned only recently
+ * @param isHeldDown whether other regions are preferred, since the region returned or the link to
+ *     its admitter broke only recently
  * @param refusalCause the reason why the region cannot take the request, or {@code null} if it can
  * @param retryNanos the time after which the region might take the request if it cannot now; 0 if
  *     unknown
--- a/masticpond-core/src/main/java/io/masticpond/core/region/RegionSelector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/RegionSelector.java
@@ -44,9 +44,9 @@
      *
      * @param request the request
      * @param region the region that was chosen
-     * @param end the outcome of the request there
+     * @param outcome the outcome of the request there
      */
-    void recordOutcome(RequestHead request, RegionId region, RegionAttemptOutcome end);
+    void recordOutcome(RequestHead request, RegionId region, RegionAttemptOutcome outcome);
 
     /**
      * Sets whether an admitter of a service can be reached in a region.
--- a/masticpond-core/src/main/java/io/masticpond/core/region/RegionView.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/region/RegionView.java
@@ -156,17 +156,17 @@
         mLink.takeToken();
     }
 
-    void ended(RequestId request, RegionAttemptOutcome end, long nowNanos) {
+    void recordOutcome(RequestId request, RegionAttemptOutcome outcome, long nowNanos) {
         Long startNanos = mStartNanos.remove(request);
         if (startNanos == null) {
             return;
         }
-        switch (end) {
+        switch (outcome) {
             case ANSWERED -> recordAnswer(nowNanos - startNanos);
             case REFUSED -> mAvailability.recordRefusal(nowNanos);
             case LOST -> mAvailability.recordLostAttempt(nowNanos);
             case FAILED -> {}
-            default -> throw new IllegalStateException("Unknown outcome: " + end + ".");
+            default -> throw new IllegalStateException("Unknown outcome: " + outcome + ".");
         }
     }
 
--- a/masticpond-core/src/main/java/io/masticpond/core/request/RefusalCause.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/request/RefusalCause.java
@@ -41,7 +41,7 @@
     DEADLINE("deadline", 504),
     /** No backend server can be reached. */
     NO_BACKEND_SERVER("no-backend-server", 503),
-    /** The backend server closed the connection before a complete answer. */
+    /** The connection to the backend server broke before a complete answer. */
     BACKEND_FAILED("backend-failed", 502),
     /** The backend server stated that it shed the request. */
     BACKEND_SHED("backend-shed", 503),
--- a/masticpond-core/src/main/java/io/masticpond/core/serverlimit/LimitSenders.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/serverlimit/LimitSenders.java
@@ -15,7 +15,7 @@
     private final InstanceId mSelf;
     private final OwnerOrder mOrder;
     private List<OwnerCandidate> mInstances;
-    private int mShareCount = 1;
+    private int mShareholders = 1;
     private long mChangedNanos;
 
     LimitSenders(OwnerCandidate self, Function<ZoneId, Optional<RegionId>> regions, long nowNanos) {
@@ -25,10 +25,10 @@
         mChangedNanos = nowNanos;
     }
 
-    void updateInstances(List<OwnerCandidate> aliveInstances, int shareCount, long nowNanos) {
-        if (shareCount != mShareCount
+    void updateInstances(List<OwnerCandidate> aliveInstances, int shareholders, long nowNanos) {
+        if (shareholders != mShareholders
                 || (aliveInstances != mInstances && !aliveInstances.equals(mInstances))) {
-            mShareCount = Math.max(1, shareCount);
+            mShareholders = Math.max(1, shareholders);
             mInstances = List.copyOf(aliveInstances);
             mChangedNanos = nowNanos;
         }
@@ -42,7 +42,7 @@
         if (!state.isLimited()) {
             return;
         }
-        double reachableShare = Math.min(1, (double) mInstances.size() / mShareCount);
+        double reachableShare = Math.min(1, (double) mInstances.size() / mShareholders);
         double limit = state.mStatement.perSecond();
         int senders = (int) Math.max(1, Math.round(settings.senders(limit) * reachableShare));
         if (state.mInstances != mInstances || state.mSenders != senders) {
--- a/masticpond-core/src/main/java/io/masticpond/core/serverlimit/ServerLimits.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/serverlimit/ServerLimits.java
@@ -48,7 +48,7 @@
     private long mMalformedCount;
 
     /**
-     * Creates an instance without limited servers, with this instance as the only sender.
+     * Creates server limits without limited servers, with this instance as the only sender.
      *
      * @param settings the settings of the bound
      * @param self this instance
@@ -82,11 +82,11 @@
      *
      * @param alive the reachable instances, including this one; pass the same list while it is
      *     unchanged to avoid comparisons
-     * @param shareCount the number of instances that may be sending, whether reachable or not
+     * @param shareholders the number of instances that may be sending, whether reachable or not
      * @param nowNanos the current monotonic time
      */
-    public void updateInstances(List<OwnerCandidate> alive, int shareCount, long nowNanos) {
-        mSenders.updateInstances(alive, shareCount, nowNanos);
+    public void updateInstances(List<OwnerCandidate> alive, int shareholders, long nowNanos) {
+        mSenders.updateInstances(alive, shareholders, nowNanos);
     }
 
     /**
--- a/masticpond-core/src/main/java/io/masticpond/core/statement/ServerWithdrawals.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/statement/ServerWithdrawals.java
@@ -33,7 +33,7 @@
     private long mMalformedCount;
 
     /**
-     * Creates an instance without any withdrawals.
+     * Creates a registry without withdrawals.
      *
      * @param settings the times for which withdrawals count
      * @param listener the listener to notify of changes
--- a/masticpond-core/src/test/java/io/masticpond/core/admission/DefaultAdmissionTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/admission/DefaultAdmissionTest.java
@@ -107,9 +107,9 @@
         require(harness.isWaiting(next), "A report 500 ms old may be from before the dispatch.");
         harness.pass(100);
         harness.report(0, 1);
-        require(harness.isWaiting(next), "The server says that it works on the request.");
+        require(harness.isWaiting(next), "The server reports the request as in flight.");
         harness.report(0, 0);
-        require(harness.isDispatched(next), "The server says that it ended the request.");
+        require(harness.isDispatched(next), "The server reports that the request has ended.");
     }
 
     @Example
--- a/masticpond-core/src/test/java/io/masticpond/core/admission/OutlierTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/admission/OutlierTest.java
@@ -130,7 +130,9 @@
         require(
                 harness.mRefused.get(refused).cause() == RefusalCause.NO_BACKEND_SERVER,
                 "No server can be reached.");
-        require(harness.mRefused.get(refused).retryAfter().isPresent(), "It says when to return.");
+        require(
+                harness.mRefused.get(refused).retryAfter().isPresent(),
+                "The refusal must say when to retry.");
         harness.pass(100);
         harness.run(10, AttemptOutcome.ANSWERED);
         require(harness.mAdmission.headroom().usableSlots() == 1, "One server is back, cold.");
--- a/masticpond-core/src/test/java/io/masticpond/core/statement/StatementHeadersTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/statement/StatementHeadersTest.java
@@ -51,7 +51,7 @@
     }
 
     @Example
-    void acceptsOnlyOneAsLeaving() {
+    void parsesOnlyValueOneAsLeaving() {
         assertThat(LeavingHeader.parse(List.of())).isEqualTo(LeavingHeader.ABSENT);
         assertThat(LeavingHeader.parse(List.of(" 1 "))).isEqualTo(LeavingHeader.LEAVING);
         assertThat(LeavingHeader.parse(List.of("0", "1"))).isEqualTo(LeavingHeader.LEAVING);
