--- a/masticpond-core/src/main/java/io/masticpond/core/admission/DefaultAdmission.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/admission/DefaultAdmission.java
@@ -90,7 +90,7 @@
         mSettings = Assert.notNull(settings, "The settings");
         mTimeSource = Assert.notNull(timeSource, "A time source");
         mSink = Assert.notNull(sink, "A sink");
-        mTimeline = Assert.notNull(timeline, "A time line");
+        mTimeline = Assert.notNull(timeline, "A timeline");
         mServers = new BackendServerTable(settings, Assert.notNull(selector, "A selector"));
         mQueue = new DeadlineQueue(settings.maximumWaiting());
         mAttemptEvaluator = new AttemptEvaluator(settings.outliers(), mServers, this::record);
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/ServerLoad.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/ServerLoad.java
@@ -153,12 +153,18 @@
         recordReport(new ReportedLoad(running, waiting, mServer.slots()), nowNanos);
     }
 
-    /** Records whether the server was last reported to the neighbors as full. */
+    /**
+     * Records whether the latest load report on the server, sent to the neighbors or received from
+     * one, says that no slot is free.
+     */
     void setReportedFull(boolean isFull) {
         mIsReportedFull = isFull;
     }
 
-    /** Determines whether the server was last reported to the neighbors as having no free slot. */
+    /**
+     * Determines whether the latest load report on the server, sent to the neighbors or received
+     * from one, says that no slot is free.
+     */
     boolean isReportedFull() {
         return mIsReportedFull;
     }
