--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationValidator.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationValidator.java
@@ -45,7 +45,7 @@
         return List.copyOf(validator.mFaults);
     }
 
-    /** Returns an error for each duplicate entry, without other validation of the content. */
+    /** Returns an error for each duplicate entry. Validates nothing else. */
     static List<ConfigurationFault> duplicates(ConfigurationContent content) {
         ConfigurationValidator validator = new ConfigurationValidator(content);
         validator.checkUnique("$.regions", content.regions(), RegionSpecification::id);
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/PlanObservations.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/PlanObservations.java
@@ -55,7 +55,7 @@
      *
      * @param service the service
      * @param shift the name of the shift
-     * @return the amount in millionths of the unit of money, or empty if it is not known
+     * @return the amount in millionths of the operators' currency unit, or empty if it is not known
      */
     OptionalLong allottedMicros(ServiceId service, String shift);
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/PredictedSpending.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/PredictedSpending.java
@@ -9,7 +9,7 @@
  *
  * @param service the service
  * @param shift the name of the shift
- * @param capMicros the cap in millionths of the operators' unit of money
+ * @param capMicros the cap in millionths of the operators' currency unit
  * @param expectedMicros the predicted spending at the observed rate, or empty if no rate was
  *     observed
  * @param allottedMicros the amount that instances hold or have spent in the current shift, or empty
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/PriceSpecification.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/PriceSpecification.java
@@ -7,7 +7,7 @@
  * Price of a request of a service in a region.
  *
  * @param region the region
- * @param requestMicros the price in millionths of the operators' unit of money
+ * @param requestMicros the price in millionths of the operators' currency unit
  * @since 0.1
  */
 public record PriceSpecification(RegionId region, long requestMicros) {
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ServiceSpecification.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ServiceSpecification.java
@@ -50,7 +50,7 @@
      * Returns the price of a request in a region.
      *
      * @param region the region
-     * @return the price in millionths of the operators' unit of money
+     * @return the price in millionths of the operators' currency unit
      */
     public long priceMicros(RegionId region) {
         return prices.stream()
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ShiftSpecification.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ShiftSpecification.java
@@ -9,7 +9,7 @@
  * @param name the name of the shift, such as "morning"
  * @param start the time of day at which it starts, in the service's time zone
  * @param end the time of day at which it ends; a time before the start is on the next day
- * @param capMicros the cap in millionths of the operators' unit of money
+ * @param capMicros the cap in millionths of the operators' currency unit
  * @since 0.1
  */
 public record ShiftSpecification(String name, LocalTime start, LocalTime end, long capMicros) {
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashSuspect.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashSuspect.java
@@ -112,7 +112,7 @@
                 .orElse(0);
     }
 
-    /** Returns the highest number of earlier rejections that other instances reported. */
+    /** Returns the highest number of rejections that other instances reported. */
     int reportedRejections() {
         return mVerdicts.values().stream()
                 .mapToInt(received -> received.verdict().rejections())
@@ -120,7 +120,10 @@
                 .orElse(0);
     }
 
-    /** Returns the age of the latest rejection by other instances, as of its report. */
+    /**
+     * Returns the age of the latest rejection by other instances as of its report, or 0 if none
+     * reported a rejection.
+     */
     long reportedAgoNanos() {
         return mVerdicts.values().stream()
                 .filter(ReceivedVerdict::isRejection)
@@ -154,7 +157,7 @@
         return mIsSuspected && nowNanos - mSuspectedNanos >= nanos;
     }
 
-    /** Discards what was found before a time, but not the number of rejections. */
+    /** Discards the ends before a time and all conclusions, but not the number of rejections. */
     void discardBefore(long beforeNanos) {
         mIsSuspected = false;
         mIsRejected = false;
@@ -163,7 +166,7 @@
         mVerdicts.clear();
     }
 
-    /** Discards everything that was found before now. */
+    /** Discards everything that was found before now, including the number of rejections. */
     void clear(long nowNanos) {
         discardBefore(nowNanos);
         mRejections = 0;
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashSuspects.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashSuspects.java
@@ -62,8 +62,9 @@
     }
 
     /**
-     * Removes one request: first among those known only from other instances, then among those not
-     * rejected, the one with the oldest update.
+     * Removes one request that is not rejected, with preference for those of which this instance
+     * observed no end; a rejected one only if all are rejected. Of several, removes the one with
+     * the oldest update.
      */
     private void removeLeastRelevant(long nowNanos) {
         Collection<CrashSuspect> all = mSuspects.values();
--- a/masticpond-core/src/main/java/io/masticpond/core/crash/CrashingRequests.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/crash/CrashingRequests.java
@@ -286,7 +286,8 @@
         suspect.removeOutdatedSuspicions(nowNanos);
         int ends = suspect.ends();
         suspect.setSuspected(ends >= CrashSuspect.SUSPICIOUS_ENDS, nowNanos);
-        // A clearance may have overtaken a suspicion that other instances reported.
+        // A first rejection is not based on ends that other instances concluded, since a clearance
+        // may have overtaken their suspicion.
         boolean isProven =
                 suspect.mRejections > 0
                         ? ends >= ENDS_ON_TRIAL
@@ -372,7 +373,8 @@
 
     /**
      * Determines whether a request need not be tracked any longer. One that was rejected is tracked
-     * for as long again, others for the time for which an end is counted.
+     * after its rejection for as long as that lasted, others for the time for which an end is
+     * counted.
      */
     private boolean isExpired(CrashSuspect suspect, long nowNanos) {
         if (suspect.mRejections > 0) {
--- a/masticpond-core/src/main/java/io/masticpond/core/freshness/FreshnessTracker.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/freshness/FreshnessTracker.java
@@ -33,8 +33,8 @@
     private static final Duration DELAY_PER_RANK = Duration.ofMillis(700);
 
     /**
-     * The rank from which the delay no longer grows. Combined with {@link #READ_INTERVAL}, it keeps
-     * all instances from reading an unavailable store at once.
+     * The rank from which the delay no longer grows. Instances of this and of higher ranks read the
+     * store at the same age of the proof, and repeat failed reads at {@link #READ_INTERVAL}.
      */
     private static final int MAXIMUM_DELAY_RANK = 4;
 
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/DigestComparison.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/DigestComparison.java
@@ -19,7 +19,7 @@
      * Compares the digests of one heartbeat and returns whether the full state must be sent to the
      * neighbor.
      */
-    boolean differs(InstanceId from, long own, long other) {
+    boolean mustSendAll(InstanceId from, long own, long other) {
         if (own == other) {
             mConsecutiveDifferences.remove(from);
             return false;
@@ -32,8 +32,8 @@
         return true;
     }
 
-    /** Removes the state kept for an instance. */
-    void forget(InstanceId id) {
+    /** Removes the count of differences of an instance. */
+    void remove(InstanceId id) {
         mConsecutiveDifferences.remove(id);
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/FailureDetector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/FailureDetector.java
@@ -39,7 +39,7 @@
     }
 
     /** Determines whether a member has been dead for long enough to remove its record. */
-    boolean mustForget(MemberRecord record, long now) {
+    boolean mustRemove(MemberRecord record, long now) {
         return record.state() == MemberState.DEAD
                 && record.sinceClaim(now) >= mTimings.forget().toNanos();
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MemberRecord.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MemberRecord.java
@@ -97,7 +97,8 @@
 
     /**
      * Determines whether the activity of the member is known: it is live, or its process has
-     * certainly terminated. An instance that is unresponsive, or from which no heartbeat was
+     * certainly terminated. An instance that was never live counts as terminated if its address
+     * refused a connection. An instance that is unresponsive, or from which no heartbeat was
      * received, may be working on the other side of a network partition.
      */
     boolean isAccountedFor() {
@@ -120,8 +121,8 @@
     }
 
     /**
-     * Applies a newer update and returns whether the run, the state or an address has changed, or
-     * the run has its first configuration.
+     * Applies a newer update and returns whether the run, the state, the link address or the caller
+     * address has changed, or whether the run has its first configuration.
      */
     boolean apply(MemberUpdate update, long now) {
         Member before = member();
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MemberState.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MemberState.java
@@ -1,7 +1,7 @@
 package io.masticpond.core.membership;
 
 /**
- * The state of an instance as another instance sees it.
+ * State of an instance as known to another instance.
  *
  * @since 0.1
  */
@@ -10,7 +10,10 @@
     EXPECTED(false, false),
     /** A heartbeat was received recently. */
     LIVE(true, true),
-    /** Heartbeats were received, but none for longer than the suspect timeout. */
+    /**
+     * An instance that watches the member has received no heartbeat of it for longer than the
+     * suspect timeout.
+     */
     SUSPECT(false, false),
     /**
      * Heartbeats are received, and the instance is stopping as planned: it finishes its work but
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipSink.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipSink.java
@@ -43,7 +43,8 @@
     void requestUpdate(InstanceId to, Incarnation run, long sequence);
 
     /**
-     * Handles a member that is new or whose state, run, address or first configuration has changed.
+     * Handles a member that is new, whose run, state, link address or caller address has changed,
+     * or that has its first configuration.
      *
      * @param member the current snapshot of the member
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTable.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTable.java
@@ -48,7 +48,7 @@
      * Creates a table that contains this instance only.
      *
      * @param self the state that this instance reports about itself
-     * @param timings the timeouts of the membership protocol
+     * @param timings the timings of the membership protocol
      * @param timeSource the source of the monotonic time
      * @param sink the callback for messages to send and for changed members
      */
@@ -133,7 +133,9 @@
             return;
         }
         mPauseDetector.receiveHeartbeat(own.id(), mTimeSource.monotonicNanos());
-        if (newRun || (others.isEmpty() && mDigestComparison.differs(own.id(), digest(), digest))) {
+        if (newRun
+                || (others.isEmpty()
+                        && mDigestComparison.mustSendAll(own.id(), digest(), digest))) {
             sendAllTo(own.id());
         }
     }
@@ -363,13 +365,13 @@
             record.markUpdateRequested(now);
             requestUpdateFromNeighbors(record);
         }
-        if (mFailureDetector.mustForget(record, now)) {
-            forget(record, now);
+        if (mFailureDetector.mustRemove(record, now)) {
+            remove(record, now);
         }
     }
 
-    private void forget(MemberRecord record, long now) {
-        mDigestComparison.forget(record.id());
+    private void remove(MemberRecord record, long now) {
+        mDigestComparison.remove(record.id());
         mRecords.remove(record.id());
         if (record.isListed()) {
             add(record.expectedAgain(now));
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTimings.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/MembershipTimings.java
@@ -4,14 +4,14 @@
 import java.time.Duration;
 
 /**
- * Timeouts of the membership protocol, measured from the last heartbeat of a run.
+ * Timings of the membership protocol. Inactivity is measured from the last heartbeat of a run.
  *
  * @param heartbeat the interval between heartbeats
  * @param updateRequest the inactivity after which other instances are queried for an update
  * @param suspect the inactivity after which a run is suspected and receives no new work
  * @param dead the inactivity after which a run is declared dead
- * @param forget the time after which the record of a dead run that the platform does not list is
- *     removed
+ * @param forget the time from the claim that a run is dead until its record is removed; an instance
+ *     that the platform lists is then an expected one again
  * @param pause the length of a pause of this process from which it considers its own view stale
  * @since 0.1
  */
@@ -33,7 +33,7 @@
                     Duration.ofSeconds(60),
                     Duration.ofSeconds(1));
 
-    /** Validates the order of the timeouts. */
+    /** Validates the order of the timings. */
     public MembershipTimings {
         Assert.isTrue(
                 heartbeat.compareTo(updateRequest) < 0
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/RegionView.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/RegionView.java
@@ -12,7 +12,7 @@
  * @param missing the instances that may still be working although this instance cannot reach them:
  *     unresponsive, suspected or expected
  * @param upToDate whether this instance considers its own view current: it has not just resumed
- *     after a pause, and it has received the list of members
+ *     after a pause, it has received the list of members, and no later run of it is known
  * @since 0.1
  */
 public record RegionView(
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/OperationRegistry.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/OperationRegistry.java
@@ -135,19 +135,19 @@
             mByExpiry.remove(key);
             return outcome;
         }
-        keep(known, outcome);
+        retain(known, outcome);
         return outcome;
     }
 
-    private static <A> boolean settles(OperationOutcome<A> kept, OperationOutcome<A> outcome) {
-        return kept.verdict() == Verdict.MAY_HAVE_RUN && outcome.verdict() == Verdict.RAN;
+    private static <A> boolean settles(OperationOutcome<A> retained, OperationOutcome<A> outcome) {
+        return retained.verdict() == Verdict.MAY_HAVE_RUN && outcome.verdict() == Verdict.RAN;
     }
 
     /**
      * Retains an outcome, or only the fact that the operation ran if there is no room for the
      * answer.
      */
-    private void keep(OperationRecord<A> operation, OperationOutcome<A> outcome) {
+    private void retain(OperationRecord<A> operation, OperationOutcome<A> outcome) {
         operation.mOutcome = outcome;
         if (!(outcome instanceof OperationOutcome.Answered<A> answered)) {
             return;
@@ -196,7 +196,7 @@
             return false;
         }
         OperationRecord<A> adopted = new OperationRecord<>(fingerprint);
-        keep(adopted, outcome);
+        retain(adopted, outcome);
         store(key, adopted);
         return true;
     }
@@ -232,14 +232,14 @@
      *     earliest first
      */
     public List<KeptOutcome<A>> keptOutcomes() {
-        List<KeptOutcome<A>> kept = new ArrayList<>();
+        List<KeptOutcome<A>> retained = new ArrayList<>();
         for (OperationKey key : mByExpiry) {
             OperationRecord<A> known = mRecords.get(key);
             if (!known.isRunning()) {
-                kept.add(new KeptOutcome<>(key, known.mFingerprint, known.mOutcome));
+                retained.add(new KeptOutcome<>(key, known.mFingerprint, known.mOutcome));
             }
         }
-        return kept;
+        return retained;
     }
 
     /**
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/OutcomeBatcher.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/OutcomeBatcher.java
@@ -27,7 +27,10 @@
     /** Number of consecutive sequences in a segment. */
     public static final int SEGMENT_SEQUENCES = 64;
 
-    /** Number of intervals before an unavailable platform is called again. */
+    /**
+     * Number of intervals before a call is repeated that was postponed, or that failed because the
+     * platform was unavailable.
+     */
     private static final int UNAVAILABLE_RETRY_INTERVALS = 5;
 
     private final TimeSource mTimeSource;
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/AllotmentPolicy.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/AllotmentPolicy.java
@@ -36,7 +36,7 @@
      * Returns the amount that a holder should hold.
      *
      * @param ratePerSecond the holder's rate of spending in millionths a second
-     * @param remainingMicros what may still be allotted
+     * @param remainingMicros the amount that may still be allotted
      * @param holders how many instances share the ledger, positive
      * @param priceMicros the highest known price
      * @return the amount in millionths, not limited to the remainder
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/DefaultSpendingGate.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/DefaultSpendingGate.java
@@ -113,7 +113,7 @@
      */
     public void setHolders(int holders) {
         mHolders = (int) Assert.positive(holders, "A number of holders");
-        mAccounts.values().forEach(account -> account.holders(holders));
+        mAccounts.values().forEach(account -> account.setHolders(holders));
     }
 
     @Override
@@ -210,12 +210,12 @@
                 .toList();
     }
 
-    /** Opens accounts that are due, and closes those of shifts that are over. */
+    /** Opens accounts that are due, and closes those of shifts that have ended. */
     private void review(Instant now) {
         mServices.forEach((service, shifts) -> openDueAccounts(service, shifts, now));
         for (Map.Entry<LedgerKey, SpendingAccount> entry : List.copyOf(mAccounts.entrySet())) {
             SpendingAccount account = entry.getValue();
-            account.closing(mIsStopping || !isNeeded(entry.getKey(), account, now));
+            account.setClosing(mIsStopping || !isNeeded(entry.getKey(), account, now));
             if (!mIsStopping && account.isClosed() && isRetentionOver(account, now)) {
                 mAccounts.remove(entry.getKey());
             }
@@ -257,9 +257,9 @@
         SpendingAccount account = mAccounts.get(key);
         if (account == null) {
             account = new SpendingAccount(key, shift, capOf(shift), mContext);
-            account.holders(mHolders);
-            account.closing(mIsStopping);
-            account.price(mServices.get(service).highestPriceMicros());
+            account.setHolders(mHolders);
+            account.setClosing(mIsStopping);
+            account.raiseHighestPrice(mServices.get(service).highestPriceMicros());
             mAccounts.put(key, account);
         }
         return account;
@@ -275,8 +275,8 @@
             return false;
         }
         Optional<Shift> shift = shifts.shift(key.shift());
-        shift.ifPresent(found -> account.terms(found, capOf(found)));
-        account.price(shifts.highestPriceMicros());
+        shift.ifPresent(found -> account.applyTerms(found, capOf(found)));
+        account.raiseHighestPrice(shifts.highestPriceMicros());
         return shift.filter(found -> found.end().plus(CLOSE_DELAY_AFTER_SHIFT).isAfter(now))
                 .isPresent();
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerDocument.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerDocument.java
@@ -18,7 +18,7 @@
  * @param service the service
  * @param shift the shift
  * @param capMicros the cap
- * @param configurationVersion the configuration that states the cap
+ * @param configurationVersion the version of the configuration that specifies the cap
  * @param revision the number of changes
  * @param allottedMicros the sum of all allotments
  * @param compactedMicros the sum of the holdings that are not listed
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerExchange.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/LedgerExchange.java
@@ -76,7 +76,7 @@
      * Sets the cap of a later configuration; if it differs, the ledger is read before the next
      * change.
      */
-    void cap(SpendingCap cap) {
+    void setCap(SpendingCap cap) {
         mIsStale |= cap.micros() != mCap.micros();
         mCap = cap;
         mLedgerWithCap = mLedger == null ? null : mLedger.withCap(cap);
@@ -94,7 +94,7 @@
      * Sets the number of instances that share the ledger, over which the first call and the retries
      * after conflicts are spread.
      */
-    void holders(int holders) {
+    void setHolders(int holders) {
         if (!mIsFirstCallSpread && holders > 1) {
             mIsFirstCallSpread = true;
             long spread = FIRST_CALL_DELAY_PER_HOLDER.multipliedBy(holders).toNanos();
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/Settlement.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/Settlement.java
@@ -25,7 +25,7 @@
      */
     long spendableMicros() {
         boolean allotted = deltaMicros > 0 && outcome == Outcome.TOOK_EFFECT;
-        boolean kept = deltaMicros < 0 && outcome == Outcome.NO_EFFECT;
-        return allotted || kept ? Math.abs(deltaMicros) : 0;
+        boolean isRetained = deltaMicros < 0 && outcome == Outcome.NO_EFFECT;
+        return allotted || isRetained ? Math.abs(deltaMicros) : 0;
     }
 }
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/ShiftCalendar.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/ShiftCalendar.java
@@ -26,7 +26,7 @@
  * therefore adjacent in absolute time. A shift that is left without any length by a change does not
  * take place.
  *
- * <p>The clock of an instance may be wrong by up to the stated error. A moment nearer than that to
+ * <p>The clock of an instance may be wrong by up to the given error. A moment nearer than that to
  * the boundary of two shifts may belong to either, so {@link #chargedAt} returns both, and a charge
  * taken from both is charged to the right one in any case. Immutable.
  *
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingAccount.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingAccount.java
@@ -57,30 +57,30 @@
     }
 
     /** Applies the times and the cap of the configuration in force. */
-    void terms(Shift shift, SpendingCap cap) {
+    void applyTerms(Shift shift, SpendingCap cap) {
         mShift = shift;
         if (cap.version().isAfter(mCap.version())) {
             mCap = cap;
-            mExchange.cap(cap);
+            mExchange.setCap(cap);
         }
     }
 
     /** Sets the number of instances that share the ledger. */
-    void holders(int holders) {
+    void setHolders(int holders) {
         mHolders = (int) Assert.positive(holders, "A number of holders");
-        mExchange.holders(holders);
+        mExchange.setHolders(holders);
     }
 
     /**
      * Raises the highest known price to the given one, such as that of the configuration in force,
      * if it is higher.
      */
-    void price(long micros) {
+    void raiseHighestPrice(long micros) {
         mHighestPriceMicros = Math.max(mHighestPriceMicros, micros);
     }
 
     /** Sets whether the account returns its whole holding and requests no more. */
-    void closing(boolean closing) {
+    void setClosing(boolean closing) {
         mIsClosing = closing;
     }
 
@@ -94,7 +94,7 @@
      */
     boolean charge(long micros) {
         mRate.add(micros);
-        price(micros);
+        raiseHighestPrice(micros);
         if (mAvailableMicros - micros < mRefillBelowMicros && !mIsExhausted) {
             advance();
         }
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingCap.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingCap.java
@@ -4,8 +4,8 @@
 import io.masticpond.core.support.Assert;
 
 /**
- * Spending cap with the configuration that states it; of two caps, the one of the later
- * configuration applies.
+ * Spending cap with the version of the configuration that specifies it. Of two caps, the one of the
+ * later configuration applies.
  *
  * @param micros the cap in millionths of the operators' currency unit
  * @param version the configuration
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingForecast.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingForecast.java
@@ -7,10 +7,10 @@
 /**
  * Forecast of the cost of a shift under a cap, as shown in a plan.
  *
- * @param capMicros the cap that the plan states, in millionths of the operators' currency unit
+ * @param capMicros the cap that the plan specifies, in millionths of the operators' currency unit
  * @param allottedMicros the amount allotted to instances so far
- * @param atMostMicros the most that the shift can cost: the cap, or what is allotted if that is
- *     more, because no allotment is taken back from its holder
+ * @param atMostMicros the maximum cost of the shift: the cap, or the allotted amount if that is
+ *     higher, because no allotment is taken back from its holder
  * @param predictedMicros the predicted cost if spending continues at its average rate
  * @since 0.1
  */
@@ -23,7 +23,7 @@
      * @param allottedMicros the amount allotted to instances so far
      * @param spentMicros the part of it that is known to be spent
      * @param shift the shift
-     * @param capMicros the cap in force, or the one that a plan states
+     * @param capMicros the cap in force, or the one that a plan specifies
      * @param now the time
      * @return the forecast
      */
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingLedger.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/SpendingLedger.java
@@ -22,7 +22,7 @@
  *
  * @param key the service and shift
  * @param capMicros the cap in millionths of the operators' currency unit
- * @param capVersion the configuration that states the cap
+ * @param capVersion the version of the configuration that specifies the cap
  * @param revision the number of changes made
  * @param compactedMicros the sum of the holdings that are no longer listed
  * @param holdings the holdings, the one that changed longest ago first
@@ -37,8 +37,8 @@
         List<Holding> holdings) {
 
     /**
-     * Maximum number of listed holdings; a change can be recognized until this many, less one,
-     * others have followed it.
+     * Maximum number of listed holdings. A change can still be recognized after the changes of this
+     * many, less one, other holders.
      */
     public static final int MAXIMUM_HOLDINGS = 64;
 
--- a/masticpond-core/src/test/java/io/masticpond/core/configuration/ConfigurationPlannerTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/configuration/ConfigurationPlannerTest.java
@@ -127,14 +127,14 @@
     }
 
     private static ConfigurationContent faulty() {
-        ServiceSpecification good = ConfigurationFixture.service("layout-view", 4);
-        ServiceSpecification bad =
+        ServiceSpecification valid = ConfigurationFixture.service("layout-view", 4);
+        ServiceSpecification invalid =
                 new ServiceSpecification(
                         new ServiceId("cut-dispatch"),
                         2_000,
                         List.of(),
                         List.of(
-                                good.backendServers().get(0),
+                                valid.backendServers().get(0),
                                 new BackendServerSpecification(
                                         new io.masticpond.core.id.BackendServerId("b"),
                                         new ZoneId("nowhere-1"),
@@ -152,7 +152,7 @@
         return new ConfigurationContent(
                 List.of(ConfigurationFixture.region("casa"), ConfigurationFixture.region("casa")),
                 List.of(new LinkSpecification(new RegionId("casa"), new RegionId("casa"), 1, 1)),
-                List.of(good, bad),
+                List.of(valid, invalid),
                 List.of(new SiteSpecification(new SiteId("s"), new ZoneId("gone-1"))),
                 List.of(
                         new ClientBlockSpecification("10.0.0.1/8", new SiteId("s")),
--- a/masticpond-core/src/test/java/io/masticpond/core/crash/CrashFleet.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/crash/CrashFleet.java
@@ -28,7 +28,7 @@
         CrashingRequests mRequests;
         final List<CrashView> mViews = new ArrayList<>();
         long mMessages;
-        boolean mIsCutOff;
+        boolean mIsDisconnected;
 
         private Instance(int number) {
             mNumber = number;
@@ -71,7 +71,7 @@
         }
 
         private void send(Instance to, CrashMessage message) {
-            if (to == this || mIsCutOff || to.mIsCutOff || mIsLost.test(message)) {
+            if (to == this || mIsDisconnected || to.mIsDisconnected || mIsLost.test(message)) {
                 return;
             }
             mMessages++;
--- a/masticpond-core/src/test/java/io/masticpond/core/crash/CrashingRequestsTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/crash/CrashingRequestsTest.java
@@ -99,7 +99,7 @@
     void disconnectedInstanceRejectsByItsOwnObservations() {
         CrashFleet fleet = fleet(10);
         Instance disconnected = fleet.instances().get(0);
-        disconnected.mIsCutOff = true;
+        disconnected.mIsDisconnected = true;
         for (int time = 0; time < 5; time++) {
             crash(fleet, disconnected);
             fleet.advance(Duration.ofMillis(300));
--- a/masticpond-core/src/test/java/io/masticpond/core/crash/InnocentRequestsTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/crash/InnocentRequestsTest.java
@@ -68,8 +68,8 @@
     private final CrashFleet mFleet = new CrashFleet(INSTANCES, CrashSettings.DEFAULT, SEED);
 
     /**
-     * Source of the order in which the requests at one server break off, if not their order of
-     * arrival.
+     * Source of the order in which the requests at one server break off, or empty to use their
+     * order of arrival.
      */
     private Optional<Random> mOrder = Optional.empty();
 
--- a/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipFixture.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipFixture.java
@@ -19,8 +19,8 @@
 import java.util.function.BiPredicate;
 
 /**
- * Tables that exchange messages in memory, in order and without delay, except where a test cuts the
- * connection.
+ * Tables that exchange messages in memory, in order and without delay, except where a test
+ * simulates a network partition.
  */
 final class MembershipFixture {
 
@@ -34,7 +34,7 @@
     final List<Member> mChanged = new ArrayList<>();
     private final Map<InstanceId, OwnState> mStates = new TreeMap<>();
     private final Queue<Runnable> mWire = new ArrayDeque<>();
-    private BiPredicate<InstanceId, InstanceId> mCut = (from, to) -> false;
+    private BiPredicate<InstanceId, InstanceId> mPartition = (from, to) -> false;
     private long mTicks;
     long mMessages;
 
@@ -79,8 +79,8 @@
         return this;
     }
 
-    void cut(BiPredicate<InstanceId, InstanceId> cut) {
-        mCut = cut;
+    void partition(BiPredicate<InstanceId, InstanceId> partition) {
+        mPartition = partition;
     }
 
     /** Terminates a process: connections to it are refused from now on. */
@@ -176,10 +176,10 @@
                         mMessages++;
                         MembershipTable sender = mTables.get(mFrom);
                         MembershipTable receiver = mTables.get(to);
-                        boolean cut = mCut.test(mFrom, to);
-                        if (receiver == null && sender != null && !cut) {
+                        boolean isPartitioned = mPartition.test(mFrom, to);
+                        if (receiver == null && sender != null && !isPartitioned) {
                             sender.onConnectionRefused(to);
-                        } else if (receiver != null && !cut && !mPaused.contains(to)) {
+                        } else if (receiver != null && !isPartitioned && !mPaused.contains(to)) {
                             message.accept(receiver);
                         }
                     });
--- a/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipFleetTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipFleetTest.java
@@ -63,13 +63,13 @@
     }
 
     private void assertZonePartitionReachesAllInstances() {
-        mFixture.cut(
+        mFixture.partition(
                 (from, to) ->
                         from.value().startsWith("region00-") != to.value().startsWith("region00-"));
         mFixture.run(Duration.ofSeconds(4));
         int zone = INSTANCES / ZONES + 1;
         assertThat(mFixture.view(OBSERVER).live()).hasSize(INSTANCES - zone);
-        mFixture.cut((from, to) -> false);
+        mFixture.partition((from, to) -> false);
         mFixture.run(Duration.ofSeconds(4));
         assertThat(mFixture.view(OBSERVER).live()).hasSize(INSTANCES);
         assertThat(mFixture.view(id("region00", 0)).live()).hasSize(INSTANCES);
--- a/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipTableTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/membership/MembershipTableTest.java
@@ -83,9 +83,9 @@
     @Example
     void nextHeartbeatOverridesFalseSuspicion() {
         settle();
-        mFixture.cut((from, to) -> from.equals(C));
+        mFixture.partition((from, to) -> from.equals(C));
         mFixture.runUntil(DETECTION_TIME, () -> mFixture.state(A, C) == MemberState.SUSPECT);
-        mFixture.cut((from, to) -> false);
+        mFixture.partition((from, to) -> false);
         mFixture.runUntil(Duration.ofSeconds(1), () -> mFixture.state(A, C) == MemberState.LIVE);
         assertThat(mFixture.view(A).region(CASA).isComplete()).isTrue();
     }
@@ -93,7 +93,7 @@
     @Example
     void instancesRemainLiveDuringAsymmetricPartitionThroughRelayedUpdates() {
         settle();
-        mFixture.cut((from, to) -> from.equals(C) && to.equals(A));
+        mFixture.partition((from, to) -> from.equals(C) && to.equals(A));
         for (int i = 0; i < 100; i++) {
             mFixture.run(MembershipFixture.TICK);
             assertThat(mFixture.state(A, C)).isEqualTo(MemberState.LIVE);
@@ -104,13 +104,13 @@
     @Example
     void partitionedZoneAdmitsItsOwnInstancesWithIncompleteViewOfRegion() {
         settle();
-        mFixture.cut((from, to) -> isOneOf(from, C) != isOneOf(to, C));
+        mFixture.partition((from, to) -> isOneOf(from, C) != isOneOf(to, C));
         mFixture.run(DETECTION_TIME);
         assertThat(mFixture.view(C).region(CASA).admitting()).containsExactly(C);
         assertThat(mFixture.view(C).region(CASA).missing()).containsExactly(A, B);
         assertThat(mFixture.view(A).region(CASA).admitting()).containsExactly(A, B);
         assertThat(mFixture.view(A).region(CASA).missing()).containsExactly(C);
-        mFixture.cut((from, to) -> false);
+        mFixture.partition((from, to) -> false);
         mFixture.run(DETECTION_TIME);
         assertThat(mFixture.view(C).region(CASA).isComplete()).isTrue();
         assertThat(mFixture.view(A).region(CASA).isComplete()).isTrue();
@@ -192,7 +192,7 @@
         settle();
         mFixture.mPaused.add(A);
         mFixture.run(Duration.ofSeconds(1));
-        mFixture.cut((from, to) -> from.equals(A) != to.equals(A));
+        mFixture.partition((from, to) -> from.equals(A) != to.equals(A));
         mFixture.run(Duration.ofSeconds(9));
         mFixture.mPaused.clear();
         for (int i = 0; i < 100; i++) {
--- a/masticpond-core/src/test/java/io/masticpond/core/operation/OnceOnlySimulation.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/operation/OnceOnlySimulation.java
@@ -60,8 +60,8 @@
 
         private final boolean mRan;
 
-        RunEnd(boolean recordRun) {
-            mRan = recordRun;
+        RunEnd(boolean ran) {
+            mRan = ran;
         }
     }
 
--- a/masticpond-core/src/test/java/io/masticpond/core/spending/SpendingFailureTest.java
+++ b/masticpond-core/src/test/java/io/masticpond/core/spending/SpendingFailureTest.java
@@ -18,7 +18,7 @@
 import net.jqwik.api.Example;
 
 /**
- * Covers each required failure of spending on its own: lost answers, late writes, conflicts,
+ * Tests each failure that affects spending on its own: lost answers, late writes, conflicts,
  * terminated and paused holders, platform outages, clock steps, cap changes and faulty ledgers.
  */
 class SpendingFailureTest {
