--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendHealthChecker.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/backend/BackendHealthChecker.java
@@ -113,7 +113,7 @@
 
     /**
      * Passes a result from a thread of the client to the event loop. If its queue is full, the
-     * result is dropped.
+     * result is dropped and the probe is no longer in flight.
      */
     private void enqueueResult(WatchedServer server, ProbeResult result) {
         if (!mEventLoop.offer(() -> processResult(server, result))) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/ConfigurationService.java
@@ -137,7 +137,7 @@
 
     /**
      * Records a version that a client or another party has seen. If it is higher than the one in
-     * force, this instance looks for it.
+     * force, this instance looks for it. Ignored if it is more than 10,000 versions ahead.
      *
      * @param version the number of the version, which may be wrong
      */
@@ -280,8 +280,9 @@
     }
 
     /**
-     * Sends an update to other instances. An instance that received the update from a peer sends it
-     * on only if it watches the platform; one that confirmed the version itself always sends it.
+     * Sends an update to other instances. An update that came from a peer is sent on only by an
+     * instance that watches the platform; one that came from the platform or from a confirmation at
+     * this instance is always sent.
      */
     private void distribute(
             ConfigurationVersion before, ConfigurationVersion after, Optional<InstanceId> from) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PeerFollower.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PeerFollower.java
@@ -23,8 +23,8 @@
  * Fetches updates from peers that report a higher version. Confined to the thread of the
  * configuration's event loop.
  *
- * <p>One fetch runs at a time. A peer whose answer brought no higher version is avoided for some
- * time, so that another one is queried.
+ * <p>One fetch runs at a time. A peer that did not answer, or whose answer did not change the
+ * configuration, is avoided for one second, so that another one is queried.
  */
 final class PeerFollower {
 
@@ -80,7 +80,7 @@
                         .allMatch(member -> mAnswered.contains(member.id()));
     }
 
-    /** Fetches from a peer whose update left a gap. */
+    /** Fetches the missing changes from a peer whose update left a gap. */
     void fetchFrom(InstanceId peer) {
         fetch(peer, mReplica.current().version());
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/ForwardCodec.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/ForwardCodec.java
@@ -38,9 +38,9 @@
 public final class ForwardCodec {
 
     /**
-     * The shard number of a request that the receiver is to steer and to charge to its own budget.
-     * An instance of an earlier build cannot decode it and declines the message, so that no request
-     * runs uncharged.
+     * The shard number of a request that the receiver is to steer and to charge to its own
+     * allotment. An instance of an earlier build cannot decode it and declines the message, so that
+     * no request runs uncharged.
      */
     private static final int ANY_SHARD = -1;
 
@@ -82,7 +82,7 @@
     }
 
     /**
-     * Encodes a request that the receiver is to steer and to charge to its own budget.
+     * Encodes a request that the receiver is to steer and to charge to its own allotment.
      *
      * @param request the request
      * @param remainingNanos the time until the deadline, in nanoseconds
@@ -94,7 +94,7 @@
     }
 
     /**
-     * Determines whether the receiver is to steer a request and to charge it to its own budget.
+     * Determines whether the receiver is to steer a request and to charge it to its own allotment.
      *
      * @param forward the message
      * @return {@code true} if it is; {@code false} if the receiver is to admit the request to a
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/ForwardReceiver.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/forwarding/ForwardReceiver.java
@@ -19,7 +19,7 @@
 
 /**
  * Receiver of requests that other instances forward. It passes them to the admitter side, or to the
- * entry side if this instance is to charge them to its own budget.
+ * entry side if this instance is to charge them to its own allotment.
  *
  * <p>When the queue of the steering event loop is full, a request is declined, which correctly
  * states that it did not run.
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/ConnectionOwner.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/ConnectionOwner.java
@@ -7,7 +7,7 @@
 /** Callback interface for the events of a connection, invoked on the event loop of the links. */
 interface ConnectionOwner {
 
-    /** Returns why a run of an instance is rejected, or empty if it is accepted. */
+    /** Returns why an incarnation of an instance is rejected, or empty if it is accepted. */
     Optional<String> rejectionReason(Incarnation peer);
 
     /** Invoked when the connection is authenticated and accepts messages. */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/LinkListener.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/LinkListener.java
@@ -12,16 +12,17 @@
 public interface LinkListener {
 
     /**
-     * Invoked when the first connection to a run of an instance is authenticated and ready.
+     * Invoked when the first connection to an incarnation of an instance is authenticated and
+     * ready.
      *
-     * @param peer the run of the other instance
+     * @param peer the incarnation of the other instance
      */
     void connected(Incarnation peer);
 
     /**
-     * Invoked when the last connection to a run of an instance is closed.
+     * Invoked when the last connection to an incarnation of an instance is closed.
      *
-     * @param peer the run of the other instance
+     * @param peer the incarnation of the other instance
      */
     void disconnected(Incarnation peer);
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/NettyInstanceLinks.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/NettyInstanceLinks.java
@@ -53,7 +53,7 @@
     /**
      * Creates new links, which do not listen until {@link #start} is called.
      *
-     * @param self this run of this instance
+     * @param self the incarnation of this instance
      * @param settings the limits and timeouts
      * @param timeSource the clock for inactivity timeouts and backoff
      * @param seed the seed of the jitter of the backoff
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/Responder.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/Responder.java
@@ -12,9 +12,9 @@
 public interface Responder {
 
     /**
-     * Returns the authenticated run of the instance that sent the message.
+     * Returns the authenticated incarnation of the instance that sent the message.
      *
-     * @return the run
+     * @return the incarnation
      */
     Incarnation peer();
 
@@ -27,7 +27,7 @@
     void answer(Envelope answer);
 
     /**
-     * Refuses the request. The receiver must not have acted on it.
+     * Refuses the request, on which this instance must not have acted and must not act later.
      *
      * @param reason one sentence
      */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/lifecycle/PlannedStop.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/lifecycle/PlannedStop.java
@@ -46,7 +46,8 @@
      * @param timeSource the clock
      * @param timeline the timeline that receives the events
      * @param lookupLifetime the time for which callers may cache look-up answers
-     * @param drainTimeout the maximum time to wait for requests in flight
+     * @param drainTimeout the maximum time to wait for requests in flight, counted from the
+     *     beginning of the drain
      * @param pause blocks the calling thread for a duration
      */
     public PlannedStop(
@@ -107,9 +108,9 @@
 
     /**
      * Completes all work, within the drain timeout and a few seconds more. The process may close
-     * all its parts afterwards.
+     * all its parts afterwards. Has no effect if a stop has already begun.
      *
-     * @return whether no request was interrupted
+     * @return whether no request was interrupted; {@code true} if a stop had already begun
      */
     public boolean stop() {
         drain();
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipMessages.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipMessages.java
@@ -80,16 +80,16 @@
                 .toList();
     }
 
-    /** Creates a query for updates of a run that are newer than a sequence number. */
-    static MemberAsk toQuery(Incarnation run, long sequence) {
+    /** Creates a query for updates of an incarnation that are newer than a sequence number. */
+    static MemberAsk toQuery(Incarnation incarnation, long sequence) {
         return MemberAsk.newBuilder()
-                .setInstance(run.instance().value())
-                .setIncarnation(run.number())
+                .setInstance(incarnation.instance().value())
+                .setIncarnation(incarnation.number())
                 .setSequence(sequence)
                 .build();
     }
 
-    /** Returns the run that a query is about, or empty if it is invalid. */
+    /** Returns the incarnation that a query is about, or empty if it is invalid. */
     static Optional<Incarnation> toIncarnation(MemberAsk query) {
         try {
             return Optional.of(toIncarnation(query.getInstance(), query.getIncarnation()));
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/membership/MembershipService.java
@@ -169,7 +169,7 @@
 
     /**
      * Sets the configuration in force. Its version is reported in heartbeats, and its regions are
-     * used for the view.
+     * used for the view. Dropped if the queue of the event loop is full.
      *
      * @param configuration the configuration
      */
@@ -184,7 +184,7 @@
 
     /**
      * Sets whether this instance is leaving because of a planned stop, and reports it to the other
-     * instances immediately.
+     * instances immediately. Dropped if the queue of the event loop is full.
      *
      * @param leaving whether this instance is leaving
      */
@@ -207,7 +207,10 @@
         return mRejectedHeartbeats.sum();
     }
 
-    /** Announces the termination of this run to the other instances, and stops the event loop. */
+    /**
+     * Announces the termination of this incarnation to the other instances, and stops the event
+     * loop.
+     */
     @Override
     public void close() {
         mEventLoop.offer(mTable::announceTermination);
@@ -322,9 +325,9 @@
     private void applyQuery(Incarnation peer, MemberAsk query) {
         MembershipMessages.toIncarnation(query)
                 .ifPresent(
-                        run ->
+                        incarnation ->
                                 mTable.receiveUpdateRequest(
-                                        peer.instance(), run, query.getSequence()));
+                                        peer.instance(), incarnation, query.getSequence()));
     }
 
     /** Listener that passes the events of the links to the event loop. */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyGuard.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OnceOnlyGuard.java
@@ -293,8 +293,8 @@
                 mListener.accept(OutcomeConverter.toCompletion(repeat.outcome()));
             } else if (decision instanceof OperationDecision.InProgress) {
                 mWaiters.add(key, mRequest, mListener);
-            } else if (decision instanceof OperationDecision.ForwardToHome<?> elsewhere) {
-                forwardToHome(key, elsewhere.home().instance());
+            } else if (decision instanceof OperationDecision.ForwardToHome<?> forward) {
+                forwardToHome(key, forward.home().instance());
             } else if (decision instanceof OperationDecision.HomeUnreachable) {
                 completeFromArchiveOrAdopter(key, OnceOnlyRefusals.homeUnreachable(mFirstAttempt));
             } else if (decision instanceof OperationDecision.HomeTerminated) {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OutcomeCodec.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/OutcomeCodec.java
@@ -18,8 +18,8 @@
 final class OutcomeCodec {
 
     /**
-     * Maximum size of an answer that is copied, in bytes; for a larger one only the verdict that it
-     * ran is.
+     * Maximum size of an answer that is copied, in bytes. Of an operation with a larger answer,
+     * only the fact that it ran is copied.
      */
     static final int MAXIMUM_COPIED_ANSWER_BYTES = 8 << 10;
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/PlatformOperationArchive.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/operation/PlatformOperationArchive.java
@@ -119,7 +119,8 @@
      * Writes all pending outcomes, before a planned stop.
      *
      * @param timeout the longest time to try
-     * @return a future of whether the platform holds every outcome when the call ends
+     * @return a future that completes with {@code true} once the platform holds every outcome, or
+     *     with {@code false} after the timeout or if the event loop is closed
      */
     public CompletableFuture<Boolean> flush(Duration timeout) {
         CompletableFuture<Boolean> flushed = new CompletableFuture<>();
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/CallRunner.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/platform/CallRunner.java
@@ -30,7 +30,7 @@
 final class CallRunner implements AutoCloseable {
 
     private static final Logger sLogger = LoggerFactory.getLogger(CallRunner.class);
-    private static final int RING_CAPACITY = 1_024;
+    private static final int QUEUE_CAPACITY = 1_024;
     private static final Duration RETRY_CHECK_PERIOD = Duration.ofMillis(10);
     private static final int MINIMUM_SERVER_ERROR = 500;
     private static final long MAXIMUM_RETRY_AFTER_SECONDS = 30;
@@ -70,7 +70,7 @@
                 new Endpoints(
                         settings.addresses(),
                         () -> new Breaker(timeSource, settings.breakerThreshold(), breakerBackoff));
-        mEventLoop = new EventLoop("platform", RING_CAPACITY, timeSource);
+        mEventLoop = new EventLoop("platform", QUEUE_CAPACITY, timeSource);
         mEventLoop.schedulePeriodically(RETRY_CHECK_PERIOD, this::runDueRetries);
         mEventLoop.start();
     }
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingService.java
@@ -111,8 +111,11 @@
     }
 
     /**
-     * Applies the configuration that is in force now. May be called from any thread except the
-     * spending thread.
+     * Applies the configuration that is in force now.
+     *
+     * <p>Thread-safe, but blocks while the queue of the steering event loop is full, unless called
+     * on the steering thread. Must not be called from a thread that the steering thread waits for,
+     * see {@link EventLoop#put}.
      *
      * @param configuration the configuration
      */
@@ -121,8 +124,11 @@
     }
 
     /**
-     * Sets the number of instances that share the caps. May be called from any thread except the
-     * spending thread.
+     * Sets the number of instances that share the caps.
+     *
+     * <p>Thread-safe, but blocks while the queue of the steering event loop is full, unless called
+     * on the steering thread. Must not be called from a thread that the steering thread waits for,
+     * see {@link EventLoop#put}.
      *
      * @param holders the number of live instances, this one included
      */
@@ -131,7 +137,7 @@
     }
 
     /**
-     * Returns the accounts of this instance, at most a tenth of a second old. Thread-safe.
+     * Returns the accounts of this instance, updated every tenth of a second. Thread-safe.
      *
      * @return a view for each service and shift
      */
@@ -141,7 +147,10 @@
 
     /**
      * Returns the remaining allotments to the platform, after the last request of a planned stop.
-     * Thread-safe.
+     *
+     * <p>Thread-safe, but blocks while the queue of the steering event loop is full, unless called
+     * on the steering thread. Must not be called from a thread that the steering thread waits for,
+     * see {@link EventLoop#put}.
      *
      * @return a future that completes when all allotments are returned; wait for it with a timeout,
      *     since the platform may be unavailable
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/AdmitterSteering.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/AdmitterSteering.java
@@ -258,11 +258,11 @@
             end(id, result.completion());
         }
 
-        private void end(RequestId id, RequestCompletion end) {
+        private void end(RequestId id, RequestCompletion completion) {
             PendingRequest pending = mPending.remove(id);
             mRequests.remove(id);
             if (pending != null) {
-                pending.mListener.accept(end);
+                pending.mListener.accept(completion);
             }
         }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/ConfiguredRegionSelector.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/ConfiguredRegionSelector.java
@@ -119,9 +119,9 @@
     }
 
     @Override
-    public void recordOutcome(RequestHead request, RegionId region, RegionAttemptOutcome end) {
+    public void recordOutcome(RequestHead request, RegionId region, RegionAttemptOutcome outcome) {
         if (mSelector != null) {
-            mSelector.recordOutcome(request, region, end);
+            mSelector.recordOutcome(request, region, outcome);
         }
     }
 
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/SteeringService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/SteeringService.java
@@ -19,8 +19,10 @@
  * Service that keeps the request path up to date with the configuration, the membership and the
  * passage of time.
  *
- * <p>Thread-safe: public methods may be called from any thread; the work is done on the steering
- * thread.
+ * <p>Thread-safe; the work is done on the steering thread. {@link #configure} and {@link
+ * #updateMembers} block while the queue of the event loop is full, unless called on the steering
+ * thread, and must not be called from a thread that the steering thread waits for, see {@link
+ * EventLoop#put}.
  *
  * @since 0.1
  */
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/package-info.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/package-info.java
@@ -1,2 +1,2 @@
-/** Joins all parts to a daemon by Dagger; the only package that may see every other. */
+/** Dagger wiring of the daemon. Only this package may depend on all others. */
 package io.masticpond.daemon.wiring;
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/instance/LinkFailureTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/instance/LinkFailureTest.java
@@ -285,8 +285,8 @@
         mRawPeers.add(later);
         later.dial(mAddress);
         assertThat(earlier.isClosed()).isTrue();
-        RawPeer restarted = newPeer().dial(mAddress);
-        assertThat(restarted.read().getLinkError().getReason()).contains("later run");
+        RawPeer reconnected = newPeer().dial(mAddress);
+        assertThat(reconnected.read().getLinkError().getReason()).contains("later run");
         assertThat(mLinks.connected()).containsExactly(SECOND);
     }
 
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/instance/NettyInstanceLinksTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/instance/NettyInstanceLinksTest.java
@@ -127,7 +127,7 @@
     }
 
     @Example
-    void listenerIsNotifiedOfConnectionAndRefusal() {
+    void listenerIsNotifiedOfConnectionLossAndRefusal() {
         connect(LinkFixture.settings(), LinkFixture.settings());
         RecordingListener listener = new RecordingListener();
         mFirst.addListener(listener);
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/operation/PlatformOperationArchiveTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/operation/PlatformOperationArchiveTest.java
@@ -149,8 +149,8 @@
         List<CompletableFuture<ClaimResult>> atCasa = mCasa.claimAll();
         List<CompletableFuture<ClaimResult>> atFes = mFes.claimAll();
         for (int i = 0; i < CLAIMS; i++) {
-            OperationKey holderOf = holderOf(get(atCasa.get(i)), mCasa.mKeys.get(i));
-            assertThat(holderOf(get(atFes.get(i)), mFes.mKeys.get(i))).isEqualTo(holderOf);
+            OperationKey holder = holderOf(get(atCasa.get(i)), mCasa.mKeys.get(i));
+            assertThat(holderOf(get(atFes.get(i)), mFes.mKeys.get(i))).isEqualTo(holder);
         }
     }
 
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/platform/CallLimitsTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/platform/CallLimitsTest.java
@@ -45,13 +45,13 @@
             @ForAll @IntRange(min = 1, max = 50) int steps,
             @ForAll @LongRange(min = 0, max = 300) long stepMillis) {
         CallBudget budget = new CallBudget(mTime, rate);
-        int taken = 0;
+        int acquired = 0;
         for (int step = 0; step < steps; step++) {
-            taken += acquireAll(budget, Priority.URGENT);
+            acquired += acquireAll(budget, Priority.URGENT);
             mTime.advance(Duration.ofMillis(stepMillis));
         }
         double allowed = rate + rate * (steps - 1) * stepMillis / 1_000.0;
-        assertThat((double) taken).isLessThanOrEqualTo(allowed + 1e-6);
+        assertThat((double) acquired).isLessThanOrEqualTo(allowed + 1e-6);
     }
 
     @Property(tries = 500, seed = "12")
@@ -145,10 +145,10 @@
     }
 
     private static int acquireAll(CallBudget budget, Priority priority) {
-        int taken = 0;
+        int acquired = 0;
         while (budget.tryAcquire(priority)) {
-            taken++;
+            acquired++;
         }
-        return taken;
+        return acquired;
     }
 }
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/platform/NegativeLengthTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/platform/NegativeLengthTest.java
@@ -27,9 +27,9 @@
                 HttpObjectStore store = store(server.getLocalPort())) {
             Thread platform = new Thread(() -> answerOnce(server), "platform");
             platform.start();
-            Either<PlatformError, Long> end =
+            Either<PlatformError, Long> result =
                     store.write(KEY, 3, new byte[] {1}).get(60, TimeUnit.SECONDS);
-            assertThat(end.getLeft()).isInstanceOf(PlatformError.Uncertain.class);
+            assertThat(result.getLeft()).isInstanceOf(PlatformError.Uncertain.class);
             platform.join();
         }
     }
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/spending/FakeObjectStore.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/spending/FakeObjectStore.java
@@ -86,7 +86,7 @@
     }
 
     private static <T> CompletableFuture<Either<PlatformError, T>> unavailable() {
-        PlatformError error = new PlatformError.Away("The platform is away.");
+        PlatformError error = new PlatformError.Away("The platform is unavailable.");
         return CompletableFuture.completedFuture(Either.left(error));
     }
 }
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/AdmitterSteeringTest.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/AdmitterSteeringTest.java
@@ -88,7 +88,7 @@
     }
 
     @Example
-    void cancelEndsWaitingRequestAndCancelsRunningAttempt() {
+    void cancelRefusesWaitingRequestAsNotRunAndCancelsAttemptInFlight() {
         offer("running");
         offer("waiting");
         mAdmitter.cancel(new RequestId("waiting"));
--- a/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/SteeringFakes.java
+++ b/masticpond-daemon/src/test/java/io/masticpond/daemon/steering/SteeringFakes.java
@@ -94,7 +94,8 @@
         public void observe(ServiceId service, RegionId region, Headroom headroom) {}
 
         @Override
-        public void recordOutcome(RequestHead request, RegionId region, RegionAttemptOutcome end) {
+        public void recordOutcome(
+                RequestHead request, RegionId region, RegionAttemptOutcome outcome) {
             mOpenSelections--;
         }
 
