--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/AnswerAssembler.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/AnswerAssembler.java
@@ -16,7 +16,7 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.List;
 
-/** Assembles the answer to one request from decoded parts, skipping parts of other answers. */
+/** Assembler of the answer to one request from decoded parts; skips the parts of other answers. */
 final class AnswerAssembler {
 
     private enum State {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/backend/ConnectionOpener.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/backend/ConnectionOpener.java
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Configures the socket so that an orderly end can be told from any other, and so that reading
-     * continues after a write has failed.
+     * Configures the socket so that an orderly end can be distinguished from any other, and so that
+     * reading continues after a write has failed.
      */
     private void configure(SocketChannelConfig config) {
         config.setTcpNoDelay(true);
--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/EntryConnections.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/EntryConnections.java
@@ -77,7 +77,10 @@
         mOpenConnections.decrementAndGet();
     }
 
-    /** Begins a planned stop: every answer from now on closes its connection. */
+    /**
+     * Begins a planned stop: from now on a connection is closed after the answer to its last
+     * pending request.
+     */
     void drain() {
         if (mIsDraining) {
             return;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/http/HttpEntryServer.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/http/HttpEntryServer.java
@@ -126,8 +126,9 @@
     }
 
     /**
-     * Begins a planned stop: each answer from now on is the last of its connection, and idle
-     * connections are closed after a short pause. Requests already read are answered.
+     * Begins a planned stop: from now on a connection is closed after the answer to its last
+     * pending request, and idle connections are closed after a short pause. Requests already read
+     * are answered.
      */
     public void drain() {
         mLoop.execute(mConnections::drain);
@@ -137,7 +138,7 @@
      * Returns the number of requests that were read completely and whose answer has not been
      * written yet.
      *
-     * @return how many
+     * @return the number of requests
      */
     public int openRequests() {
         return mConnections.openRequests();
@@ -146,7 +147,7 @@
     /**
      * Returns the number of open connections, including those that are being closed.
      *
-     * @return how many
+     * @return the number of connections
      */
     public int openConnections() {
         return mConnections.openConnections();
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/DropSummaryLine.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/DropSummaryLine.java
@@ -8,7 +8,8 @@
  *
  * @param noteworthy the dropped lines of refusals, failures, retries and view changes
  * @param sentences the dropped log messages of libraries and of the system's components
- * @param plain the dropped lines of requests that succeeded at the first attempt
+ * @param plain the dropped lines of requests that were answered at the first attempt and without a
+ *     server error
  * @param lost the lines that the output did not accept
  */
 record DropSummaryLine(long noteworthy, long sentences, long plain, long lost)
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/FleetSnapshotLog.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/FleetSnapshotLog.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 
 /**
- * Logs the differences between consecutive snapshots of the routes and backend servers. Not
+ * Log of the differences between consecutive snapshots of the routes and backend servers. Not
  * thread-safe: to be used by one thread at a time.
  *
  * @since 0.2
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/LinePriority.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/LinePriority.java
@@ -11,7 +11,7 @@
     NOTEWORTHY(2_048, 0),
     /** Log messages of libraries and of the system's own components. */
     SENTENCE(512, 0.25),
-    /** Requests that succeeded at the first attempt. */
+    /** Requests that were answered at the first attempt and without a server error. */
     PLAIN(1_024, 0.5);
 
     private final int mCapacity;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/LineText.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/LineText.java
@@ -1,6 +1,8 @@
 package io.masticpond.entry.log;
 
-/** Truncates text from outside the process, so that the length of a line is bounded. */
+/**
+ * Utility methods that truncate text from outside the process, which bounds the length of a line.
+ */
 final class LineText {
 
     private static final int MAXIMUM_NAME_LENGTH = 128;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/RequestRecord.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/RequestRecord.java
@@ -220,7 +220,7 @@
     }
 
     /**
-     * Records reason an attempt was not charged.
+     * Records the reason for which an attempt was not charged.
      *
      * @param inputs the inputs of the decision
      */
@@ -283,7 +283,7 @@
     /**
      * Completes the request: it has not run, and the client receives a refusal.
      *
-     * @param cause the cause, from a fixed set of words
+     * @param cause the cause, from a fixed set of values
      * @param status the status of the refusal
      * @param retryAfterMillis the time after which the client may retry, or {@link #UNKNOWN}
      * @param nowNanos the monotonic time
@@ -296,7 +296,7 @@
     /**
      * Completes the request: it may have run, but there is no answer to forward.
      *
-     * @param cause the cause, from a fixed set of words
+     * @param cause the cause, from a fixed set of values
      * @param status the status sent to the client
      * @param nowNanos the monotonic time
      */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/RouteKind.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/RouteKind.java
@@ -1,7 +1,7 @@
 package io.masticpond.entry.log;
 
 /**
- * Whether the route of a request allows the request to run more than once.
+ * Kind of a route, by whether its requests may run more than once.
  *
  * @since 0.2
  */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/StandardOutputLog.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/StandardOutputLog.java
@@ -56,7 +56,8 @@
      *
      * @param options the options of the log
      * @param timeSource the source of the wall and the monotonic time
-     * @param output the stream, which receives each batch with one call and is not closed
+     * @param output the stream, which receives each batch with one call, or a long batch with
+     *     several, and is not closed
      * @return the log, to be closed last so that the queued lines are written
      */
     public static StandardOutputLog start(
--- a/masticpond-entry/src/main/java/io/masticpond/entry/log/ViewChange.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/log/ViewChange.java
@@ -319,7 +319,8 @@
      *
      * @param reachable whether the store answers
      * @param unresponsiveMillis for how long the store had not answered, in milliseconds
-     * @param cause the cause of the last failure, from a fixed set of words; null if there was none
+     * @param cause the cause of the last failure, from a fixed set of values; null if there was
+     *     none
      */
     record Store(boolean reachable, long unresponsiveMillis, String cause) implements ViewChange {
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/AttemptCharge.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/AttemptCharge.java
@@ -7,7 +7,10 @@
 import io.vavr.control.Either;
 import java.util.Optional;
 
-/** Charges the attempts of one request, one after the other, and refunds those that did not run. */
+/**
+ * Charge for the current attempt of one request. Attempts are charged one after the other, and
+ * those that did not run are refunded.
+ */
 final class AttemptCharge {
 
     private final SpendingCheck mSpending;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/BrokenOffRequests.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/BrokenOffRequests.java
@@ -17,10 +17,10 @@
 import java.util.function.Consumer;
 
 /**
- * Determines whether a backend server ended when requests broke off there, or only their
- * connections were cut: in the first case a new connection is refused, in the second it opens. One
- * connection is tried for all requests that broke off at about the same time. For use on the
- * traffic thread only.
+ * Requests that broke off at backend servers. For each server it is checked whether the server
+ * ended or only the connections were cut: in the first case a new connection is refused, in the
+ * second it opens. One connection is tried for all requests that broke off at about the same time.
+ * For use on the traffic thread only.
  */
 final class BrokenOffRequests {
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/CrashGuard.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/CrashGuard.java
@@ -19,9 +19,9 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps requests that crash the servers that run them away from further servers. It combines the
- * requests that broke off at this instance, the reports of other instances, and the requests that
- * arrive. For use on the traffic thread only.
+ * Guard that keeps requests which crash the servers that run them away from further servers. It
+ * combines the requests that broke off at this instance, the reports of other instances, and the
+ * requests that arrive. For use on the traffic thread only.
  *
  * @since 0.2
  */
@@ -166,7 +166,7 @@
         return mTimeSource.monotonicNanos();
     }
 
-    /** Sends the messages and logs the view changes of the crash decisions. */
+    /** Output that sends the messages and logs the view changes of the crash decisions. */
     private final class Output implements CrashOutput {
 
         @Override
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/CrashMessageSender.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/CrashMessageSender.java
@@ -13,8 +13,8 @@
     CrashMessageSender NONE = (message, toAll) -> {};
 
     /**
-     * Sends a message without delay and without a guarantee of delivery. Called on the traffic
-     * thread only.
+     * Sends a message soon, possibly batched with others, and without a guarantee of delivery.
+     * Called on the traffic thread only.
      *
      * @param message the message
      * @param toAll whether to send it to all instances, or only to the aggregators of its request
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/Fingerprints.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/Fingerprints.java
@@ -12,9 +12,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * Computes the fingerprints of requests from method, host, target, the credentials of the caller
- * and the body, in that order. What belongs to a single attempt, such as its id and deadline, is
- * not included. For use on the traffic thread only.
+ * Factory of the fingerprints of requests. A fingerprint is computed from method, host, target, the
+ * credentials of the caller and the body, in that order. What belongs to a single attempt, such as
+ * its id and deadline, is not included. For use on the traffic thread only.
  */
 final class Fingerprints {
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/ForwardedHeaders.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/ForwardedHeaders.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** Derives the headers that are sent to a backend server from those of a client. */
+/** Factory of the headers that are sent to a backend server, derived from those of a client. */
 final class ForwardedHeaders {
 
     private final HttpHeaders mReceived;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/HeldRequests.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/HeldRequests.java
@@ -14,8 +14,8 @@
  * Queue of requests that reached an instance before it received its first routes and servers.
  * Clients connect as soon as an instance listens, some tenths of a second before it has its
  * snapshot. Refusing them would use up one of their few attempts, and all would retry at the same
- * time. Therefore each request waits for the snapshot for a short time, never near its deadline,
- * and is refused if the snapshot does not arrive. For use on the traffic thread only.
+ * time. Therefore each request waits for the snapshot for a short time, whatever its deadline, and
+ * is refused if the snapshot does not arrive. For use on the traffic thread only.
  */
 final class HeldRequests {
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestCompletion.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestCompletion.java
@@ -5,7 +5,10 @@
 import io.masticpond.entry.log.RequestRecord;
 import java.time.Duration;
 
-/** Creates the single answer that a request ends with, and adds it to the record of the request. */
+/**
+ * Factory of the single answer that a request ends with, which it also adds to the record of the
+ * request.
+ */
 final class RequestCompletion {
 
     private static final int BAD_GATEWAY = 502;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestFlow.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestFlow.java
@@ -30,8 +30,8 @@
 
 /**
  * {@link RequestHandler} for the requests of clients. It finds the route, then has a {@link
- * RequestRun} try backend servers until there is one truthful answer. For use on the traffic thread
- * only.
+ * RequestRun} try backend servers until there is one answer, which states truthfully whether the
+ * request ran. For use on the traffic thread only.
  *
  * @since 0.2
  */
@@ -163,7 +163,7 @@
         return mRuns.size() + mHeld.size();
     }
 
-    /** Ends all requests at once, stating truthfully of each whether it may have run. */
+    /** Ends all requests at once. Each answer states whether the request may have run. */
     public void endAll() {
         mEnded = true;
         mHeld.release(this::refuseStopping);
@@ -195,7 +195,7 @@
         refuse(request, responder, facts, temporarilyUnavailable("stopping"));
     }
 
-    /** Refuses the request without known routes; otherwise processes it, even without servers. */
+    /** Refuses the request if no routes are known. Processes it even if no servers are known. */
     private void onHoldTimeout(IncomingRequest request, Responder responder, RequestRecord facts) {
         if (mState.routes().isPresent()) {
             process(request, responder, facts);
@@ -391,7 +391,7 @@
         return mAnswers;
     }
 
-    /** Returns this instance's share of the connections that a server of a service accepts. */
+    /** Returns this instance's share of the maximum of connections to a server, at least 2. */
     int connectionShare(ServiceId service) {
         int all = mState.rules(service).map(ServiceRules::maximumConnections).orElse(1);
         return Math.max(2, all / Math.max(1, mShareholders.getAsInt()));
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestRun.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/RequestRun.java
@@ -278,7 +278,7 @@
         }
     }
 
-    /** Tries another server. Nothing reached this one, so no attempt and no budget is used. */
+    /** Tries another server or ends. Nothing reached this one, so no attempt or budget is used. */
     private void reconnect() {
         mAttemptCount--;
         mConnectFailureCount++;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerLimitGate.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerLimitGate.java
@@ -27,9 +27,9 @@
 import java.util.function.Supplier;
 
 /**
- * Enforces the limits that backend servers state. It combines the statements in their answers, the
- * reports of other instances, and the requests that this instance sends. For use on the traffic
- * thread only.
+ * Gate that enforces the limits that backend servers state. It combines the statements in their
+ * answers, the reports of other instances, and the requests that this instance sends. For use on
+ * the traffic thread only.
  *
  * @since 0.2
  */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerSearch.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerSearch.java
@@ -21,7 +21,8 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * Selects the backend server for each attempt of one request. For use on the traffic thread only.
+ * Selector of the backend server for each attempt of one request. For use on the traffic thread
+ * only.
  */
 final class ServerSearch {
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerStatements.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/ServerStatements.java
@@ -20,8 +20,8 @@
 import java.util.List;
 
 /**
- * Reads the statements of backend servers in their answers and determines from them whether a
- * request may be sent to a server. For use on the traffic thread only.
+ * Statements of backend servers in their answers, which determine whether a request may be sent to
+ * a server. For use on the traffic thread only.
  *
  * @since 0.2
  */
@@ -150,7 +150,7 @@
         mWithdrawals.retain(snapshot.servers(), mTimeSource.monotonicNanos());
     }
 
-    /** Logs the view changes and malformed statements. */
+    /** Listener that logs the view changes and malformed statements. */
     private record Output(DecisionLog log) implements WithdrawalListener {
 
         @Override
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/StatementReader.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/StatementReader.java
@@ -8,7 +8,7 @@
 import io.masticpond.entry.settings.HeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
 
-/** Reads the statements of a backend server from the headers of an answer. */
+/** Reader of the statements of a backend server in the headers of an answer. */
 final class StatementReader {
 
     private static final int MISDIRECTED = 421;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/request/WorkspaceAuthenticator.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/request/WorkspaceAuthenticator.java
@@ -22,9 +22,9 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Authenticates requests by the keys of workspaces. A request is admitted as long as this instance
- * can prove that it knows the newest keys and the rate of the workspace is not used up. For use on
- * the traffic thread only.
+ * Authenticator of requests by the keys of workspaces. A request is admitted as long as this
+ * instance can prove that it knows the newest keys and the rate of the workspace is not used up.
+ * For use on the traffic thread only.
  *
  * @since 0.2
  */
@@ -34,7 +34,8 @@
 
     /**
      * Retry delay without a current proof. Another instance may have a proof, so the client need
-     * not wait for the next proof of this one.
+     * not wait for the next proof of this one. It also applies if the workspace may use none of the
+     * regions of the route.
      */
     private static final Duration UNPROVEN_RETRY_DELAY = Duration.ofMillis(100);
 
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/AbstractRequestFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/AbstractRequestFlowTest.java
@@ -161,7 +161,7 @@
                 HttpMethod.GET, target, headers, Unpooled.EMPTY_BUFFER, now, now);
     }
 
-    /** Grants no permit for a cold server. */
+    /** Cold gate that grants no permit for a cold server. */
     private final class ColdWithoutPermit implements ColdGate {
 
         @Override
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/FakeConnections.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/FakeConnections.java
@@ -22,7 +22,7 @@
 
     final List<Call> mCalls = new ArrayList<>();
     final List<Check> mChecks = new ArrayList<>();
-    final List<RegisteredServer> mForgotten = new ArrayList<>();
+    final List<RegisteredServer> mRemoved = new ArrayList<>();
 
     @Override
     public BackendCall send(
@@ -42,7 +42,7 @@
 
     @Override
     public void removeServer(RegisteredServer server) {
-        mForgotten.add(server);
+        mRemoved.add(server);
     }
 
     @Override
--- a/masticpond-entry/src/test/java/io/masticpond/entry/request/RestartedServerFlowTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/request/RestartedServerFlowTest.java
@@ -42,7 +42,7 @@
         long now = mTime.monotonicNanos();
         assertThat(flow.placer().chooser().outlierDetector().evaluation(SERVICE, id, now))
                 .isEmpty();
-        assertThat(mConnections.mForgotten)
+        assertThat(mConnections.mRemoved)
                 .extracting(RegisteredServer::run)
                 .as("the connections that lead to the former run")
                 .containsExactly(0);
