--- a/masticpond-model/src/test/resources/models/configuration.als
+++ b/masticpond-model/src/test/resources/models/configuration.als
@@ -111,7 +111,7 @@
   chainKept and instancesKept and messagesKept
 }
 
--- ConfigurationConfirmation.otherVersion: another version stands and the plan's id is not in the
+-- ConfigurationConfirmation.resolveBaseMismatch: another version stands and the plan's id is not in the
 -- head. Without the read back a lost answer would be taken for a refusal; without the recent plans
 -- another version alone would be.
 pred tellRefused[p: Plan] {
@@ -156,14 +156,14 @@
   chainKept and toldKept and messagesKept
 }
 
--- ConfigurationService.push: a message goes out and may come late or never.
+-- ConfigurationService.distribute: a message goes out and may come late or never.
 pred sendNews[i, j: Instance] {
   i in Up and j != i
   Links.messages' = Links.messages + j -> i.has
   chainKept and toldKept and instancesKept
 }
 
--- ConfigurationReplica.take: news of a higher version only.
+-- ConfigurationReplica.apply: news of a higher version only.
 pred takeNews[i: Instance, v: Version] {
   i in Up
   v in i.(Links.messages)
--- a/masticpond-model/src/test/resources/models/once_only.als
+++ b/masticpond-model/src/test/resources/models/once_only.als
@@ -114,7 +114,7 @@
   homesUnchanged and platformUnchanged and memoryUnchanged and toldUnchanged
 }
 
--- OperationRegistry.ended with an answer: in time, or late after the home had given up. What the
+-- OperationRegistry.complete with an answer: in time, or late after the home had given up. What the
 -- first caller is told is a step of its own, since its connection may be gone.
 pred endAnswered[k: Key] {
   k.home in awake and k in Running + KeptUnknown and k in AnswerUnderWay
@@ -124,7 +124,7 @@
   homesUnchanged and platformUnchanged and toldUnchanged
 }
 
--- OperationRegistry.ended without an answer: the deadline passed or the connection broke.
+-- OperationRegistry.complete without an answer: the deadline passed or the connection broke.
 pred endUnknown[k: Key] {
   k.home in awake and k in Running
   Running' = Running - k and KeptUnknown' = KeptUnknown + k and KeptAnswer' = KeptAnswer
@@ -133,7 +133,7 @@
   homesUnchanged and platformUnchanged and backendUnchanged
 }
 
--- OperationRegistry.ended as did not run: no byte left, or a declared shed answer came.
+-- OperationRegistry.complete as did not run: no byte left, or a declared shed answer came.
 pred endDidNotRun[k: Key] {
   k.home in awake and k in Running
   UnsentRefusal in Enforced implies k in UnderWay
--- a/masticpond-model/src/test/resources/models/spending.als
+++ b/masticpond-model/src/test/resources/models/spending.als
@@ -91,7 +91,7 @@
   moneyStays and ledgerStays and holdersStay
 }
 
--- SpendingAccount.change with LedgerExchange.giveBack
+-- SpendingAccount.change with LedgerExchange.returnAllotment
 pred sendGive [h: Holder, c: Change] {
   ask[h, c]
   some c.give & h.held
@@ -201,7 +201,7 @@
   callsStay and moneyStays and ledgerStays
 }
 
--- LedgerExchange.restate, or the cap that rides on another change
+-- LedgerExchange.recordCap, or the cap that rides on another change
 pred changeCap {
   some c: 0 + 1 + 2 {
     c != Ledger.cap
--- a/masticpond-model/src/test/resources/models/store_relay.als
+++ b/masticpond-model/src/test/resources/models/store_relay.als
@@ -28,7 +28,7 @@
 abstract sig Flag {}
 lone sig NoVersionCheck, NoFallBack, NoClaimCheck extends Flag {}
 
--- RelayService.watches: the answer says that the instance watches, and reaches the store.
+-- RelayService.isWatching: the answer says that the instance watches, and reaches the store.
 fun sound: set Instance {
   { i: Talking | some NoClaimCheck or i in Watching & Caught & Online }
 }
@@ -44,18 +44,18 @@
 -- FleetReplica and CategoryFollower: a watch brings what the store has.
 pred watches[i: Instance] {
   i.has' = (i in Online implies Store.head else i.has)
-  -- RelayFollower.settle: it ceases to watch only when all drawn watchers are sound.
+  -- RelayFollower.update: it ceases to watch only when all drawn watchers are sound.
   i not in Watching' implies (some i.drawn' - i and (i.drawn' - i) in sound and i in Online)
 }
 
--- RelayFollower.Line.answered: what a sound watcher knows is taken if it is newer.
+-- RelayFollower.WatcherPoller.handleAnswer: what a sound watcher knows is taken if it is newer.
 pred relies[i: Instance] {
   let asked = (i.drawn - i) & sound {
     some asked implies {
       i.has' = newest[(some NoVersionCheck implies none else i.has) + asked.has]
       i not in Watching' or i.drawn' != i.drawn
     } else {
-      -- RelayFollower.distrust: nobody is left, so it watches by itself at once.
+      -- RelayFollower.suspend: nobody is left, so it watches by itself at once.
       i.has' = i.has
       i in Watching' or some NoFallBack
     }
