--- a/masticpond-model/src/test/resources/models/admitter_change.als
+++ b/masticpond-model/src/test/resources/models/admitter_change.als
@@ -20,7 +20,7 @@
   var sees: set Instance,
   -- those whose process it knows to have ended
   var gone: set Instance,
-  -- those it heard from since it woke or started
+  -- those it received heartbeats from since it woke or started
   var heard: set Instance,
   -- the work that this run sent to the backend servers and that has not ended
   var counted: set Request,
@@ -34,7 +34,7 @@
 
 var sig Running in Instance {}
 var sig Paused in Instance {}
--- woke or started, and has not heard from a majority of those it sees
+-- woke or started, and has not received heartbeats from a majority of those it sees
 var sig Distrusting in Instance {}
 -- may use all slots
 var sig Widened in Instance {}
@@ -109,7 +109,7 @@
   sameViews and sameWork and sameProcesses and sameNetwork
 }
 
--- Silence, with or without a cause: i counts j as dead, but it may be at work.
+-- Inactivity, with or without a cause: i counts j as dead, but it may be at work.
 pred miss[i, j: Instance] {
   awake[i] and j in i.sees
   sees' = sees - i -> j
@@ -208,7 +208,7 @@
 
 assert oneUsesAll { guarded implies always lone i: Widened | awake[i] }
 
--- One that woke does not use all slots before a majority was heard.
+-- One that woke does not use all slots before heartbeats of a majority were received.
 assert wokenIsModest { guarded implies always no Distrusting & Widened }
 
 check bounded for exactly 2 Instance, exactly 2 Slot, 5 Request, 1 Restart, 8 steps expect 0
@@ -228,7 +228,7 @@
   eventually (some i: Instance - rank/first | i in Widened and #(i.counted) = #Slot)
 } for exactly 2 Instance, exactly 2 Slot, 5 Request, 0 Restart, 8 steps expect 1
 
--- A paused admitter wakes, distrusts its view, and uses all slots again after it was heard.
+-- A paused admitter wakes, distrusts its view, and uses all slots again after its heartbeats were received.
 run wakeAndReturn {
   guarded
   eventually (rank/first in Distrusting and eventually rank/first in Widened)
--- a/masticpond-model/src/test/resources/models/cold_owner.als
+++ b/masticpond-model/src/test/resources/models/cold_owner.als
@@ -111,7 +111,7 @@
   eventually (rank/first not in Running and rank/first.next in senders[])
 } for exactly 3 Instance, 1 Part, 7..7 steps expect 1
 
--- Mutant: a new owner sends before the owner before it has heard of it.
+-- Mutant: a new owner sends before the owner before it has been notified.
 run twoInAPartWithoutSettling {
   some WithoutSettling and no LooksAtRequests
   eventually not oneInAPart
--- a/masticpond-model/src/test/resources/models/configuration.als
+++ b/masticpond-model/src/test/resources/models/configuration.als
@@ -163,7 +163,7 @@
   chainKept and toldKept and instancesKept
 }
 
--- ConfigurationReplica.apply: news of a higher version only.
+-- ConfigurationReplica.apply: an update to a higher version only.
 pred takeNews[i: Instance, v: Version] {
   i in Up
   v in i.(Links.messages)
@@ -236,7 +236,7 @@
 
 -- Interesting states are reached.
 
--- Two plans race on one base; the loser is told so, and the winner hears of its success only by
+-- Two plans race on one base; the loser is told so, and the winner learns of its success only by
 -- reading back, after its answer was lost.
 run RaceWithLostAnswer {
   no Flag
--- a/masticpond-model/src/test/resources/models/planned_stop.als
+++ b/masticpond-model/src/test/resources/models/planned_stop.als
@@ -1,7 +1,7 @@
 module planned_stop
 
 /*
- * The planned stop of one instance, with the directory of another one that hears of it late.
+ * The planned stop of one instance, with the directory of another one that is notified of it late.
  *
  * A step is half of the time that a client may keep an answer of the directory. The instance takes
  * connections for three steps more, which is that time and a half, then finishes what it has for
@@ -63,7 +63,7 @@
   }
 }
 
--- The news that it leaves reaches the other within a step.
+-- The update that it leaves reaches the other within a step.
 pred directory {
   Named' = Names and NamedBefore' = Named
   some Names' implies Stop.stage' in
@@ -190,7 +190,7 @@
   eventually some Cut
 } for 1 Request, 12..12 steps expect 1
 
--- Beyond what is tolerated: the directory hears of the stop a step later still.
+-- Beyond what is tolerated: the directory is notified of the stop a step later still.
 run turnedOffWithoutPromptNews {
   no WithoutAccepting + WithoutWaiting + WithoutLastAnswers + WithoutRefusing
   some WithoutPromptNews
--- a/masticpond-model/src/test/resources/models/retry_share.als
+++ b/masticpond-model/src/test/resources/models/retry_share.als
@@ -64,7 +64,7 @@
   no iden & Network.cut
 }
 
--- One that just began is heard by all, or listed by the store, within a step.
+-- Heartbeats of one that just began reach all, or the store lists it, within a step.
 pred newcomersAreHeard { no (Newest + Newer).(Network.cut) }
 
 pred views[i: Instance] {
@@ -72,7 +72,7 @@
     -- Heartbeats, within a step.
     all j: (Running & Running') - i |
       i -> j not in Network.cut + Network.cut' implies j in i.counts'
-    -- One that runs is counted on, also while it is silent; one that ended may be dropped.
+    -- One that runs is counted on, also while it is unresponsive; one that ended may be dropped.
     all j: i.counts & Running' |
       (no WithoutSilent or i -> j not in Network.cut') implies j in i.counts'
     i.counts' in i.counts + Running + Running'
@@ -158,7 +158,7 @@
   eventually (some i: Instance | i not in Running and eventually i in Spending)
 } for exactly 3 Instance, exactly 3 Number, 9..9 steps expect 1
 
--- Mutant: a run has its part at once, before the others have heard of it.
+-- Mutant: a run has its part at once, before the others have been notified of it.
 run passedWithoutQuietStart {
   no WithoutMemory + WithoutSilent + WithoutHearing + WithoutEarlyBudget
   some WithoutQuietStart
@@ -172,14 +172,14 @@
   eventually not withinSlack
 } for exactly 3 Instance, exactly 3 Number, 9..9 steps expect 1
 
--- Mutant: one that is silent is not counted, though it may be cut off and sending.
+-- Mutant: one that is unresponsive is not counted, though it may be cut off and sending.
 run passedWithoutSilent {
   no WithoutQuietStart + WithoutMemory + WithoutHearing + WithoutEarlyBudget
   some WithoutSilent
   eventually not withinSlack
 } for exactly 3 Instance, exactly 3 Number, 9..9 steps expect 1
 
--- Beyond what is tolerated: one that begins is neither heard nor listed while it is young.
+-- Beyond what is tolerated: one that begins is neither listed nor are its heartbeats received while it is young.
 run passedWithoutHearing {
   no WithoutQuietStart + WithoutMemory + WithoutSilent + WithoutEarlyBudget
   some WithoutHearing
--- a/masticpond-model/src/test/resources/models/spending.als
+++ b/masticpond-model/src/test/resources/models/spending.als
@@ -121,7 +121,7 @@
   pending' = pending - h -> c
 }
 
--- The platform answers, and the holder hears it: LedgerAnswer.Written or Conflicted.
+-- The platform answers, and the holder receives it: LedgerAnswer.Written or Conflicted.
 pred arriveAnswered [c: Change] {
   c in OnTheWay
   c.by in active and c.by.pending = c
--- a/masticpond-model/src/test/resources/models/store_relay.als
+++ b/masticpond-model/src/test/resources/models/store_relay.als
@@ -1,8 +1,8 @@
 /*
- * One availability zone in which some instances watch the store and the others hear from them.
+ * One availability zone in which some instances watch the store and the others receive its changes from them.
  *
  * A step is a round: each instance that watches has asked the store, each other has asked its
- * watchers. Any instance may fall silent or lose the store in any round.
+ * watchers. Any instance may become unresponsive or lose the store in any round.
  * docs/model/store-relay.md maps the steps to the classes that do them.
  */
 module store_relay
@@ -93,7 +93,7 @@
 
 -- Interesting states are reached.
 
--- Two watch, and the third has what they told it.
+-- Two watch, and the third has what they reported to it.
 run OneHearsFromTwo {
   no Flag
   some i: Instance | #i.drawn = 2 and eventually (#Watching = 2 and i not in Watching and after (i not in Watching and i.has != first))
