--- a/masticpond-model/src/test/resources/models/store_relay.als
+++ b/masticpond-model/src/test/resources/models/store_relay.als
@@ -1,8 +1,8 @@
 /*
- * One availability zone in which some instances watch the store and the others hear from them.
+ * One availability zone in which some instances watch the store and the others receive its changes from them.
  *
  * A step is a round: each instance that watches has asked the store, each other has asked its
- * watchers. Any instance may fall silent or lose the store in any round.
+ * watchers. Any instance may become unresponsive or lose the store in any round.
  * docs/model/store-relay.md maps the steps to the classes that do them.
  */
 module store_relay
@@ -28,7 +28,7 @@
 abstract sig Flag {}
 lone sig NoVersionCheck, NoFallBack, NoClaimCheck extends Flag {}
 
--- RelayService.watches: the answer says that the instance watches, and reaches the store.
+-- RelayService.isWatching: the answer says that the instance watches, and reaches the store.
 fun sound: set Instance {
   { i: Talking | some NoClaimCheck or i in Watching & Caught & Online }
 }
@@ -44,18 +44,18 @@
 -- FleetReplica and CategoryFollower: a watch brings what the store has.
 pred watches[i: Instance] {
   i.has' = (i in Online implies Store.head else i.has)
-  -- RelayFollower.settle: it ceases to watch only when all drawn watchers are sound.
+  -- RelayFollower.update: it ceases to watch only when all drawn watchers are sound.
   i not in Watching' implies (some i.drawn' - i and (i.drawn' - i) in sound and i in Online)
 }
 
--- RelayFollower.Line.answered: what a sound watcher knows is taken if it is newer.
+-- RelayFollower.WatcherPoller.handleAnswer: what a sound watcher knows is taken if it is newer.
 pred relies[i: Instance] {
   let asked = (i.drawn - i) & sound {
     some asked implies {
       i.has' = newest[(some NoVersionCheck implies none else i.has) + asked.has]
       i not in Watching' or i.drawn' != i.drawn
     } else {
-      -- RelayFollower.distrust: nobody is left, so it watches by itself at once.
+      -- RelayFollower.suspend: nobody is left, so it watches by itself at once.
       i.has' = i.has
       i in Watching' or some NoFallBack
     }
@@ -93,7 +93,7 @@
 
 -- Interesting states are reached.
 
--- Two watch, and the third has what they told it.
+-- Two watch, and the third has what they reported to it.
 run OneHearsFromTwo {
   no Flag
   some i: Instance | #i.drawn = 2 and eventually (#Watching = 2 and i not in Watching and after (i not in Watching and i.has != first))
