--- a/masticpond-entry/src/main/java/io/masticpond/entry/control/ServerDocument.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/control/ServerDocument.java
@@ -66,7 +66,7 @@
     }
 
     /**
-     * Returns the first reason for which the server gets no requests or fewer than usual, or
+     * Returns the first reason for which the server gets no requests or only a limited number, or
      * "usable".
      */
     private static String state(ServerSnapshot snapshot) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/lifecycle/StopSettings.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/lifecycle/StopSettings.java
@@ -38,8 +38,9 @@
 
     /**
      * Returns settings that divide the time after which the process is killed. New connections are
-     * accepted for less than half of it; the stop ends an eighth of it before it is over, but at
-     * most 700 ms before.
+     * accepted for one and a half times as long as clients may keep an answer of the directory, but
+     * for less than half of the time and at most 2.7 s. Unfinished requests are answered an eighth
+     * of the time before the process is killed, but at most 700 ms before.
      *
      * @param grace the time from the request to stop until the process is killed
      * @param answersKeptFor how long clients may keep an answer of the directory
--- a/masticpond-entry/src/main/java/io/masticpond/entry/metrics/EntryValue.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/metrics/EntryValue.java
@@ -22,7 +22,7 @@
     ROUTING_VERSION("routing_version", "Version of the routes in force.", false),
     /** Revision of the store that the snapshot is based on. */
     REGISTRY_REVISION("registry_revision", "Revision of the store that is known.", false),
-    /** Number of times that the store has come back from an older copy, as the store reports it. */
+    /** Number of restores of the store from an older copy, as the store reports it. */
     STORE_ERA("store_era", "Era of the store; rises when it comes back from a copy.", false),
     /** Time since the routes were confirmed. */
     ROUTING_AGE("routing_age_seconds", "Time since the routes were confirmed.", false),
@@ -50,7 +50,7 @@
     INSTANCES_ALIVE("instances_alive", "Instances alive, this one included.", false),
     /** Number of instances among which common limits are divided. */
     SHAREHOLDERS("shareholders", "Instances that share common limits.", false),
-    /** Age of the oldest update among those of the live instances. */
+    /** Longest time since the last sign of a live instance. */
     PEERS_AGE("peers_age_seconds", "Time since the most silent living instance was heard.", false),
     /** Retries that the budgets of all services allow in the window that ends now. */
     RETRY_BUDGET_BOUND("retry_budget_bound", "Retries that the budgets allow in a window.", false),
@@ -66,10 +66,11 @@
     LOADS_REPORTED("loads_told", "Loads of backend servers told to the zone.", true),
     /** Loads of servers that were received from the zone. */
     LOADS_RECEIVED("loads_heard", "Loads of backend servers heard from the zone.", true),
-    /** Ends of servers that were observed, once for each request running there. */
+    /** Terminations of servers that were observed, once for each request running there. */
     SERVER_ENDS("server_ends", "Ends of backend servers, once for each request there.", true),
     /**
-     * Requests that were running on a server when it ended, and that are tracked for this reason.
+     * Requests that were running on a server when it terminated, and that are tracked for this
+     * reason.
      */
     FOLLOWED_REQUESTS(
             "followed_requests", "Requests followed since servers ended under them.", false),
--- a/masticpond-entry/src/main/java/io/masticpond/entry/metrics/EntryValues.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/metrics/EntryValues.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * Collector of the values for one scrape, which the components that keep them set.
+ * Collector of the values for one scrape, which are set by the components that maintain them.
  *
  * @since 0.2
  */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/CrashMessageCodec.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/CrashMessageCodec.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Codec for the datagrams that report requests under which backend servers end.
+ * Codec for the datagrams that report requests during which backend servers terminate.
  *
  * <p>A datagram is a version byte, followed for each message by its kind, the request fingerprint
  * and the fields of that kind; ages are in milliseconds. It is encoded by hand for the same reason
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/HeartbeatService.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/HeartbeatService.java
@@ -121,7 +121,7 @@
     }
 
     /**
-     * Adds instances that the store lists. Each counts as alive once its heartbeat is received.
+     * Adds instances that the store lists. Each counts as alive once a heartbeat of it is known.
      *
      * @param instances the instances, possibly including this one
      */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/HeartbeatSettings.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/HeartbeatSettings.java
@@ -9,7 +9,7 @@
  * @param period the interval between heartbeats to a neighbor
  * @param suspectAfter the inactivity after which an instance is suspect and no longer named to
  *     clients while others are available
- * @param deadAfter the inactivity after which an instance counts as terminated
+ * @param deadAfter the inactivity after which an instance counts as unreachable
  * @param claimTimeout how long a claim by others that an instance is unresponsive can be overridden
  *     before it takes effect
  * @param cutOffFor how long an unresponsive instance that did not leave is counted among those that
@@ -31,7 +31,7 @@
 
     /**
      * Default settings. One lost datagram makes no instance suspect; two make it suspect, and with
-     * three it counts as terminated.
+     * three it counts as unreachable.
      */
     public static final HeartbeatSettings DEFAULT =
             new HeartbeatSettings(
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerExchange.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerExchange.java
@@ -12,12 +12,12 @@
  * timers. Confined to the control thread.
  *
  * <p>Up to {@link PeerNeighbors#FULL_MESH} other instances form a full mesh: all exchange
- * heartbeats with each other, and each instance is the only source of updates about itself. In a
- * larger fleet each instance exchanges heartbeats with a few neighbors and forwards updates at
- * once: that an instance is new, restarted, ready, leaving, or unresponsive to one of its
- * neighbors. An instance that knows of a later state answers with it. In addition each instance
+ * heartbeats with each other, and each evaluates the others only by the heartbeats that it receives
+ * itself. In a larger fleet each instance exchanges heartbeats with a few neighbors and forwards
+ * updates at once: that an instance is new, restarted, ready, leaving, or unresponsive to one of
+ * its neighbors. An instance that knows of a later state answers with it. In addition each instance
  * reports a few members to one neighbor per period, in turn, which repairs what was lost in
- * transit.
+ * transit; in a full mesh it reports one member every {@link #MESH_REPORT_TICKS} periods.
  */
 final class PeerExchange {
 
@@ -70,7 +70,7 @@
 
     /**
      * Adds instances that are listed elsewhere; they count as alive once a heartbeat of them is
-     * received.
+     * received here or reported by another instance.
      */
     void addKnown(List<PeerInstance> instances, long now) {
         mChanged = true;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerFailureDetector.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerFailureDetector.java
@@ -73,8 +73,8 @@
     }
 
     /**
-     * Returns the time in which a new neighbor must answer; after it the neighbor counts as
-     * unreachable, even if other instances do not know so yet.
+     * Returns the time in nanoseconds in which a new neighbor must answer; after it the neighbor
+     * counts as unreachable, even if other instances have not detected this yet.
      */
     private long firstHeartbeatTimeout() {
         return mSettings.period().plus(mSettings.claimTimeout()).toNanos();
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerInstance.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerInstance.java
@@ -8,7 +8,7 @@
 /**
  * State that an instance reports of itself.
  *
- * @param id its name, which a restart keeps
+ * @param id its id, which a restart does not change
  * @param incarnation the number of its run, higher after each restart
  * @param zone its availability zone
  * @param region its region
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerListener.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerListener.java
@@ -11,8 +11,8 @@
 public interface PeerListener {
 
     /**
-     * Called when a heartbeat of an instance is received for the first time, again after
-     * inactivity, or after its restart.
+     * Called when an instance becomes reachable for the first time, again after inactivity, or
+     * after its restart.
      *
      * @param instance the instance
      */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerMember.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerMember.java
@@ -15,11 +15,11 @@
     public enum State {
         /** The reporting instance itself. */
         SELF,
-        /** A heartbeat was received recently. */
+        /** Alive by its recent heartbeats, received from it or reported by others. */
         ALIVE,
         /** Some heartbeats are missing. */
         SUSPECT,
-        /** Unresponsive for long, stopped, or never heard from yet. */
+        /** Unreachable: unresponsive for long, stopped, or without any known heartbeat so far. */
         GONE
     }
 }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerRecord.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerRecord.java
@@ -183,7 +183,7 @@
         return true;
     }
 
-    /** Determines whether a later sign of the instance than that of a claim is known. */
+    /** Determines whether a heartbeat of the instance is known that is later than a claim. */
     boolean supersedes(PeerUpdate claim) {
         return mIncarnation > claim.incarnation()
                 || (mIncarnation == claim.incarnation() && mSequence > claim.sequence());
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerTable.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerTable.java
@@ -16,8 +16,8 @@
 final class PeerTable {
 
     /**
-     * Number of neighbors of which the heartbeats of at least one must be received, or this
-     * instance is itself cut off.
+     * Outside of a full mesh, this instance considers itself cut off if it receives the heartbeats
+     * of fewer than one in this many of its neighbors.
      */
     private static final int RECEIVED_ONE_IN = 3;
 
@@ -86,8 +86,8 @@
     }
 
     /**
-     * Determines whether all exchange heartbeats with each other, so that no instance reports on
-     * behalf of others.
+     * Determines whether all exchange heartbeats with each other, so that updates and claims about
+     * others need not be forwarded.
      */
     boolean isFullMesh() {
         return mRecords.size() <= PeerNeighbors.FULL_MESH;
@@ -181,7 +181,7 @@
         return members;
     }
 
-    /** Returns the published snapshot. */
+    /** Creates the snapshot to be published. */
     PeerSnapshot snapshot(PeerInstance self, int unknownSeeds, long now) {
         List<PeerInstance> alive = new ArrayList<>();
         Set<InstanceId> suspects = new TreeSet<>();
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerView.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerView.java
@@ -12,7 +12,8 @@
 public interface PeerView {
 
     /**
-     * Returns this instance and the others whose heartbeats were received recently, ready or not.
+     * Returns the live instances, ready or not: this one and the others that have recently sent
+     * heartbeats to this instance or, in a large fleet, to their neighbors.
      *
      * @return the instances, in the order of their ids
      */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/DocumentTranslator.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/DocumentTranslator.java
@@ -17,7 +17,7 @@
      * Translates a routing configuration.
      *
      * @param content the platform's document
-     * @return the configuration, or one sentence that says what is wrong with it
+     * @return the configuration, or one sentence that describes the error
      */
     Either<String, RoutingConfiguration> routing(JsonNode content);
 
@@ -27,7 +27,7 @@
      * @param name the name of the object, which is the id of the server
      * @param content the platform's document
      * @param nowNanos the monotonic time at which the document arrived
-     * @return the server, or one sentence that says what is wrong with it
+     * @return the server, or one sentence that describes the error
      */
     Either<String, RegisteredServer> server(String name, JsonNode content, long nowNanos);
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/FleetReplica.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/FleetReplica.java
@@ -95,7 +95,8 @@
                         mRouting,
                         mRestoreTracker::isSettled,
                         this::onStoreUpdate);
-        mRestoreTracker.addSettledListener((era, settled) -> mRoutingReader.settled(settled));
+        mRestoreTracker.addSettledListener(
+                (era, settledBeforeStart) -> mRoutingReader.settled(settledBeforeStart));
         mRelayed = new RelayedCopies(mCopies.values(), mTime);
     }
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/PeerLag.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/PeerLag.java
@@ -25,8 +25,8 @@
      * Compares the revisions of the peers with the local one; called periodically.
      *
      * @param known the newest local revision
-     * @return the revision that a peer has reported since the last call or earlier and that is
-     *     still unknown here, returned once; otherwise 0
+     * @return the newest revision that a peer had reported by the previous call, if it is still
+     *     unknown here, returned once; otherwise 0
      */
     long compare(long known) {
         List<RelayPeer> peers = mPeers.alive();
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/PeerRevisions.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/PeerRevisions.java
@@ -10,7 +10,7 @@
 public interface PeerRevisions {
 
     /**
-     * Returns the peers that have recently sent a message, excluding this instance.
+     * Returns the live peers, excluding this instance.
      *
      * @return the peers
      */
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RoutingReader.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RoutingReader.java
@@ -19,7 +19,7 @@
     private final CategoryCopy mCopy;
     private final RoutingTable mTable;
     private final Runnable mApplied;
-    private final BooleanSupplier mSettled;
+    private final BooleanSupplier mIsSettled;
     private Moment mUnprovenRequest;
     private Consumer<FreshnessProof> mProofListener = proof -> {};
 
@@ -29,7 +29,7 @@
             RoutingTable table,
             BooleanSupplier isSettled,
             Runnable applied) {
-        mSettled = isSettled;
+        mIsSettled = isSettled;
         mContext = context;
         mCopy = copy;
         mTable = table;
@@ -90,7 +90,7 @@
      * again.
      */
     void listed(Moment requested) {
-        if (mSettled.getAsBoolean()) {
+        if (mIsSettled.getAsBoolean()) {
             mProofListener.accept(new FreshnessProof(requested, mCopy.contentRevision()));
         } else {
             mUnprovenRequest = requested;
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/ServerDocuments.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/ServerDocuments.java
@@ -23,10 +23,10 @@
  *
  * <p>An unreadable document removes its server, even if an earlier one was readable. A document
  * that was overtaken by a later run of its server changes nothing, unless the server does not
- * replace it. A server whose entry was removed without the server leaving is kept for a while if
- * the entry may have expired while the store was unavailable for renewal. A server that has not
- * reported yet is omitted while others of its service have, and is cold if none has; one that never
- * reports is not used. Confined to the control thread.
+ * replace it within 5 seconds. A server whose entry was removed without the server leaving is kept
+ * for a while if the entry may have expired while the store was unavailable for renewal. A server
+ * that has not reported yet is omitted while others of its service have, and is cold if none has;
+ * one that never reports is not used. Confined to the control thread.
  */
 final class ServerDocuments implements CopyListener {
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/WatcherSelector.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/WatcherSelector.java
@@ -30,7 +30,7 @@
      *
      * @param zone the availability zone
      * @param self this instance
-     * @param ready supplies the ready instances of the zone whose state is certain, including this
+     * @param ready supplies the ready instances of the zone that are not suspect, including this
      *     one if it is ready
      */
     public WatcherSelector(ZoneId zone, InstanceId self, Supplier<List<RelayMember>> ready) {
--- a/masticpond-entry/src/main/java/io/masticpond/entry/settings/Bounds.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/settings/Bounds.java
@@ -7,7 +7,7 @@
 /**
  * Times and shares that the system guarantees.
  *
- * @param addressReuse how long the address of a backend server that has ended stays unused
+ * @param addressReuse how long the address of a terminated backend server stays unused
  * @param stability how long the system must have been stable for the other bounds to hold
  * @param acknowledgement the time in which a change is acknowledged
  * @param catchUp the time in which an instance that was cut off has the newest state
--- a/masticpond-entry/src/main/java/io/masticpond/entry/settings/EntrySettings.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/settings/EntrySettings.java
@@ -17,7 +17,7 @@
 /**
  * Settings of one instance, read when it starts and again when they change.
  *
- * @param instance its name, which a restart keeps
+ * @param instance its id, which a restart does not change
  * @param zone its availability zone
  * @param region its region
  * @param zones the region of each availability zone, including its own
@@ -31,7 +31,7 @@
  * @param resources the resources that the process may use
  * @param placement the weights in the choice of a backend server
  * @param log how much is logged
- * @param crashes when a request counts as one that ends backend servers
+ * @param crashes when a request counts as one that terminates backend servers
  * @param serverLimits how far the limits that backend servers state may be exceeded
  * @param withdrawals how long the withdrawal of a backend server remains in effect
  * @param workspaces how strictly keys and rates of workspaces are enforced
--- a/masticpond-entry/src/main/java/io/masticpond/entry/settings/HeaderNames.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/settings/HeaderNames.java
@@ -15,7 +15,7 @@
  *     instances
  * @param serverLeaving states that a backend server is leaving
  * @param notExecuted states that the backend server did not run the request
- * @param retryAfter the number of seconds after which a client may return, or an instance may send
+ * @param retryAfter the number of seconds after which a client may retry, or an instance may send
  *     to a backend server again
  * @param credential carries a client's key and nothing else; never leaves the instance
  * @param workspace identifies to a backend server the workspace of a request; never accepted from a
@@ -47,7 +47,7 @@
         Assert.hasText(serverLimit, "The header of the server's limit");
         Assert.hasText(serverLeaving, "The header of the server's leaving");
         Assert.hasText(notExecuted, "The header of what was not executed");
-        Assert.hasText(retryAfter, "The header of the time to come back");
+        Assert.hasText(retryAfter, "The header of the retry delay");
         Assert.hasText(credential, "The header of the credential");
         Assert.hasText(workspace, "The header of the workspace");
     }
--- a/masticpond-entry/src/main/java/io/masticpond/entry/settings/SettingsFields.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/settings/SettingsFields.java
@@ -140,8 +140,8 @@
     }
 
     /**
-     * Reads a limit that a platform specifies. Values above the range of an {@code int} are reduced
-     * to its maximum.
+     * Reads a limit that a platform specifies. A fraction is truncated, and a value above the range
+     * of an {@code int} is reduced to its maximum.
      */
     int limit(String field, int fallback) {
         return optional(
--- a/masticpond-entry/src/main/java/io/masticpond/entry/settings/SettingsPart.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/settings/SettingsPart.java
@@ -40,7 +40,7 @@
     RESOURCES("resources", true, EntrySettings::resources),
     /** Weights in the choice of a backend server. */
     PLACEMENT("placement", true, EntrySettings::placement),
-    /** When a request counts as one that ends backend servers. */
+    /** When a request counts as one that terminates backend servers. */
     CRASHES("crashes", true, EntrySettings::crashes),
     /** How far the limits that backend servers state may be exceeded. */
     SERVER_LIMITS("serverLimits", true, EntrySettings::serverLimits),
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlComponents.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/ControlComponents.java
@@ -53,7 +53,7 @@
     /** Starts the components. Must be called on the control thread. */
     void start() {
         mReplica.restoreTracker()
-                .addSettledListener((era, hadBefore) -> mRegistration.register(era));
+                .addSettledListener((era, settledBeforeStart) -> mRegistration.register(era));
         mReplica.start();
         mHeartbeats.start();
         mRegistration.start();
@@ -68,8 +68,7 @@
     }
 
     /**
-     * Returns when the routes and backend servers were last confirmed, or nothing if they never
-     * were.
+     * Returns when the routes and backend servers were last confirmed, or empty if they never were.
      */
     Optional<UpdateTimes> updateTimes() {
         ReplicaStatus status = mReplica.status();
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/HeartbeatRevisions.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/HeartbeatRevisions.java
@@ -30,8 +30,8 @@
     }
 
     /**
-     * Returns the ready instances of a zone that are not suspected to have failed, including this
-     * one if it is ready.
+     * Returns the ready instances of a zone that are not suspect, including this one if it is
+     * ready.
      */
     List<RelayMember> readyMembers(ZoneId zone) {
         Set<InstanceId> suspects = mPeers.suspects();
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/InstanceDocuments.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/InstanceDocuments.java
@@ -56,7 +56,7 @@
                 .toList();
     }
 
-    /** Returns the instance of a document, or nothing if the document is invalid. */
+    /** Returns the instance of a document, or empty if the document is invalid. */
     static Optional<PeerInstance> read(String name, JsonNode document) {
         try {
             return Optional.of(
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoadSharing.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/LoadSharing.java
@@ -26,7 +26,7 @@
     private static final long MINIMUM_DELAY_MILLIS = 100;
 
     /**
-     * With a longer delay, a queue may be over before its report arrives. Larger zones send more
+     * With a longer delay, a queue may be empty before its report arrives. Larger zones send more
      * datagrams instead.
      */
     private static final long MAXIMUM_DELAY_MILLIS = 500;
--- a/masticpond-entry/src/test/java/io/masticpond/entry/peer/HeartbeatServiceTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/peer/HeartbeatServiceTest.java
@@ -27,11 +27,11 @@
 /** Tests of two instances that exchange datagrams on this machine. */
 class HeartbeatServiceTest {
 
-    private static final int OCTETS = 250;
+    private static final int OCTET_VALUES = 250;
     private static final Duration STEP = Duration.ofMillis(10);
 
     /**
-     * Loopback address that only this process uses, so that no other process takes a port that was
+     * Loopback address that differs by process id, so that no other process takes a port that was
      * found free.
      */
     private static final String HOST = host(ProcessHandle.current().pid());
@@ -48,8 +48,12 @@
         mGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    private static String host(long process) {
-        return "127." + (1 + process % OCTETS) + "." + (1 + process / OCTETS % OCTETS) + ".1";
+    private static String host(long processId) {
+        return "127."
+                + (1 + processId % OCTET_VALUES)
+                + "."
+                + (1 + processId / OCTET_VALUES % OCTET_VALUES)
+                + ".1";
     }
 
     private static ServerAddress freeAddress() throws SocketException, UnknownHostException {
@@ -96,7 +100,7 @@
     }
 
     @Example
-    void instancesReachEachOtherAndLearnThatOneLeaves() throws Exception {
+    void instancesReachEachOtherAndAreNotifiedThatOneLeaves() throws Exception {
         ServerAddress first = freeAddress();
         ServerAddress second = freeAddress();
         HeartbeatService one = service("one", first, second);
--- a/masticpond-entry/src/test/java/io/masticpond/entry/peer/PeerExchangeTest.java
+++ b/masticpond-entry/src/test/java/io/masticpond/entry/peer/PeerExchangeTest.java
@@ -56,7 +56,7 @@
     }
 
     @Example
-    void unresponsiveInstanceIsSuspectThenGoneAndKeepsItsShareForOneMinute() {
+    void unresponsiveInstanceIsSuspectThenUnreachableAndKeepsItsShareForOneMinute() {
         mSimulation.startAll(4).advance(CONVERGENCE_TIME);
         mSimulation.kill(3);
         mSimulation.advance(Duration.ofMillis(2300));
