--- a/masticpond-command/src/main/java/io/masticpond/command/task/MemberFinder.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/MemberFinder.java
@@ -7,7 +7,7 @@
 import io.vavr.control.Either;
 import java.util.Optional;
 
-/** Finds an instance by name in the status of the first instance that responds. */
+/** Finder of an instance by its name in the status of the first instance that responds. */
 final class MemberFinder {
 
     private MemberFinder() {}
--- a/masticpond-command/src/main/java/io/masticpond/command/task/TimelineCollector.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/TimelineCollector.java
@@ -16,8 +16,8 @@
 import java.util.Map;
 
 /**
- * Collects the events of all instances: the given ones, and all that the first responding instance
- * knows of.
+ * Collector of the events of all instances: the given ones, and all that the first responding
+ * instance knows of.
  *
  * <p>Instances that are known to be dead are not queried; the timeline names them as dead.
  */
--- a/masticpond-command/src/main/java/io/masticpond/command/task/VersionProvider.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/VersionProvider.java
@@ -2,7 +2,7 @@
 
 import picocli.CommandLine.IVersionProvider;
 
-/** Provider of the version that the build recorded in the manifest of the package. */
+/** Provider of the version that the build recorded in the package. */
 final class VersionProvider implements IVersionProvider {
 
     @Override
--- a/masticpond-command/src/main/java/io/masticpond/command/view/EntryLine.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/EntryLine.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * Shows an entry of the log of an instance: its plain values on one line, and its objects and
- * arrays, such as attempts, indented below.
+ * Formatter of an entry of the log of an instance: its plain values on one line, and its objects
+ * and arrays, such as attempts, indented below.
  */
 final class EntryLine {
 
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfirmationStep.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfirmationStep.java
@@ -12,13 +12,15 @@
  */
 public sealed interface ConfirmationStep {
 
-    /** Requires the caller to read the head of the chain and pass it to the confirmation. */
+    /**
+     * Step that requires the caller to read the head of the chain and pass it to the confirmation.
+     */
     record ReadHead() implements ConfirmationStep {}
 
     /**
-     * Requires the caller to write the head if its object still has the expected version, and to
-     * pass the outcome to the confirmation. A checkpoint of the same version without parts must be
-     * written first.
+     * Step that requires the caller to write the head if its object still has the expected version,
+     * and to pass the outcome to the confirmation. A checkpoint of the same version without parts
+     * must be written first.
      *
      * @param head the head to write
      * @param expectedObjectVersion the version that the object must have for the write to take
--- a/masticpond-core/src/main/java/io/masticpond/core/freshness/FreshnessTracker.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/freshness/FreshnessTracker.java
@@ -28,7 +28,8 @@
 
     /**
      * The additional age for each rank, up to {@link #MAXIMUM_DELAY_RANK}, at which an instance
-     * renews the proof.
+     * renews the proof. The delay that grows with the rank keeps the instances of a region from
+     * reading an unavailable store all at once.
      */
     private static final Duration DELAY_PER_RANK = Duration.ofMillis(700);
 
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/DigestComparison.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/DigestComparison.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Determines when a neighbor whose digest differs is sent the full membership state of this
- * instance.
+ * Comparison of digests that determines when a neighbor whose digest differs is sent the full
+ * membership state of this instance.
  */
 final class DigestComparison {
 
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/FailureDetector.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/FailureDetector.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** Evaluates the inactivity of members. */
+/** Detector that evaluates the inactivity of members. */
 final class FailureDetector {
 
     private final MembershipTimings mTimings;
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/UpdateDisseminator.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/UpdateDisseminator.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * Sends updates to the neighbors and to requesters, combining all updates of one call into one
- * message for each receiver.
+ * Sender of updates to the neighbors and to requesters, which combines all updates of one call into
+ * one message for each receiver.
  */
 final class UpdateDisseminator {
 
--- a/masticpond-core/src/main/java/io/masticpond/core/membership/UpdateRequestRelay.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/membership/UpdateRequestRelay.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Tracks which instances are waiting for an update of which member, for a bounded time. */
+/** Tracker of which instances are waiting for an update of which member, for a bounded time. */
 final class UpdateRequestRelay {
 
     private final long mTimeoutNanos;
--- a/masticpond-core/src/main/java/io/masticpond/core/spending/ShiftNames.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/spending/ShiftNames.java
@@ -5,7 +5,7 @@
 import java.time.format.DateTimeParseException;
 import java.util.Optional;
 
-/** Builds shift ids from the date and the escaped shift name, without dots. */
+/** Builder of shift ids from the date and the escaped shift name, without dots. */
 final class ShiftNames {
 
     private static final int MAXIMUM_LENGTH = 64;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/Masticpond.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/Masticpond.java
@@ -128,7 +128,7 @@
         return e.getMessage() + (cause == e ? "" : " (" + cause.getMessage() + ")");
     }
 
-    /** Provides the version from the manifest of the program's archive. */
+    /** Provider of the version that the build recorded in the program's archive. */
     static final class VersionProvider implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PeerFollower.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PeerFollower.java
@@ -20,7 +20,7 @@
 import java.util.function.Predicate;
 
 /**
- * Fetches updates from peers that report a higher version. Confined to the thread of the
+ * Fetcher of updates from peers that report a higher version. Confined to the thread of the
  * configuration's event loop.
  *
  * <p>One fetch runs at a time. A peer that did not answer, or whose answer did not change the
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PlatformFollower.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/configuration/PlatformFollower.java
@@ -16,7 +16,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the head at the platform: by a read on request, or by a watch if this instance is a
+ * Follower of the head at the platform: by a read on request, or by a watch if this instance is a
  * watcher.
  *
  * <p>Confined to the thread of the configuration's event loop, on which it is called and calls
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/Handshake.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/instance/Handshake.java
@@ -13,7 +13,7 @@
 import java.util.Optional;
 
 /**
- * Creates and verifies the three Hello messages of a connection; see docs/PROTOCOL.md.
+ * Factory and verifier of the three Hello messages of a connection; see docs/PROTOCOL.md.
  *
  * <p>Each side proves that it knows the shared key with an HMAC over both challenges, both names,
  * the versions and the lane. The authenticated text includes the role, so that a proof cannot be
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingObserver.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingObserver.java
@@ -10,7 +10,10 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Updates the metrics from the accounts of the current shifts. Confined to the steering thread. */
+/**
+ * Consumer that updates the metrics from the accounts of the current shifts. Confined to the
+ * steering thread.
+ */
 final class SpendingObserver implements Consumer<List<SpendingView>> {
 
     private final SpendingMetrics mMetrics;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingService.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/spending/SpendingService.java
@@ -236,7 +236,7 @@
         }
     }
 
-    /** Passes calls of the gate to the spending event loop. */
+    /** Sink that passes calls of the gate to the spending event loop. */
     private final class LedgerCalls implements LedgerSink {
 
         @Override
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/MeteredAdmission.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/steering/MeteredAdmission.java
@@ -91,7 +91,7 @@
         return mDelegate.headroom();
     }
 
-    /** Observes each decision before it is passed on to be carried out. */
+    /** Sink that observes each decision before it is passed on to be carried out. */
     private final class MeteredSink implements AdmissionSink {
 
         private final AdmissionSink mSink;
--- a/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/HeadroomScrape.java
+++ b/masticpond-daemon/src/main/java/io/masticpond/daemon/wiring/HeadroomScrape.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import javax.inject.Inject;
 
-/** Updates the headroom metrics before each scrape. Thread-safe. */
+/** Task that updates the headroom metrics before each scrape. Thread-safe. */
 final class HeadroomScrape implements Runnable {
 
     private final SteeringService mSteeringService;
