--- a/masticpond-command/src/main/java/io/masticpond/command/client/FanOut.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/client/FanOut.java
@@ -12,8 +12,8 @@
 import java.util.function.Function;
 
 /**
- * Queries up to 16 instances at the same time, so that unresponsive ones cost about one timeout
- * together instead of one each.
+ * Helper that queries up to 16 instances at the same time, so that unresponsive ones cost about one
+ * timeout together instead of one each.
  *
  * @since 0.2
  */
--- a/masticpond-command/src/main/java/io/masticpond/command/task/Commands.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/task/Commands.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.ParameterException;
 
 /**
- * Assembles the subcommands into the command line and runs it.
+ * Runner of the command line, which it assembles from the subcommands.
  *
  * @since 0.1
  */
--- a/masticpond-command/src/main/java/io/masticpond/command/view/LossCounts.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/LossCounts.java
@@ -11,8 +11,8 @@
 import java.util.TreeMap;
 
 /**
- * Counts requests in log lines by how they ended, to show which were not answered in time, when and
- * why.
+ * Counts of requests in log lines by how they ended, which show the requests that were not answered
+ * in time, when and why.
  *
  * @since 0.2
  */
--- a/masticpond-command/src/main/java/io/masticpond/command/view/PlanView.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/PlanView.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /**
- * Shows a plan as a list of differences with its predictions.
+ * Renderer of a plan as a list of differences with its predictions.
  *
  * @since 0.1
  */
--- a/masticpond-command/src/main/java/io/masticpond/command/view/ServicesView.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/ServicesView.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 
 /**
- * Shows services and availability zones with the capacity known to one instance.
+ * Renderer of services and availability zones with the capacity known to one instance.
  *
  * @since 0.1
  */
--- a/masticpond-command/src/main/java/io/masticpond/command/view/SpendingTable.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/SpendingTable.java
@@ -3,7 +3,7 @@
 import io.masticpond.command.client.SpendingAnswer;
 
 /**
- * Shows the spending of services as a table.
+ * Renderer of the spending of services as a table.
  *
  * @since 0.1
  */
--- a/masticpond-command/src/main/java/io/masticpond/command/view/StatusView.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/StatusView.java
@@ -6,7 +6,7 @@
 import java.time.Instant;
 
 /**
- * Shows the status of an instance and its view of the others.
+ * Renderer of the status of an instance and its view of the others.
  *
  * @since 0.1
  */
--- a/masticpond-command/src/main/java/io/masticpond/command/view/TimelineJson.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/TimelineJson.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /**
- * Converts a timeline to JSON documents: one for each instance, followed by one for each event.
+ * Converter of a timeline to JSON documents: one for each instance, followed by one for each event.
  *
  * @since 0.1
  */
--- a/masticpond-command/src/main/java/io/masticpond/command/view/TimelinePage.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/TimelinePage.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Renders a timeline as a self-contained HTML page, which needs no network and no other file.
+ * Renderer of a timeline as a self-contained HTML page, which needs no network and no other file.
  *
  * <p>The events are embedded as JSON data, which the script of the page shows as text only, so that
  * the content of an event is never executed by the browser.
--- a/masticpond-command/src/main/java/io/masticpond/command/view/TimelineView.java
+++ b/masticpond-command/src/main/java/io/masticpond/command/view/TimelineView.java
@@ -6,7 +6,7 @@
 import java.time.format.DateTimeFormatter;
 
 /**
- * Shows a timeline as a table.
+ * Renderer of a timeline as a table.
  *
  * @since 0.1
  */
--- a/masticpond-command/src/test/java/io/masticpond/command/task/AbstractCommandTest.java
+++ b/masticpond-command/src/test/java/io/masticpond/command/task/AbstractCommandTest.java
@@ -32,9 +32,9 @@
      * time, and grows because a healthy instance may need longer on a busy machine. Returns the
      * last exit code.
      */
-    final int runUntil(IntPredicate wanted, ToIntFunction<String> run) {
+    final int runUntil(IntPredicate accepted, ToIntFunction<String> run) {
         int code = run.applyAsInt(timeout(0));
-        for (int round = 1; round < MAXIMUM_ROUNDS && !wanted.test(code); round++) {
+        for (int round = 1; round < MAXIMUM_ROUNDS && !accepted.test(code); round++) {
             code = run.applyAsInt(timeout(round));
         }
         return code;
--- a/masticpond-command/src/test/java/io/masticpond/command/task/InstanceCommandsTest.java
+++ b/masticpond-command/src/test/java/io/masticpond/command/task/InstanceCommandsTest.java
@@ -15,26 +15,26 @@
 
     @Example
     void sendsDrainOnlyToNamedInstance() {
-        try (FakeInstance asked = new FakeInstance();
+        try (FakeInstance queried = new FakeInstance();
                 FakeInstance named = new FakeInstance()) {
             String status = Documents.status("perth-b-1", "LIVE", named.address());
-            asked.answers("GET /v1/status", 200, status);
+            queried.answers("GET /v1/status", 200, status);
             named.answers("POST /v1/instances/perth-b-1/drain", 200, status);
-            assertThat(run(asked.address(), "drain", "perth-b-1")).isZero();
-            assertThat(asked.requests()).containsExactly("GET /v1/status");
+            assertThat(run(queried.address(), "drain", "perth-b-1")).isZero();
+            assertThat(queried.requests()).containsExactly("GET /v1/status");
             assertThat(named.requests()).containsExactly("POST /v1/instances/perth-b-1/drain");
         }
     }
 
     @Example
     void drainFailsForUnknownOrUnresponsiveInstance() {
-        try (FakeInstance asked = new FakeInstance();
+        try (FakeInstance queried = new FakeInstance();
                 FakeInstance hung = new FakeInstance().hangs()) {
-            asked.answers(
+            queried.answers(
                     "GET /v1/status", 200, Documents.status("perth-b-1", "LIVE", hung.address()));
-            assertThat(run(asked.address(), "drain", "perth-z-9"))
+            assertThat(run(queried.address(), "drain", "perth-z-9"))
                     .isEqualTo(ExitCode.REFUSED.code());
-            assertThat(run(asked.address(), "drain", "perth-b-1", "--timeout=200ms"))
+            assertThat(run(queried.address(), "drain", "perth-b-1", "--timeout=200ms"))
                     .isEqualTo(ExitCode.UNREACHABLE.code());
         }
     }
--- a/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationPlanner.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/configuration/ConfigurationPlanner.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 
 /**
- * Creates plans from intents. Thread-safe.
+ * Planner that creates plans from intents. Thread-safe.
  *
  * @since 0.1
  */
--- a/masticpond-core/src/main/java/io/masticpond/core/lookup/LookupDecider.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/lookup/LookupDecider.java
@@ -17,8 +17,8 @@
 import java.util.stream.IntStream;
 
 /**
- * Decides which instances a client should use: the nearest first, with clients spread evenly over
- * the instances of each zone.
+ * Decider that determines which instances a client should use: the nearest first, with clients
+ * spread evenly over the instances of each zone.
  *
  * <p>Immutable and therefore thread-safe; create a new one when the configuration or the members
  * change. All instances with the same snapshot return the same answer to the same client. Answers
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/ClaimCall.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/ClaimCall.java
@@ -15,14 +15,14 @@
     int bucket();
 
     /**
-     * Reads the bucket.
+     * Call that reads the bucket.
      *
      * @param bucket the number of the bucket
      */
     record Read(int bucket) implements ClaimCall {}
 
     /**
-     * Writes the bucket if it still has the version of its contents.
+     * Call that writes the bucket if it still has the version of its contents.
      *
      * @param bucket the number of the bucket
      * @param contents the expected version, and the claims to write
--- a/masticpond-core/src/main/java/io/masticpond/core/operation/OutcomeCall.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/operation/OutcomeCall.java
@@ -18,7 +18,7 @@
     long segment();
 
     /**
-     * Reads the version of the segment.
+     * Call that reads the version of the segment.
      *
      * @param <A> the whole answer of a backend server
      * @param segment the number of the segment
@@ -26,7 +26,7 @@
     record Read<A>(long segment) implements OutcomeCall<A> {}
 
     /**
-     * Writes the segment if it still has the expected version.
+     * Call that writes the segment if it still has the expected version.
      *
      * @param <A> the whole answer of a backend server
      * @param segment the number of the segment
@@ -43,7 +43,7 @@
     }
 
     /**
-     * Deletes the segment, all of whose outcomes have expired.
+     * Call that deletes the segment, all of whose outcomes have expired.
      *
      * @param <A> the whole answer of a backend server
      * @param segment the number of the segment
--- a/masticpond-core/src/main/java/io/masticpond/core/placement/RequestPlacer.java
+++ b/masticpond-core/src/main/java/io/masticpond/core/placement/RequestPlacer.java
@@ -13,8 +13,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decides to which server a request is sent or whether it is refused, by the choice of a server and
- * a gate that compares the server's expected wait with the wait that the request allows.
+ * Placer that decides to which server a request is sent or whether it is refused, by the choice of
+ * a server and a gate that compares the server's expected wait with the wait that the request
+ * allows.
  *
  * <p>Not thread-safe: confined to one thread.
  *
--- a/masticpond-model/src/test/resources/models/configuration.als
+++ b/masticpond-model/src/test/resources/models/configuration.als
@@ -3,7 +3,7 @@
  *
  * Operators' plans race for the next version by conditional writes whose answers may be lost and
  * which may land late. Instances take versions from the platform, from each other and from late
- * messages; they crash and come back with nothing, also while the platform is away.
+ * messages; they crash and restart without data, also while the platform is unavailable.
  * docs/model/configuration.md maps each step to the class that does it.
  */
 module configuration
@@ -25,9 +25,9 @@
   var accepted: Version -> lone Plan
 }
 
--- Writes that were sent and may still land, whatever their senders were told.
+-- Writes that were sent and may still land, regardless of the answers to their senders.
 var sig InFlight in Plan {}
--- Plans whose operators were told that they are accepted, or that they never will be.
+-- Plans that were reported to their operators as accepted, or as never to be accepted.
 var sig ToldAccepted, ToldRefused in Plan {}
 -- Instances that run, and those that serve callers.
 var sig Up, Ready in Instance {}
@@ -38,7 +38,7 @@
   var messages: Instance -> Version
 }
 
--- Mutants: each flag takes one guard away.
+-- Mutants: each flag removes one guard.
 abstract sig Flag {}
 lone sig NoBaseCheck, NoVersionCheck, NoReadBack, NoRecentPlans extends Flag {}
 
@@ -62,7 +62,7 @@
 pred instancesKept { has' = has and Up' = Up and Ready' = Ready }
 pred messagesKept { Links.messages' = Links.messages }
 
--- ConfigurationPlanner: a plan is made on the version that stands.
+-- ConfigurationPlanner: a plan is based on the current version.
 pred makePlan[p: Plan] {
   no p.base
   base' = base + p -> Platform.head
@@ -70,7 +70,7 @@
   toldKept and instancesKept and messagesKept
 }
 
--- ConfigurationConfirmation.onHead: the write goes out if the base still stands; also once more
+-- ConfigurationConfirmation.onHead: the write is sent if the base is still current, and sent again
 -- after an answer was lost.
 pred sendWrite[p: Plan] {
   p.base = Platform.head
@@ -111,9 +111,9 @@
   chainKept and instancesKept and messagesKept
 }
 
--- ConfigurationConfirmation.otherVersion: another version stands and the plan's id is not in the
--- head. Without the read back a lost answer would be taken for a refusal; without the recent plans
--- another version alone would be.
+-- ConfigurationConfirmation.resolveBaseMismatch: another version is current and the plan's id is
+-- not in the head. Without reading back, a lost answer would be taken for a refusal; without the
+-- recent plans, another version alone would be.
 pred tellRefused[p: Plan] {
   some p.base
   p not in ToldAccepted
@@ -130,7 +130,7 @@
   Up' = Up
 }
 
--- PlatformFollower: the head as it stands, by a read or a watch.
+-- PlatformFollower: the current head, by a read or a watch.
 pred takeFromPlatform[i: Instance] {
   i in Up & Online
   rise[i, Platform.head]
@@ -138,7 +138,7 @@
   chainKept and toldKept and messagesKept
 }
 
--- A reading instance learns that nothing is newer and may serve.
+-- A read that finds no newer version allows the instance to serve.
 pred readNothingNewer[i: Instance] {
   i in Up & Online - Ready
   i.has = Platform.head
@@ -147,8 +147,8 @@
   chainKept and toldKept and messagesKept
 }
 
--- PeerFollower: a peer that says it has a higher version is asked; a new instance with the platform
--- away serves once it has the highest version of the peers that run.
+-- PeerFollower: a peer that reports a higher version is queried. While the platform is unavailable,
+-- a new instance serves once it has the highest version of the running peers.
 pred takeFromPeer[i, j: Instance] {
   i in Up and j in Up - i
   rise[i, j.has]
@@ -156,14 +156,14 @@
   chainKept and toldKept and messagesKept
 }
 
--- ConfigurationService.push: a message goes out and may come late or never.
+-- ConfigurationService.distribute: a message is sent and may arrive late or never.
 pred sendNews[i, j: Instance] {
   i in Up and j != i
   Links.messages' = Links.messages + j -> i.has
   chainKept and toldKept and instancesKept
 }
 
--- ConfigurationReplica.take: news of a higher version only.
+-- ConfigurationReplica.apply: only updates to a higher version are applied.
 pred takeNews[i: Instance, v: Version] {
   i in Up
   v in i.(Links.messages)
@@ -181,7 +181,7 @@
   chainKept and toldKept and messagesKept
 }
 
--- An instance has no disk: it comes back with nothing, and is not ready.
+-- An instance has no disk: it restarts without data and is not ready.
 pred restart[i: Instance] {
   i not in Up
   Up' = Up + i
@@ -236,14 +236,15 @@
 
 -- Interesting states are reached.
 
--- Two plans race on one base; the loser is told so, and the winner hears of its success only by
+-- Two plans race on one base; the loser is refused, and the winner finds its success only by
 -- reading back, after its answer was lost.
 run RaceWithLostAnswer {
   no Flag
   some disj p, q: Plan | eventually (p.base = q.base and p in ToldAccepted and q in ToldRefused and no InFlight)
 } for 3 but 2 Plan, 3 Version, 1 Instance, 1..10 steps expect 1
 
--- A write lands after its sender was left in doubt and another confirmation of the plan started.
+-- A write lands after its outcome was reported as uncertain and another confirmation of the plan
+-- started.
 run LateWriteLands {
   no Flag
   some p: Plan | eventually (p in InFlight and after sendWrite[p]) and eventually p in ToldAccepted
@@ -255,7 +256,7 @@
   some i: Instance | always i not in Online and eventually (i.has = last and i in Ready and Platform.head = last)
 } for 3 but 2 Plan, 3 Version, 2 Instance, 1..12 steps expect 1
 
--- With the platform away a new instance serves with the version of its peers.
+-- While the platform is unavailable, a new instance serves with the version of its peers.
 run NewInstanceFromPeers {
   no Flag
   some i: Instance | eventually (i not in Up and always no Online and eventually (i in Ready and i.has != first))
--- a/masticpond-model/src/test/resources/models/once_only.als
+++ b/masticpond-model/src/test/resources/models/once_only.als
@@ -41,7 +41,7 @@
 var sig Executed in Key {}
 var sig Twice in Name {}
 
--- What callers were told; "did not run" stands until the caller sends the key again.
+-- The answers to callers; "did not run" holds until the caller sends the key again.
 var sig ToldAnswer in Key {}
 var sig ToldUnknown in Name {}
 var sig ToldDidNotRun in Name {}
@@ -114,8 +114,8 @@
   homesUnchanged and platformUnchanged and memoryUnchanged and toldUnchanged
 }
 
--- OperationRegistry.ended with an answer: in time, or late after the home had given up. What the
--- first caller is told is a step of its own, since its connection may be gone.
+-- OperationRegistry.complete with an answer: in time, or late after the home had given up. The
+-- answer to the first caller is a step of its own, since its connection may be closed.
 pred endAnswered[k: Key] {
   k.home in awake and k in Running + KeptUnknown and k in AnswerUnderWay
   Running' = Running - k and KeptAnswer' = KeptAnswer + k and KeptUnknown' = KeptUnknown - k
@@ -124,7 +124,7 @@
   homesUnchanged and platformUnchanged and toldUnchanged
 }
 
--- OperationRegistry.ended without an answer: the deadline passed or the connection broke.
+-- OperationRegistry.complete without an answer: the deadline passed or the connection broke.
 pred endUnknown[k: Key] {
   k.home in awake and k in Running
   Running' = Running - k and KeptUnknown' = KeptUnknown + k and KeptAnswer' = KeptAnswer
@@ -133,7 +133,7 @@
   homesUnchanged and platformUnchanged and backendUnchanged
 }
 
--- OperationRegistry.ended as did not run: no byte left, or a declared shed answer came.
+-- OperationRegistry.complete as did not run: no byte left, or a declared shed answer came.
 pred endDidNotRun[k: Key] {
   k.home in awake and k in Running
   UnsentRefusal in Enforced implies k in UnderWay
@@ -145,7 +145,7 @@
   homesUnchanged and platformUnchanged
 }
 
--- An answer that nobody awaits any more is lost.
+-- An answer for which no request waits any more is lost.
 pred loseAnswer[k: Key] {
   k in AnswerUnderWay
   AnswerUnderWay' = AnswerUnderWay - k
--- a/masticpond-model/src/test/resources/models/spending.als
+++ b/masticpond-model/src/test/resources/models/spending.als
@@ -91,7 +91,7 @@
   moneyStays and ledgerStays and holdersStay
 }
 
--- SpendingAccount.change with LedgerExchange.giveBack
+-- SpendingAccount.change with LedgerExchange.returnAllotment
 pred sendGive [h: Holder, c: Change] {
   ask[h, c]
   some c.give & h.held
@@ -121,7 +121,7 @@
   pending' = pending - h -> c
 }
 
--- The platform answers, and the holder hears it: LedgerAnswer.Written or Conflicted.
+-- The platform answers, and the holder receives the answer: LedgerAnswer.Written or Conflicted.
 pred arriveAnswered [c: Change] {
   c in OnTheWay
   c.by in active and c.by.pending = c
@@ -142,7 +142,7 @@
   moneyStays and holdersStay
 }
 
--- LedgerExchange.settleBy, with the ledger as it stands
+-- LedgerExchange.settleBy, with the current ledger
 pred settle [h: Holder, c: Change] {
   ((some c.take and c.take in Ledger.allotted) or (some c.give and c.give not in Ledger.allotted))
     implies tookEffect[h, c]
@@ -201,7 +201,7 @@
   callsStay and moneyStays and ledgerStays
 }
 
--- LedgerExchange.restate, or the cap that rides on another change
+-- LedgerExchange.recordCap, or the cap that is written with another change
 pred changeCap {
   some c: 0 + 1 + 2 {
     c != Ledger.cap
--- a/masticpond-model/src/test/resources/models/store_relay.als
+++ b/masticpond-model/src/test/resources/models/store_relay.als
@@ -1,8 +1,8 @@
 /*
- * One availability zone in which some instances watch the store and the others hear from them.
+ * One availability zone in which some instances watch the store and the others read from them.
  *
- * A step is a round: each instance that watches has asked the store, each other has asked its
- * watchers. Any instance may fall silent or lose the store in any round.
+ * A step is a round: each watching instance has queried the store, and each other instance its
+ * watchers. Any instance may become unresponsive or lose the store in any round.
  * docs/model/store-relay.md maps the steps to the classes that do them.
  */
 module store_relay
@@ -24,11 +24,11 @@
 -- Those that the store serves, and those whose answers reach their zone, in this round.
 var sig Online, Talking in Instance {}
 
--- Mutants: each flag takes one guard away.
+-- Mutants: each flag removes one guard.
 abstract sig Flag {}
 lone sig NoVersionCheck, NoFallBack, NoClaimCheck extends Flag {}
 
--- RelayService.watches: the answer says that the instance watches, and reaches the store.
+-- RelayService.isWatching: the answer states that the instance watches and reaches the store.
 fun sound: set Instance {
   { i: Talking | some NoClaimCheck or i in Watching & Caught & Online }
 }
@@ -44,18 +44,18 @@
 -- FleetReplica and CategoryFollower: a watch brings what the store has.
 pred watches[i: Instance] {
   i.has' = (i in Online implies Store.head else i.has)
-  -- RelayFollower.settle: it ceases to watch only when all drawn watchers are sound.
+  -- RelayFollower.update: it stops watching only when all drawn watchers are healthy.
   i not in Watching' implies (some i.drawn' - i and (i.drawn' - i) in sound and i in Online)
 }
 
--- RelayFollower.Line.answered: what a sound watcher knows is taken if it is newer.
+-- RelayFollower.WatcherPoller.handleAnswer: the state of a healthy watcher is applied if newer.
 pred relies[i: Instance] {
   let asked = (i.drawn - i) & sound {
     some asked implies {
       i.has' = newest[(some NoVersionCheck implies none else i.has) + asked.has]
       i not in Watching' or i.drawn' != i.drawn
     } else {
-      -- RelayFollower.distrust: nobody is left, so it watches by itself at once.
+      -- RelayFollower.suspend: no healthy watcher is left, so it watches by itself at once.
       i.has' = i.has
       i in Watching' or some NoFallBack
     }
@@ -93,19 +93,20 @@
 
 -- Interesting states are reached.
 
--- Two watch, and the third has what they told it.
+-- Two watch, and the third has what they reported to it.
 run OneHearsFromTwo {
   no Flag
   some i: Instance | #i.drawn = 2 and eventually (#Watching = 2 and i not in Watching and after (i not in Watching and i.has != first))
 } for 3 but 3 Instance, 2 Revision, 1..8 steps expect 1
 
--- Two that drew each other cease to watch in the same round, and both come back.
+-- Two that drew each other stop watching in the same round, and both resume.
 run RelyOnEachOther {
   no Flag
   eventually (some disj i, j: Instance | i in j.drawn and j in i.drawn and no (i + j) & Watching and after (i + j) in Watching)
 } for 3 but 2 Instance, 2 Revision, 1..8 steps expect 1
 
--- Going forward rests on the comparison of revisions alone, not on what watchers say of themselves.
+-- Going forward rests on the comparison of revisions alone, not on the statements of watchers about
+-- themselves.
 check ForwardWithoutClaims { Flag = NoClaimCheck implies onlyForward } for 3 but 3 Instance, 3 Revision, 1..8 steps expect 0
 
 -- Mutants are caught.
--- a/masticpond-testing/src/main/java/io/masticpond/testing/backend/BackendServerHandler.java
+++ b/masticpond-testing/src/main/java/io/masticpond/testing/backend/BackendServerHandler.java
@@ -4,7 +4,10 @@
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.handler.codec.http.FullHttpRequest;
 
-/** Channel handler that passes the requests of one connection to its stand-in backend server. */
+/**
+ * Channel handler that passes the requests of one connection to its stand-in backend server, one at
+ * a time. A request that arrives before the previous one has ended closes the connection.
+ */
 final class BackendServerHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
     private static final String HEALTH = "/health";
