--- a/masticpond-measure/src/main/java/io/masticpond/measure/configuration/ConfigurationMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/configuration/ConfigurationMeasure.java
@@ -25,8 +25,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Measures configuration changes under faults: two operators race to make 200 changes while the
- * platform loses answers and has outages, and instances are killed and restarted.
+ * {@link Measure} of configuration changes under faults: two operators race to make 200 changes
+ * while the platform loses answers and has outages, and instances are killed and restarted.
  *
  * @since 0.1
  */
@@ -96,7 +96,8 @@
     }
 
     /**
-     * Injects platform outages and restarts instances until the operators are done.
+     * Injects platform outages and restarts instances until the operators are done, and interrupts
+     * the operators after 50 s.
      *
      * @return the number of restarted instances that became ready with an older version than the
      *     one in force at the run that was killed
--- a/masticpond-measure/src/main/java/io/masticpond/measure/control/ControlCostMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/control/ControlCostMeasure.java
@@ -16,8 +16,8 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Measures the processor time, bytes and heap that a daemon spends on control, by the number of its
- * peers.
+ * {@link Measure} of the processor time, bytes and heap that a daemon spends on control, by the
+ * number of its peers.
  *
  * @since 0.1
  */
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/DecisionMeasure.java
@@ -10,8 +10,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Measures placement, limits and retries under simulated load patterns, with the default settings
- * and with one mechanism changed at a time.
+ * {@link Measure} of placement, limits and retries under simulated load patterns, with the default
+ * settings and with one mechanism changed at a time.
  *
  * @since 0.2
  */
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/LoadPattern.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/LoadPattern.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Events during a simulation, named by what happens and not by the symptom observed. */
+/** Events during a simulation, named after what happens rather than after the observed symptom. */
 enum LoadPattern {
     /** The caches of all servers are empty at the start, and nothing else happens. */
     COLD_START {
@@ -17,7 +17,9 @@
             simulation.atSecond(13, () -> simulation.setLoadFactor(1));
         }
     },
-    /** All servers of one service reject a share of requests, independent of their load. */
+    /**
+     * All servers of one service reject a share of requests for a time, independent of their load.
+     */
     SERVICE_SHEDS {
         @Override
         void schedule(DecisionSimulation simulation) {
@@ -25,7 +27,7 @@
             simulation.atSecond(16, () -> simulation.shed(0, 1, 0));
         }
     },
-    /** A few servers reject most requests. */
+    /** A few servers reject most requests for a time. */
     SERVERS_SHED {
         @Override
         void schedule(DecisionSimulation simulation) {
--- a/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelRequest.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/decision/ModelRequest.java
@@ -27,7 +27,10 @@
     private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
     private static final long CLIENT_DELAY_NANOS = NANOS_PER_MILLI;
 
-    /** Pause after which a client that reaches no instance tries again. */
+    /**
+     * Pause after which a client that reaches no instance tries again, unless a third of the time
+     * until its deadline is shorter.
+     */
     private static final long NO_INSTANCE_PAUSE_NANOS = 300 * NANOS_PER_MILLI;
 
     /**
@@ -120,7 +123,8 @@
     }
 
     /**
-     * Processing of one attempt of the client at one instance, a reduced request path of the entry.
+     * Processing of one attempt of the client at one instance, a simplified form of the entry's
+     * request path.
      */
     private final class Attempt implements Candidates {
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainKind.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainKind.java
@@ -4,7 +4,7 @@
 import io.masticpond.testing.backend.BackendServerFaults.HealthClaim;
 import io.masticpond.testing.backend.DrainPlan;
 
-/** Ways in which a backend server announces that it leaves, or omits to announce it. */
+/** Ways in which a backend server announces that it leaves, some of them late or misleading. */
 enum DrainKind {
     CONFIGURATION("marked by operators, says nothing itself", noSignals(), 0, 0),
     ALL_SIGNS("health and header at once", new DrainPlan(0, 0, DrainPlan.NEVER), 0, 0),
--- a/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/drain/DrainMeasure.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * Measures for how long backend servers that leave still receive new requests, and how many
- * requests their stop interrupts.
+ * {@link Measure} of the time for which backend servers that leave still receive new requests, and
+ * of the number of requests that their stop interrupts.
  *
  * @since 0.1
  */
--- a/masticpond-measure/src/main/java/io/masticpond/measure/fleet/ChildProcess.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/fleet/ChildProcess.java
@@ -90,7 +90,7 @@
         return mProcess.pid();
     }
 
-    /** Kills the process at once, to simulate a crash. */
+    /** Kills the process at once, to simulate a crash, and waits up to 40 s for its end. */
     public void kill() {
         mProcess.destroyForcibly();
         await(STOP_TIMEOUT);
--- a/masticpond-measure/src/main/java/io/masticpond/measure/fleet/CompletedRequest.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/fleet/CompletedRequest.java
@@ -6,7 +6,8 @@
  * Completed request as its caller observed it.
  *
  * @param service the id of the service
- * @param callerKey whether it had an operation key of the caller, which only the platform can claim
+ * @param callerKey whether its operation key was chosen by the caller; only the platform can claim
+ *     such a key
  * @param address the instance to which it was sent last, as "ip:port"; empty if no look-up was
  *     answered
  * @param startNanos the time at which it began, before its look-up, from {@link System#nanoTime}
@@ -26,7 +27,7 @@
     public CompletedRequest {
         Assert.hasText(service, "A service");
         Assert.notNull(address, "An address");
-        Assert.hasText(outcome, "An end");
+        Assert.hasText(outcome, "An outcome");
         Assert.isTrue(endNanos - startNanos >= 0, "A request must not end before it begins.");
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/fleet/FleetFiles.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/fleet/FleetFiles.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 
-/** Creates the settings files of the processes of a fleet. */
+/** Factory methods for the contents of the settings files of a fleet's processes. */
 final class FleetFiles {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
--- a/masticpond-measure/src/main/java/io/masticpond/measure/hostile/HostileInputMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/hostile/HostileInputMeasure.java
@@ -16,8 +16,8 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * Feeds at least 100,000 generated inputs in total to all interfaces through which data enters the
- * process.
+ * {@link Measure} that feeds at least 100,000 generated inputs in total to all interfaces through
+ * which data enters the process.
  *
  * @since 0.1
  */
--- a/masticpond-measure/src/main/java/io/masticpond/measure/logging/LineCostRun.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/logging/LineCostRun.java
@@ -19,7 +19,8 @@
 import org.slf4j.Logger;
 
 /**
- * Measures the processor time that the logging thread takes for a line, at a steady rate of lines.
+ * Measurement of the processor time that the logging thread takes for a line, at a steady rate of
+ * lines.
  */
 final class LineCostRun {
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/logging/LoggingMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/logging/LoggingMeasure.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Measures the cost of a log line to the request that it describes, and to the process.
+ * {@link Measure} of the cost of a log line to the request that it describes, and to the process.
  *
  * @since 0.2
  */
--- a/masticpond-measure/src/main/java/io/masticpond/measure/logging/StoppedReaderRun.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/logging/StoppedReaderRun.java
@@ -12,7 +12,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures how long a request waits for its log line, with an output that is read or never read.
+ * Measurement of the time for which a request waits for its log line, with an output that is read
+ * or never read.
  */
 final class StoppedReaderRun {
 
@@ -26,9 +27,9 @@
      * Result of a run.
      *
      * @param nanos the durations of the calls, in nanoseconds
-     * @param written the number of lines that were written
-     * @param noteworthyLeftOut the number of refusals that were dropped
-     * @param plainLeftOut the number of plain requests that were dropped
+     * @param written the number of lines that were written, including those of the warm-up
+     * @param noteworthyLeftOut the number of refusals that were dropped, including the warm-up
+     * @param plainLeftOut the number of plain requests that were dropped, including the warm-up
      */
     record Result(Histogram nanos, long written, long noteworthyLeftOut, long plainLeftOut) {}
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/lookup/DirectoryMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/lookup/DirectoryMeasure.java
@@ -22,8 +22,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Measures the processor time in which the entry's directory decides, among many instances, to
- * which of them a client may connect.
+ * {@link Measure} of the processor time in which the entry's directory decides, among many
+ * instances, to which of them a client may connect.
  *
  * @since 0.2
  */
--- a/masticpond-measure/src/main/java/io/masticpond/measure/lookup/HttpLookups.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/lookup/HttpLookups.java
@@ -30,7 +30,7 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** Measures look-ups through the real caller interface on loopback. */
+/** Measurement of look-ups through the real caller interface on loopback. */
 final class HttpLookups {
 
     private static final int CONNECTIONS = 8;
--- a/masticpond-measure/src/main/java/io/masticpond/measure/lookup/InstanceFailureCost.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/lookup/InstanceFailureCost.java
@@ -22,9 +22,9 @@
 import java.util.Set;
 
 /**
- * Computes the share of callers that lose their first instance when a single instance fails, for
- * two policies of which instance the look-up returns first: instances spread over the clients, or
- * the admitter of the service in the client's region.
+ * Computation of the share of callers that lose their first instance when a single instance fails,
+ * for two policies of which instance the look-up returns first: instances spread over the clients,
+ * or the admitter of the service in the client's region.
  */
 final class InstanceFailureCost {
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/lookup/LookupsMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/lookup/LookupsMeasure.java
@@ -21,7 +21,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Measures look-ups: the client block table, changes to it, and complete decisions.
+ * {@link Measure} of look-ups: the client block table, changes to it, and complete decisions.
  *
  * @since 0.1
  */
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/AnswersMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/AnswersMeasure.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * Sends requests with unique bodies under faults and checks that each answer is whole and belongs
- * to its request.
+ * {@link Measure} that sends requests with unique bodies under faults and checks that each answer
+ * is whole and belongs to its request.
  *
  * @since 0.1
  */
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/BackendAnswerRun.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/BackendAnswerRun.java
@@ -25,8 +25,8 @@
 import java.util.concurrent.Semaphore;
 
 /**
- * Sends requests with unique bodies to backend servers that answer late, truncate their answers or
- * do not answer.
+ * Run that sends requests with unique bodies to backend servers that answer late, truncate their
+ * answers or do not answer.
  */
 final class BackendAnswerRun {
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/LinkAnswerRun.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/LinkAnswerRun.java
@@ -23,7 +23,8 @@
 import java.util.concurrent.Semaphore;
 
 /**
- * Sends requests with unique bodies between two instances whose connections are reset periodically.
+ * Run that sends requests with unique bodies between two instances whose connections are reset
+ * periodically.
  */
 final class LinkAnswerRun {
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyCaller.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyCaller.java
@@ -44,7 +44,7 @@
     private final SplittableRandom mRandom;
     private final Runnable mDoneHandler;
     private final String mPath;
-    private final boolean mUsesOwnKey;
+    private final boolean mUsesCallerKey;
     private Optional<String> mHomedKey = Optional.empty();
     private int mHomeIndex;
     private int mAttempts;
@@ -65,7 +65,7 @@
         mRandom = random;
         mDoneHandler = doneHandler;
         mPath = "/plates/" + number;
-        mUsesOwnKey = number % 2 == 0;
+        mUsesCallerKey = number % 2 == 0;
     }
 
     String path() {
@@ -84,7 +84,7 @@
             mScheduler.afterMillis(RETRY_MILLIS, this::attempt);
             return;
         }
-        if (!mUsesOwnKey && mHomedKey.isEmpty()) {
+        if (!mUsesCallerKey && mHomedKey.isEmpty()) {
             mHomedKey = Optional.of(instance.issueKey().toString());
             mHomeIndex = target;
         }
@@ -133,7 +133,8 @@
     }
 
     private OnceOnlyKeys keys() {
-        Optional<String> claimed = mUsesOwnKey ? Optional.of("order " + mPath) : Optional.empty();
+        Optional<String> claimed =
+                mUsesCallerKey ? Optional.of("order " + mPath) : Optional.empty();
         return new OnceOnlyKeys(mHomedKey, claimed, "", mAttempts == 1);
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyFaultRun.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyFaultRun.java
@@ -11,7 +11,10 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** Sends operations at a steady rate while instances, platform, links and backend servers fail. */
+/**
+ * Run that sends once-only operations at a steady rate while instances, platform, links and backend
+ * servers fail.
+ */
 final class OnceOnlyFaultRun {
 
     private static final int OPERATIONS = 20_000;
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyLatency.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyLatency.java
@@ -21,7 +21,7 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** Measures the latency of the same requests in each key mode, without faults. */
+/** Measurement of the latency of the same requests in each key mode, without faults. */
 final class OnceOnlyLatency {
 
     private static final TimeSource TIME = new SystemTimeSource();
@@ -88,11 +88,11 @@
 
         private final String mTitle;
 
-        KeyMode(String text) {
-            mTitle = text;
+        KeyMode(String title) {
+            mTitle = title;
         }
 
-        String text() {
+        String title() {
             return mTitle;
         }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/OnceOnlyMeasure.java
@@ -12,8 +12,8 @@
 import java.util.Map;
 
 /**
- * Runs once-only operations through nine instances that are killed, paused and stopped, and counts
- * their executions at the backend servers.
+ * {@link Measure} that runs once-only operations through nine instances that are killed, paused and
+ * stopped, and counts their executions at the backend servers.
  *
  * @since 0.1
  */
@@ -66,7 +66,7 @@
             results.put(keyMode, result);
             rows.add(
                     List.of(
-                            keyMode.text(),
+                            keyMode.title(),
                             text(millis(result, MEDIAN)),
                             text(millis(result, P99)),
                             text(result.writesPerOperation()),
--- a/masticpond-measure/src/main/java/io/masticpond/measure/operation/OperationExecutions.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/operation/OperationExecutions.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Counts the executions of each operation by its path, under all operation ids with which it was
- * sent. The executions are those that the backend servers counted. Thread-safe.
+ * Counter of the executions of each operation, identified by its path, under all operation ids with
+ * which it was sent. The executions are those that the backend servers counted. Thread-safe.
  */
 final class OperationExecutions {
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/platform/CallLatency.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/platform/CallLatency.java
@@ -8,7 +8,7 @@
 import java.util.function.Supplier;
 import org.HdrHistogram.Histogram;
 
-/** Measures the latency of sequential calls to a platform without faults. */
+/** Measurement of the latency of sequential calls to a platform without faults. */
 final class CallLatency {
 
     private static final int WARM_UP_CALLS = 1_000;
--- a/masticpond-measure/src/main/java/io/masticpond/measure/platform/OutageRun.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/platform/OutageRun.java
@@ -11,7 +11,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Requests reads at a steady rate while the platform is unavailable, and until it answers again.
+ * Run that requests reads at a steady rate while the platform is unavailable, and until it answers
+ * again.
  */
 final class OutageRun {
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/platform/PlatformClientMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/platform/PlatformClientMeasure.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 
 /**
- * Measures the client of the platform: its latency, and its calls during an outage.
+ * {@link Measure} of the client of the platform: its latency, and its calls during an outage.
  *
  * @since 0.1
  */
--- a/masticpond-measure/src/main/java/io/masticpond/measure/quickstart/QuickstartMain.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/quickstart/QuickstartMain.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine;
 
 /**
- * Main class of the quickstart.
+ * Entry point that runs the quickstart from the command line.
  *
  * @since 0.1
  */
@@ -12,9 +12,9 @@
     private QuickstartMain() {}
 
     /**
-     * Runs the quickstart.
+     * Runs the quickstart and exits with its exit code.
      *
-     * @param arguments the arguments of the command line
+     * @param arguments the command-line arguments
      */
     public static void main(String[] arguments) {
         System.exit(new CommandLine(new QuickstartCommand()).execute(arguments));
--- a/masticpond-measure/src/main/java/io/masticpond/measure/rate/RateSharingStrategy.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/rate/RateSharingStrategy.java
@@ -22,7 +22,9 @@
             return new FixedPart(limit, instances, nowNanos);
         }
     },
-    /** Each instance admits the share of its requests that the rate covers of the total demand. */
+    /**
+     * Each instance admits the same share of its requests: the rate divided by the total demand.
+     */
     IN_PROPORTION {
         @Override
         InstanceRate create(RateLimit limit, int instances, long nowNanos) {
@@ -131,7 +133,8 @@
     }
 
     /**
-     * Admits the share of the demand that the rate covers, by the demand that was last received.
+     * Rate limiter that admits the share of the demand that the rate covers, by the demand of the
+     * other instances that was last received.
      */
     private static class ProportionalShare implements InstanceRate {
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/rate/RateSimulation.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/rate/RateSimulation.java
@@ -31,7 +31,8 @@
     private static final double DETECTION_SECONDS = 1.5;
 
     /**
-     * Delay in seconds until a started instance has received from the others and reports to them.
+     * Delay in seconds from the start of an instance until it has received reports of the others
+     * and sends its own.
      */
     private static final double FIRST_REPORT_SECONDS = 0.4;
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/rate/WorkspaceRatesMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/rate/WorkspaceRatesMeasure.java
@@ -9,7 +9,7 @@
 import java.util.Locale;
 
 /**
- * Measures the rates of workspaces in simulations of loads and faults.
+ * {@link Measure} of the rates of workspaces in simulations of loads and faults.
  *
  * @since 0.2
  */
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/FakeServer.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/FakeServer.java
@@ -13,9 +13,9 @@
 /**
  * Fake backend server that counts all of its requests itself, independently of their sender.
  *
- * <p>The cache is cold for traffic of a region that the server has not served before: the first
- * requests take three times as long, and the excess decreases by a factor of e with every 30
- * requests.
+ * <p>The cache is cold for traffic of a region that the server has not served since it last
+ * started, unless it is marked as warm: the first requests take three times as long, and the excess
+ * decreases by a factor of e with every 30 requests.
  */
 final class FakeServer {
 
@@ -91,18 +91,18 @@
         List<Work> interrupted = new ArrayList<>(mWork);
         mWork.clear();
         mServed.clear();
-        interrupted.forEach(work -> work.mListener.ended(WorkEnd.DIED));
+        interrupted.forEach(work -> work.mListener.ended(WorkEnd.TERMINATED));
     }
 
     void startCold() {
         mRunning = true;
     }
 
-    /** The ways in which the processing of a request ends. */
+    /** Ways in which the processing of a request ends. */
     enum WorkEnd {
         DONE,
         TOO_LATE,
-        DIED
+        TERMINATED
     }
 
     /** Callback interface for the end of processing. */
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/RegionFailoverMeasure.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/RegionFailoverMeasure.java
@@ -148,11 +148,11 @@
         return Math.max(
                 counts.secondsToSteady(LOSS_SECOND, RETURN_SECOND, window, TOLERATED_SHARE),
                 counts.secondsToSteady(
-                        RETURN_SECOND, lastCompleteSecond(), window, TOLERATED_SHARE));
+                        RETURN_SECOND, completeSecondsEnd(), window, TOLERATED_SHARE));
     }
 
     /** Returns the end, exclusive, of the seconds whose requests have all ended. */
-    private static int lastCompleteSecond() {
+    private static int completeSecondsEnd() {
         return END_SECOND - Deployment.DEADLINE_MILLIS / 1000;
     }
 
@@ -181,7 +181,7 @@
             OutcomeCounts counts) {
         List<Double> seconds = new ArrayList<>();
         List<Double> shares = new ArrayList<>();
-        for (int second = STOP_SECOND; second < lastCompleteSecond(); second++) {
+        for (int second = STOP_SECOND; second < completeSecondsEnd(); second++) {
             seconds.add((double) second);
             shares.add(counts.share(second, second + 1, Outcome.ANSWERED));
         }
--- a/masticpond-measure/src/main/java/io/masticpond/measure/replacement/CrashAttribution.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/replacement/CrashAttribution.java
@@ -37,8 +37,8 @@
      * @param instances the instances
      * @param killedInstances the instances that were killed
      * @param requests all requests of the storm
-     * @param killNanos when the first process was killed, on the requests' clock
-     * @param terminatedNanos when the last process had terminated, on the same clock
+     * @param killNanos the time at which the first process was killed, on the requests' clock
+     * @param terminatedNanos the time at which the last process had terminated, on the same clock
      */
     CrashAttribution(
             List<FleetInstance> instances,
--- a/masticpond-measure/src/main/java/io/masticpond/measure/spending/SpendingScenario.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/spending/SpendingScenario.java
@@ -13,8 +13,10 @@
  * @param policy the policy that sizes allotments
  * @param advancePeriod the interval at which each spending gate is advanced
  * @param lostShare the fraction of writes whose answer is lost
- * @param crashes the number of instances that crash in the first shift
- * @param pauses the number of instances paused for a minute in the first shift
+ * @param crashes the number of crashes in the first two thirds of the first shift, each of a random
+ *     instance
+ * @param pauses the number of pauses of a minute in the first shift, each of a random instance; if
+ *     it is positive, one more pause is centered on the boundary between the shifts
  * @param outage the duration of each of two platform outages, one that begins after a third of the
  *     first shift, one centered on the boundary between the shifts
  */
--- a/masticpond-measure/src/main/java/io/masticpond/measure/support/EventQueue.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/support/EventQueue.java
@@ -10,8 +10,7 @@
  * Event queue in virtual time, which runs actions in the order of their due times, so that a
  * measure never waits in real time.
  *
- * <p>Actions due at the same time run in the order in which they were scheduled. Instances are not
- * thread-safe.
+ * <p>Actions due at the same time run in the order in which they were scheduled. Not thread-safe.
  *
  * @since 0.1
  */
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/FaultyForwardPolicy.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/FaultyForwardPolicy.java
@@ -29,7 +29,7 @@
     private static final long SUSPECT_NANOS = TimeUnit.SECONDS.toNanos(1);
     private static final long HEARTBEAT_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
-    /** A forwarded request's entry instance, which its client uses, and admitter. */
+    /** Entry instance, which the client uses, and admitter of a forwarded request. */
     private record ForwardedRequest(int entry, int admitter) {}
 
     private final TailRun mRun;
--- a/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailRun.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/tail/TailRun.java
@@ -58,7 +58,9 @@
     }
 
     /**
-     * Records that the client of a request receives its answer at the current virtual time.
+     * Records that the client of a request receives its answer at the current virtual time. The
+     * latencies of the first twentieth of all requests are not recorded, because they belong to the
+     * warm-up.
      *
      * @param request the request
      */
--- a/masticpond-measure/src/test/java/io/masticpond/measure/decision/LoadPatternTest.java
+++ b/masticpond-measure/src/test/java/io/masticpond/measure/decision/LoadPatternTest.java
@@ -19,8 +19,8 @@
     }
 
     /**
-     * The share of sends to other regions was 0.308 when a server that rejected a request was
-     * avoided regardless of the load that it reported, and is 0.278 now.
+     * The share of sends to other regions is 0.278. It was 0.308 when a server that rejected a
+     * request was avoided regardless of the load that it reported.
      */
     @Example
     void sheddingServiceMovesNoKeysToOtherRegions() {
@@ -30,8 +30,8 @@
     }
 
     /**
-     * Servers rejected 545 sends when each was avoided for a moment only, and reject 229 since the
-     * outlier detector evaluates them.
+     * Servers reject 229 sends with the outlier detector. Without it, when each server was avoided
+     * for a moment only, they rejected 545.
      */
     @Example
     void avoidsServersThatShedWhileOthersDoNot() {
@@ -41,8 +41,8 @@
     }
 
     /**
-     * A third of all bytes came from other regions when distance had the same cost for answers of
-     * all sizes; the share is 0.04 now.
+     * The share of bytes from other regions is 0.04. It was a third when distance had the same cost
+     * for answers of all sizes.
      */
     @Example
     void fewLargeAnswersCrossRegions() {
@@ -52,7 +52,10 @@
         assertThat(statistics.otherRegionByteShare()).isLessThan(0.15);
     }
 
-    /** The benchmark showed the same order: 0.547 and 0.470 instead of 0.613 and 0.573. */
+    /**
+     * The benchmark showed the same order: 0.547 and 0.470 with spreading instead of 0.613 and
+     * 0.573.
+     */
     @Example
     void spreadingKeysByConstantsIsWorseWithFewServers() {
         double spread =
--- a/masticpond-measure/src/test/java/io/masticpond/measure/rate/RatePatternTest.java
+++ b/masticpond-measure/src/test/java/io/masticpond/measure/rate/RatePatternTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.LongRange;
 
-/** Tests the rate of a workspace over all instances under each pattern of load and faults. */
+/** Tests for the rate of a workspace over all instances, under each pattern of load and faults. */
 class RatePatternTest {
 
     private static RateStatistics simulate(
--- a/masticpond-measure/src/test/java/io/masticpond/measure/replacement/CrashAttributionTest.java
+++ b/masticpond-measure/src/test/java/io/masticpond/measure/replacement/CrashAttributionTest.java
@@ -31,7 +31,7 @@
     }
 
     @Example
-    void countsRequestsWithOwnKeysAsNeedingPlatformAfterKill() {
+    void countsRequestsWithCallerKeysAsNeedingPlatformAfterKill() {
         add(true, KILL + 1, KILL + 10, REFUSED);
         add(true, KILL - 20, KILL + 1, LoadStatistics.ANSWERED);
         add(true, KILL - 20, KILL - 10, REFUSED);
@@ -67,11 +67,11 @@
                         List.of("1", "1", "0", "0", "1"), List.of("2", "1", "0", "0", "1"));
     }
 
-    private void add(boolean ownKey, long start, long end, String outcome) {
+    private void add(boolean callerKey, long start, long end, String outcome) {
         mRequests.add(
                 new CompletedRequest(
                         "layout-view",
-                        ownKey,
+                        callerKey,
                         KILLED_INSTANCE.callerAddress(),
                         start,
                         end,
