--- a/masticpond-measure/src/test/java/io/masticpond/measure/decision/LoadPatternTest.java
+++ b/masticpond-measure/src/test/java/io/masticpond/measure/decision/LoadPatternTest.java
@@ -6,7 +6,8 @@
 
 /**
  * Tests for the decisions under simulated load patterns. Each bound lies halfway between the
- * figures with and without the mechanism that it protects, for the same seed.
+ * figures with and without the mechanism that it protects, for the same seed, as measured when the
+ * bound was set.
  */
 class LoadPatternTest {
 
@@ -19,8 +20,8 @@
     }
 
     /**
-     * The share of sends to other regions is 0.278. It was 0.308 when a server that rejected a
-     * request was avoided regardless of the load that it reported.
+     * The share of sends to other regions was 0.308 when a server that rejected a request was
+     * avoided regardless of the load that it reported, and 0.278 after that was corrected.
      */
     @Example
     void sheddingServiceMovesNoKeysToOtherRegions() {
@@ -30,8 +31,8 @@
     }
 
     /**
-     * Servers reject 229 sends with the outlier detector. Without it, when each server was avoided
-     * for a moment only, they rejected 545.
+     * Servers rejected 545 sends when each was avoided for a moment only, and 229 once the outlier
+     * detector evaluated them.
      */
     @Example
     void avoidsServersThatShedWhileOthersDoNot() {
@@ -41,8 +42,8 @@
     }
 
     /**
-     * The share of bytes from other regions is 0.04. It was a third when distance had the same cost
-     * for answers of all sizes.
+     * The share of bytes from other regions was a third when distance had the same cost for answers
+     * of all sizes, and 0.04 after that was corrected.
      */
     @Example
     void fewLargeAnswersCrossRegions() {
@@ -67,8 +68,8 @@
 
     /**
      * With a hundred instances, each receives an answer from a given server once in half a minute,
-     * but a queue lasts a second. The share of late answers is 0.24 if each instance uses only the
-     * loads that it receives itself, and 0.15 if the instances of a zone share them.
+     * but a queue lasts a second. The share of late answers was 0.24 with each instance using only
+     * the loads that it receives itself, and 0.15 with the instances of a zone sharing them.
      */
     @Example
     void sharingLoadsReducesLateAnswersInLargeFleet() {
