--- a/masticpond-measure/src/test/java/io/masticpond/measure/decision/LoadPatternTest.java
+++ b/masticpond-measure/src/test/java/io/masticpond/measure/decision/LoadPatternTest.java
@@ -6,7 +6,8 @@
 
 /**
  * Tests for the decisions under simulated load patterns. Each bound lies halfway between the
- * figures with and without the mechanism that it protects, for the same seed.
+ * figures with and without the mechanism that it protects, for the same seed, as measured when the
+ * bound was set.
  */
 class LoadPatternTest {
 
@@ -20,7 +21,7 @@
 
     /**
      * The share of sends to other regions was 0.308 when a server that rejected a request was
-     * avoided regardless of the load that it reported, and is 0.278 now.
+     * avoided regardless of the load that it reported, and 0.278 after that was corrected.
      */
     @Example
     void sheddingServiceMovesNoKeysToOtherRegions() {
@@ -30,8 +31,8 @@
     }
 
     /**
-     * Servers rejected 545 sends when each was avoided for a moment only, and reject 229 since the
-     * outlier detector evaluates them.
+     * Servers rejected 545 sends when each was avoided for a moment only, and 229 once the outlier
+     * detector evaluated them.
      */
     @Example
     void avoidsServersThatShedWhileOthersDoNot() {
@@ -41,8 +42,8 @@
     }
 
     /**
-     * A third of all bytes came from other regions when distance had the same cost for answers of
-     * all sizes; the share is 0.04 now.
+     * The share of bytes from other regions was a third when distance had the same cost for answers
+     * of all sizes, and 0.04 after that was corrected.
      */
     @Example
     void fewLargeAnswersCrossRegions() {
@@ -52,7 +53,10 @@
         assertThat(statistics.otherRegionByteShare()).isLessThan(0.15);
     }
 
-    /** The benchmark showed the same order: 0.547 and 0.470 instead of 0.613 and 0.573. */
+    /**
+     * The benchmark showed the same order: 0.547 and 0.470 with spreading instead of 0.613 and
+     * 0.573.
+     */
     @Example
     void spreadingKeysByConstantsIsWorseWithFewServers() {
         double spread =
@@ -64,8 +68,8 @@
 
     /**
      * With a hundred instances, each receives an answer from a given server once in half a minute,
-     * but a queue lasts a second. The share of late answers is 0.24 if each instance uses only the
-     * loads that it receives itself, and 0.15 if the instances of a zone share them.
+     * but a queue lasts a second. The share of late answers was 0.24 with each instance using only
+     * the loads that it receives itself, and 0.15 with the instances of a zone sharing them.
      */
     @Example
     void sharingLoadsReducesLateAnswersInLargeFleet() {
