--- a/masticpond-measure/src/main/java/io/masticpond/measure/rate/RatePattern.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/rate/RatePattern.java
@@ -3,13 +3,13 @@
 /** Patterns of load and faults over the seconds of a simulation. */
 enum RatePattern {
     /** Typical load, with the peaks of the regions at different times. */
-    CALM(Load.TYPICAL),
+    CALM(Load.USUAL),
     /** The workspace sends 7.5 times its typical load, in two bursts. */
     HOT(Load.HOT),
     /** The same bursts, with a load close to the rate before and between them. */
     HOT_AT_THE_RATE(Load.HOT_AT_THE_RATE),
     /** Typical load while all regions are partitioned from each other. */
-    CUT(Load.TYPICAL) {
+    CUT(Load.USUAL) {
         @Override
         boolean isPartitioned(double second) {
             return second >= 10 && second < 18;
@@ -44,7 +44,7 @@
         }
     },
     /** The rate is lowered to a third of the load. */
-    LOWERED(Load.TYPICAL) {
+    LOWERED(Load.USUAL) {
         @Override
         double rate(double second) {
             return second >= 10 ? 0.2 : 1;
@@ -91,7 +91,7 @@
 
     /** Number of requests relative to the typical load, outside the bursts and during them. */
     private enum Load {
-        TYPICAL(1, 1),
+        USUAL(1, 1),
         HOT(1, 7.5),
         HOT_AT_THE_RATE(1.55, 7.5);
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/AdmitterHost.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/AdmitterHost.java
@@ -124,7 +124,7 @@
                                 switch (end) {
                                     case DONE -> AttemptOutcome.ANSWERED;
                                     case TOO_LATE -> AttemptOutcome.TIMED_OUT;
-                                    case TERMINATED -> AttemptOutcome.BROKEN;
+                                    case DIED -> AttemptOutcome.BROKEN;
                                 }));
     }
 
--- a/masticpond-measure/src/main/java/io/masticpond/measure/region/FakeServer.java
+++ b/masticpond-measure/src/main/java/io/masticpond/measure/region/FakeServer.java
@@ -91,7 +91,7 @@
         List<Work> interrupted = new ArrayList<>(mWork);
         mWork.clear();
         mServed.clear();
-        interrupted.forEach(work -> work.mListener.ended(WorkEnd.TERMINATED));
+        interrupted.forEach(work -> work.mListener.ended(WorkEnd.DIED));
     }
 
     void startCold() {
@@ -102,7 +102,7 @@
     enum WorkEnd {
         DONE,
         TOO_LATE,
-        TERMINATED
+        DIED
     }
 
     /** Callback interface for the end of processing. */
