--- a/masticpond-entry/src/main/java/io/masticpond/entry/directory/DirectoryDecider.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/directory/DirectoryDecider.java
@@ -13,7 +13,8 @@
 import java.util.Set;
 
 /**
- * Decides which instances a client may connect to. Safe for use by multiple threads.
+ * Decider that selects the instances to which a client may connect. Safe for use by multiple
+ * threads.
  *
  * <p>The answer names the ready instances of the client's availability zone. If these are too few
  * to lose one, it names those of the region; and those of other regions only while the client's
--- a/masticpond-entry/src/main/java/io/masticpond/entry/lifecycle/PlannedStop.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/lifecycle/PlannedStop.java
@@ -6,7 +6,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Stops this instance without failing a request.
+ * Sequence of steps that stops this instance without failing a request.
  *
  * <p>First this instance announces that it leaves and continues to serve, with each answer closing
  * its connection, for clients that were given its address shortly before. Then it accepts no more
--- a/masticpond-entry/src/main/java/io/masticpond/entry/lifecycle/Readiness.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/lifecycle/Readiness.java
@@ -3,7 +3,7 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Determines whether this instance takes new clients. As thread-safe as the suppliers that it
+ * Condition under which this instance takes new clients. As thread-safe as the suppliers that it
  * queries.
  *
  * @since 0.2
--- a/masticpond-entry/src/main/java/io/masticpond/entry/metrics/BoundedNames.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/metrics/BoundedNames.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * Assigns a number of its own to each of the first names that appear, and one common number to all
- * later ones, so that the number of labels is bounded whatever the configuration holds. Safe for
- * use by multiple threads.
+ * Registry that assigns a number of its own to each of the first names that appear, and one common
+ * number to all later ones, so that the number of labels is bounded whatever the configuration
+ * holds. Safe for use by multiple threads.
  */
 final class BoundedNames {
 
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerExchange.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerExchange.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 
 /**
- * Exchanges heartbeats and updates with other instances, without any knowledge of sockets and
+ * Exchange of heartbeats and updates with other instances, without any knowledge of sockets and
  * timers. Confined to the control thread.
  *
  * <p>Up to {@link PeerNeighbors#FULL_MESH} other instances form a full mesh: all exchange
--- a/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerNeighbors.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/peer/PeerNeighbors.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * Selects the instances that exchange heartbeats with each other, such that all instances with the
- * same members agree.
+ * Utility methods that select the instances that exchange heartbeats with each other, such that all
+ * instances with the same members agree.
  *
  * <p>A small fleet is a full mesh. In a larger fleet the instances form a ring, in an order that is
  * unrelated to their places, and each selects those 1, 3, 9, ... steps away on both sides: these
--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/InstanceRegistration.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/InstanceRegistration.java
@@ -11,7 +11,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Registers this instance in the store, and lists the other instances once.
+ * Registration of this instance in the store, which also lists the other instances once.
  *
  * <p>Both are retried until they succeed. Confined to the control thread.
  *
--- a/masticpond-entry/src/main/java/io/masticpond/entry/wiring/AntiEntropyTargets.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/wiring/AntiEntropyTargets.java
@@ -12,8 +12,9 @@
 /**
  * Selector of the instances to which this instance sends its state in each anti-entropy round:
  * those that have started since the last round, and in every fourth round one other in turn, which
- * compensates for lost datagrams. A starting instance gets reports from 3 others only; all
- * instances that see the same members choose the same ones.
+ * compensates for lost datagrams. Only 3 others send to an instance because it has started, and all
+ * instances that see the same members choose the same 3; what others send to it in turn comes in
+ * addition.
  */
 final class AntiEntropyTargets {
 
