--- a/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayCodec.java
+++ b/masticpond-entry/src/main/java/io/masticpond/entry/replica/RelayCodec.java
@@ -93,8 +93,8 @@
         }
         List<TimestampedDocument> documents = new ArrayList<>();
         for (RelayedDocument document : answer.getDocumentsList()) {
-            boolean isSound = !document.getName().isEmpty() && document.getRevision() >= 0;
-            if (!isSound || document.getAgeMs() < 0) {
+            boolean isValid = !document.getName().isEmpty() && document.getRevision() >= 0;
+            if (!isValid || document.getAgeMs() < 0) {
                 return Either.left("A document has no name, or a negative revision or age.");
             }
             try {
--- a/masticpond-measure/src/test/java/io/masticpond/measure/decision/LoadPatternTest.java
+++ b/masticpond-measure/src/test/java/io/masticpond/measure/decision/LoadPatternTest.java
@@ -6,8 +6,7 @@
 
 /**
  * Tests for the decisions under simulated load patterns. Each bound lies halfway between the
- * figures with and without the mechanism that it protects, for the same seed, as measured when the
- * bound was set.
+ * figures with and without the mechanism that it protects, for the same seed.
  */
 class LoadPatternTest {
 
@@ -20,8 +19,8 @@
     }
 
     /**
-     * The share of sends to other regions was 0.308 when a server that rejected a request was
-     * avoided regardless of the load that it reported, and 0.278 after that was corrected.
+     * The share of sends to other regions is 0.308 if a server that rejects a request is avoided
+     * regardless of the load that it reports, and 0.278 otherwise.
      */
     @Example
     void sheddingServiceMovesNoKeysToOtherRegions() {
@@ -31,8 +30,8 @@
     }
 
     /**
-     * Servers rejected 545 sends when each was avoided for a moment only, and 229 once the outlier
-     * detector evaluated them.
+     * Servers reject 545 sends if each is avoided for a moment only, and 229 if the outlier
+     * detector evaluates them.
      */
     @Example
     void avoidsServersThatShedWhileOthersDoNot() {
@@ -42,8 +41,8 @@
     }
 
     /**
-     * The share of bytes from other regions was a third when distance had the same cost for answers
-     * of all sizes, and 0.04 after that was corrected.
+     * The share of bytes from other regions is a third if distance has the same cost for answers of
+     * all sizes, and 0.04 otherwise.
      */
     @Example
     void fewLargeAnswersCrossRegions() {
@@ -53,10 +52,7 @@
         assertThat(statistics.otherRegionByteShare()).isLessThan(0.15);
     }
 
-    /**
-     * The benchmark showed the same order: 0.547 and 0.470 with spreading instead of 0.613 and
-     * 0.573.
-     */
+    /** In the benchmark, utility is 0.547 and 0.470 with spreading and 0.613 and 0.573 without. */
     @Example
     void spreadingKeysByConstantsIsWorseWithFewServers() {
         double spread =
@@ -68,8 +64,8 @@
 
     /**
      * With a hundred instances, each receives an answer from a given server once in half a minute,
-     * but a queue lasts a second. The share of late answers was 0.24 with each instance using only
-     * the loads that it receives itself, and 0.15 with the instances of a zone sharing them.
+     * but a queue lasts a second. The share of late answers is 0.24 if each instance uses only the
+     * loads that it receives itself, and 0.15 if the instances of a zone share them.
      */
     @Example
     void sharingLoadsReducesLateAnswersInLargeFleet() {
